--- a/Makefile
+++ b/Makefile
@@ -16,10 +16,10 @@
 	mvn -B verify
 
 lint:
-	mvn -q -B checkstyle:check@style formatter:validate@format test-compile
+	mvn -q -B checkstyle:check@style spotless:check@format test-compile
 
 format:
-	mvn -q -B formatter:format@format
+	mvn -q -B spotless:apply
 
 run: build
 	exec java -jar target/pearusher.jar serve
