--- a/src/bench/java/pearusher/capacity/EmptyMain.java
+++ b/src/bench/java/pearusher/capacity/EmptyMain.java
@@ -8,7 +8,7 @@
 
     public static void main(String[] args) throws IOException {
         while (System.in.read() >= 0) {
-            continue;
+            // What comes is not used.
         }
     }
 }
--- a/src/bench/java/pearusher/scale/AssignerProcess.java
+++ b/src/bench/java/pearusher/scale/AssignerProcess.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
@@ -55,7 +56,7 @@
         how.environment().putAll(environment);
         Process process = how.start();
         RUNNING.add(process);
-        process.onExit().thenAccept(RUNNING::remove);
+        CompletableFuture<Void> unused = process.onExit().thenAccept(RUNNING::remove);
         return new AssignerProcess(directory, listen, process);
     }
 
@@ -65,7 +66,7 @@
 
     /** A port that was free a moment ago. */
     static InetSocketAddress freeAddress() throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return new InetSocketAddress(free.getInetAddress(), free.getLocalPort());
         }
     }
--- a/src/bench/java/pearusher/scale/ChangeFeed.java
+++ b/src/bench/java/pearusher/scale/ChangeFeed.java
@@ -105,6 +105,8 @@
         replace(lost);
     }
 
+    // Only one thread writes the count.
+    @SuppressWarnings("NonAtomicVolatileUpdate")
     private void tell(List<Integer> changed) {
         made = made + 1;
         listener.inService(serving.stream().mapToInt(Integer::intValue).toArray());
--- a/src/bench/java/pearusher/scale/Comparison.java
+++ b/src/bench/java/pearusher/scale/Comparison.java
@@ -20,6 +20,8 @@
         PROXIES(Traffic.Kind.USAGE, Traffic.Kind.APPLIED),
         ASSIGNERS(Traffic.Kind.ORDER);
 
+        // Only read.
+        @SuppressWarnings("ImmutableEnumChecker")
         private final Traffic.Kind[] kinds;
 
         Role(Traffic.Kind... kinds) {
--- a/src/bench/java/pearusher/scale/EventLoop.java
+++ b/src/bench/java/pearusher/scale/EventLoop.java
@@ -99,7 +99,7 @@
     /** Listens on loopback, on a port that the system gives. */
     InetSocketAddress listen(Function<Connection, Connection.Handler> handlers) throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open();
-        server.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), ACCEPT_BACKLOG);
+        server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), ACCEPT_BACKLOG);
         server.configureBlocking(false);
         execute(() -> {
             try {
--- a/src/bench/java/pearusher/scale/HollowCollectors.java
+++ b/src/bench/java/pearusher/scale/HollowCollectors.java
@@ -37,14 +37,12 @@
 
     /** An assigner with its collectors' connections. */
     private final class Target {
-        private final AssignerAddress assigner;
         private final List<Link> links = new ArrayList<>();
         private long said;
         private double due;
         private long lastNs;
 
         Target(AssignerAddress assigner) {
-            this.assigner = assigner;
             for (int zone = 0; zone < shape.zones(); zone++) {
                 links.add(new Link(zone, assigner));
             }
@@ -108,6 +106,8 @@
             loop.schedule(REDIAL_NS, this::dial);
         }
 
+        // Only the loop writes the count.
+        @SuppressWarnings("NonAtomicVolatileUpdate")
         void heard(int server, double turnS) {
             if (!up || cut || connection.backlogged()) {
                 notSent++;
--- a/src/bench/java/pearusher/scale/HollowWatchers.java
+++ b/src/bench/java/pearusher/scale/HollowWatchers.java
@@ -36,7 +36,6 @@
 
     /** One watch, read chunk by chunk: a chunk is one line. */
     private final class Watcher implements Connection.Handler {
-        private Connection connection;
         private long generation;
         private long dialledNs;
         private boolean isListed;
@@ -55,7 +54,7 @@
             chunkLeft = 0;
             dialledNs = System.nanoTime();
             try {
-                connection = loop.dial(discovery, this);
+                loop.dial(discovery, this);
             } catch (IOException e) {
                 fault = "watcher: " + e.getMessage();
             }
--- a/src/bench/java/pearusher/scale/Report.java
+++ b/src/bench/java/pearusher/scale/Report.java
@@ -31,7 +31,7 @@
 
     /** Median, 99th percentile and maximum with the count; only the count where there is nothing. */
     void times(String name, Histogram histogram, double perUnit, String unit) {
-        add(name + "_count", histogram.getTotalCount(), "1");
+        add(name + "_count", (double) histogram.getTotalCount(), "1");
         if (histogram.getTotalCount() > 0) {
             add(name + "_p50", histogram.getValueAtPercentile(50) / perUnit, unit);
             add(name + "_p99", histogram.getValueAtPercentile(99) / perUnit, unit);
--- a/src/bench/java/pearusher/scale/ScaleRun.java
+++ b/src/bench/java/pearusher/scale/ScaleRun.java
@@ -214,17 +214,17 @@
         report.add("streams_ended", proxies.streamsEnded(), "1");
         report.times("bind_time", proxies.bindUs(), 1000, "ms");
         report.times("bind_bytes", proxies.bindBytes(), 1, "B");
-        report.add("changes_made", fleet.feed().made(), "1");
+        report.add("changes_made", (double) fleet.feed().made(), "1");
         report.times("in_force_proxy", proxies.drainPerProxyUs(), 1000, "ms");
         report.times("in_force_everywhere", proxies.drainEverywhereUs(), 1000, "ms");
         report.add("drains_unfinished", proxies.drainsUnfinished(), "1");
-        report.add("reports_not_sent", fleet.collectors().notSent(), "1");
+        report.add("reports_not_sent", (double) fleet.collectors().notSent(), "1");
         if (run.whole(RunKey.WATCHERS) > 0) {
             HollowWatchers.Figures watchers = fleet.watchers().figures();
             report.add("watchers", watchers.listed(), "1");
             report.times("watcher_list", watchers.listUs(), 1000, "ms");
             report.times("watcher_change", watchers.changeUs(), 1000, "ms");
-            report.add("watcher_bytes", watchers.receivedBytes(), "B");
+            report.add("watcher_bytes", (double) watchers.receivedBytes(), "B");
         }
         for (Fleet.Member member : fleet.members()) {
             processFigures(member);
@@ -246,12 +246,12 @@
         report.add(name + "rss_peak", ProcessFigures.peakResidentKb(process.pid()) / 1024.0, "MiB");
         long dropped = process.reportsDropped();
         if (dropped >= 0) {
-            report.add(name + "reports_dropped", dropped, "1");
+            report.add(name + "reports_dropped", (double) dropped, "1");
         } else {
             report.remark(name + "reports_dropped", "some, and dropping goes on: not counted");
         }
         Map<Traffic.Kind, Traffic.Count> all = member.traffic().snapshot();
-        report.add(name + "list_whole_bytes_total", all.get(Traffic.Kind.LIST_WHOLE).bytes(), "B");
+        report.add(name + "list_whole_bytes_total", (double) all.get(Traffic.Kind.LIST_WHOLE).bytes(), "B");
         if (run.get(RunKey.HEAP) > 0) {
             long live = ProcessFigures.liveHeapBytes(process.pid());
             if (live >= 0) {
--- a/src/bench/java/pearusher/scale/Sweep.java
+++ b/src/bench/java/pearusher/scale/Sweep.java
@@ -62,7 +62,7 @@
                     return "time: " + Report.text(plan.budgetS()) + " s; reached: all before " + at;
                 }
                 ScaleRun.Outcome outcome = runner.run(base.with(plan.key(), size)
-                        .with(RunKey.SEED, base.seed() + run));
+                        .with(RunKey.SEED, (double) (base.seed() + run)));
                 if (!outcome.reached()) {
                     return at + ": " + outcome.limit();
                 }
--- a/src/bench/java/pearusher/scale/Window.java
+++ b/src/bench/java/pearusher/scale/Window.java
@@ -43,7 +43,7 @@
             if (begin.process() == begin.member().process() && begin.process().alive()) {
                 long ticks = ProcessFigures.ticks(begin.process().pid()) - begin.ticks();
                 long unread = ProcessFigures.unreadBytes(begin.process().address().getPort());
-                report.add(name + "unread_end", unread, "B");
+                report.add(name + "unread_end", (double) unread, "B");
                 double core = ticks * ProcessFigures.TICK_MS / seconds / 10;
                 report.add(name + "core", core, "percent_of_a_core");
                 if (core > MOST_CORE_PERCENT) {
--- a/src/bench/java/pearusher/serve/KillBench.java
+++ b/src/bench/java/pearusher/serve/KillBench.java
@@ -237,8 +237,8 @@
             }
             period();
         }
-        say(mode + "_calm_messages", messages, "in_10_s");
-        say(mode + "_calm_lines", lines, "in_10_s");
+        say(mode + "_calm_messages", (double) messages, "in_10_s");
+        say(mode + "_calm_lines", (double) lines, "in_10_s");
         say(mode + "_order_delay_p50", delays.getValueAtPercentile(50) / 1e3, "us");
         say(mode + "_order_delay_p99", delays.getValueAtPercentile(99) / 1e3, "us");
         say(mode + "_turn_p50", turns.getValueAtPercentile(50) / 1e3, "us");
@@ -266,16 +266,16 @@
         for (int k = 0; k < 40; k++) {
             period();
             if (k == 19) {
-                say(mode + "_kill_lines_20", lines, "in_20_s");
+                say(mode + "_kill_lines_20", (double) lines, "in_20_s");
             }
             if (k == 9) {
-                say(mode + "_kill_messages", messages, "in_10_s");
-                say(mode + "_kill_lines", lines, "in_10_s");
+                say(mode + "_kill_messages", (double) messages, "in_10_s");
+                say(mode + "_kill_lines", (double) lines, "in_10_s");
             }
         }
         long[] times = right.values().stream().mapToLong(t -> t - restart).sorted().toArray();
         say(mode + "_kill_right", times.length, "of_" + PROXIES);
-        say(mode + "_kill_lines_until_right", rightLines, "count");
+        say(mode + "_kill_lines_until_right", (double) rightLines, "count");
         if (times.length > 0) {
             say(mode + "_kill_right_half", times[times.length / 2] / 1e6, "s");
             say(mode + "_kill_right_all", times[times.length - 1] / 1e6, "s");
--- a/src/bench/java/pearusher/serve/StartBench.java
+++ b/src/bench/java/pearusher/serve/StartBench.java
@@ -1,5 +1,6 @@
 package pearusher.serve;
 
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.file.Files;
@@ -49,7 +50,7 @@
         Process p = how.start();
         try {
             while (true) {
-                try (Stand.Caller caller = new Stand.Caller(new InetSocketAddress("127.0.0.1", port))) {
+                try (Stand.Caller caller = new Stand.Caller(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))) {
                     caller.socket.setSoTimeout(20_000);
                     caller.send("ping");
                     if (caller.socket.getInputStream().read() >= 0) {
--- a/src/main/java/pearusher/Rules.java
+++ b/src/main/java/pearusher/Rules.java
@@ -256,7 +256,7 @@
             deal();
         }
         proxies.put(proxy, p);
-        p.sure = onlyStanding || started && now - startUs > HELD_OLD * set.limits().graceUs();
+        p.sure = onlyStanding || (started && now - startUs > HELD_OLD * set.limits().graceUs());
         if (p.sure) { to.sure(proxy); }
         restarts |= heardPasses == 0;
         if (p.holds && heldUs == 0 && !settled) {
@@ -352,7 +352,7 @@
         double keep = Math.pow(0.5, spanUs / (HALF_PERIODS * set.periodUs()));
         // No request, no line: what a later one leaves open was idle or lost, not late.
         double gap = p.coveredUs[grade] > 0 ? now - p.heardUs[grade] - spanUs : 0;
-        p.coveredUs[grade] += spanUs + (gap > set.periodUs() / 2 ? gap : 0);
+        p.coveredUs[grade] += spanUs + (gap > set.periodUs() / 2.0 ? gap : 0);
         p.heardUs[grade] = now;
         asked += settled ? 0 : requests;
         p.perS[grade] = keep * p.perS[grade] + (1 - keep) * requests * 1e6 / spanUs;
@@ -395,7 +395,7 @@
         restarts |= !tables.isEmpty() && up.stream().noneMatch(s -> s.share > 0 && serving(s))
                 && servers.values().stream().anyMatch(this::serving);
         long since = now - plannedUs;
-        if (passDue || reports && since >= EARLY * set.periodUs()) {
+        if (passDue || (reports && since >= EARLY * set.periodUs())) {
             if (reports || since >= LATEST * set.periodUs()) {
                 plan(now);
             } else {
@@ -519,7 +519,7 @@
     private void settle(long now) {
         heardPasses += reported ? 1 : 0;
         boolean old = proxies.values().stream().anyMatch(p -> p.holds);
-        if (settled || old && heardPasses < SETTLE_PASSES && now - startUs < SETTLE_MOST * set.periodUs()) {
+        if (settled || (old && heardPasses < SETTLE_PASSES && now - startUs < SETTLE_MOST * set.periodUs())) {
             return;
         }
         settled = heardPasses > 0 || old;
@@ -532,8 +532,8 @@
 
     /** Where more lines fall due than the intake lets through, each comes in turn and covers more time. */
     private double turnUs() {
-        double due = zonesInScope().count() * up.size() + level.length * proxies.size();
-        return Math.max(set.periodUs(), due / set.intakePerS() * 1e6);
+        double due = zonesInScope().count() * up.size() + (long) level.length * proxies.size();
+        return Math.max((double) set.periodUs(), due / set.intakePerS() * 1e6);
     }
 
     /** How far behind the reports are: the time since proxies joined that none has covered, for the best
@@ -553,7 +553,7 @@
             s.meanUs = (s.sum(t -> t.sumUs) + PRIOR_TRIES * average * s.guess) / (s.good() + PRIOR_TRIES);
             s.failShare = s.bad() / (s.good() + s.bad() + FAIL_PRIOR);
             double age = age(now, s);
-            double known = s.startedUs == 0 ? 1 : (now - s.listedUs) / Math.max(1.0, set.limits().rampUs());
+            double known = s.startedUs == 0 ? 1 : (now - s.listedUs) / Math.max(1.0, (double) set.limits().rampUs());
             s.ready = ramp(set.limits().coldFrom(), age, age);
             s.climb = ramp(COLD_FIRST, age, known);
         }
@@ -563,7 +563,7 @@
         for (Server s : up) {
             double excess = Math.max(0, Math.min(1, s.failShare - fail));
             s.factor = Math.max(ILL_LEAST, Math.pow(1 - excess, power));
-            if (s.factor < ILL_UNDER && !s.ill || s.factor > WELL_OVER && s.ill) {
+            if ((s.factor < ILL_UNDER && !s.ill) || (s.factor > WELL_OVER && s.ill)) {
                 s.ill = !s.ill;
                 to.log("server " + Long.toHexString(s.id) + (s.ill ? " ill" : " well"));
             }
@@ -595,7 +595,7 @@
         double late = period.sumUs / Math.max(1, period.good) / aimUs;
         quick = heardPasses < SETTLE_PASSES || period.good < 1 ? quick : Math.min(quick * QUICK_GROW, late);
         boolean slower = late > OVER_SLOWER * quick || period.good < 1;
-        boolean jammed = failed > OVER_FAILED && slower || late > OVER_AIMS;
+        boolean jammed = (failed > OVER_FAILED && slower) || late > OVER_AIMS;
         boolean calm = (failed < CALM_SHARE * OVER_FAILED || !slower) && late < CALM_SHARE * OVER_AIMS;
         double shows = turnUs();
         double cut = Math.max(slower ? failed : 0, late - OVER_AIMS);
@@ -606,7 +606,7 @@
             // Servers tell at once; reports go on for a turn saying what was.
             double busy = busySum / busyN;
             cut = Math.max(busy > BUSY_OVER ? cut : 0, 1 - BUSY_AIM / busy);
-            jammed = busy > BUSY_OVER || jammed && busy > BUSY_AIM;
+            jammed = busy > BUSY_OVER || (jammed && busy > BUSY_AIM);
             calm = busy < BUSY_AIM;
             better = false;
             grow = Math.min(LEVEL_GROW, Math.cbrt(BUSY_AIM / busy));
@@ -631,7 +631,7 @@
 
     /** Its age in ramps; 1: warm, whatever was climbed. */
     private double age(long now, Server s) {
-        return s.startedUs == 0 ? 1 : (now - s.startedUs) / Math.max(1.0, set.limits().rampUs());
+        return s.startedUs == 0 ? 1 : (now - s.startedUs) / Math.max(1.0, (double) set.limits().rampUs());
     }
 
     /** Evenly from a first part to the full over the ramp; age 1: warm whatever was climbed. */
@@ -830,7 +830,7 @@
         double goneUs = withdrawals.isEmpty() ? 0 : now - servers.get(withdrawals.iterator().next()).outUs;
         boolean late = waiting + cost + goneUs / 1e6 * c.linesPerS() > QUEUE_SOON * graceLines();
         boolean go = waiting <= c.backlog() * (many && cost > (QUEUE_MOST - QUEUE_FEW) * c.backlog()
-                ? QUEUE_CALM : QUEUE_FEW) || (many || late) && fits(cost, QUEUE_MOST);
+                ? QUEUE_CALM : QUEUE_FEW) || ((many || late) && fits(cost, QUEUE_MOST));
         withdrawals.removeIf(id -> go && withdraw(id));
         // Beside a join surge words that would come too late cost more than a subset, which needs none.
         if (late && subsets > 0 && withdrawals.size() > 1 + up.size() / subsets) {
@@ -859,7 +859,7 @@
         boolean room = !lines.isEmpty() || few();
         few &= !lines.isEmpty();
         returns.removeIf(id -> room && back(servers.get(id)));
-        boolean all = binds() & returns.isEmpty();
+        boolean all = binds() && returns.isEmpty();
         // Who is bound to a subset gets its zone's table as the channel has room, in turn with weights.
         if (subsets > 0 && !surge && few()) {
             promotes = !promotes;
@@ -873,7 +873,7 @@
     /** Oldest first: who holds others' tables hears by its bind what is out, and on sockets what is back. */
     private boolean binds() {
         return oldest(p -> !p.bound && (settled || !p.holds)).stream()
-                .map(id -> bind(id, surge ? subset(proxies.get(id).zone) : -1)).reduce(true, (a, b) -> a & b);
+                .map(id -> bind(id, surge ? subset(proxies.get(id).zone) : -1)).reduce(true, (a, b) -> a && b);
     }
 
     private List<Integer> oldest(Predicate<ProxyState> which) {
@@ -887,7 +887,7 @@
         int number = subset < 0 ? p.zone : subset;
         ZoneTable table = table(number);
         if (table.planned.isEmpty()) { return true; }
-        if (table.sent.isEmpty() || number >= zones && table.users.isEmpty()) {
+        if (table.sent.isEmpty() || (number >= zones && table.users.isEmpty())) {
             lines(Map.of(number, table));
         }
         boolean fits = take(List.of(id), whole(table.sent.keySet(), p) + Integer.bitCount(table.ordered),
@@ -965,7 +965,7 @@
     private int subset(int z) {
         long warm = up.stream().filter(s -> s.ready >= 1).count();
         return IntStream.rangeClosed(1, subsets).map(k -> z + k * zones)
-                .filter(t -> 2 * table(t).planned.size() * subsets >= warm && !table(t).planned.isEmpty())
+                .filter(t -> 2L * table(t).planned.size() * subsets >= warm && !table(t).planned.isEmpty())
                 .boxed().min(Comparator.comparingDouble(t -> (table(t).users.size() + 1.0)
                         / table(t).planned.size())).orElse(-1);
     }
@@ -990,8 +990,8 @@
     /** A channel may be slower than stated, and answers tell so late: the lines of which none has told that
      * they left it stay under the limit whatever its pace. */
     private boolean fits(double cost, double share) {
-        return cost <= 0 || waiting + cost <= most(share)
-                && Math.min(slow, ordered - gone) + cost <= QUEUE_OUT * set.channel().backlog();
+        return cost <= 0 || (waiting + cost <= most(share)
+                && Math.min(slow, ordered - gone) + cost <= QUEUE_OUT * set.channel().backlog());
     }
 
     /** Counts so many lines to each of these proxies, if they fit under a share of the backlog. */
@@ -1047,7 +1047,7 @@
 
     private void line(int z, long id, double weight) {
         ZoneTable table = tables.get(z);
-        if (weight == table.sent.getOrDefault(id, 0.0) || weight > 0 && full(table, id)) { return; }
+        if (weight == table.sent.getOrDefault(id, 0.0) || (weight > 0 && full(table, id))) { return; }
         to.line(z, id, weight);
         table.waits.remove(id);
         table.sent.compute(id, (k, last) -> weight > 0 ? weight : null);
@@ -1066,7 +1066,7 @@
             double value = set.levels() == Levels.NONE ? 1 : level[k];
             double last = table.level[k];
             boolean moved = Math.abs(value - last) > DEAD_BAND * Math.min(value, last)
-                    || value != last && (value == 1 || value == NO_LIMIT);
+                    || (value != last && (value == 1 || value == NO_LIMIT));
             if ((moved || retry() != table.retry[k]) && take(table.users, 1, QUEUE_SOON)) {
                 to.admit(z, 1 << k, value, retry());
                 table.level[k] = value;
@@ -1092,7 +1092,7 @@
                 Server s = servers.get(id);
                 double weight = serving(s) ? scale * table.planned.getOrDefault(id, 0.0) : 0;
                 double last = table.sent.getOrDefault(id, 0.0);
-                if (weight == last || weight > 0 && Math.abs(weight - last) <= DEAD_BAND * last
+                if (weight == last || (weight > 0 && Math.abs(weight - last) <= DEAD_BAND * last)
                         || returns.contains(id)) {
                     continue;
                 }
--- a/src/main/java/pearusher/adapter/Fields.java
+++ b/src/main/java/pearusher/adapter/Fields.java
@@ -72,9 +72,9 @@
         need(6);
         long address = 0;
         for (int i = 0; i < 4; i++) {
-            address = address << 8 | buf.get() & 0xff;
+            address = address << 8 | (buf.get() & 0xff);
         }
-        return address << 16 | buf.getShort() & 0xffff;
+        return address << 16 | (buf.getShort() & 0xffff);
     }
 
     byte[] bytes(long n) throws WireException {
--- a/src/main/java/pearusher/conf/Key.java
+++ b/src/main/java/pearusher/conf/Key.java
@@ -54,6 +54,8 @@
 
     private final String block;
     private final String word;
+    // All forms are made with List.of, which the check can't see.
+    @SuppressWarnings("ImmutableEnumChecker")
     private final Form form;
     private final String usual;
     private final double least;
@@ -122,15 +124,15 @@
             }
             return 0;
         }
-        if (form == Form.PATH) {
+        if (form.equals(Form.PATH)) {
             if (text.isBlank() || text.indexOf('\0') >= 0) {
                 throw new IllegalArgumentException("an empty path; write one like " + form.example());
             }
             return 0;
         }
-        double out = Units.read(text, form == Form.DURATION ? Units.TIMES : form == Form.SIZE ? Units.SIZES
+        double out = Units.read(text, form.equals(Form.DURATION) ? Units.TIMES : form.equals(Form.SIZE) ? Units.SIZES
                 : Units.NONE);
-        if (Double.isNaN(out) || form == Form.COUNT && out != Math.rint(out)) {
+        if (Double.isNaN(out) || (form.equals(Form.COUNT) && out != Math.rint(out))) {
             throw new IllegalArgumentException("'" + text + "' is not " + form.name() + "; write one like "
                     + form.example());
         }
@@ -143,7 +145,7 @@
     }
 
     private String shown(double value) {
-        return Units.write(value, form == Form.DURATION ? Units.TIMES : form == Form.SIZE ? Units.SIZES
+        return Units.write(value, form.equals(Form.DURATION) ? Units.TIMES : form.equals(Form.SIZE) ? Units.SIZES
                 : Units.NONE);
     }
 
--- a/src/main/java/pearusher/conf/Units.java
+++ b/src/main/java/pearusher/conf/Units.java
@@ -47,7 +47,7 @@
         String out = "";
         for (Map.Entry<String, Double> unit : units.entrySet()) {
             double in = value / unit.getValue();
-            if (out.isEmpty() || in >= 1 && in == Math.rint(in)) {
+            if (out.isEmpty() || (in >= 1 && in == Math.rint(in))) {
                 out = (in == Math.rint(in) ? Long.toString((long) in) : Double.toString(in)) + unit.getKey();
             }
         }
--- a/src/main/java/pearusher/recovery/Values.java
+++ b/src/main/java/pearusher/recovery/Values.java
@@ -186,6 +186,8 @@
         return new Proxy(from.readInt(), from.readLong(), from.readLong());
     }
 
+    // The order of the states is part of the stored format: new ones go to the end.
+    @SuppressWarnings("EnumOrdinal")
     static byte[] of(ListedServer s) {
         return bytes(to -> {
             to.writeBoolean(s.hostPort() != null);
@@ -199,6 +201,8 @@
         });
     }
 
+    // As above: the order of the states is part of the stored format.
+    @SuppressWarnings("EnumOrdinal")
     static ListedServer server(String name, DataInputStream from) throws IOException {
         boolean addressed = from.readBoolean();
         String hostPort = from.readUTF();
--- a/src/main/java/pearusher/serve/AcceptPolicy.java
+++ b/src/main/java/pearusher/serve/AcceptPolicy.java
@@ -49,7 +49,7 @@
     boolean mustPause() {
         synchronized (registry) {
             accepts = accepts == MOST_ACCEPTS ? 0 : accepts + 1;
-            if (accepts == 0 || registry.size() >= most() && registry.awaitsOpening()) {
+            if (accepts == 0 || (registry.size() >= most() && registry.awaitsOpening())) {
                 accepts = 0;
                 return true;
             }
--- a/src/main/java/pearusher/serve/EjectionState.java
+++ b/src/main/java/pearusher/serve/EjectionState.java
@@ -47,7 +47,7 @@
 
     /** Whether a proxy to which a table brings this server must be told how it stands. */
     boolean mustBeSaid(long server, boolean sure) {
-        return ejected.contains(server) || doubted.containsKey(server) && (doubted.get(server) || !sure);
+        return ejected.contains(server) || (doubted.containsKey(server) && (doubted.get(server) || !sure));
     }
 
     /** Servers that were ejected (true) or reinstated this turn. */
--- a/src/main/java/pearusher/serve/Message.java
+++ b/src/main/java/pearusher/serve/Message.java
@@ -71,7 +71,7 @@
             case "heard" -> {
                 long span = at.span(settings);
                 long tries = at.tries(span);
-                long failed = at.whole("failed", tries);
+                long failed = at.whole("failed", (double) tries);
                 // No client waits longer than the longest of its times, so no good answer took twice that.
                 long longest =
                         settings.grades().stream().mapToLong(Assigner.Grade::deadlineUs).max().orElse(0);
--- a/src/main/java/pearusher/serve/Peers.java
+++ b/src/main/java/pearusher/serve/Peers.java
@@ -50,6 +50,8 @@
         return dropped;
     }
 
+    // Only the receiving thread writes the count.
+    @SuppressWarnings("NonAtomicVolatileUpdate")
     private void receive() {
         ByteBuffer buffer = ByteBuffer.allocate(MOST + 1);
         while (channel.isOpen()) {
--- a/src/main/java/pearusher/serve/ProxyStreamState.java
+++ b/src/main/java/pearusher/serve/ProxyStreamState.java
@@ -95,7 +95,7 @@
             return false;
         }
         while (marks.poll().number() != number) {
-            continue;
+            // Marks before this one are settled with it.
         }
         return true;
     }
--- a/src/main/java/pearusher/serve/Resp.java
+++ b/src/main/java/pearusher/serve/Resp.java
@@ -143,7 +143,7 @@
                     number = -1;
                 }
             }
-            if (number < 0 || number == 0 && kind == '*') {
+            if (number < 0 || (number == 0 && kind == '*')) {
                 throw new Fault(Ending.GARBAGE, "not RESP: '" + kind + "' and a length expected");
             }
             if (number > most) {
--- a/src/main/java/pearusher/serve/StreamConnection.java
+++ b/src/main/java/pearusher/serve/StreamConnection.java
@@ -138,8 +138,8 @@
             exchange.applied(this, applied);
         } else if (message instanceof Message.Heard heard && collector) {
             exchange.heard(heard, origin);
-        } else if (message instanceof Message.Usage usage && (collector || identified
-                && proxy == usage.proxy())) {
+        } else if (message instanceof Message.Usage usage && (collector || (identified
+                && proxy == usage.proxy()))) {
             exchange.usage(usage, collector ? origin : usage.proxy());
         } else {
             throw new Message.Fault("no place for " + message);
--- a/src/main/java/pearusher/serve/UpdateComposer.java
+++ b/src/main/java/pearusher/serve/UpdateComposer.java
@@ -77,7 +77,7 @@
         List<Map<String, Double>> pieces = pieces(lines(proxy, table, whole));
         for (int i = 0; i < pieces.size(); i++) {
             boolean last = i == pieces.size() - 1;
-            if (whole && i == 0 || !pieces.get(i).isEmpty() || with != null) {
+            if ((whole && i == 0) || !pieces.get(i).isEmpty() || with != null) {
                 out.add(new Message.Part(classes.names(which), whole && i == 0, pieces.get(i),
                         last ? with : null, List.of(), List.of(), -1));
             }
@@ -104,7 +104,7 @@
         Map<Message.Level, Integer> out = new LinkedHashMap<>();
         boolean lacks = !whole && proxy.lacks != null;
         for (int k = 0; k < classes.count(); k++) {
-            boolean due = whole || lacks && proxy.lacks.levels().containsKey(k)
+            boolean due = whole || (lacks && proxy.lacks.levels().containsKey(k))
                     || ((table.changedLevels | forAll.changed()) >> k & 1) != 0;
             Message.Level level = (which >> k & 1) != 0 && due ? forAll.effective(table, k) : null;
             if (level != null) {
--- a/src/main/java/pearusher/store/Chain.java
+++ b/src/main/java/pearusher/store/Chain.java
@@ -235,7 +235,7 @@
             while (next < upTo && left > 0) {
                 Frame frame = Frame.read(in, left);
                 if (frame == null || frame.sequence() != next
-                        || frame.type() != Frame.BATCH && frame.type() != Frame.CLOSE) {
+                        || (frame.type() != Frame.BATCH && frame.type() != Frame.CLOSE)) {
                     return ended(log, log.bytes() - left, next, upTo);
                 }
                 left -= frame.bytes();
--- a/src/main/java/pearusher/store/Store.java
+++ b/src/main/java/pearusher/store/Store.java
@@ -95,6 +95,8 @@
         }
     }
 
+    // Not shared yet.
+    @SuppressWarnings("NonAtomicVolatileUpdate")
     private void begin(Chain.Found found) throws IOException {
         for (String name : disk.list()) {
             if (name.endsWith(Chain.UNFINISHED)) {
@@ -165,6 +167,8 @@
     }
 
     /** Writes the group at hand: a killed process loses it no more, a power cut may. */
+    // Only the thread that writes changes the length.
+    @SuppressWarnings("NonAtomicVolatileUpdate")
     public void write() throws IOException {
         check();
         try {
--- a/src/test/java/pearusher/ObjectCount.java
+++ b/src/test/java/pearusher/ObjectCount.java
@@ -37,8 +37,8 @@
     }
 
     private void reach(Object what) {
-        boolean holds = what instanceof Collection || what instanceof Map || what != null
-                && (own(what) || what.getClass().isArray());
+        boolean holds = what instanceof Collection || what instanceof Map || (what != null
+                && (own(what) || what.getClass().isArray()));
         if (holds && seen.add(what)) {
             open.push(what);
         }
--- a/src/test/java/pearusher/RulesTest.java
+++ b/src/test/java/pearusher/RulesTest.java
@@ -513,7 +513,7 @@
                     p.join(proxy, false);
                 }
                 List<Assigner.Entry> drains = new ArrayList<>();
-                for (long id = 1 + 4 * i; i < 15 && id <= 4 * i + 4; id++) {
+                for (long id = 1 + 4L * i; i < 15 && id <= 4 * i + 4; id++) {
                     drains.add(Fleet.state(id, (int) (id % 2), Assigner.State.DRAINING));
                 }
                 p.rules.listed(p.now, Assigner.ListForm.CHANGES, drains);
@@ -675,7 +675,7 @@
             }
             // The reports of a period come in two halves, the second three tenths after the first.
             if (i % 9 == 0 || i % 9 == 3) {
-                for (long id = 1 + part++ % 2; id <= 8; id += 2) {
+                for (long id = 1L + part++ % 2; id <= 8; id += 2) {
                     p.rules.heard(p.now, id, 0, 9, 0, Fleet.S, 200_000, Fleet.NO_LOAD);
                 }
             }
@@ -708,7 +708,7 @@
         Play p = play(40, 300);
         for (int i = 0; i < 40; i++) {
             p.step(Fleet.S);
-            for (long id = 1 + i % 4; id <= 40; id += 4) {
+            for (long id = 1L + i % 4; id <= 40; id += 4) {
                 p.rules.heard(p.now, id, 0, 9, 0, 4 * Fleet.S, i % 4 == 3 ? 800_000 : 150_000, Fleet.NO_LOAD);
             }
             for (int proxy = i % 4; proxy < 300; proxy += 4) {
@@ -896,7 +896,7 @@
         p.rules.close(p.now);
         for (int i = 0; i < 4; i++) {
             p.step(Fleet.S);
-            for (long id = 1 + i % 3; id <= 30; id += 3) {
+            for (long id = 1L + i % 3; id <= 30; id += 3) {
                 p.rules.heard(p.now, id, 0, 16, 0, Fleet.S, 200_000, Fleet.NO_LOAD);
             }
             for (int proxy = 0; proxy < 160; proxy++) {
@@ -1069,7 +1069,7 @@
             }
             for (int proxy = 0; proxy < 24; proxy++) {
                 // A third silent from the first on, a third idle most of the time, a third losing some.
-                if (proxy % 3 == 1 && i % 9 == proxy % 9 || proxy % 3 == 2 && (i + proxy) % 5 > 0) {
+                if ((proxy % 3 == 1 && i % 9 == proxy % 9) || (proxy % 3 == 2 && (i + proxy) % 5 > 0)) {
                     p.rules.usage(p.now, proxy, 0, 1, 0, Fleet.S);
                 }
             }
@@ -1087,7 +1087,7 @@
         Play p = play(100, 40);
         for (int i = 0; i < 12; i++) {
             p.step(Fleet.S);
-            for (long id = 1 + i % 3; id <= 100; id += 3) {
+            for (long id = 1L + i % 3; id <= 100; id += 3) {
                 p.rules.heard(p.now, id, 0, 9, 0, 3 * Fleet.S, 200_000, Fleet.NO_LOAD);
             }
             for (int proxy = i % 3; proxy < 40; proxy += 3) {
--- a/src/test/java/pearusher/ScopeModelTest.java
+++ b/src/test/java/pearusher/ScopeModelTest.java
@@ -208,8 +208,8 @@
         private boolean settled() {
             Set<Long> serving = serving();
             int size = Math.min(bound, serving.size());
-            return size == 0 || site.fleet.bound.equals(site.zones) && site.zones.values().stream().allMatch(
-                    zone -> site.table(zone).size() == size && serving.containsAll(site.table(zone)));
+            return size == 0 || (site.fleet.bound.equals(site.zones) && site.zones.values().stream().allMatch(
+                    zone -> site.table(zone).size() == size && serving.containsAll(site.table(zone))));
         }
     }
 
--- a/src/test/java/pearusher/ScopeSizeTest.java
+++ b/src/test/java/pearusher/ScopeSizeTest.java
@@ -56,7 +56,7 @@
     }
 
     private static double[] slopes(int[] sizes, IntToLongFunction count) {
-        long[] counts = Arrays.stream(sizes).mapToLong(count::applyAsLong).toArray();
+        long[] counts = Arrays.stream(sizes).mapToLong(count).toArray();
         return IntStream.range(1, sizes.length).mapToDouble(k -> (counts[k] - counts[k - 1])
                 / (double) (sizes[k] - sizes[k - 1])).toArray();
     }
--- a/src/test/java/pearusher/cli/CliTest.java
+++ b/src/test/java/pearusher/cli/CliTest.java
@@ -6,6 +6,7 @@
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.io.StringWriter;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
@@ -37,7 +38,7 @@
         FileDisk disk = new FileDisk(at);
         disk.make();
         try (Store store = Store.open(disk, Options.USUAL)) {
-            store.append(new Batch().put("b", "two".getBytes()).put("a", "one".getBytes()));
+            store.append(new Batch().put("b", "two".getBytes(StandardCharsets.UTF_8)).put("a", "one".getBytes(StandardCharsets.UTF_8)));
             store.append(new Batch().put("c", new byte[] {0, 1}));
         }
         return at;
--- a/src/test/java/pearusher/conf/SettingsTest.java
+++ b/src/test/java/pearusher/conf/SettingsTest.java
@@ -50,6 +50,8 @@
         assertEquals(3, fault("store {\n sync x\n segment y\n nothing z\n}\n").lines().count());
     }
 
+    // The values in force are listed in the order of the keys.
+    @SuppressWarnings("EnumOrdinal")
     @Test
     void goodFiles() throws FaultyException {
         assertFalse(Settings.parse("f", "").on("store"));
--- a/src/test/java/pearusher/intake/IntakeTest.java
+++ b/src/test/java/pearusher/intake/IntakeTest.java
@@ -71,7 +71,7 @@
         // The mean is weighted by good tries, to the microsecond.
         double good = all.tries() - all.failed();
         double mean = good == 0 ? 0 : (1.0 * a.goodUs() + b.goodUs() + c.goodUs()) / good;
-        assertEquals(mean, all.meanUs(), 0.5);
+        assertEquals(mean, (double) all.meanUs(), 0.5);
     }
 
     @Test
@@ -253,7 +253,7 @@
             }
             double off = Math.abs(1.0 * heard[0] / truth[0] - 1);
             assertTrue(off <= 3 * error[0] + 1e-9, times + " times: off by " + off + ", stated " + error[0]);
-            assertTrue(times == 1 || error[0] > 0 && error[0] < 0.2, "" + error[0]);
+            assertTrue(times == 1 || (error[0] > 0 && error[0] < 0.2), "" + error[0]);
         }
     }
 
--- a/src/test/java/pearusher/scale/CountingTest.java
+++ b/src/test/java/pearusher/scale/CountingTest.java
@@ -61,7 +61,7 @@
         clock.recheck(2, server -> false, 4_000_000);
         assertTrue(clock.idle());
         assertEquals(2, clock.perProxyUs().getTotalCount());
-        assertEquals(4000, clock.everywhereUs().getMaxValue(), 4);
+        assertEquals(4000.0, (double) clock.everywhereUs().getMaxValue(), 4.0);
     }
 
     @Test
--- a/src/test/java/pearusher/serve/ConfigTest.java
+++ b/src/test/java/pearusher/serve/ConfigTest.java
@@ -7,6 +7,7 @@
 
 import com.sun.management.ThreadMXBean;
 import java.lang.management.ManagementFactory;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.HashMap;
@@ -54,7 +55,7 @@
         StringBuilder lines = new StringBuilder();
         Paths json = Paths.json("list",
                 "{\"a\":{\"b\":[1,2],\"c\":[{\"d\":true},{\"d\":false}],\"e\":[],\"f\":null}}"
-                        .getBytes());
+                        .getBytes(StandardCharsets.UTF_8));
         for (String key : List.of("a.b", "a.c.count", "a.c.0.d", "a.c.1.d", "a.e")) {
             lines.append(key).append('=').append(json.need(key)).append('\n');
         }
@@ -157,7 +158,7 @@
 
     @Test
     void theAdapterReadsTheSameSettings() throws Exception {
-        Paths all = Paths.json("configuration", new Example().json().getBytes());
+        Paths all = Paths.json("configuration", new Example().json().getBytes(StandardCharsets.UTF_8));
         assertEquals(new Example().read(dir).settings(),
                 SettingsReader.read(0x8c1f30d27a5be964L, all.below("settings.")));
     }
--- a/src/test/java/pearusher/serve/CrossingTest.java
+++ b/src/test/java/pearusher/serve/CrossingTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -149,7 +150,7 @@
         assertTrue(asked > 0 && System.nanoTime() - first >= 400_000_000L, asked + " older lists");
         logged("WARN discovery older: generation 30 after 41, passed over");
         logged("WARN discovery began anew: generation 30 after 41");
-        assertEquals(1, log.toString().lines().filter(l -> l.contains("discovery older")).count());
+        assertEquals(1, log.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains("discovery older")).count());
     }
 
     /** A fetch that was answered before what the watch has told since must not undo it. */
--- a/src/test/java/pearusher/serve/DurableProcessTest.java
+++ b/src/test/java/pearusher/serve/DurableProcessTest.java
@@ -5,6 +5,7 @@
 
 import java.io.IOException;
 import java.io.RandomAccessFile;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
@@ -46,7 +47,7 @@
         private final int number;
 
         Proxy(int number) throws IOException {
-            super(new InetSocketAddress("127.0.0.1", port));
+            super(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
             this.number = number;
         }
 
@@ -200,7 +201,7 @@
                     log(name));
             assertTrue(log(name).contains("epoch=" + (life + 1) + " "), log(name));
             join();
-            Stand.Caller collector = new Stand.Caller(new InetSocketAddress("127.0.0.1", port));
+            Stand.Caller collector = new Stand.Caller(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
             collector.send("collector zone north");
             int rounds = 8 + random.nextInt(8);
             for (int round = 0; round < rounds; round++) {
@@ -259,12 +260,12 @@
         assertTrue(log("refused").contains("is damaged: " + log.getFileName()
                 + " at byte 36: record 1 can't be "
                 + "read, and it was confirmed; "), log("refused"));
-        Process stopped = start("stopped", store(" damage stop\n compact-at 16KiB\n compact-times 1\n"));
+        start("stopped", store(" damage stop\n compact-at 16KiB\n compact-times 1\n"));
         Stand.until("ready", () -> log("stopped").contains("INFO ready: n0"));
         assertTrue(log("stopped").contains("WARN store damaged: sequence=0 lost=\"" + log.getFileName()),
                 log("stopped"));
         join();
-        Stand.Caller collector = new Stand.Caller(new InetSocketAddress("127.0.0.1", port));
+        Stand.Caller collector = new Stand.Caller(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
         collector.send("collector zone north");
         Random random = new Random(5);
         Stand.until("a compaction", () -> {
--- a/src/test/java/pearusher/serve/EndingTest.java
+++ b/src/test/java/pearusher/serve/EndingTest.java
@@ -1,7 +1,6 @@
 package pearusher.serve;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.EOFException;
 import java.io.IOException;
@@ -42,7 +41,6 @@
         assertEquals(Ending.UNREACHABLE, Ending.ofConnect(new NoRouteToHostException("none")));
         assertEquals(Ending.SILENT, Ending.ofFailure(new TimeoutException()));
         assertEquals(Ending.RESET, Ending.ofFailure(new IOException("Connection reset by peer")));
-        assertTrue(new EOFException() instanceof IOException
-                && Ending.ofFailure(new EOFException()) == Ending.RESET);
+        assertEquals(Ending.RESET, Ending.ofFailure(new EOFException()));
     }
 }
--- a/src/test/java/pearusher/serve/IntakeServeTest.java
+++ b/src/test/java/pearusher/serve/IntakeServeTest.java
@@ -159,14 +159,14 @@
                 waiting.next(1_000_000, item -> {});
             }
             assertTrue(log.toString(StandardCharsets.UTF_8).matches(
-                    "(?s).*WARN reports expired: count=32 origin=\"proxy 3\"\n"), log.toString());
+                    "(?s).*WARN reports expired: count=32 origin=\"proxy 3\"\n"), log.toString(StandardCharsets.UTF_8));
             for (int k = 0; k < 1500; k++) {
                 waiting.offer(report(-7 - k % 2, "s" + k), () -> {});
             }
             waiting.serve(1_000_000, item -> {});
             waiting.serve(2_000_000, item -> {});
             assertTrue(log.toString(StandardCharsets.UTF_8).matches("(?s).*WARN reports sampled: times=1 "
-                    + "kept=0\\.07 error=0\\.\\d+\n.*"), log.toString());
+                    + "kept=0\\.07 error=0\\.\\d+\n.*"), log.toString(StandardCharsets.UTF_8));
         } finally {
             System.setOut(standard);
         }
@@ -256,7 +256,7 @@
             double off = Math.abs(1.0 * Arrays.stream(view).sum() / sent - 1);
             double stated = Math.sqrt(Arrays.stream(variance).sum()) / sent;
             assertTrue(off <= 3 * stated + 1e-9, times + " times: off by " + off + ", stated " + stated);
-            assertTrue(times > 1 || stated == 0 && off == 0, "at the budget nothing is left out");
+            assertTrue(times > 1 || (stated == 0 && off == 0), "at the budget nothing is left out");
         } finally {
             for (Stand.Caller one : callers) {
                 one.close();
--- a/src/test/java/pearusher/serve/ListLimitTest.java
+++ b/src/test/java/pearusher/serve/ListLimitTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.BeforeEach;
@@ -27,7 +28,7 @@
     private long logged(String text, int times) throws InterruptedException {
         logged(text);
         synchronized (log) {
-            return log.toString().lines().filter(l -> l.contains(text)).count() - times;
+            return log.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains(text)).count() - times;
         }
     }
 
@@ -64,7 +65,7 @@
         module.hear("listed FAILED []");
         assertEquals(0, logged(REFUSED, 1));
         logged("WARN discovery lost: FETCH ended: TOO_LONG");
-        assertFalse(log.toString().contains("can't be read"), "one line tells it");
+        assertFalse(log.toString(StandardCharsets.UTF_8).contains("can't be read"), "one line tells it");
         module.order(Assigner.Orders::fetch);
         discovery.next().answer(200, list(45, true, 0, 4));
         module.hear("listed WHOLE");
--- a/src/test/java/pearusher/serve/ListingReaderTest.java
+++ b/src/test/java/pearusher/serve/ListingReaderTest.java
@@ -137,7 +137,7 @@
         ListingReader reader = reader(9);
         feed(reader, text.getBytes(StandardCharsets.UTF_8), 3);
         assertEquals(said, assertThrows(SettingsException.class, reader::endOfBody).getMessage());
-        assertEquals(said, assertThrows(SettingsException.class, () -> flattened(text.getBytes()))
+        assertEquals(said, assertThrows(SettingsException.class, () -> flattened(text.getBytes(StandardCharsets.UTF_8)))
                 .getMessage());
     }
 
@@ -157,7 +157,7 @@
         feed(reader, one(fields));
         String full = "list: the key instances.1." + said;
         assertEquals(full, assertThrows(SettingsException.class, reader::endOfLine).getMessage());
-        assertEquals(full, assertThrows(SettingsException.class, () -> flattened(one(fields).getBytes()))
+        assertEquals(full, assertThrows(SettingsException.class, () -> flattened(one(fields).getBytes(StandardCharsets.UTF_8)))
                 .getMessage());
     }
 
@@ -171,7 +171,7 @@
     void valuesMeanWhatTheyMeant(String fields) throws Exception {
         ListingReader reader = reader(9);
         feed(reader, one(fields));
-        assertEquals(flattened(one(fields).getBytes()), reader.endOfLine());
+        assertEquals(flattened(one(fields).getBytes(StandardCharsets.UTF_8)), reader.endOfLine());
     }
 
     @Test
@@ -340,7 +340,7 @@
     void aValueWithoutEndIsAFault(String head, String more) throws Exception {
         ListingReader reader = reader(9);
         feed(reader, head);
-        byte[] piece = more.repeat(1000).getBytes();
+        byte[] piece = more.repeat(1000).getBytes(StandardCharsets.UTF_8);
         for (int k = 0; k < 60; k++) {
             reader.feed(ByteBuffer.wrap(piece));
         }
--- a/src/test/java/pearusher/serve/Loopback.java
+++ b/src/test/java/pearusher/serve/Loopback.java
@@ -4,6 +4,7 @@
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -58,7 +59,7 @@
     void logged(String text) throws InterruptedException {
         Stand.until(text, () -> {
             synchronized (log) {
-                return log.toString().contains(text);
+                return log.toString(StandardCharsets.UTF_8).contains(text);
             }
         });
     }
--- a/src/test/java/pearusher/serve/MessageTest.java
+++ b/src/test/java/pearusher/serve/MessageTest.java
@@ -81,11 +81,11 @@
     @Test
     void aProbesBodyIsRead() {
         assertArrayEquals(new float[] {0.61f, 7},
-                Message.probeLoad("TEXT inflight=7, queue=2, util=0.61\n".getBytes(), names));
-        assertArrayEquals(Message.probeLoad("TEXT inflight=7, util=0.61".getBytes(), names),
-                Message.probeLoad("TEXT outstanding=7, utilization=0.61".getBytes(), names),
+                Message.probeLoad("TEXT inflight=7, queue=2, util=0.61\n".getBytes(StandardCharsets.UTF_8), names));
+        assertArrayEquals(Message.probeLoad("TEXT inflight=7, util=0.61".getBytes(StandardCharsets.UTF_8), names),
+                Message.probeLoad("TEXT outstanding=7, utilization=0.61".getBytes(StandardCharsets.UTF_8), names),
                 "the settings' words mean the same");
-        assertArrayEquals(new float[0], Message.probeLoad("<html>".getBytes(), names));
+        assertArrayEquals(new float[0], Message.probeLoad("<html>".getBytes(StandardCharsets.UTF_8), names));
         assertArrayEquals(new float[0], Message.probeLoad(new byte[0], names));
     }
 
--- a/src/test/java/pearusher/serve/ParityTest.java
+++ b/src/test/java/pearusher/serve/ParityTest.java
@@ -56,7 +56,7 @@
     }
 
     /** Proxies as the simulator has them, behind the adapter. */
-    private final class Simulated {
+    private static final class Simulated {
         final Loop loop = new Loop(Rules::new);
         final Map<Integer, Map<Integer, Float>> lines = new TreeMap<>();
         final Map<Integer, String[]> levels = new TreeMap<>();
@@ -183,7 +183,7 @@
                 List.of("terminated", "in_service", "terminating").get(state), startedUs / 1000);
     }
 
-    private void join(int proxy, boolean fresh, Streams server) throws Exception {
+    private void join(int proxy, boolean fresh) throws Exception {
         held.putIfAbsent(proxy, new Stand.Held(CLASSES));
         Stand.ProxyStream stream = new Stand.ProxyStream(address, held.get(proxy));
         streams.put(proxy, stream);
@@ -255,7 +255,7 @@
             clock.set(now);
             queued = 0;
             records.clear();
-            world(step, now, watch, collector, server);
+            world(step, now, watch, collector);
             exchange.turn();
             simulated.batch(now, records);
             for (Map.Entry<Integer, Stand.ProxyStream> e : streams.entrySet()) {
@@ -280,23 +280,23 @@
         threads.stop();
     }
 
-    private void world(int step, long now, Stand.Request watch, Stand.Caller collector, Streams server)
+    private void world(int step, long now, Stand.Request watch, Stand.Caller collector)
             throws Exception {
         if (step == 1) {
             list(watch, 42);
         }
         if (step <= PROXIES) {
-            join(step - 1, step % 3 != 0, server);
+            join(step - 1, step % 3 != 0);
         }
         switch (step) {
             case 30 -> list(watch, 43, new int[] {2, 2});
             case 40 -> list(watch, 44, new int[] {2, 0}, new int[] {6, 1});
             case 50 -> list(watch, 45, new int[] {2, 1}, new int[] {3, 2});
             case 52 -> leave(4);
-            case 55 -> join(4, false, server);
+            case 55 -> join(4, false);
             case 70 -> list(watch, 46, new int[] {3, 1});
             case 71 -> leave(1);
-            case 72 -> join(1, true, server);
+            case 72 -> join(1, true);
             default -> {}
         }
         if (step % 4 == 0) {
--- a/src/test/java/pearusher/serve/Scripted.java
+++ b/src/test/java/pearusher/serve/Scripted.java
@@ -53,7 +53,7 @@
     void hear(String start) throws InterruptedException {
         Stand.until(start + " in " + told, () -> told.stream().anyMatch(t -> t.startsWith(start)));
         while (!told.remove(0).startsWith(start)) {
-            continue;
+            // What came before is dropped.
         }
     }
 }
--- a/src/test/java/pearusher/serve/ServeProcessTest.java
+++ b/src/test/java/pearusher/serve/ServeProcessTest.java
@@ -8,6 +8,7 @@
 import java.lang.reflect.Proxy;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
@@ -146,17 +147,17 @@
             watch.line(Stand.listing(42, false));
             Stand.until("back", () -> log("log").contains("INFO discovery back")
                     && log("log").contains("INFO list back"));
-            InetSocketAddress at = new InetSocketAddress("127.0.0.1", port);
+            InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             Stand.Caller proxy = new Stand.Caller(at);
             proxy.send("joined proxy 3 zone north weight 2.5 fresh 1");
             assertEquals('*', proxy.socket.getInputStream().read(), "its table comes");
             proxy.reset();
             Stand.until("its end", () -> log("log").contains("INFO connection of proxy 3 ended: RESET"));
             Stand.Caller garbage = new Stand.Caller(at).reading();
-            garbage.send("GET / HTTP/1.1\r\n".getBytes());
+            garbage.send("GET / HTTP/1.1\r\n".getBytes(StandardCharsets.UTF_8));
             Stand.until("garbage", () -> log("log").contains(
                     "WARN strangers refused: 1 so far, the last was a stranger: GARBAGE: not RESP"));
-            stranger.send(new DatagramPacket(new byte[1], 1, new InetSocketAddress("127.0.0.1", mail)));
+            stranger.send(new DatagramPacket(new byte[1], 1, new InetSocketAddress(InetAddress.getLoopbackAddress(), mail)));
             Stand.until("the datagram", () -> log("log").contains("WARN datagrams dropped: 1 so far"));
             assertEquals(1, log("log").lines().filter(l -> l.contains("discovery lost")).count(), log("log"));
             watch.line("{}");
@@ -184,7 +185,7 @@
             Stand.Request watch = discovery.next();
             watch.beginWatch();
             watch.line(Stand.listing(42, false));
-            Stand.Caller proxy = new Stand.Caller(new InetSocketAddress("127.0.0.1", port)).reading();
+            Stand.Caller proxy = new Stand.Caller(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)).reading();
             proxy.send("joined proxy 3 zone north weight 2.5 fresh 1");
             Stand.until("its table", () -> !proxy.came.isEmpty());
             Path file = Path.of(environment.get("EDGE_CONFIG"));
@@ -240,11 +241,11 @@
         Stand.until("ready", () -> log("log").contains("INFO ready: n0"));
         List<Stand.Caller> callers = new ArrayList<>();
         for (int k = 0; k < 8; k++) {
-            callers.add(new Stand.Caller(new InetSocketAddress("127.0.0.1", port)).reading());
+            callers.add(new Stand.Caller(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)).reading());
             callers.get(k).send("joined proxy " + k + " zone north weight 2.5 fresh 1");
         }
         Stand.until("their tables", () -> callers.stream().noneMatch(c -> c.came.isEmpty()));
-        Stand.Caller late = new Stand.Caller(new InetSocketAddress("127.0.0.1", port)).reading();
+        Stand.Caller late = new Stand.Caller(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)).reading();
         if (reloadFirst) {
             hangUp(p);
         }
@@ -325,7 +326,7 @@
             Process p = launch(environment, "log", "/bin/sh", "-c", runLine());
             Stand.until("ready", () -> log("log").contains("INFO ready: n0"));
             assertTrue(log("log").contains("10002 servers known"), log("log"));
-            InetSocketAddress at = new InetSocketAddress("127.0.0.1", port);
+            InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             pings(at);
             Stand.Request watch = discovery.next();
             watch.beginWatch();
--- a/src/test/java/pearusher/serve/ServeTest.java
+++ b/src/test/java/pearusher/serve/ServeTest.java
@@ -11,6 +11,7 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.channels.SocketChannel;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -38,7 +39,7 @@
         AtomicInteger before = new AtomicInteger(-1);
         start((settings, orders) -> {
             try {
-                early.set(new Stand.Caller(new InetSocketAddress("127.0.0.1", port)).reading());
+                early.set(new Stand.Caller(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)).reading());
                 early.get().send("ping");
                 early.get().send("ping");
                 before.set(early.get().came.size());
@@ -121,7 +122,7 @@
         start();
         Stand.ProxyStream faulty = proxy(3);
         Stand.ProxyStream other = proxy(5);
-        faulty.send((bad + "x".repeat(20)).getBytes());
+        faulty.send((bad + "x".repeat(20)).getBytes(StandardCharsets.UTF_8));
         module.hear("left 3");
         Stand.until("its end", () -> faulty.ended);
         other.send("usage proxy 5 class lookup tries 5 failed 0 span_ms 1000");
@@ -198,7 +199,7 @@
         start();
         module.hear("listed");
         Stand.Caller stranger = new Stand.Caller(at).reading();
-        stranger.send(bad.startsWith("!") ? bad.substring(1).getBytes() : Stand.say(bad));
+        stranger.send(bad.startsWith("!") ? bad.substring(1).getBytes(StandardCharsets.UTF_8) : Stand.say(bad));
         Stand.until("its end", () -> stranger.ended);
         logged("WARN strangers refused: 1 so far, the last was a stranger: ");
         assertEquals(List.of(), module.told);
@@ -264,7 +265,7 @@
             try {
                 strangers.get(k).send(half);
             } catch (IOException e) {
-                continue;
+                // The assigner ended this connection; the other ones are tried too.
             }
         }
         byte[] joined = Stand.say("joined proxy 5 zone north weight 2.5 fresh 1");
@@ -382,9 +383,9 @@
         StringBuilder many = new StringBuilder();
         for (int k = 0; k < 500; k++) {
             many.append(new String(Stand.say("usage proxy 3 class lookup tries " + k
-                    + " failed 0 span_ms 9")));
+                    + " failed 0 span_ms 9"), StandardCharsets.UTF_8));
         }
-        one.send(many.toString().getBytes());
+        one.send(many.toString().getBytes(StandardCharsets.UTF_8));
         for (int k = 0; k < 500; k++) {
             module.hear("usage 3 0 " + k + " 0 9000");
         }
@@ -442,8 +443,8 @@
         String text = Stand.listing(44, true, Stand.instance("s-new", "127.0.0.1:10", "north", "in_service",
                 0));
         String chunk = Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n";
-        for (char c : chunk.toCharArray()) {
-            watch.write(String.valueOf(c));
+        for (int at = 0; at < chunk.length(); at++) {
+            watch.write(chunk.substring(at, at + 1));
         }
         module.hear("listed WHOLE [Entry[server=2,");
         assertEquals(List.of(), module.told);
@@ -725,7 +726,7 @@
         assertEquals(20_000, module.told.stream().filter(t -> t.startsWith("usage")).count());
         assertTrue(module.told.get(module.told.size() - 1).startsWith("joined 5"));
         logged("WARN reports dropped no more: 50 in all");
-        assertEquals(2, log.toString().lines().filter(l -> l.contains("reports dropped")).count(),
+        assertEquals(2, log.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains("reports dropped")).count(),
                 "said once as it begins and once as it ends");
         exchange.usage(new Message.Usage(3, 0, 1, 0, 1_000_000));
         assertEquals(50, exchange.dropped());
--- a/src/test/java/pearusher/store/Workload.java
+++ b/src/test/java/pearusher/store/Workload.java
@@ -75,7 +75,7 @@
             }
             if (compacting && k % 9 == 8) {
                 Store.Sealed sealed = store.seal();
-                confirmed = states.size() - 1;
+                confirmed = states.size() - 1L;
                 // Appends go on while the rest of the compaction runs.
                 append(store);
                 store.write();
