--- a/src/main/java/pearusher/serve/Config.java
+++ b/src/main/java/pearusher/serve/Config.java
@@ -167,7 +167,7 @@
                 at.between("timeouts.answer_ms", 1, 60_000, 3000),
                 at.between("timeouts.silent_ms", 1, 600_000, 5000),
                 at.between("timeouts.stranger_ms", 1, 600_000, 2000));
-        Message.Listing known = ListingReader.under(KNOWN, from(file), names, lists);
+        Message.Listing known = ListingReader.under(NAME, KNOWN, from(file), names, lists);
         int sockets = at.between("limits.sockets", 128, 1 << 20, 1024);
         return new Config(name, listen, discovery, sockets, peerListen, List.copyOf(peers), peersAll,
                 known, settings, names, timeouts, lists);
--- a/src/main/java/pearusher/serve/Ending.java
+++ b/src/main/java/pearusher/serve/Ending.java
@@ -57,6 +57,14 @@
         return status == 200 ? ANSWERED : status == 503 ? UNAVAILABLE : ERROR_STATUS;
     }
 
+    /** What is wrong with the bytes that came. */
+    static Ending ofFault(Resp.Fault.Kind kind) {
+        return switch (kind) {
+            case MALFORMED -> GARBAGE;
+            case TOO_LONG -> TOO_LONG;
+        };
+    }
+
     /** What failed while connecting. */
     static Ending ofConnect(Throwable failure) {
         boolean late = String.valueOf(failure.getMessage()).contains("timed out");
--- a/src/main/java/pearusher/serve/Exchange.java
+++ b/src/main/java/pearusher/serve/Exchange.java
@@ -300,8 +300,8 @@
         });
     }
 
-    void probed(long server, Ending ending, long tookUs, float[] load) {
-        event(() -> module.probed(loop.nowUs(), server, ending.probe(), tookUs, load));
+    void probed(long server, Assigner.Probe end, long tookUs, float[] load) {
+        event(() -> module.probed(loop.nowUs(), server, end, tookUs, load));
     }
 
     void told(int peer, byte[] body) {
--- a/src/main/java/pearusher/serve/ListingReader.java
+++ b/src/main/java/pearusher/serve/ListingReader.java
@@ -157,24 +157,24 @@
 
     /**
      * The list that a configuration holds under a key, an empty one where it holds none. The text must be
-     * known to be well formed; faults name the configuration's key.
+     * known to be well formed; faults name the document and the key.
      */
-    static Message.Listing under(String key, InputStream text, Config.Names names, ListLimits limits)
-            throws IOException, SettingsException {
+    static Message.Listing under(String document, String key, InputStream text, Config.Names names,
+            ListLimits limits) throws IOException, SettingsException {
         ListingBuilder found = null;
         try (JsonParser in = factory(limits).createParser(text)) {
             in.nextToken();
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 boolean wanted = in.currentName().equals(key);
                 if (in.nextToken() == JsonToken.START_OBJECT && wanted) {
-                    found = new ListingBuilder(Config.NAME, key + ".", names, limits);
+                    found = new ListingBuilder(document, key + ".", names, limits);
                     fill(found, in);
                 } else {
                     in.skipChildren();
                 }
             }
         } catch (ListTooLongException e) {
-            throw new ListTooLongException(Config.NAME + ": the key " + key + ".instances names "
+            throw new ListTooLongException(document + ": the key " + key + ".instances names "
                     + e.getMessage());
         }
         return found != null && found.hasGeneration() ? found.listing() : Message.Listing.NONE;
--- a/src/main/java/pearusher/serve/Message.java
+++ b/src/main/java/pearusher/serve/Message.java
@@ -93,7 +93,7 @@
         return Double.parseDouble(text);
     }
 
-    private static String brief(String text) {
+    static String brief(String text) {
         return text.length() > 40 ? text.substring(0, 40) + "..." : text;
     }
 
@@ -261,7 +261,7 @@
             String id = at.need("instanceId");
             if (id.codePointCount(0, id.length()) > ListLimits.MOST_ID) {
                 throw at.fault("instanceId", "is longer than " + ListLimits.MOST_ID + " characters: '"
-                        + brief(id) + "'");
+                        + Message.brief(id) + "'");
             }
             String hostPort = at.text("hostPort");
             return new Instance(id, hostPort == null || hostPort.length() > MOST_ADDRESS ? null : hostPort,
--- a/src/main/java/pearusher/serve/Outbound.java
+++ b/src/main/java/pearusher/serve/Outbound.java
@@ -270,7 +270,7 @@
             }
             getExecutor().execute(this::hangUp);
             if (purpose == Purpose.PROBE) {
-                exchange.probed(server, ending, (System.nanoTime() - startNs) / 1000, load);
+                exchange.probed(server, ending.probe(), (System.nanoTime() - startNs) / 1000, load);
             } else if (ending != Ending.DROPPED && (purpose == Purpose.FETCH || watch == this)) {
                 if (ending.answered() && list != null) {
                     exchange.listed(list, false);
--- a/src/main/java/pearusher/serve/Resp.java
+++ b/src/main/java/pearusher/serve/Resp.java
@@ -29,15 +29,19 @@
     /** Not RESP, or over the limit. */
     static final class Fault extends IOException {
         private static final long serialVersionUID = 1L;
-        private final Ending ending;
 
-        Fault(Ending ending, String text) {
+        /** What is wrong with the bytes. */
+        enum Kind { MALFORMED, TOO_LONG }
+
+        private final Kind kind;
+
+        Fault(Kind kind, String text) {
             super(text);
-            this.ending = ending;
+            this.kind = kind;
         }
 
-        Ending ending() {
-            return ending;
+        Kind kind() {
+            return kind;
         }
     }
 
@@ -105,7 +109,7 @@
             if (UNFINISHED.addAndGet(now - counted) > MOST_UNFINISHED && now > counted
                     && now > SURE) {
                 counted = now;
-                throw new Fault(Ending.TOO_LONG, "too many unfinished messages at once");
+                throw new Fault(Fault.Kind.TOO_LONG, "too many unfinished messages at once");
             }
             counted = now;
         }
@@ -113,7 +117,7 @@
         private void take(int n) throws Fault {
             taken += n;
             if (taken > most) {
-                throw new Fault(Ending.TOO_LONG, "a message of over " + most + " bytes");
+                throw new Fault(Fault.Kind.TOO_LONG, "a message of over " + most + " bytes");
             }
         }
 
@@ -127,7 +131,7 @@
                 }
                 held.write(b);
                 if (held.size() > 16) {
-                    throw new Fault(Ending.GARBAGE, "not RESP: a header that doesn't end");
+                    throw new Fault(Fault.Kind.MALFORMED, "not RESP: a header that doesn't end");
                 }
             }
             return false;
@@ -144,10 +148,10 @@
                 }
             }
             if (number < 0 || (number == 0 && kind == '*')) {
-                throw new Fault(Ending.GARBAGE, "not RESP: '" + kind + "' and a length expected");
+                throw new Fault(Fault.Kind.MALFORMED, "not RESP: '" + kind + "' and a length expected");
             }
             if (number > most) {
-                throw new Fault(Ending.TOO_LONG, "a length of " + number);
+                throw new Fault(Fault.Kind.TOO_LONG, "a length of " + number);
             }
             if (left < 0) {
                 left = number;
@@ -164,7 +168,7 @@
                 if (held.size() < length) {
                     held.write(b);
                 } else if (b != END[tail++]) {
-                    throw new Fault(Ending.GARBAGE, "not RESP: no line end after a string");
+                    throw new Fault(Fault.Kind.MALFORMED, "not RESP: no line end after a string");
                 }
             }
             take(n);
--- a/src/main/java/pearusher/serve/StreamConnection.java
+++ b/src/main/java/pearusher/serve/StreamConnection.java
@@ -90,7 +90,7 @@
             registry.read(this, any);
             fillInterested();
         } catch (Resp.Fault e) {
-            end(e.ending(), e.getMessage());
+            end(Ending.ofFault(e.kind()), e.getMessage());
         } catch (Message.Fault e) {
             end(Ending.GARBAGE, e.getMessage());
         } catch (IOException e) {
--- a/src/test/java/pearusher/serve/EndingTest.java
+++ b/src/test/java/pearusher/serve/EndingTest.java
@@ -39,6 +39,8 @@
         assertEquals(Ending.UNREACHABLE, Ending.ofConnect(new ConnectException("Connection timed out")));
         assertEquals(Ending.UNREACHABLE, Ending.ofConnect(new SocketTimeoutException("connect")));
         assertEquals(Ending.UNREACHABLE, Ending.ofConnect(new NoRouteToHostException("none")));
+        assertEquals(Ending.GARBAGE, Ending.ofFault(Resp.Fault.Kind.MALFORMED));
+        assertEquals(Ending.TOO_LONG, Ending.ofFault(Resp.Fault.Kind.TOO_LONG));
         assertEquals(Ending.SILENT, Ending.ofFailure(new TimeoutException()));
         assertEquals(Ending.RESET, Ending.ofFailure(new IOException("Connection reset by peer")));
         assertEquals(Ending.RESET, Ending.ofFailure(new EOFException()));
--- a/src/test/java/pearusher/serve/RespTest.java
+++ b/src/test/java/pearusher/serve/RespTest.java
@@ -74,18 +74,18 @@
         assertEquals(List.of(List.of(fits)), all(new Resp.Reader(Resp.MOST), Resp.write(List.of(fits))));
         byte[] over = Resp.write(List.of(fits + "x"));
         Resp.Fault e = assertThrows(Resp.Fault.class, () -> all(new Resp.Reader(Resp.MOST), over));
-        assertEquals(Ending.TOO_LONG, e.ending());
+        assertEquals(Resp.Fault.Kind.TOO_LONG, e.kind());
     }
 
     @ParameterizedTest
-    @CsvSource(quoteCharacter = '`', value = {"GET / HTTP/1.1@,GARBAGE", "*-1@,GARBAGE", "*0@,GARBAGE",
-        "*x@,GARBAGE", "*1@+ping@,GARBAGE", "*1@$-1@,GARBAGE", "*1@$4@pingXX,GARBAGE",
+    @CsvSource(quoteCharacter = '`', value = {"GET / HTTP/1.1@,MALFORMED", "*-1@,MALFORMED", "*0@,MALFORMED",
+        "*x@,MALFORMED", "*1@+ping@,MALFORMED", "*1@$-1@,MALFORMED", "*1@$4@pingXX,MALFORMED",
         "*1@$1048577@,TOO_LONG",
-        "*1048577@,TOO_LONG", "*00000000000000000000001@,GARBAGE", "PING@,GARBAGE"})
-    void whatIsNotRespEndsTheConnection(String text, Ending ending) {
+        "*1048577@,TOO_LONG", "*00000000000000000000001@,MALFORMED", "PING@,MALFORMED"})
+    void whatIsNotRespEndsTheConnection(String text, Resp.Fault.Kind kind) {
         byte[] raw = bytes(text.replace("@", "\r\n"));
-        assertEquals(ending, assertThrows(Resp.Fault.class, () -> all(new Resp.Reader(Resp.MOST),
-                raw)).ending());
+        assertEquals(kind, assertThrows(Resp.Fault.class, () -> all(new Resp.Reader(Resp.MOST),
+                raw)).kind());
     }
 
     /**
@@ -106,7 +106,7 @@
                 fault = e;
             }
         }
-        assertEquals(Ending.TOO_LONG, fault.ending());
+        assertEquals(Resp.Fault.Kind.TOO_LONG, fault.kind());
         // Guards a good connection against being the one that is hit: its messages are small.
         byte[] small = Resp.write(List.of("ping", "x".repeat(1000)));
         assertEquals(1, all(new Resp.Reader(Resp.MOST), java.util.Arrays.copyOf(small, 500),
@@ -126,7 +126,7 @@
             try {
                 assertNull(readers.get(k).next(ByteBuffer.wrap(part)));
             } catch (Resp.Fault e) {
-                assertEquals(Ending.TOO_LONG, e.ending());
+                assertEquals(Resp.Fault.Kind.TOO_LONG, e.kind());
                 readers.get(k).close();
                 ended++;
             }
@@ -140,7 +140,7 @@
     void aReaderHasItsOwnLimit() throws Exception {
         Resp.Reader one = new Resp.Reader(100);
         byte[] over = Resp.write(List.of("x".repeat(200)));
-        assertEquals(Ending.TOO_LONG, assertThrows(Resp.Fault.class, () -> all(one, over)).ending());
+        assertEquals(Resp.Fault.Kind.TOO_LONG, assertThrows(Resp.Fault.class, () -> all(one, over)).kind());
         Resp.Reader later = new Resp.Reader(100);
         later.most(Resp.MOST);
         assertEquals(1, all(later, over).size());
