--- a/src/test/java/pearusher/HistorySettings.java
+++ b/src/test/java/pearusher/HistorySettings.java
@@ -34,7 +34,7 @@
             default -> Assigner.Effect.KEYED;
         };
         boolean writes = effect != Assigner.Effect.SAFE;
-        return new Assigner.Grade(SECOND + number * 200_000, 3 * SECOND, 1 + 2 * number, 0.2, effect, writes,
+        return new Assigner.Grade(SECOND + number * 200_000L, 3 * SECOND, 1 + 2 * number, 0.2, effect, writes,
                 5 * SECOND, writes, false, 0);
     }
 
