--- a/src/test/java/pearusher/PolicyHistory.java
+++ b/src/test/java/pearusher/PolicyHistory.java
@@ -182,7 +182,7 @@
             Assigner.Probe.DOWN, Assigner.Probe.BROKEN, Assigner.Probe.OTHER};
         Assigner.Probe end = lost ? bad[random.nextInt(bad.length)] : Assigner.Probe.OK;
         float busy = (float) (utilization + random.nextDouble() * 0.1);
-        long tookUs = 5000 + random.nextInt(40_000);
+        long tookUs = 5000L + random.nextInt(40_000);
         schedule(tookUs, () -> policy.probed(now(), id, end, tookUs, new float[] {3, busy}));
     }
 
