--- a/src/test/java/pearusher/serve/DurableOrdersTest.java
+++ b/src/test/java/pearusher/serve/DurableOrdersTest.java
@@ -32,6 +32,8 @@
 class DurableOrdersTest {
     private static final int PROXIES = 6;
     private static final int SERVERS = 7;
+    /** Half seconds after which an answer counts as heard of, see the slack of the checker. */
+    private static final int STEPS_PAST_SLACK = 8;
     private static final Options EACH = new Options(Options.Policy.EACH, 0, 4000, 2000, 2,
             Options.Damage.REFUSE);
 
@@ -137,8 +139,18 @@
         exchange.joined(now, new Message.Joined(proxy, proxy % 2, 2.5, fresh));
     }
 
-    private void change(Random random) {
-        String name = "s" + random.nextInt(SERVERS);
+    /** A stream breaks and its proxy dials again: what was on its way to the old one is lost. */
+    private void rejoin(int proxy) {
+        Holder old = streams.get(proxy);
+        old.open = false;
+        exchange.ended(old, proxy);
+        long before = killed;
+        killed = clock.get();
+        join(proxy, false);
+        killed = before;
+    }
+
+    private void change(String name) {
         boolean ready = list.get(name).state() == Assigner.State.READY;
         Message.Instance now = instance(name, ready ? Assigner.State.DRAINING : Assigner.State.READY,
                 ready ? list.get(name).startedUs() : clock.get());
@@ -151,7 +163,7 @@
     private boolean step(Random random) throws InterruptedException {
         clock.addAndGet(500_000);
         if (random.nextInt(5) == 0) {
-            change(random);
+            change("s" + random.nextInt(SERVERS));
         }
         for (String name : list.keySet()) {
             for (int zone = 0; zone < 2; zone++) {
@@ -167,15 +179,7 @@
             }
         }
         if (random.nextInt(6) == 0 && !streams.isEmpty()) {
-            // A stream breaks and its proxy dials again: what was on its way to the old one is lost.
-            int proxy = random.nextInt(PROXIES);
-            Holder old = streams.get(proxy);
-            old.open = false;
-            exchange.ended(old, proxy);
-            long before = killed;
-            killed = clock.get();
-            join(proxy, false);
-            killed = before;
+            rejoin(random.nextInt(PROXIES));
         }
         turn();
         if (!settle()) {
@@ -202,11 +206,7 @@
                 while (step(random) && steps < 200) {
                     steps++;
                 }
-                killed = clock.get();
-                streams.values().forEach(s -> s.open = false);
-                streams.clear();
-                disk = disk.afterPowerCut(random);
-                clock.addAndGet(300_000 + random.nextInt(2_000_000));
+                cutPower(random);
             }
             start();
             for (int proxy = 0; proxy < PROXIES; proxy++) {
@@ -223,6 +223,14 @@
         return check.faults;
     }
 
+    private void cutPower(Random random) {
+        killed = clock.get();
+        streams.values().forEach(s -> s.open = false);
+        streams.clear();
+        disk = disk.afterPowerCut(random);
+        clock.addAndGet(300_000 + random.nextInt(2_000_000));
+    }
+
     private void compare() throws Exception {
         // One that holds nothing gets the table whole: every other of its zone must hold the same by now.
         for (int proxy = PROXIES; proxy < PROXIES + 2; proxy++) {
@@ -260,6 +268,70 @@
         assertTrue(orders > 1000 && deltas > 100, orders + " orders, " + deltas + " deltas to who rejoined");
     }
 
+    /** Half seconds without a change, in which every proxy answers for what it got. */
+    private void calm(int steps) throws InterruptedException {
+        for (int k = 0; k < steps; k++) {
+            clock.addAndGet(500_000);
+            for (int proxy : streams.keySet()) {
+                if (check.unanswered(proxy)) {
+                    exchange.applied(streams.get(proxy), new Message.Applied(proxy, check.mark(proxy), 0));
+                    check.answered(proxy, clock.get());
+                }
+            }
+            turn();
+            assertTrue(settle(), "the power is on");
+        }
+    }
+
+    private void startAndJoin(boolean fresh) throws Exception {
+        start();
+        for (int proxy = 0; proxy < PROXIES; proxy++) {
+            join(proxy, fresh);
+        }
+        calm(STEPS_PAST_SLACK);
+    }
+
+    /** With one server left: the answers were durable, so that neither end of a stream takes them back. */
+    @Test
+    void whoAnsweredForATableWithALineGetsNoWholeTableAfterABrokenStreamOrAPowerCut() throws Exception {
+        disk = new SimDisk();
+        startAndJoin(true);
+        for (int k = 1; k < SERVERS; k++) {
+            change("s" + k);
+        }
+        calm(STEPS_PAST_SLACK);
+        rejoin(2);
+        calm(STEPS_PAST_SLACK);
+        cutPower(new Random(1));
+        startAndJoin(false);
+        assertEquals(Set.of("s0"), check.held(2).open("lookup").keySet());
+        change("s0");
+        calm(STEPS_PAST_SLACK);
+        assertEquals(List.of(), check.faults);
+        assertEquals(0, check.wholes);
+        assertEquals(Set.of(), check.held(2).open("lookup").keySet());
+    }
+
+    /** A table without a line binds nobody: who joins then is bound as a server is back. */
+    @Test
+    void whoJoinsAgainWhileNoServerIsLeftGetsItsTableWholeOnceAServerIsBack() throws Exception {
+        disk = new SimDisk();
+        startAndJoin(true);
+        for (int k = 0; k < SERVERS; k++) {
+            change("s" + k);
+        }
+        calm(STEPS_PAST_SLACK);
+        int before = check.orders;
+        rejoin(2);
+        calm(STEPS_PAST_SLACK);
+        assertEquals(before, check.orders, "orders while there is nothing to order");
+        change("s3");
+        calm(STEPS_PAST_SLACK);
+        assertEquals(List.of(), check.faults);
+        assertEquals(1, check.wholes, "whole tables, to proxy 2 alone");
+        assertEquals(Set.of("s3"), check.held(2).open("lookup").keySet());
+    }
+
     private boolean seen(SimDisk.Lie lie) throws Exception {
         for (long seed = 1; seed <= 25; seed++) {
             world();
--- a/src/test/java/pearusher/serve/OrderCheck.java
+++ b/src/test/java/pearusher/serve/OrderCheck.java
@@ -23,6 +23,8 @@
         boolean whole;
         int mark;
         boolean joining;
+        /** It held some line as its stream began. */
+        boolean heldLines;
         List<List<String>> message = new ArrayList<>();
 
         Seen(Stand.Held held) {
@@ -61,6 +63,7 @@
     void joined(int proxy, boolean fresh, long killed) {
         Seen p = seen(proxy);
         p.joining = true;
+        p.heldLines = p.held.by.values().stream().anyMatch(holding -> !holding.lines.isEmpty());
         p.message.clear();
         // What is not answered now is answered on no later stream.
         p.since.clear();
@@ -119,7 +122,9 @@
         deltas += p.joining && !whole ? 1 : 0;
         if (p.joining && !p.answered.isEmpty()) {
             wholes += whole ? 1 : 0;
-            if (whole && p.whole) {
+            // Who joins while its table has no line is bound once it has one again, with the whole table:
+            // that repeats no line. Who held a line as it joined gets what it lacks.
+            if (whole && p.whole && p.heldLines) {
                 faults.add("proxy " + proxy + ": its table whole though it had answered for it");
             }
             now1.forEach((what, order) -> {
