--- a/src/test/java/pearusher/serve/RecordedSite.java
+++ b/src/test/java/pearusher/serve/RecordedSite.java
@@ -10,6 +10,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import pearusher.Rules;
+import pearusher.settings.SettingsException;
 
 /**
  * An exchange with the real module, without sockets and on a clock of the test's: discovery answers at once,
@@ -129,7 +130,7 @@
         }).toArray(String[]::new);
         try {
             exchange.listed(Stand.read(Stand.listing(generation, whole, instances), config.names()), begins);
-        } catch (pearusher.settings.SettingsException e) {
+        } catch (SettingsException e) {
             throw new IllegalStateException(e);
         }
     }
