--- a/src/main/java/pearusher/serve/Config.java
+++ b/src/main/java/pearusher/serve/Config.java
@@ -19,217 +19,306 @@
 import pearusher.settings.SettingsReader;
 
 /**
- * What one assigner is told at its start, and anew when its file is replaced. This is the only place that
- * reads the environment and the configuration's JSON, checks them and gives defaults; every fault names its
- * variable or key. It must never decide anything about tables: the settings go to the module as they are.
+ * What one assigner is told at its start, and anew when its file is replaced. This is the only
+ * place that reads the environment and the configuration's JSON, checks them and gives defaults;
+ * every fault names its variable or key. It must never decide anything about tables: the settings
+ * go to the module as they are.
  */
-record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, int sockets,
-        InetSocketAddress peerListen, List<InetSocketAddress> peers, InetSocketAddress peersAll,
-        Message.Listing known, Assigner.Settings settings, Names names, Timeouts timeouts,
-        ListLimits lists) {
-
-    /** What the file is called in faults. */
-    static final String NAME = "configuration";
-    private static final String KNOWN = "known";
-    private static final String OCTET = "(\\d{1,2}|1\\d\\d|2[0-4]\\d|25[0-5])";
-
-    /** Time-outs of input and output, in milliseconds: all may be set under the key timeouts. */
-    record Timeouts(int connectMs, int answerMs, int silentMs, int strangerMs) {}
-
-    /** The names that the sockets use for zones, classes, machine types and values of load reports. */
-    record Names(Map<String, Integer> zones, List<String> classes, Map<String, Integer> classAt,
-            Map<String, Integer> kinds, List<String> load) {
-
-        /** PROTOCOL's word for each value that the settings may list; others keep their name. */
-        private static final Map<String, String> WORDS = Map.of("outstanding", "inflight", "backlog", "queue",
-                "utilization", "util", "recent_ms", "latency_ms", "throughput", "qps", "errors_per_s", "eps");
-
-        /** One name for each value of a load report: servers are met that use the settings' words. */
-        static String word(String name) {
-            return WORDS.getOrDefault(name, name);
-        }
+record Config(
+    String name,
+    InetSocketAddress listen,
+    InetSocketAddress discovery,
+    int sockets,
+    InetSocketAddress peerListen,
+    List<InetSocketAddress> peers,
+    InetSocketAddress peersAll,
+    Message.Listing known,
+    Assigner.Settings settings,
+    Names names,
+    Timeouts timeouts,
+    ListLimits lists) {
 
-        static Names of(Paths settings) throws SettingsException {
-            List<String> classes = settings.each("grades", "name");
-            List<String> load = settings.listed("report.fields").stream().map(Names::word).toList();
-            return new Names(places(settings, "azs", settings.list("azs")), classes,
-                    places(settings, "grades", classes),
-                    places(settings, "kinds", settings.listed("kinds")), load);
-        }
+  /** What the file is called in faults. */
+  static final String NAME = "configuration";
+
+  private static final String KNOWN = "known";
+  private static final String OCTET = "(\\d{1,2}|1\\d\\d|2[0-4]\\d|25[0-5])";
+
+  /** Time-outs of input and output, in milliseconds: all may be set under the key timeouts. */
+  record Timeouts(int connectMs, int answerMs, int silentMs, int strangerMs) {}
+
+  /**
+   * The names that the sockets use for zones, classes, machine types and values of load reports.
+   */
+  record Names(
+      Map<String, Integer> zones,
+      List<String> classes,
+      Map<String, Integer> classAt,
+      Map<String, Integer> kinds,
+      List<String> load) {
+
+    /** PROTOCOL's word for each value that the settings may list; others keep their name. */
+    private static final Map<String, String> WORDS =
+        Map.of(
+            "outstanding",
+            "inflight",
+            "backlog",
+            "queue",
+            "utilization",
+            "util",
+            "recent_ms",
+            "latency_ms",
+            "throughput",
+            "qps",
+            "errors_per_s",
+            "eps");
+
+    /** One name for each value of a load report: servers are met that use the settings' words. */
+    static String word(String name) {
+      return WORDS.getOrDefault(name, name);
+    }
 
-        private static Map<String, Integer> places(Paths at, String key, List<String> names)
-                throws SettingsException {
-            Map<String, Integer> out = new HashMap<>();
-            for (String name : names) {
-                if (out.put(name, out.size()) != null) {
-                    throw at.fault(key, "names '" + name + "' twice");
-                }
-            }
-            return out;
+    static Names of(Paths settings) throws SettingsException {
+      List<String> classes = settings.each("grades", "name");
+      List<String> load = settings.listed("report.fields").stream().map(Names::word).toList();
+      return new Names(
+          places(settings, "azs", settings.list("azs")),
+          classes,
+          places(settings, "grades", classes),
+          places(settings, "kinds", settings.listed("kinds")),
+          load);
+    }
+
+    private static Map<String, Integer> places(Paths at, String key, List<String> names)
+        throws SettingsException {
+      Map<String, Integer> out = new HashMap<>();
+      for (String name : names) {
+        if (out.put(name, out.size()) != null) {
+          throw at.fault(key, "names '" + name + "' twice");
         }
+      }
+      return out;
     }
+  }
+
+  static Config read(Map<String, String> environment) throws SettingsException {
+    return read(environment, ListLimits.ofThisProcess());
+  }
+
+  static Config read(Map<String, String> environment, ListLimits lists) throws SettingsException {
+    return read(environment, lists, true);
+  }
 
-    static Config read(Map<String, String> environment) throws SettingsException {
-        return read(environment, ListLimits.ofThisProcess());
+  /**
+   * The file again, checked as a whole: what a running assigner takes over of it is where discovery
+   * and its peers are, its time limits and descriptors. Its settings stay, and the list, which it
+   * knows better.
+   */
+  Config reload(Map<String, String> environment) throws SettingsException {
+    Config now = read(environment, lists, false);
+    if (now.peers.size() != peers.size()) {
+      throw new SettingsException(
+          "configuration: the key peers lists "
+              + now.peers.size()
+              + " addresses, until now "
+              + peers.size());
     }
+    return new Config(
+        name,
+        listen,
+        now.discovery,
+        now.sockets,
+        peerListen,
+        now.peers,
+        now.peersAll,
+        known,
+        settings,
+        names,
+        now.timeouts,
+        lists);
+  }
 
-    static Config read(Map<String, String> environment, ListLimits lists) throws SettingsException {
-        return read(environment, lists, true);
+  /**
+   * Reads the file twice through one open channel, since the list of servers can be read only once
+   * the names of the zones are known: a file that is replaced meanwhile is not mixed with its
+   * follower.
+   */
+  private static Config read(Map<String, String> environment, ListLimits lists, boolean start)
+      throws SettingsException {
+    String file = variable(environment, "EDGE_CONFIG");
+    try (SeekableByteChannel channel = Files.newByteChannel(Path.of(file))) {
+      return read(environment, lists, start, channel);
+    } catch (IOException | InvalidPathException e) {
+      throw new SettingsException("EDGE_CONFIG: " + file + " can't be read");
     }
+  }
 
-    /**
-     * The file again, checked as a whole: what a running assigner takes over of it is where discovery and its
-     * peers are, its time limits and descriptors. Its settings stay, and the list, which it knows better.
-     */
-    Config reload(Map<String, String> environment) throws SettingsException {
-        Config now = read(environment, lists, false);
-        if (now.peers.size() != peers.size()) {
-            throw new SettingsException("configuration: the key peers lists " + now.peers.size()
-                    + " addresses, until now " + peers.size());
-        }
-        return new Config(name, listen, now.discovery, now.sockets, peerListen, now.peers, now.peersAll,
-                known, settings, names, now.timeouts, lists);
-    }
-
-    /**
-     * Reads the file twice through one open channel, since the list of servers can be read only once the
-     * names of the zones are known: a file that is replaced meanwhile is not mixed with its follower.
-     */
-    private static Config read(Map<String, String> environment, ListLimits lists, boolean start)
-            throws SettingsException {
-        String file = variable(environment, "EDGE_CONFIG");
-        try (SeekableByteChannel channel = Files.newByteChannel(Path.of(file))) {
-            return read(environment, lists, start, channel);
-        } catch (IOException | InvalidPathException e) {
-            throw new SettingsException("EDGE_CONFIG: " + file + " can't be read");
-        }
+  /** A stream over the whole channel, which it leaves open. */
+  private static InputStream from(SeekableByteChannel channel) throws IOException {
+    channel.position(0);
+    return new FilterInputStream(Channels.newInputStream(channel)) {
+      @Override
+      public void close() {}
+    };
+  }
+
+  /** The same with so many known servers at the most: the first ones of its list. */
+  Config withFewerKnown(int most) {
+    if (known.instances().size() <= most) {
+      return this;
     }
+    Message.Listing fewer =
+        new Message.Listing(known.generation(), known.whole(), known.instances().subList(0, most));
+    return new Config(
+        name,
+        listen,
+        discovery,
+        sockets,
+        peerListen,
+        peers,
+        peersAll,
+        fewer,
+        settings,
+        names,
+        timeouts,
+        lists);
+  }
 
-    /** A stream over the whole channel, which it leaves open. */
-    private static InputStream from(SeekableByteChannel channel) throws IOException {
-        channel.position(0);
-        return new FilterInputStream(Channels.newInputStream(channel)) {
-            @Override
-            public void close() {}
-        };
+  /**
+   * A variable can't change while the process runs: later on the file alone says where discovery
+   * is.
+   */
+  private static Config read(
+      Map<String, String> environment, ListLimits lists, boolean start, SeekableByteChannel file)
+      throws SettingsException, IOException {
+    Paths at = Paths.json(NAME, from(file), KNOWN);
+    String name = same(environment, "EDGE_NAME", at, "name");
+    InetSocketAddress listen = address("listen", same(environment, "EDGE_LISTEN", at, "listen"));
+    InetSocketAddress discovery =
+        address(
+            "discovery",
+            !start && at.has("discovery")
+                ? at.need("discovery")
+                : same(environment, "EDGE_DISCOVERY", at, "discovery"));
+    Paths given = at.below("settings.");
+    if (given.isEmpty()) {
+      throw at.fault("settings", "is missing");
     }
+    Assigner.Settings settings = SettingsReader.read(seed(at), given);
+    Names names = Names.of(given);
+    range(given, "zone", settings.zone(), 0, settings.zones() - 1);
+    range(given, "grades.count", settings.grades().size(), 1, 16);
+    range(given, "familyInfo.proxyCount", settings.proxies(), 1, 65536);
+    range(given, "familyInfo.reportEveryUs", settings.periodUs(), 1, Long.MAX_VALUE);
+    range(given, "replicasOfMe", settings.instances(), 1, 65536);
+    range(given, "myNumber", settings.me(), 0, settings.instances() - 1);
+    range(given, "tickUs", settings.tickUs(), 0, 1_000_000);
+    if (settings.channel().linesPerS() <= 0 || settings.channel().backlog() <= 0) {
+      throw given.fault("familyInfo.channelRate", "and familyInfo.mostWaiting must be above 0");
+    }
+    InetSocketAddress peerListen = null;
+    InetSocketAddress peersAll = null;
+    List<InetSocketAddress> peers = new ArrayList<>();
+    if (settings.peers() && at.has("peer_listen")) {
+      peerListen = address("peer_listen", at.need("peer_listen"));
+      peersAll = at.has("peers_all") ? address("peers_all", at.need("peers_all")) : null;
+      for (String peer : at.listed("peers")) {
+        peers.add(address("peers", peer));
+      }
+      if (peers.size() != settings.instances()) {
+        throw at.fault(
+            "peers",
+            "lists "
+                + peers.size()
+                + " addresses, settings.replicasOfMe says "
+                + settings.instances());
+      }
+    }
+    Timeouts timeouts =
+        new Timeouts(
+            at.between("timeouts.connect_ms", 1, 60_000, 1000),
+            at.between("timeouts.answer_ms", 1, 60_000, 3000),
+            at.between("timeouts.silent_ms", 1, 600_000, 5000),
+            at.between("timeouts.stranger_ms", 1, 600_000, 2000));
+    Message.Listing known = ListingReader.under(NAME, KNOWN, from(file), names, lists);
+    int sockets = at.between("limits.sockets", 128, 1 << 20, 1024);
+    return new Config(
+        name,
+        listen,
+        discovery,
+        sockets,
+        peerListen,
+        List.copyOf(peers),
+        peersAll,
+        known,
+        settings,
+        names,
+        timeouts,
+        lists);
+  }
 
-    /** The same with so many known servers at the most: the first ones of its list. */
-    Config withFewerKnown(int most) {
-        if (known.instances().size() <= most) {
-            return this;
-        }
-        Message.Listing fewer = new Message.Listing(known.generation(), known.whole(),
-                known.instances().subList(0, most));
-        return new Config(name, listen, discovery, sockets, peerListen, peers, peersAll, fewer, settings,
-                names, timeouts, lists);
-    }
-
-    /** A variable can't change while the process runs: later on the file alone says where discovery is. */
-    private static Config read(Map<String, String> environment, ListLimits lists, boolean start,
-            SeekableByteChannel file) throws SettingsException, IOException {
-        Paths at = Paths.json(NAME, from(file), KNOWN);
-        String name = same(environment, "EDGE_NAME", at, "name");
-        InetSocketAddress listen = address("listen", same(environment, "EDGE_LISTEN", at, "listen"));
-        InetSocketAddress discovery = address("discovery", !start && at.has("discovery")
-                ? at.need("discovery") : same(environment, "EDGE_DISCOVERY", at, "discovery"));
-        Paths given = at.below("settings.");
-        if (given.isEmpty()) {
-            throw at.fault("settings", "is missing");
-        }
-        Assigner.Settings settings = SettingsReader.read(seed(at), given);
-        Names names = Names.of(given);
-        range(given, "zone", settings.zone(), 0, settings.zones() - 1);
-        range(given, "grades.count", settings.grades().size(), 1, 16);
-        range(given, "familyInfo.proxyCount", settings.proxies(), 1, 65536);
-        range(given, "familyInfo.reportEveryUs", settings.periodUs(), 1, Long.MAX_VALUE);
-        range(given, "replicasOfMe", settings.instances(), 1, 65536);
-        range(given, "myNumber", settings.me(), 0, settings.instances() - 1);
-        range(given, "tickUs", settings.tickUs(), 0, 1_000_000);
-        if (settings.channel().linesPerS() <= 0 || settings.channel().backlog() <= 0) {
-            throw given.fault("familyInfo.channelRate", "and familyInfo.mostWaiting must be above 0");
-        }
-        InetSocketAddress peerListen = null;
-        InetSocketAddress peersAll = null;
-        List<InetSocketAddress> peers = new ArrayList<>();
-        if (settings.peers() && at.has("peer_listen")) {
-            peerListen = address("peer_listen", at.need("peer_listen"));
-            peersAll = at.has("peers_all") ? address("peers_all", at.need("peers_all")) : null;
-            for (String peer : at.listed("peers")) {
-                peers.add(address("peers", peer));
-            }
-            if (peers.size() != settings.instances()) {
-                throw at.fault("peers", "lists " + peers.size() + " addresses, settings.replicasOfMe says "
-                        + settings.instances());
-            }
-        }
-        Timeouts timeouts = new Timeouts(at.between("timeouts.connect_ms", 1, 60_000, 1000),
-                at.between("timeouts.answer_ms", 1, 60_000, 3000),
-                at.between("timeouts.silent_ms", 1, 600_000, 5000),
-                at.between("timeouts.stranger_ms", 1, 600_000, 2000));
-        Message.Listing known = ListingReader.under(NAME, KNOWN, from(file), names, lists);
-        int sockets = at.between("limits.sockets", 128, 1 << 20, 1024);
-        return new Config(name, listen, discovery, sockets, peerListen, List.copyOf(peers), peersAll,
-                known, settings, names, timeouts, lists);
-    }
-
-    private static String variable(Map<String, String> environment, String key) throws SettingsException {
-        String value = environment.get(key);
-        if (value == null || value.isBlank()) {
-            throw new SettingsException("the variable " + key + " is missing");
-        }
-        return value;
+  private static String variable(Map<String, String> environment, String key)
+      throws SettingsException {
+    String value = environment.get(key);
+    if (value == null || value.isBlank()) {
+      throw new SettingsException("the variable " + key + " is missing");
     }
+    return value;
+  }
 
-    /** A value that stands in a variable and in the file: both must say the same. */
-    private static String same(Map<String, String> environment, String variable, Paths at, String key)
-            throws SettingsException {
-        String value = variable(environment, variable);
-        if (at.has(key) && !at.need(key).equals(value)) {
-            throw at.fault(key, "is '" + at.need(key) + "', but the variable " + variable + " is '" + value
-                    + "'");
-        }
-        return value;
+  /** A value that stands in a variable and in the file: both must say the same. */
+  private static String same(Map<String, String> environment, String variable, Paths at, String key)
+      throws SettingsException {
+    String value = variable(environment, variable);
+    if (at.has(key) && !at.need(key).equals(value)) {
+      throw at.fault(
+          key, "is '" + at.need(key) + "', but the variable " + variable + " is '" + value + "'");
     }
+    return value;
+  }
 
-    private static long seed(Paths at) throws SettingsException {
-        try {
-            return Long.parseUnsignedLong(at.need("seed"), 16);
-        } catch (NumberFormatException e) {
-            throw at.fault("seed", "is unreadable: '" + at.need("seed") + "' (hexadecimal digits)");
-        }
+  private static long seed(Paths at) throws SettingsException {
+    try {
+      return Long.parseUnsignedLong(at.need("seed"), 16);
+    } catch (NumberFormatException e) {
+      throw at.fault("seed", "is unreadable: '" + at.need("seed") + "' (hexadecimal digits)");
     }
+  }
 
-    private static void range(Paths at, String key, long value, long least, long most)
-            throws SettingsException {
-        if (value < least || value > most) {
-            throw at.fault(key, "is out of range: " + value);
-        }
+  private static void range(Paths at, String key, long value, long least, long most)
+      throws SettingsException {
+    if (value < least || value > most) {
+      throw at.fault(key, "is out of range: " + value);
     }
+  }
 
-    private static InetSocketAddress address(String key, String text) throws SettingsException {
-        InetSocketAddress out = address(text);
-        if (out == null) {
-            throw new SettingsException("configuration: the key " + key + " is not an address and a port: '"
-                    + text + "'");
-        }
-        return out;
+  private static InetSocketAddress address(String key, String text) throws SettingsException {
+    InetSocketAddress out = address(text);
+    if (out == null) {
+      throw new SettingsException(
+          "configuration: the key " + key + " is not an address and a port: '" + text + "'");
     }
+    return out;
+  }
 
-    /** Four numbers and a port, or IPv6 in brackets; names are not looked up. Null where it is neither. */
-    static InetSocketAddress address(String text) {
-        int colon = text.lastIndexOf(':');
-        String host = colon < 0 ? "" : text.substring(0, colon);
-        // A number over 255 makes it a name to the library, which would ask the network and hold up all.
-        if (!host.matches(OCTET + "(\\." + OCTET + "){3}|\\[[0-9a-fA-F:.]+\\]")
-                || !text.substring(colon + 1).matches("\\d{1,5}")) {
-            return null;
-        }
-        try {
-            return new InetSocketAddress(java.net.InetAddress.getByName(host),
-                    Integer.parseInt(text.substring(colon + 1)));
-        } catch (IOException | IllegalArgumentException e) {
-            return null;
-        }
+  /**
+   * Four numbers and a port, or IPv6 in brackets; names are not looked up. Null where it is
+   * neither.
+   */
+  static InetSocketAddress address(String text) {
+    int colon = text.lastIndexOf(':');
+    String host = colon < 0 ? "" : text.substring(0, colon);
+    // A number over 255 makes it a name to the library, which would ask the network and hold up
+    // all.
+    if (!host.matches(OCTET + "(\\." + OCTET + "){3}|\\[[0-9a-fA-F:.]+\\]")
+        || !text.substring(colon + 1).matches("\\d{1,5}")) {
+      return null;
+    }
+    try {
+      return new InetSocketAddress(
+          java.net.InetAddress.getByName(host), Integer.parseInt(text.substring(colon + 1)));
+    } catch (IOException | IllegalArgumentException e) {
+      return null;
     }
+  }
 }
--- a/src/main/java/pearusher/serve/Durable.java
+++ b/src/main/java/pearusher/serve/Durable.java
@@ -24,267 +24,317 @@
 import pearusher.store.Store;
 
 /**
- * The assigner's memory on disk, where the operators switched it on: it hands the ledger's turns to the
- * store and keeps each message back until the turn that made it is durable. All but the release of messages
- * runs on the decision thread, which never waits for the disk. It must never decide what a proxy gets: the
- * ledger says what one lacks, the module whether it is bound.
+ * The assigner's memory on disk, where the operators switched it on: it hands the ledger's turns to
+ * the store and keeps each message back until the turn that made it is durable. All but the release
+ * of messages runs on the decision thread, which never waits for the disk. It must never decide
+ * what a proxy gets: the ledger says what one lacks, the module whether it is bound.
  */
 final class Durable implements AutoCloseable {
 
-    /** A message on its way to a stream. */
-    private record Post(Exchange.Stream to, byte[] message) {}
-
-    private final LongSupplier clock;
-    private final Committer committer;
-    private final Outbox<Post> outbox;
-    private final Object lock = new Object();
-    private final Ledger ledger;
-    private final Config config;
-    private final List<Post> posts = new ArrayList<>();
-    /** Of this turn: what joiners lack, until they are bound. */
-    private final Map<Integer, Rejoin> joining = new HashMap<>();
-    private final long aliveUs;
-    private boolean givenUp;
-    /** The store was left behind by an earlier process; the first turn makes it whole. */
-    private boolean owning;
-    private long lastUs;
-
-    Durable(Config config, Keeping keeping, Store store, LongSupplier clock) {
-        this.config = config;
-        this.clock = clock;
-        Store.Recovered found = store.recovered();
-        lastUs = clock.getAsLong();
-        owning = found.disowned();
-        Doubt doubt = found.state().containsKey(Store.COPIED) ? Doubt.COPIED
-                : found.disowned() ? Doubt.GIVEN_UP : Doubt.NONE;
-        ledger = Ledger.of(found.state(), doubt, names(config), lastUs,
-                keeping.trustUs(), config.settings().instances() > 1);
-        outbox = new Outbox<>(post -> post.to().send(post.message()),
-                keeping.patienceUs());
-        aliveUs = keeping.aliveUs();
-        committer = new Committer(store, keeping.options(), new Committer.Events() {
-            @Override
-            public void failed(IOException why) {
+  /** A message on its way to a stream. */
+  private record Post(Exchange.Stream to, byte[] message) {}
+
+  private final LongSupplier clock;
+  private final Committer committer;
+  private final Outbox<Post> outbox;
+  private final Object lock = new Object();
+  private final Ledger ledger;
+  private final Config config;
+  private final List<Post> posts = new ArrayList<>();
+
+  /** Of this turn: what joiners lack, until they are bound. */
+  private final Map<Integer, Rejoin> joining = new HashMap<>();
+
+  private final long aliveUs;
+  private boolean givenUp;
+
+  /** The store was left behind by an earlier process; the first turn makes it whole. */
+  private boolean owning;
+
+  private long lastUs;
+
+  Durable(Config config, Keeping keeping, Store store, LongSupplier clock) {
+    this.config = config;
+    this.clock = clock;
+    Store.Recovered found = store.recovered();
+    lastUs = clock.getAsLong();
+    owning = found.disowned();
+    Doubt doubt =
+        found.state().containsKey(Store.COPIED)
+            ? Doubt.COPIED
+            : found.disowned() ? Doubt.GIVEN_UP : Doubt.NONE;
+    ledger =
+        Ledger.of(
+            found.state(),
+            doubt,
+            names(config),
+            lastUs,
+            keeping.trustUs(),
+            config.settings().instances() > 1);
+    outbox = new Outbox<>(post -> post.to().send(post.message()), keeping.patienceUs());
+    aliveUs = keeping.aliveUs();
+    committer =
+        new Committer(
+            store,
+            keeping.options(),
+            new Committer.Events() {
+              @Override
+              public void failed(IOException why) {
                 giveUp(why.getMessage());
-            }
+              }
 
-            @Override
-            public void notDisowned(IOException why) {
-                Logger.error("store not marked as given up, begin the next start with an empty directory: "
-                        + "cause=\"{}\"", why.getMessage());
-            }
+              @Override
+              public void notDisowned(IOException why) {
+                Logger.error(
+                    "store not marked as given up, begin the next start with an empty directory: "
+                        + "cause=\"{}\"",
+                    why.getMessage());
+              }
 
-            @Override
-            public void compacted(long tookMs, long logBytes) {
+              @Override
+              public void compacted(long tookMs, long logBytes) {
                 Logger.info("store compacted: took_ms={} log_bytes={}", tookMs, logBytes);
-            }
+              }
 
-            @Override
-            public void notCompacted(IOException why) {
+              @Override
+              public void notCompacted(IOException why) {
                 Logger.warn("store not compacted: cause=\"{}\"", why.getMessage());
-            }
-        });
-        if (!found.damage().isEmpty()) {
-            Logger.warn("store damaged: sequence={} lost=\"{}\"", found.sequence(), found.damage());
-        }
-        if (found.cutBytes() > 0) {
-            Logger.info("store end cut: sequence={} bytes={} records={}", found.sequence(), found.cutBytes(),
-                    found.cutFrames());
-        }
-        Logger.info("store open: sequence={} epoch={} turn={} keys={} closed={} belief=\"{}\"",
-                found.sequence(),
-                ledger.epoch(), ledger.turn(), found.state().size(), found.closed() ? "yes" : "no",
-                ledger.doubt().text());
+              }
+            });
+    if (!found.damage().isEmpty()) {
+      Logger.warn("store damaged: sequence={} lost=\"{}\"", found.sequence(), found.damage());
     }
-
-    /** Opens the store that the settings name. */
-    static Durable open(Config config, Keeping keeping, LongSupplier clock) throws IOException {
-        FileDisk disk = new FileDisk(keeping.directory());
-        disk.make();
-        return new Durable(config, keeping, Store.open(disk, keeping.options()), clock);
+    if (found.cutBytes() > 0) {
+      Logger.info(
+          "store end cut: sequence={} bytes={} records={}",
+          found.sequence(),
+          found.cutBytes(),
+          found.cutFrames());
     }
+    Logger.info(
+        "store open: sequence={} epoch={} turn={} keys={} closed={} belief=\"{}\"",
+        found.sequence(),
+        ledger.epoch(),
+        ledger.turn(),
+        found.state().size(),
+        found.closed() ? "yes" : "no",
+        ledger.doubt().text());
+  }
 
-    /** What gives numbers in the store their meaning. */
-    private static String names(Config config) {
-        StringJoiner out = new StringJoiner(" ");
-        out.add(config.name()).add(String.join(",", config.names().classes()));
-        String[] zones = new String[config.names().zones().size()];
-        config.names().zones().forEach((name, at) -> zones[at] = name);
-        return out.add(String.join(",", zones)).toString();
-    }
+  /** Opens the store that the settings name. */
+  static Durable open(Config config, Keeping keeping, LongSupplier clock) throws IOException {
+    FileDisk disk = new FileDisk(keeping.directory());
+    disk.make();
+    return new Durable(config, keeping, Store.open(disk, keeping.options()), clock);
+  }
+
+  /** What gives numbers in the store their meaning. */
+  private static String names(Config config) {
+    StringJoiner out = new StringJoiner(" ");
+    out.add(config.name()).add(String.join(",", config.names().classes()));
+    String[] zones = new String[config.names().zones().size()];
+    config.names().zones().forEach((name, at) -> zones[at] = name);
+    return out.add(String.join(",", zones)).toString();
+  }
 
-    // The start.
+  // The start.
 
-    /** The list to begin with. */
-    Message.Listing known() {
-        List<ListedServer> given = config.known().instances().stream().map(Durable::listedServer).toList();
-        KnownList merged = KnownList.merge(new KnownList(config.known().generation(), given), ledger);
-        return new Message.Listing(merged.generation(), true, merged.servers().stream()
-                .map(s -> new Message.Instance(s.name(), s.hostPort(), s.zone(), s.kind(), s.cell(),
+  /** The list to begin with. */
+  Message.Listing known() {
+    List<ListedServer> given =
+        config.known().instances().stream().map(Durable::listedServer).toList();
+    KnownList merged = KnownList.merge(new KnownList(config.known().generation(), given), ledger);
+    return new Message.Listing(
+        merged.generation(),
+        true,
+        merged.servers().stream()
+            .map(
+                s ->
+                    new Message.Instance(
+                        s.name(),
+                        s.hostPort(),
+                        s.zone(),
+                        s.kind(),
+                        s.cell(),
                         s.state(),
-                        s.weight(), s.startedUs())).toList());
-    }
+                        s.weight(),
+                        s.startedUs()))
+            .toList());
+  }
 
-    private static ListedServer listedServer(Message.Instance one) {
-        return new ListedServer(one.server(), one.hostPort(), one.zone(), one.kind(), one.cell(), one.state(),
-                one.weight(), one.startedUs());
-    }
+  private static ListedServer listedServer(Message.Instance one) {
+    return new ListedServer(
+        one.server(),
+        one.hostPort(),
+        one.zone(),
+        one.kind(),
+        one.cell(),
+        one.state(),
+        one.weight(),
+        one.startedUs());
+  }
 
-    /** Hands the module and the tables what an earlier process had ordered; names become numbers. */
-    void restore(long now, Message.Listing known, ServerDirectory servers, Tables tables,
-            Assigner module) {
-        ledger.begin(known.instances().stream().filter(one -> one.state() != Assigner.State.GONE)
-                .map(Durable::listedServer).toList(), now);
-        Set<String> out = ledger.out();
-        out.stream().filter(servers::knows).forEach(name -> tables.restoreOut(servers.number(name)));
-        // With no table there is a mark at least: a proxy must not take a new one for one that it answered.
-        Set<Integer> numbers = new TreeSet<>(ledger.tables());
-        numbers.add(0);
-        for (int number : numbers) {
-            Map<Long, Double> weights = new HashMap<>();
-            ledger.lines(number).forEach((name, weight) -> weights.put(servers.number(name), weight));
-            Map<Integer, Level> levels = ledger.levels(number,
-                    config.settings().grades().stream().map(Assigner.Grade::effect).toList());
-            Map<Integer, Message.Level> orders = new HashMap<>();
-            levels.forEach((k, level) -> orders.put(k, new Message.Level(level.level(), level.retry())));
-            tables.restore(number, weights, orders);
-            double[] level = new double[config.names().classes().size()];
-            int[] retry = new int[level.length];
-            for (int k = 0; k < level.length; k++) {
-                level[k] = levels.containsKey(k) ? levels.get(k).level() : 0;
-                retry[k] = levels.containsKey(k) ? levels.get(k).retry() : -1;
-            }
-            module.restored(now, number, weights, level, retry, ledger.mark());
-        }
+  /** Hands the module and the tables what an earlier process had ordered; names become numbers. */
+  void restore(
+      long now, Message.Listing known, ServerDirectory servers, Tables tables, Assigner module) {
+    ledger.begin(
+        known.instances().stream()
+            .filter(one -> one.state() != Assigner.State.GONE)
+            .map(Durable::listedServer)
+            .toList(),
+        now);
+    Set<String> out = ledger.out();
+    out.stream().filter(servers::knows).forEach(name -> tables.restoreOut(servers.number(name)));
+    // With no table there is a mark at least: a proxy must not take a new one for one that it
+    // answered.
+    Set<Integer> numbers = new TreeSet<>(ledger.tables());
+    numbers.add(0);
+    for (int number : numbers) {
+      Map<Long, Double> weights = new HashMap<>();
+      ledger.lines(number).forEach((name, weight) -> weights.put(servers.number(name), weight));
+      Map<Integer, Level> levels =
+          ledger.levels(
+              number, config.settings().grades().stream().map(Assigner.Grade::effect).toList());
+      Map<Integer, Message.Level> orders = new HashMap<>();
+      levels.forEach((k, level) -> orders.put(k, new Message.Level(level.level(), level.retry())));
+      tables.restore(number, weights, orders);
+      double[] level = new double[config.names().classes().size()];
+      int[] retry = new int[level.length];
+      for (int k = 0; k < level.length; k++) {
+        level[k] = levels.containsKey(k) ? levels.get(k).level() : 0;
+        retry[k] = levels.containsKey(k) ? levels.get(k).retry() : -1;
+      }
+      module.restored(now, number, weights, level, retry, ledger.mark());
     }
+  }
 
-    void start() {
-        committer.start();
-    }
+  void start() {
+    committer.start();
+  }
 
-    // Events, on the decision thread.
+  // Events, on the decision thread.
 
-    /** What a joiner lacks; null where its table is to go whole. */
-    Rejoin joined(int proxy, boolean fresh) {
-        Rejoin out = ledger.joined(proxy, fresh);
-        if (out != null) {
-            joining.put(proxy, out);
-        }
-        return out;
+  /** What a joiner lacks; null where its table is to go whole. */
+  Rejoin joined(int proxy, boolean fresh) {
+    Rejoin out = ledger.joined(proxy, fresh);
+    if (out != null) {
+      joining.put(proxy, out);
     }
+    return out;
+  }
 
-    void left(int proxy) {
-        ledger.left(proxy);
-    }
+  void left(int proxy) {
+    ledger.left(proxy);
+  }
 
-    void applied(int proxy, int mark) {
-        ledger.applied(proxy, mark);
-    }
+  void applied(int proxy, int mark) {
+    ledger.applied(proxy, mark);
+  }
 
-    void listed(Message.Listing what) {
-        List<ListedServer> servers = what.instances().stream().map(Durable::listedServer).toList();
-        ledger.listed(what.generation(), what.whole(), servers);
-    }
+  void listed(Message.Listing what) {
+    List<ListedServer> servers = what.instances().stream().map(Durable::listedServer).toList();
+    ledger.listed(what.generation(), what.whole(), servers);
+  }
 
-    Ledger ledger() {
-        return ledger;
-    }
+  Ledger ledger() {
+    return ledger;
+  }
 
-    /** A binding: what the proxy lacks if it is bound in the turn in which it joined, else null. */
-    Rejoin bound(int proxy, int number, boolean allClasses) {
-        Rejoin lacks = joining.remove(proxy);
-        if (!allClasses) {
-            ledger.unbind(proxy);
-            return null;
-        }
-        boolean whole = lacks == null || lacks.table() != number;
-        ledger.bind(proxy, number, whole);
-        return whole ? null : lacks;
+  /** A binding: what the proxy lacks if it is bound in the turn in which it joined, else null. */
+  Rejoin bound(int proxy, int number, boolean allClasses) {
+    Rejoin lacks = joining.remove(proxy);
+    if (!allClasses) {
+      ledger.unbind(proxy);
+      return null;
     }
+    boolean whole = lacks == null || lacks.table() != number;
+    ledger.bind(proxy, number, whole);
+    return whole ? null : lacks;
+  }
 
-    void send(int proxy, Exchange.Stream to, byte[] message) {
-        ledger.sent(proxy);
-        posts.add(new Post(to, message));
-    }
+  void send(int proxy, Exchange.Stream to, byte[] message) {
+    ledger.sent(proxy);
+    posts.add(new Post(to, message));
+  }
 
-    /** The end of a turn: its changes go to the store, its messages wait for that. */
-    void turn(long now) {
-        joining.clear();
-        if (now - lastUs >= aliveUs) {
-            ledger.alive();
-        }
-        if (!posts.isEmpty()) {
-            // No message goes by a store, whatever ordered it.
-            ledger.alive();
-        }
-        Map<String, byte[]> changes = ledger.end(now);
-        synchronized (lock) {
-            if (changes != null) {
-                lastUs = now;
-                long ticket = outbox.offer(posts, now);
-                if (ticket > 0 && owning) {
-                    owning = false;
-                    committer.submitOwning(Batch.of(changes), () -> confirmed(ticket));
-                } else if (ticket > 0) {
-                    committer.submit(Batch.of(changes), () -> confirmed(ticket));
-                }
-            }
-            posts.clear();
-            watch();
-        }
+  /** The end of a turn: its changes go to the store, its messages wait for that. */
+  void turn(long now) {
+    joining.clear();
+    if (now - lastUs >= aliveUs) {
+      ledger.alive();
     }
-
-    /** Called now and then, on any thread: a disk that hangs must not hold up a drain. */
-    void watch() {
-        synchronized (lock) {
-            if (!givenUp && outbox.late(clock.getAsLong())) {
-                giveUp("an order waited for the disk longer than store.patience");
-            }
-        }
+    if (!posts.isEmpty()) {
+      // No message goes by a store, whatever ordered it.
+      ledger.alive();
     }
-
-    private void confirmed(long ticket) {
-        synchronized (lock) {
-            outbox.confirmed(ticket);
+    Map<String, byte[]> changes = ledger.end(now);
+    synchronized (lock) {
+      if (changes != null) {
+        lastUs = now;
+        long ticket = outbox.offer(posts, now);
+        if (ticket > 0 && owning) {
+          owning = false;
+          committer.submitOwning(Batch.of(changes), () -> confirmed(ticket));
+        } else if (ticket > 0) {
+          committer.submit(Batch.of(changes), () -> confirmed(ticket));
         }
+      }
+      posts.clear();
+      watch();
     }
+  }
 
-    /** Said once: from here on the assigner is as without a store. */
-    private void giveUp(String why) {
-        synchronized (lock) {
-            if (!givenUp) {
-                givenUp = true;
-                Logger.error("store given up: waiting={} cause=\"{}\"", outbox.waiting(), why);
-                // Begun first, not waited for: orders may be out before it is durable (docs/ROADMAP.md).
-                committer.disown();
-                outbox.giveUp();
-            }
-        }
+  /** Called now and then, on any thread: a disk that hangs must not hold up a drain. */
+  void watch() {
+    synchronized (lock) {
+      if (!givenUp && outbox.late(clock.getAsLong())) {
+        giveUp("an order waited for the disk longer than store.patience");
+      }
     }
+  }
 
-    /** An orderly end: what waits is written; a fault here is said and ends nothing. */
-    void end() {
-        try {
-            close();
-        } catch (IOException e) {
-            Logger.warn("store not closed: cause=\"{}\"", e.getMessage());
-        }
+  private void confirmed(long ticket) {
+    synchronized (lock) {
+      outbox.confirmed(ticket);
     }
+  }
 
-    /** The store's thread is there. */
-    boolean running() {
-        return committer.running();
+  /** Said once: from here on the assigner is as without a store. */
+  private void giveUp(String why) {
+    synchronized (lock) {
+      if (!givenUp) {
+        givenUp = true;
+        Logger.error("store given up: waiting={} cause=\"{}\"", outbox.waiting(), why);
+        // Begun first, not waited for: orders may be out before it is durable (docs/ROADMAP.md).
+        committer.disown();
+        outbox.giveUp();
+      }
     }
+  }
 
-    /** Turns whose messages wait for the disk. */
-    int waiting() {
-        synchronized (lock) {
-            return outbox.waiting();
-        }
+  /** An orderly end: what waits is written; a fault here is said and ends nothing. */
+  void end() {
+    try {
+      close();
+    } catch (IOException e) {
+      Logger.warn("store not closed: cause=\"{}\"", e.getMessage());
     }
+  }
 
-    @Override
-    public void close() throws IOException {
-        committer.close();
+  /** The store's thread is there. */
+  boolean running() {
+    return committer.running();
+  }
+
+  /** Turns whose messages wait for the disk. */
+  int waiting() {
+    synchronized (lock) {
+      return outbox.waiting();
     }
+  }
+
+  @Override
+  public void close() throws IOException {
+    committer.close();
+  }
 }
--- a/src/main/java/pearusher/serve/EjectionState.java
+++ b/src/main/java/pearusher/serve/EjectionState.java
@@ -7,60 +7,66 @@
 import java.util.TreeMap;
 
 /**
- * Which servers are ejected (withdrawn by the module), which were ejected or reinstated this turn, and of
- * which a proxy may believe that they are ejected. Only the decision thread uses it. It grows with the
- * servers that the module has not forgotten.
+ * Which servers are ejected (withdrawn by the module), which were ejected or reinstated this turn,
+ * and of which a proxy may believe that they are ejected. Only the decision thread uses it. It
+ * grows with the servers that the module has not forgotten.
  */
 final class EjectionState {
-    private final Set<Long> ejected = new HashSet<>();
-    /** Servers that some assigner may have ejected, as the module says: at any proxy, or where not sure. */
-    private final Map<Long, Boolean> doubted = new HashMap<>();
-    private final Map<Long, Boolean> changed = new TreeMap<>();
+  private final Set<Long> ejected = new HashSet<>();
 
-    /** Ejects a server, or reinstates it. */
-    void order(long server, boolean out) {
-        if (out) {
-            ejected.add(server);
-        } else {
-            ejected.remove(server);
-        }
-        changed.put(server, out);
-    }
+  /**
+   * Servers that some assigner may have ejected, as the module says: at any proxy, or where not
+   * sure.
+   */
+  private final Map<Long, Boolean> doubted = new HashMap<>();
 
-    /** A server that an earlier process ejected, and that still is out. */
-    void restore(long server) {
-        ejected.add(server);
-    }
+  private final Map<Long, Boolean> changed = new TreeMap<>();
 
-    void doubt(long server, boolean all) {
-        doubted.put(server, all);
+  /** Ejects a server, or reinstates it. */
+  void order(long server, boolean out) {
+    if (out) {
+      ejected.add(server);
+    } else {
+      ejected.remove(server);
     }
+    changed.put(server, out);
+  }
 
-    void forget(long server) {
-        doubted.remove(server);
-        ejected.remove(server);
-    }
+  /** A server that an earlier process ejected, and that still is out. */
+  void restore(long server) {
+    ejected.add(server);
+  }
 
-    boolean isEjected(long server) {
-        return ejected.contains(server);
-    }
+  void doubt(long server, boolean all) {
+    doubted.put(server, all);
+  }
 
-    /** Whether a proxy to which a table brings this server must be told how it stands. */
-    boolean mustBeSaid(long server, boolean sure) {
-        return ejected.contains(server) || (doubted.containsKey(server) && (doubted.get(server) || !sure));
-    }
+  void forget(long server) {
+    doubted.remove(server);
+    ejected.remove(server);
+  }
 
-    /** Servers that were ejected (true) or reinstated this turn. */
-    Map<Long, Boolean> changed() {
-        return changed;
-    }
+  boolean isEjected(long server) {
+    return ejected.contains(server);
+  }
 
-    void endTurn() {
-        changed.clear();
-    }
+  /** Whether a proxy to which a table brings this server must be told how it stands. */
+  boolean mustBeSaid(long server, boolean sure) {
+    return ejected.contains(server)
+        || (doubted.containsKey(server) && (doubted.get(server) || !sure));
+  }
 
-    /** What is kept, by server. */
-    int size() {
-        return doubted.size() + ejected.size() + changed.size();
-    }
+  /** Servers that were ejected (true) or reinstated this turn. */
+  Map<Long, Boolean> changed() {
+    return changed;
+  }
+
+  void endTurn() {
+    changed.clear();
+  }
+
+  /** What is kept, by server. */
+  int size() {
+    return doubted.size() + ejected.size() + changed.size();
+  }
 }
--- a/src/main/java/pearusher/serve/Ending.java
+++ b/src/main/java/pearusher/serve/Ending.java
@@ -7,73 +7,74 @@
 import pearusher.Assigner;
 
 /**
- * Every way in which a connection can end, on either side, and what it means to the module: for a probe by
- * {@link #probe}, for discovery by {@link #answered}; a proxy's stream has been left in every case. This is
- * the one place of that mapping. It must never tell when to try again.
+ * Every way in which a connection can end, on either side, and what it means to the module: for a
+ * probe by {@link #probe}, for discovery by {@link #answered}; a proxy's stream has been left in
+ * every case. This is the one place of that mapping. It must never tell when to try again.
  */
 enum Ending {
-    /** An answer of status 200, whole. */
-    ANSWERED(Assigner.Probe.OK),
-    /** Status 503: draining, too busy or out of service for now. */
-    UNAVAILABLE(Assigner.Probe.TURNED_AWAY),
-    /** Any other status. */
-    ERROR_STATUS(Assigner.Probe.ERROR),
-    /** The connection was refused: the process is down. */
-    REFUSED(Assigner.Probe.DOWN),
-    /** The connection never came up, or nobody knows the way. */
-    UNREACHABLE(Assigner.Probe.DOWN),
-    /** Connected, and nothing more came within the time-out. */
-    SILENT(Assigner.Probe.NO_ANSWER),
-    /** The other end closed in order: the normal end of a stream, or an answer that broke off. */
-    CLOSED(Assigner.Probe.BROKEN),
-    /** The other end reset. */
-    RESET(Assigner.Probe.BROKEN),
-    /** What came can't be read; this side closed. */
-    GARBAGE(Assigner.Probe.BROKEN),
-    /** More came than is allowed; this side closed. */
-    TOO_LONG(Assigner.Probe.BROKEN),
-    /** The other end left too much unread; this side closed. */
-    UNREAD(Assigner.Probe.OTHER),
-    /** An unidentified connection that said nothing, closed for its descriptor. */
-    EVICTED(Assigner.Probe.OTHER),
-    /** This side wanted it no more. */
-    DROPPED(Assigner.Probe.OTHER);
+  /** An answer of status 200, whole. */
+  ANSWERED(Assigner.Probe.OK),
+  /** Status 503: draining, too busy or out of service for now. */
+  UNAVAILABLE(Assigner.Probe.TURNED_AWAY),
+  /** Any other status. */
+  ERROR_STATUS(Assigner.Probe.ERROR),
+  /** The connection was refused: the process is down. */
+  REFUSED(Assigner.Probe.DOWN),
+  /** The connection never came up, or nobody knows the way. */
+  UNREACHABLE(Assigner.Probe.DOWN),
+  /** Connected, and nothing more came within the time-out. */
+  SILENT(Assigner.Probe.NO_ANSWER),
+  /** The other end closed in order: the normal end of a stream, or an answer that broke off. */
+  CLOSED(Assigner.Probe.BROKEN),
+  /** The other end reset. */
+  RESET(Assigner.Probe.BROKEN),
+  /** What came can't be read; this side closed. */
+  GARBAGE(Assigner.Probe.BROKEN),
+  /** More came than is allowed; this side closed. */
+  TOO_LONG(Assigner.Probe.BROKEN),
+  /** The other end left too much unread; this side closed. */
+  UNREAD(Assigner.Probe.OTHER),
+  /** An unidentified connection that said nothing, closed for its descriptor. */
+  EVICTED(Assigner.Probe.OTHER),
+  /** This side wanted it no more. */
+  DROPPED(Assigner.Probe.OTHER);
 
-    private final Assigner.Probe probe;
+  private final Assigner.Probe probe;
 
-    Ending(Assigner.Probe probe) {
-        this.probe = probe;
-    }
+  Ending(Assigner.Probe probe) {
+    this.probe = probe;
+  }
 
-    Assigner.Probe probe() {
-        return probe;
-    }
+  Assigner.Probe probe() {
+    return probe;
+  }
 
-    boolean answered() {
-        return this == ANSWERED;
-    }
+  boolean answered() {
+    return this == ANSWERED;
+  }
 
-    static Ending ofStatus(int status) {
-        return status == 200 ? ANSWERED : status == 503 ? UNAVAILABLE : ERROR_STATUS;
-    }
+  static Ending ofStatus(int status) {
+    return status == 200 ? ANSWERED : status == 503 ? UNAVAILABLE : ERROR_STATUS;
+  }
 
-    /** What is wrong with the bytes that came. */
-    static Ending ofFault(Resp.Fault.Kind kind) {
-        return switch (kind) {
-            case MALFORMED -> GARBAGE;
-            case TOO_LONG -> TOO_LONG;
-        };
-    }
+  /** What is wrong with the bytes that came. */
+  static Ending ofFault(Resp.Fault.Kind kind) {
+    return switch (kind) {
+      case MALFORMED -> GARBAGE;
+      case TOO_LONG -> TOO_LONG;
+    };
+  }
 
-    /** What failed while connecting. */
-    static Ending ofConnect(Throwable failure) {
-        boolean late = String.valueOf(failure.getMessage()).contains("timed out");
-        return failure instanceof ConnectException && !late ? REFUSED : UNREACHABLE;
-    }
+  /** What failed while connecting. */
+  static Ending ofConnect(Throwable failure) {
+    boolean late = String.valueOf(failure.getMessage()).contains("timed out");
+    return failure instanceof ConnectException && !late ? REFUSED : UNREACHABLE;
+  }
 
-    /** What failed on a connection that was up. */
-    static Ending ofFailure(Throwable failure) {
-        return failure instanceof TimeoutException || failure instanceof SocketTimeoutException ? SILENT
-                : failure instanceof IOException ? RESET : CLOSED;
-    }
+  /** What failed on a connection that was up. */
+  static Ending ofFailure(Throwable failure) {
+    return failure instanceof TimeoutException || failure instanceof SocketTimeoutException
+        ? SILENT
+        : failure instanceof IOException ? RESET : CLOSED;
+  }
 }
--- a/src/main/java/pearusher/serve/Exchange.java
+++ b/src/main/java/pearusher/serve/Exchange.java
@@ -17,427 +17,459 @@
 import pearusher.intake.Item;
 
 /**
- * The only place where the server side, the client side and the module meet. It owns the module, hands events
- * to the one thread on which that runs ({@link EventLoop}), and there passes them on, and the module's orders
- * back: for the streams of proxies to {@link StreamMembership}, for reports to {@link ReportIntake}, for the
- * versions of lists to {@link ServerListState}, for tables and ledger to {@link TableOrders}. It must never
- * do input or output itself, decide anything, nor go on after the module failed. It grows with the servers
- * that are listed.
+ * The only place where the server side, the client side and the module meet. It owns the module,
+ * hands events to the one thread on which that runs ({@link EventLoop}), and there passes them on,
+ * and the module's orders back: for the streams of proxies to {@link StreamMembership}, for reports
+ * to {@link ReportIntake}, for the versions of lists to {@link ServerListState}, for tables and
+ * ledger to {@link TableOrders}. It must never do input or output itself, decide anything, nor go
+ * on after the module failed. It grows with the servers that are listed.
  */
 class Exchange implements Assigner.Orders {
-    private static final Pattern SERVER = Pattern.compile("\\bserver ([0-9a-f]+)\\b");
+  private static final Pattern SERVER = Pattern.compile("\\bserver ([0-9a-f]+)\\b");
 
-    /** A proxy's stream, on the server side. Calls come from the decision thread and must not block. */
-    interface Stream {
-        void send(byte[] message);
+  /**
+   * A proxy's stream, on the server side. Calls come from the decision thread and must not block.
+   */
+  interface Stream {
+    void send(byte[] message);
 
-        /** A newer stream of the same proxy took its place. */
-        void replaced();
+    /** A newer stream of the same proxy took its place. */
+    void replaced();
 
-        /** Its place among all connections taken: of two of a proxy the later one is the newer. */
-        default long taken() {
-            return 0;
-        }
+    /** Its place among all connections taken: of two of a proxy the later one is the newer. */
+    default long taken() {
+      return 0;
     }
+  }
 
-    /** The client side. */
-    interface Calls {
-        void watch(boolean on, long since);
+  /** The client side. */
+  interface Calls {
+    void watch(boolean on, long since);
 
-        void fetch();
+    void fetch();
 
-        void probe(long server, String hostPort);
-    }
-
-    /** The way to other assigners; peer -1: all. */
-    interface Mail {
-        void tell(int peer, byte[] body);
-    }
-
-    /** What a turn is made of. */
-    private final class Turn implements EventLoop.Handler {
-        @Override
-        public void pause() throws InterruptedException {
-            Exchange.this.pause();
-        }
-
-        @Override
-        public boolean isFlooded() {
-            return reports.isFlooded();
-        }
-
-        @Override
-        public void serveFlood() {
-            reports.serveFlood();
-        }
-
-        @Override
-        public void timer(long token) {
-            module.timer(loop.nowUs(), token);
-        }
-
-        @Override
-        public void close() {
-            Exchange.this.close();
-        }
-    }
-
-    private final Config config;
-    private final BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker;
-    private final EventLoop loop;
-    private final ReportQueue queue;
-    private final ReportIntake reports;
-
-    // All below belongs to the decision thread.
-    private final ServerDirectory servers = new ServerDirectory();
-    private final Tables tables;
-    private final StreamMembership streams;
-    private final TableOrders orders;
-    private final ServerListState listState;
-    /** What lasts, where the operators switched it on; else null. */
-    private final Durable durable;
-    private Assigner module;
-    private Calls calls;
-    private Mail mail;
-    /** Lists that would have made more servers known than the heap holds. */
-    private long refusedLists;
-
-    Exchange(Config config, BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker,
-            LongSupplier clock, Consumer<Throwable> failed) {
-        this(config, maker, clock, failed, null, null);
-    }
-
-    Exchange(Config config, BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker,
-            LongSupplier clock, Consumer<Throwable> failed, Durable durable, SharedIntake intake) {
-        this.durable = durable;
-        this.config = config;
-        this.maker = maker;
-        loop = new EventLoop(clock, failed, new Turn());
-        queue = new ReportQueue(loop);
-        reports = new ReportIntake(loop, queue, intake, config.settings().periodUs(), () -> module,
-                servers::number);
-        tables = new Tables(config.names().classes(), servers::name);
-        streams = new StreamMembership(loop, tables, durable, () -> module, this::numbers);
-        orders = new TableOrders(tables, durable, config.names().classes().size(), servers::name,
-                this::numbers);
-        listState = new ServerListState(config.settings().limits().askWithinUs());
-    }
-
-    /** Microseconds of Unix time, read once and carried on by a clock that never runs back. */
-    static LongSupplier unixClock() {
-        long base = System.currentTimeMillis() * 1000;
-        long start = System.nanoTime();
-        return () -> base + (System.nanoTime() - start) / 1000;
-    }
-
-    void connect(Calls client, Mail peers) {
-        calls = client;
-        mail = peers;
-    }
-
-    /** Starts the module with the list last known and takes its first turn, on the caller's thread. */
-    void begin() {
-        loop.begin();
-        module = maker.apply(config.settings(), this);
-        Message.Listing known = durable == null ? config.known() : durable.known();
-        list(Assigner.ListForm.CACHED, known);
-        if (durable != null) {
-            durable.restore(loop.nowUs(), known, servers, tables, module);
-        }
-        if (!config.settings().listOnRequest()) {
-            // Where changes come unasked the module doesn't ask for them.
-            watch(true);
-        }
-        close();
-    }
-
-    /** The decision thread's work, until it is interrupted or the module fails. */
-    void run() {
-        loop.run();
-    }
-
-    /** Waits for an event or a timer; what comes without a tick's pause is one turn. */
-    void turn() throws InterruptedException {
-        loop.turn();
-    }
-
-    void pause() throws InterruptedException {
-        TimeUnit.MICROSECONDS.sleep(config.settings().tickUs());
-    }
-
-    private void close() {
-        long now = loop.nowUs();
-        module.close(now);
-        if (durable == null) {
-            tables.turn(now, (proxy, message) -> streams.stream(proxy).send(message));
-        } else {
-            tables.turn(now, (proxy, message) -> durable.send(proxy, streams.stream(proxy), message));
-            durable.turn(now);
-        }
-    }
-
-    // Events, from any thread.
-
-    /** Work for the decision thread, at the next turn. */
-    void event(Runnable what) {
-        loop.add(what);
-    }
-
-    long dropped() {
-        return queue.dropped();
-    }
-
-    int waiting() {
-        return loop.waiting();
-    }
-
-    /** A proxy's stream has said whose it is. */
-    void joined(Stream stream, Message.Joined what) {
-        event(() -> streams.joined(stream, what));
-    }
-
-    /** Servers by number, those that are still listed. */
-    private Map<Long, Boolean> numbers(Map<String, Boolean> byName) {
-        Map<Long, Boolean> out = new TreeMap<>();
-        byName.forEach((name, value) -> {
-            if (servers.knows(name)) {
-                out.put(servers.number(name), value);
-            }
-        });
-        return out;
-    }
-
-    /** A stream ended; one whose proxy has joined anew since then unseats nobody. */
-    void ended(Stream stream, int proxy) {
-        event(() -> streams.ended(stream, proxy));
-    }
-
-    /** Counted with the reports: a proxy that answers without end fills no memory either. */
-    void applied(Stream stream, Message.Applied what) {
-        queue.add(() -> streams.applied(stream, what));
-    }
-
-    /** A report on a server that no list has named yet is dropped: the proxies' list may be newer. */
-    void heard(Message.Heard what) {
-        heard(what, -1);
-    }
-
-    /** {@code origin}: the proxy, or a number below 0 that is the collector's own. */
-    void heard(Message.Heard what, int origin) {
-        reports.heard(what, origin);
-    }
-
-    void usage(Message.Usage what) {
-        usage(what, what.proxy());
-    }
-
-    void usage(Message.Usage what, int origin) {
-        reports.usage(what, origin);
-    }
-
-    /** Tells a test of each report that has its turn, on the decision thread. */
-    void hearing(Consumer<Item> listener) {
-        reports.listen(listener);
-    }
-
-    /** What discovery says, on a watch or as the whole list; older than what is held: passed over. */
-    void listed(Message.Listing what, boolean begins) {
-        listed(what, begins, () -> true);
-    }
-
-    /**
-     * {@code begins}: the first line of a watch; {@code counts}: whether its call still does, asked in its
-     * turn. Guards against the last words of a watch that was moved, which its reader may hand over after the
-     * new one's first: a whole list of theirs would count as a discovery that started anew.
-     */
-    void listed(Message.Listing what, boolean begins, BooleanSupplier counts) {
-        event(() -> {
-            if (!counts.getAsBoolean()) {
-                return;
-            }
-            switch (listState.compare(what, begins, loop.nowUs())) {
-                case CURRENT -> list(what.whole() ? Assigner.ListForm.WHOLE : Assigner.ListForm.CHANGES,
-                        what);
-                case OUTDATED -> list(Assigner.ListForm.CHANGES,
-                        new Message.Listing(listState.generation(), false, List.of()));
-                case RESTARTED -> list(Assigner.ListForm.WHOLE, what);
-                case LAGGING -> {
-                    calls.watch(false, listState.generation());
-                    tellListFailed();
-                }
-            }
-        });
-    }
-
-    private void tellListFailed() {
-        listState.setWatching(false);
-        module.listed(loop.nowUs(), Assigner.ListForm.FAILED, List.of());
-    }
-
-    /** A call to discovery, or the watch, ended without what it was for. */
-    void listFailed() {
-        listFailed(() -> true);
-    }
-
-    /** The end of a watch that was moved meanwhile must not count as the end of the new one. */
-    void listFailed(BooleanSupplier counts) {
-        event(() -> {
-            if (counts.getAsBoolean()) {
-                tellListFailed();
-            }
-        });
-    }
-
-    /**
-     * Discovery may be elsewhere: the watch that runs is begun anew there, before the old address closes it.
-     * One that has failed is asked for again by the module, and goes there by itself.
-     */
-    void moved() {
-        event(() -> {
-            if (listState.isWatching()) {
-                calls.watch(true, listState.generation());
-            }
-        });
-    }
-
-    void probed(long server, Assigner.Probe end, long tookUs, float[] load) {
-        event(() -> module.probed(loop.nowUs(), server, end, tookUs, load));
-    }
-
-    void told(int peer, byte[] body) {
-        queue.add(() -> module.told(loop.nowUs(), peer, body));
-    }
-
-    private void list(Assigner.ListForm form, Message.Listing what) {
-        if (form != Assigner.ListForm.CACHED && tooManyKnown(what)) {
-            calls.watch(false, listState.generation());
-            tellListFailed();
-            return;
-        }
-        listState.hold(what.generation());
-        List<Assigner.Entry> entries = new ArrayList<>();
-        for (Message.Instance one : what.instances()) {
-            // That a server is gone which nobody knows says nothing, and would be kept for good.
-            if (one.state() == Assigner.State.GONE && !servers.knows(one.server())) {
-                continue;
-            }
-            long id = servers.list(one.server(), one.hostPort());
-            entries.add(new Assigner.Entry(id, one.zone(), one.kind(), one.cell(), one.state(), one.weight(),
-                    one.startedUs()));
-        }
-        if (durable != null) {
-            durable.listed(what);
-        }
-        module.listed(loop.nowUs(), form, entries);
-    }
-
-    /**
-     * Guards the heap against lists of changes that are short one by one and name new servers without end,
-     * and against whole lists that follow each other faster than the module forgets.
-     */
-    private boolean tooManyKnown(Message.Listing what) {
-        int room = config.lists().known() - servers.names();
-        if (what.instances().size() <= room || what.instances().stream().filter(
-                one -> one.state() != Assigner.State.GONE && !servers.knows(one.server())).count() <= room) {
-            return false;
-        }
-        if (Long.bitCount(++refusedLists) == 1) {
-            Logger.warn("discovery: with the servers known before, a list of {}", config.lists().overKnown());
-        }
-        return true;
-    }
-
-    // Orders, from the module.
-
-    @Override
-    public void line(int table, long server, double weight) {
-        orders.line(table, server, weight);
-    }
-
-    @Override
-    public void clear(int table) {
-        orders.clear(table);
-    }
-
-    @Override
-    public void withdraw(long server, boolean out) {
-        orders.withdraw(loop.nowUs(), server, out);
-    }
+    void probe(long server, String hostPort);
+  }
 
-    @Override
-    public void bind(int proxy, int table, int classBits) {
-        orders.bind(proxy, table, classBits);
-    }
-
-    @Override
-    public void sure(int proxy) {
-        tables.sure(proxy);
-    }
-
-    @Override
-    public void doubt(long server, boolean all) {
-        tables.doubt(server, all);
-    }
-
-    @Override
-    public void admit(int table, int classBits, double level, int retry) {
-        orders.admit(table, classBits, level, retry);
-    }
-
-    @Override
-    public void mark(int number, boolean toAll) {
-        orders.mark(number, toAll);
-    }
-
-    @Override
-    public void watch(boolean on) {
-        listState.setWatching(on);
-        calls.watch(on, listState.generation());
-    }
-
-    @Override
-    public void fetch() {
-        calls.fetch();
-    }
+  /** The way to other assigners; peer -1: all. */
+  interface Mail {
+    void tell(int peer, byte[] body);
+  }
 
+  /** What a turn is made of. */
+  private final class Turn implements EventLoop.Handler {
     @Override
-    public void probe(long server) {
-        calls.probe(server, servers.hostPort(server));
+    public void pause() throws InterruptedException {
+      Exchange.this.pause();
     }
 
     @Override
-    public void timer(long delayUs, long token) {
-        loop.setTimer(delayUs, token);
+    public boolean isFlooded() {
+      return reports.isFlooded();
     }
 
-    /** Every server is replaced in time: what is kept of one goes with it. */
     @Override
-    public void forget(long server) {
-        if (durable != null) {
-            durable.ledger().forget(servers.name(server));
-        }
-        servers.forget(server);
-        tables.forget(server);
-    }
-
-    /** What is kept by server, proxy and timer, for tests of what must not grow. */
-    List<Integer> sizes() {
-        return List.of(servers.names(), servers.numbers(), streams.size(), loop.timers(), tables.size());
+    public void serveFlood() {
+      reports.serveFlood();
     }
 
     @Override
-    public void tell(long peer, byte[] body) {
-        mail.tell((int) peer, body);
+    public void timer(long token) {
+      module.timer(loop.nowUs(), token);
     }
 
-    /** The module names servers by number, the log as discovery does. */
     @Override
-    public void log(String text) {
-        Matcher at = SERVER.matcher(text);
-        Logger.info(at.replaceAll(m -> {
-            long id = Long.parseLong(m.group(1), 16);
-            return Matcher.quoteReplacement("server "
-                    + Objects.requireNonNullElse(servers.name(id), m.group(1)));
-        }));
-    }
+    public void close() {
+      Exchange.this.close();
+    }
+  }
+
+  private final Config config;
+  private final BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker;
+  private final EventLoop loop;
+  private final ReportQueue queue;
+  private final ReportIntake reports;
+
+  // All below belongs to the decision thread.
+  private final ServerDirectory servers = new ServerDirectory();
+  private final Tables tables;
+  private final StreamMembership streams;
+  private final TableOrders orders;
+  private final ServerListState listState;
+
+  /** What lasts, where the operators switched it on; else null. */
+  private final Durable durable;
+
+  private Assigner module;
+  private Calls calls;
+  private Mail mail;
+
+  /** Lists that would have made more servers known than the heap holds. */
+  private long refusedLists;
+
+  Exchange(
+      Config config,
+      BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker,
+      LongSupplier clock,
+      Consumer<Throwable> failed) {
+    this(config, maker, clock, failed, null, null);
+  }
+
+  Exchange(
+      Config config,
+      BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker,
+      LongSupplier clock,
+      Consumer<Throwable> failed,
+      Durable durable,
+      SharedIntake intake) {
+    this.durable = durable;
+    this.config = config;
+    this.maker = maker;
+    loop = new EventLoop(clock, failed, new Turn());
+    queue = new ReportQueue(loop);
+    reports =
+        new ReportIntake(
+            loop, queue, intake, config.settings().periodUs(), () -> module, servers::number);
+    tables = new Tables(config.names().classes(), servers::name);
+    streams = new StreamMembership(loop, tables, durable, () -> module, this::numbers);
+    orders =
+        new TableOrders(
+            tables, durable, config.names().classes().size(), servers::name, this::numbers);
+    listState = new ServerListState(config.settings().limits().askWithinUs());
+  }
+
+  /** Microseconds of Unix time, read once and carried on by a clock that never runs back. */
+  static LongSupplier unixClock() {
+    long base = System.currentTimeMillis() * 1000;
+    long start = System.nanoTime();
+    return () -> base + (System.nanoTime() - start) / 1000;
+  }
+
+  void connect(Calls client, Mail peers) {
+    calls = client;
+    mail = peers;
+  }
+
+  /**
+   * Starts the module with the list last known and takes its first turn, on the caller's thread.
+   */
+  void begin() {
+    loop.begin();
+    module = maker.apply(config.settings(), this);
+    Message.Listing known = durable == null ? config.known() : durable.known();
+    list(Assigner.ListForm.CACHED, known);
+    if (durable != null) {
+      durable.restore(loop.nowUs(), known, servers, tables, module);
+    }
+    if (!config.settings().listOnRequest()) {
+      // Where changes come unasked the module doesn't ask for them.
+      watch(true);
+    }
+    close();
+  }
+
+  /** The decision thread's work, until it is interrupted or the module fails. */
+  void run() {
+    loop.run();
+  }
+
+  /** Waits for an event or a timer; what comes without a tick's pause is one turn. */
+  void turn() throws InterruptedException {
+    loop.turn();
+  }
+
+  void pause() throws InterruptedException {
+    TimeUnit.MICROSECONDS.sleep(config.settings().tickUs());
+  }
+
+  private void close() {
+    long now = loop.nowUs();
+    module.close(now);
+    if (durable == null) {
+      tables.turn(now, (proxy, message) -> streams.stream(proxy).send(message));
+    } else {
+      tables.turn(now, (proxy, message) -> durable.send(proxy, streams.stream(proxy), message));
+      durable.turn(now);
+    }
+  }
+
+  // Events, from any thread.
+
+  /** Work for the decision thread, at the next turn. */
+  void event(Runnable what) {
+    loop.add(what);
+  }
+
+  long dropped() {
+    return queue.dropped();
+  }
+
+  int waiting() {
+    return loop.waiting();
+  }
+
+  /** A proxy's stream has said whose it is. */
+  void joined(Stream stream, Message.Joined what) {
+    event(() -> streams.joined(stream, what));
+  }
+
+  /** Servers by number, those that are still listed. */
+  private Map<Long, Boolean> numbers(Map<String, Boolean> byName) {
+    Map<Long, Boolean> out = new TreeMap<>();
+    byName.forEach(
+        (name, value) -> {
+          if (servers.knows(name)) {
+            out.put(servers.number(name), value);
+          }
+        });
+    return out;
+  }
+
+  /** A stream ended; one whose proxy has joined anew since then unseats nobody. */
+  void ended(Stream stream, int proxy) {
+    event(() -> streams.ended(stream, proxy));
+  }
+
+  /** Counted with the reports: a proxy that answers without end fills no memory either. */
+  void applied(Stream stream, Message.Applied what) {
+    queue.add(() -> streams.applied(stream, what));
+  }
+
+  /** A report on a server that no list has named yet is dropped: the proxies' list may be newer. */
+  void heard(Message.Heard what) {
+    heard(what, -1);
+  }
+
+  /** {@code origin}: the proxy, or a number below 0 that is the collector's own. */
+  void heard(Message.Heard what, int origin) {
+    reports.heard(what, origin);
+  }
+
+  void usage(Message.Usage what) {
+    usage(what, what.proxy());
+  }
+
+  void usage(Message.Usage what, int origin) {
+    reports.usage(what, origin);
+  }
+
+  /** Tells a test of each report that has its turn, on the decision thread. */
+  void hearing(Consumer<Item> listener) {
+    reports.listen(listener);
+  }
+
+  /** What discovery says, on a watch or as the whole list; older than what is held: passed over. */
+  void listed(Message.Listing what, boolean begins) {
+    listed(what, begins, () -> true);
+  }
+
+  /**
+   * {@code begins}: the first line of a watch; {@code counts}: whether its call still does, asked
+   * in its turn. Guards against the last words of a watch that was moved, which its reader may hand
+   * over after the new one's first: a whole list of theirs would count as a discovery that started
+   * anew.
+   */
+  void listed(Message.Listing what, boolean begins, BooleanSupplier counts) {
+    event(
+        () -> {
+          if (!counts.getAsBoolean()) {
+            return;
+          }
+          switch (listState.compare(what, begins, loop.nowUs())) {
+            case CURRENT ->
+                list(what.whole() ? Assigner.ListForm.WHOLE : Assigner.ListForm.CHANGES, what);
+            case OUTDATED ->
+                list(
+                    Assigner.ListForm.CHANGES,
+                    new Message.Listing(listState.generation(), false, List.of()));
+            case RESTARTED -> list(Assigner.ListForm.WHOLE, what);
+            case LAGGING -> {
+              calls.watch(false, listState.generation());
+              tellListFailed();
+            }
+          }
+        });
+  }
+
+  private void tellListFailed() {
+    listState.setWatching(false);
+    module.listed(loop.nowUs(), Assigner.ListForm.FAILED, List.of());
+  }
+
+  /** A call to discovery, or the watch, ended without what it was for. */
+  void listFailed() {
+    listFailed(() -> true);
+  }
+
+  /** The end of a watch that was moved meanwhile must not count as the end of the new one. */
+  void listFailed(BooleanSupplier counts) {
+    event(
+        () -> {
+          if (counts.getAsBoolean()) {
+            tellListFailed();
+          }
+        });
+  }
+
+  /**
+   * Discovery may be elsewhere: the watch that runs is begun anew there, before the old address
+   * closes it. One that has failed is asked for again by the module, and goes there by itself.
+   */
+  void moved() {
+    event(
+        () -> {
+          if (listState.isWatching()) {
+            calls.watch(true, listState.generation());
+          }
+        });
+  }
+
+  void probed(long server, Assigner.Probe end, long tookUs, float[] load) {
+    event(() -> module.probed(loop.nowUs(), server, end, tookUs, load));
+  }
+
+  void told(int peer, byte[] body) {
+    queue.add(() -> module.told(loop.nowUs(), peer, body));
+  }
+
+  private void list(Assigner.ListForm form, Message.Listing what) {
+    if (form != Assigner.ListForm.CACHED && tooManyKnown(what)) {
+      calls.watch(false, listState.generation());
+      tellListFailed();
+      return;
+    }
+    listState.hold(what.generation());
+    List<Assigner.Entry> entries = new ArrayList<>();
+    for (Message.Instance one : what.instances()) {
+      // That a server is gone which nobody knows says nothing, and would be kept for good.
+      if (one.state() == Assigner.State.GONE && !servers.knows(one.server())) {
+        continue;
+      }
+      long id = servers.list(one.server(), one.hostPort());
+      entries.add(
+          new Assigner.Entry(
+              id, one.zone(), one.kind(), one.cell(), one.state(), one.weight(), one.startedUs()));
+    }
+    if (durable != null) {
+      durable.listed(what);
+    }
+    module.listed(loop.nowUs(), form, entries);
+  }
+
+  /**
+   * Guards the heap against lists of changes that are short one by one and name new servers without
+   * end, and against whole lists that follow each other faster than the module forgets.
+   */
+  private boolean tooManyKnown(Message.Listing what) {
+    int room = config.lists().known() - servers.names();
+    if (what.instances().size() <= room
+        || what.instances().stream()
+                .filter(one -> one.state() != Assigner.State.GONE && !servers.knows(one.server()))
+                .count()
+            <= room) {
+      return false;
+    }
+    if (Long.bitCount(++refusedLists) == 1) {
+      Logger.warn(
+          "discovery: with the servers known before, a list of {}", config.lists().overKnown());
+    }
+    return true;
+  }
+
+  // Orders, from the module.
+
+  @Override
+  public void line(int table, long server, double weight) {
+    orders.line(table, server, weight);
+  }
+
+  @Override
+  public void clear(int table) {
+    orders.clear(table);
+  }
+
+  @Override
+  public void withdraw(long server, boolean out) {
+    orders.withdraw(loop.nowUs(), server, out);
+  }
+
+  @Override
+  public void bind(int proxy, int table, int classBits) {
+    orders.bind(proxy, table, classBits);
+  }
+
+  @Override
+  public void sure(int proxy) {
+    tables.sure(proxy);
+  }
+
+  @Override
+  public void doubt(long server, boolean all) {
+    tables.doubt(server, all);
+  }
+
+  @Override
+  public void admit(int table, int classBits, double level, int retry) {
+    orders.admit(table, classBits, level, retry);
+  }
+
+  @Override
+  public void mark(int number, boolean toAll) {
+    orders.mark(number, toAll);
+  }
+
+  @Override
+  public void watch(boolean on) {
+    listState.setWatching(on);
+    calls.watch(on, listState.generation());
+  }
+
+  @Override
+  public void fetch() {
+    calls.fetch();
+  }
+
+  @Override
+  public void probe(long server) {
+    calls.probe(server, servers.hostPort(server));
+  }
+
+  @Override
+  public void timer(long delayUs, long token) {
+    loop.setTimer(delayUs, token);
+  }
+
+  /** Every server is replaced in time: what is kept of one goes with it. */
+  @Override
+  public void forget(long server) {
+    if (durable != null) {
+      durable.ledger().forget(servers.name(server));
+    }
+    servers.forget(server);
+    tables.forget(server);
+  }
+
+  /** What is kept by server, proxy and timer, for tests of what must not grow. */
+  List<Integer> sizes() {
+    return List.of(
+        servers.names(), servers.numbers(), streams.size(), loop.timers(), tables.size());
+  }
+
+  @Override
+  public void tell(long peer, byte[] body) {
+    mail.tell((int) peer, body);
+  }
+
+  /** The module names servers by number, the log as discovery does. */
+  @Override
+  public void log(String text) {
+    Matcher at = SERVER.matcher(text);
+    Logger.info(
+        at.replaceAll(
+            m -> {
+              long id = Long.parseLong(m.group(1), 16);
+              return Matcher.quoteReplacement(
+                  "server " + Objects.requireNonNullElse(servers.name(id), m.group(1)));
+            }));
+  }
 }
--- a/src/main/java/pearusher/serve/Extras.java
+++ b/src/main/java/pearusher/serve/Extras.java
@@ -9,6 +9,6 @@
  * @param intake bounds of the reports that wait
  */
 public record Extras(Keeping keeping, Intake.Bounds intake) {
-    /** Everything off. */
-    public static final Extras NONE = new Extras(null, null);
+  /** Everything off. */
+  public static final Extras NONE = new Extras(null, null);
 }
--- a/src/main/java/pearusher/serve/Keeping.java
+++ b/src/main/java/pearusher/serve/Keeping.java
@@ -10,4 +10,5 @@
  * @param aliveUs longest time without a word in the store
  * @param trustUs longest silence after which the store is believed in what proxies hold
  */
-public record Keeping(Path directory, Options options, long patienceUs, long aliveUs, long trustUs) {}
+public record Keeping(
+    Path directory, Options options, long patienceUs, long aliveUs, long trustUs) {}
--- a/src/main/java/pearusher/serve/ListLimits.java
+++ b/src/main/java/pearusher/serve/ListLimits.java
@@ -1,56 +1,70 @@
 package pearusher.serve;
 
 /**
- * What a list of servers may hold, derived from the heap: a list beyond it is refused while the last good one
- * stays in force, where the virtual machine would end for want of memory.
+ * What a list of servers may hold, derived from the heap: a list beyond it is refused while the
+ * last good one stays in force, where the virtual machine would end for want of memory.
  *
  * @param servers how many servers of zones in the settings one list may name
  * @param textLength the most characters of one text in a list, whether it is needed or passed over
  * @param heapBytes the heap that both are derived from
  */
 record ListLimits(int servers, int textLength, long heapBytes) {
-    /** The most characters of a server's id. */
-    static final int MOST_ID = 255;
-    /**
-     * Bytes of heap that one listed server keeps, with an id of 255 characters, in two zones and with eight
-     * proxies bound: in the directory, the module and the tables. Measured; docs/design.md, "Limits", has the
-     * figures.
-     */
-    static final int BYTES_PER_SERVER = 1820;
-    /** A list may take one of so many parts of the heap, and half of that more what it replaces. */
-    static final int PARTS_OF_HEAP = 2;
-    /** A text is held twice while it is read, at two bytes a character: this leaves it a 64th of the heap. */
-    private static final int HEAP_PER_TEXT_CHARACTER = 256;
-
-    /** The limits for a heap of that size. */
-    static ListLimits of(long heapBytes) {
-        long servers = heapBytes / PARTS_OF_HEAP / BYTES_PER_SERVER;
-        long text = heapBytes / HEAP_PER_TEXT_CHARACTER;
-        return new ListLimits((int) Math.min(Integer.MAX_VALUE / 2, servers),
-                (int) Math.min(Integer.MAX_VALUE / 2, text), heapBytes);
-    }
-
-    /** The limits for the heap of this process. */
-    static ListLimits ofThisProcess() {
-        return of(Runtime.getRuntime().maxMemory());
-    }
-
-    /** The servers that may be known at once: those that left are kept until the module forgets them. */
-    int known() {
-        return servers + servers / 2;
-    }
-
-    /** The limit in words, for what was refused. */
-    String overServers() {
-        return over(servers + " servers");
-    }
-
-    /** The limit on all that are known, in words. */
-    String overKnown() {
-        return over(known() + " servers");
-    }
-
-    private String over(String what) {
-        return "over " + what + ": the heap of " + Math.round(heapBytes / 1048576.0) + " MB holds no more";
-    }
+  /** The most characters of a server's id. */
+  static final int MOST_ID = 255;
+
+  /**
+   * Bytes of heap that one listed server keeps, with an id of 255 characters, in two zones and with
+   * eight proxies bound: in the directory, the module and the tables. Measured; docs/design.md,
+   * "Limits", has the figures.
+   */
+  static final int BYTES_PER_SERVER = 1820;
+
+  /** A list may take one of so many parts of the heap, and half of that more what it replaces. */
+  static final int PARTS_OF_HEAP = 2;
+
+  /**
+   * A text is held twice while it is read, at two bytes a character: this leaves it a 64th of the
+   * heap.
+   */
+  private static final int HEAP_PER_TEXT_CHARACTER = 256;
+
+  /** The limits for a heap of that size. */
+  static ListLimits of(long heapBytes) {
+    long servers = heapBytes / PARTS_OF_HEAP / BYTES_PER_SERVER;
+    long text = heapBytes / HEAP_PER_TEXT_CHARACTER;
+    return new ListLimits(
+        (int) Math.min(Integer.MAX_VALUE / 2, servers),
+        (int) Math.min(Integer.MAX_VALUE / 2, text),
+        heapBytes);
+  }
+
+  /** The limits for the heap of this process. */
+  static ListLimits ofThisProcess() {
+    return of(Runtime.getRuntime().maxMemory());
+  }
+
+  /**
+   * The servers that may be known at once: those that left are kept until the module forgets them.
+   */
+  int known() {
+    return servers + servers / 2;
+  }
+
+  /** The limit in words, for what was refused. */
+  String overServers() {
+    return over(servers + " servers");
+  }
+
+  /** The limit on all that are known, in words. */
+  String overKnown() {
+    return over(known() + " servers");
+  }
+
+  private String over(String what) {
+    return "over "
+        + what
+        + ": the heap of "
+        + Math.round(heapBytes / 1048576.0)
+        + " MB holds no more";
+  }
 }
--- a/src/main/java/pearusher/serve/ListTooLongException.java
+++ b/src/main/java/pearusher/serve/ListTooLongException.java
@@ -4,9 +4,9 @@
 
 /** A list that names more servers than the heap holds; the text names the limit. */
 final class ListTooLongException extends SettingsException {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    ListTooLongException(String text) {
-        super(text);
-    }
+  ListTooLongException(String text) {
+    super(text);
+  }
 }
--- a/src/main/java/pearusher/serve/ListingReader.java
+++ b/src/main/java/pearusher/serve/ListingReader.java
@@ -12,180 +12,193 @@
 import pearusher.settings.SettingsException;
 
 /**
- * Reads lists of servers from bytes as they come, one JSON object after the other, and keeps only the
- * records of the servers: memory follows what a list names, not how it is written. One reader serves one
- * answer of discovery, on one thread. What is malformed is told at the end of the object, what is over the
- * limit at once.
+ * Reads lists of servers from bytes as they come, one JSON object after the other, and keeps only
+ * the records of the servers: memory follows what a list names, not how it is written. One reader
+ * serves one answer of discovery, on one thread. What is malformed is told at the end of the
+ * object, what is over the limit at once.
  */
 final class ListingReader {
-    private static final String NAME = "list";
-    /** Bytes that a character may be written with: an escape such as a backslash, u and four digits. */
-    private static final int MOST_BYTES_PER_CHARACTER = 6;
-
-    private final Config.Names names;
-    private final ListLimits limits;
-    private final JsonFactory factory;
-    /** Null before the first byte of an object. */
-    private JsonParser parser;
-    private ListingBuilder builder;
-    private SettingsException fault;
-    /** Bytes since the last token: the parser holds them. */
-    private long unfinished;
-    /** Nothing came since the last object but, at most, a carriage return. */
-    private boolean empty = true;
-
-    ListingReader(Config.Names names, ListLimits limits) {
-        this.names = names;
-        this.limits = limits;
-        factory = factory(limits);
+  private static final String NAME = "list";
+
+  /**
+   * Bytes that a character may be written with: an escape such as a backslash, u and four digits.
+   */
+  private static final int MOST_BYTES_PER_CHARACTER = 6;
+
+  private final Config.Names names;
+  private final ListLimits limits;
+  private final JsonFactory factory;
+
+  /** Null before the first byte of an object. */
+  private JsonParser parser;
+
+  private ListingBuilder builder;
+  private SettingsException fault;
+
+  /** Bytes since the last token: the parser holds them. */
+  private long unfinished;
+
+  /** Nothing came since the last object but, at most, a carriage return. */
+  private boolean empty = true;
+
+  ListingReader(Config.Names names, ListLimits limits) {
+    this.names = names;
+    this.limits = limits;
+    factory = factory(limits);
+  }
+
+  private static JsonFactory factory(ListLimits limits) {
+    // No table of field names: a text with new ones without end would fill it.
+    return JsonFactory.builder()
+        .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
+        .disable(JsonFactory.Feature.CANONICALIZE_FIELD_NAMES)
+        .streamReadConstraints(
+            StreamReadConstraints.builder().maxStringLength(limits.textLength()).build())
+        .build();
+  }
+
+  /** Takes what the buffer has left. */
+  void feed(ByteBuffer piece) throws ListTooLongException {
+    if (!piece.hasRemaining()) {
+      return;
     }
-
-    private static JsonFactory factory(ListLimits limits) {
-        // No table of field names: a text with new ones without end would fill it.
-        return JsonFactory.builder().disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
-                .disable(JsonFactory.Feature.CANONICALIZE_FIELD_NAMES)
-                .streamReadConstraints(StreamReadConstraints.builder()
-                        .maxStringLength(limits.textLength()).build()).build();
-    }
-
-    /** Takes what the buffer has left. */
-    void feed(ByteBuffer piece) throws ListTooLongException {
-        if (!piece.hasRemaining()) {
-            return;
-        }
-        empty = empty && parser == null && piece.remaining() == 1 && piece.get(piece.position()) == '\r';
-        if (fault == null) {
-            try {
-                parse(piece);
-            } catch (ListTooLongException e) {
-                reset();
-                throw e;
-            } catch (SettingsException e) {
-                spoilt(e);
-            } catch (IOException e) {
-                spoilt(Paths.malformed(NAME, e));
-            }
-        }
-        piece.position(piece.limit());
-    }
-
-    private void parse(ByteBuffer piece) throws IOException, SettingsException {
-        open();
-        unfinished += piece.remaining();
-        ((ByteBufferFeeder) parser.getNonBlockingInputFeeder()).feedInput(piece);
-        take();
-        // The parser itself measures a number only once it ends.
-        if (unfinished > (long) limits.textLength() * MOST_BYTES_PER_CHARACTER) {
-            throw new SettingsException(NAME + ": malformed JSON: a value of over " + unfinished + " bytes");
-        }
-    }
-
-    /** The object at hand has a fault, which its end will tell. */
-    boolean spoilt() {
-        return fault != null;
-    }
-
-    /** What the object still brings is passed over. */
-    private void spoilt(SettingsException why) {
+    empty =
+        empty && parser == null && piece.remaining() == 1 && piece.get(piece.position()) == '\r';
+    if (fault == null) {
+      try {
+        parse(piece);
+      } catch (ListTooLongException e) {
         reset();
-        empty = false;
-        fault = why;
+        throw e;
+      } catch (SettingsException e) {
+        spoilt(e);
+      } catch (IOException e) {
+        spoilt(Paths.malformed(NAME, e));
+      }
     }
-
-    private void open() throws IOException {
-        if (parser == null) {
-            parser = factory.createNonBlockingByteBufferParser();
-            builder = new ListingBuilder(NAME, "", names, limits);
-        }
+    piece.position(piece.limit());
+  }
+
+  private void parse(ByteBuffer piece) throws IOException, SettingsException {
+    open();
+    unfinished += piece.remaining();
+    ((ByteBufferFeeder) parser.getNonBlockingInputFeeder()).feedInput(piece);
+    take();
+    // The parser itself measures a number only once it ends.
+    if (unfinished > (long) limits.textLength() * MOST_BYTES_PER_CHARACTER) {
+      throw new SettingsException(
+          NAME + ": malformed JSON: a value of over " + unfinished + " bytes");
     }
-
-    private void take() throws IOException, SettingsException {
-        JsonToken token = parser.nextToken();
-        while (token != null && token != JsonToken.NOT_AVAILABLE) {
-            unfinished = 0;
-            builder.token(token, parser);
-            token = parser.nextToken();
-        }
+  }
+
+  /** The object at hand has a fault, which its end will tell. */
+  boolean spoilt() {
+    return fault != null;
+  }
+
+  /** What the object still brings is passed over. */
+  private void spoilt(SettingsException why) {
+    reset();
+    empty = false;
+    fault = why;
+  }
+
+  private void open() throws IOException {
+    if (parser == null) {
+      parser = factory.createNonBlockingByteBufferParser();
+      builder = new ListingBuilder(NAME, "", names, limits);
     }
-
-    /** The line ends here: what it held, null where it was empty. The next byte begins another. */
-    Message.Listing endOfLine() throws SettingsException {
-        if (empty) {
-            reset();
-            return null;
-        }
-        return endOfBody();
+  }
+
+  private void take() throws IOException, SettingsException {
+    JsonToken token = parser.nextToken();
+    while (token != null && token != JsonToken.NOT_AVAILABLE) {
+      unfinished = 0;
+      builder.token(token, parser);
+      token = parser.nextToken();
     }
+  }
 
-    /** The answer ends here: what it held. */
-    Message.Listing endOfBody() throws SettingsException {
-        try {
-            if (fault == null) {
-                open();
-                ((ByteBufferFeeder) parser.getNonBlockingInputFeeder()).endOfInput();
-                take();
-            }
-            if (fault != null) {
-                throw fault;
-            }
-            if (!builder.done()) {
-                throw ListingBuilder.notAnObject(NAME);
-            }
-            return builder.listing();
-        } catch (IOException e) {
-            throw Paths.malformed(NAME, e);
-        } finally {
-            reset();
-        }
+  /** The line ends here: what it held, null where it was empty. The next byte begins another. */
+  Message.Listing endOfLine() throws SettingsException {
+    if (empty) {
+      reset();
+      return null;
     }
+    return endOfBody();
+  }
 
-    private void reset() {
-        JsonParser old = parser;
-        parser = null;
-        builder = null;
-        fault = null;
-        unfinished = 0;
-        empty = true;
-        if (old != null) {
-            try {
-                old.close();
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        }
+  /** The answer ends here: what it held. */
+  Message.Listing endOfBody() throws SettingsException {
+    try {
+      if (fault == null) {
+        open();
+        ((ByteBufferFeeder) parser.getNonBlockingInputFeeder()).endOfInput();
+        take();
+      }
+      if (fault != null) {
+        throw fault;
+      }
+      if (!builder.done()) {
+        throw ListingBuilder.notAnObject(NAME);
+      }
+      return builder.listing();
+    } catch (IOException e) {
+      throw Paths.malformed(NAME, e);
+    } finally {
+      reset();
     }
-
-    /**
-     * The list that a configuration holds under a key, an empty one where it holds none. The text must be
-     * known to be well formed; faults name the document and the key.
-     */
-    static Message.Listing under(String document, String key, InputStream text, Config.Names names,
-            ListLimits limits) throws IOException, SettingsException {
-        ListingBuilder found = null;
-        try (JsonParser in = factory(limits).createParser(text)) {
-            in.nextToken();
-            while (in.nextToken() == JsonToken.FIELD_NAME) {
-                boolean wanted = in.currentName().equals(key);
-                if (in.nextToken() == JsonToken.START_OBJECT && wanted) {
-                    found = new ListingBuilder(document, key + ".", names, limits);
-                    fill(found, in);
-                } else {
-                    in.skipChildren();
-                }
-            }
-        } catch (ListTooLongException e) {
-            throw new ListTooLongException(document + ": the key " + key + ".instances names "
-                    + e.getMessage());
-        }
-        return found != null && found.hasGeneration() ? found.listing() : Message.Listing.NONE;
+  }
+
+  private void reset() {
+    JsonParser old = parser;
+    parser = null;
+    builder = null;
+    fault = null;
+    unfinished = 0;
+    empty = true;
+    if (old != null) {
+      try {
+        old.close();
+      } catch (IOException e) {
+        throw new IllegalStateException(e);
+      }
     }
-
-    private static void fill(ListingBuilder builder, JsonParser in) throws IOException, SettingsException {
-        for (JsonToken token = in.currentToken(); token != null; token = in.nextToken()) {
-            builder.token(token, in);
-            if (builder.done()) {
-                return;
-            }
+  }
+
+  /**
+   * The list that a configuration holds under a key, an empty one where it holds none. The text
+   * must be known to be well formed; faults name the document and the key.
+   */
+  static Message.Listing under(
+      String document, String key, InputStream text, Config.Names names, ListLimits limits)
+      throws IOException, SettingsException {
+    ListingBuilder found = null;
+    try (JsonParser in = factory(limits).createParser(text)) {
+      in.nextToken();
+      while (in.nextToken() == JsonToken.FIELD_NAME) {
+        boolean wanted = in.currentName().equals(key);
+        if (in.nextToken() == JsonToken.START_OBJECT && wanted) {
+          found = new ListingBuilder(document, key + ".", names, limits);
+          fill(found, in);
+        } else {
+          in.skipChildren();
         }
+      }
+    } catch (ListTooLongException e) {
+      throw new ListTooLongException(
+          document + ": the key " + key + ".instances names " + e.getMessage());
+    }
+    return found != null && found.hasGeneration() ? found.listing() : Message.Listing.NONE;
+  }
+
+  private static void fill(ListingBuilder builder, JsonParser in)
+      throws IOException, SettingsException {
+    for (JsonToken token = in.currentToken(); token != null; token = in.nextToken()) {
+      builder.token(token, in);
+      if (builder.done()) {
+        return;
+      }
     }
+  }
 }
--- a/src/main/java/pearusher/serve/Message.java
+++ b/src/main/java/pearusher/serve/Message.java
@@ -13,319 +13,361 @@
 import pearusher.settings.SettingsException;
 
 /**
- * The messages of the sockets as small typed records: what proxies and collectors say, discovery's lists,
- * load reports and updates. Each is read from words or text once and written once. It must never keep state
- * or act: names of servers stay names here, zones and classes become positions in the settings.
+ * The messages of the sockets as small typed records: what proxies and collectors say, discovery's
+ * lists, load reports and updates. Each is read from words or text once and written once. It must
+ * never keep state or act: names of servers stay names here, zones and classes become positions in
+ * the settings.
  */
 sealed interface Message {
-    record Ping() implements Message {}
+  record Ping() implements Message {}
 
-    record Collector(int zone) implements Message {}
+  record Collector(int zone) implements Message {}
 
-    record Joined(int proxy, int zone, double perS, boolean fresh) implements Message {}
+  record Joined(int proxy, int zone, double perS, boolean fresh) implements Message {}
 
-    record Applied(int proxy, int mark, long tookUs) implements Message {}
+  record Applied(int proxy, int mark, long tookUs) implements Message {}
 
-    record Heard(int zone, String server, long tries, long failed, long meanUs, long spanUs, float[] load)
-            implements Message {}
+  record Heard(
+      int zone, String server, long tries, long failed, long meanUs, long spanUs, float[] load)
+      implements Message {}
 
-    record Usage(int proxy, int grade, long tries, long failed, long spanUs) implements Message {}
+  record Usage(int proxy, int grade, long tries, long failed, long spanUs) implements Message {}
 
-    /** A message that can't be used; the text names the value. */
-    final class Fault extends Exception {
-        private static final long serialVersionUID = 1L;
+  /** A message that can't be used; the text names the value. */
+  final class Fault extends Exception {
+    private static final long serialVersionUID = 1L;
 
-        Fault(String text) {
-            super(text);
-        }
+    Fault(String text) {
+      super(text);
     }
-
-    /** Beyond these no report makes sense: periods that one covers, tries a second, times in milliseconds. */
-    int MOST_PERIODS = 100;
-    double MOST_PER_S = 1e5;
-    double MOST_MS = 600_000;
-    int MOST_MARK = 65_535;
-
-    /**
-     * Reads one message; names and values that it doesn't need are passed over. Guards against spoilt reports
-     * that can be read: a figure that can't be would stay in the module's means for many periods.
-     */
-    static Message read(List<String> words, Config.Names names, Assigner.Settings settings) throws Fault {
-        if (words.size() % 2 == 0) {
-            throw new Fault("an odd number of fields after '" + brief(words.get(0)) + "'");
-        }
-        Fields at = new Fields(words, names, settings.proxies());
-        return switch (words.get(0)) {
-            case "ping" -> new Ping();
-            case "collector" -> new Collector(at.zone());
-            case "joined" -> new Joined(at.proxy(), at.zone(), at.real("weight", MOST_PER_S),
-                    at.flag("fresh"));
-            case "applied" -> new Applied(at.proxy(), (int) at.whole("mark", MOST_MARK),
-                    at.us("took_ms", MOST_MS));
-            case "usage" -> {
-                long span = at.span(settings);
-                long tries = at.tries(span);
-                // Those that failed may have come in the period before: they can be more than came.
-                yield new Usage(at.proxy(), at.grade(), tries, at.whole("failed", MOST_PER_S), span);
-            }
-            case "heard" -> {
-                long span = at.span(settings);
-                long tries = at.tries(span);
-                long failed = at.whole("failed", (double) tries);
-                // No client waits longer than the longest of its times, so no good answer took twice that.
-                long longest =
-                        settings.grades().stream().mapToLong(Assigner.Grade::deadlineUs).max().orElse(0);
-                yield new Heard(at.zone(), at.need("server"), tries, failed,
-                        failed < tries ? at.us("mean_ms", 2e-3 * longest) : 0, span,
-                        at.load(at.values.getOrDefault("load", "")));
-            }
-            default -> throw new Fault("an unknown kind '" + brief(words.get(0)) + "'");
-        };
+  }
+
+  /**
+   * Beyond these no report makes sense: periods that one covers, tries a second, times in
+   * milliseconds.
+   */
+  int MOST_PERIODS = 100;
+
+  double MOST_PER_S = 1e5;
+  double MOST_MS = 600_000;
+  int MOST_MARK = 65_535;
+
+  /**
+   * Reads one message; names and values that it doesn't need are passed over. Guards against spoilt
+   * reports that can be read: a figure that can't be would stay in the module's means for many
+   * periods.
+   */
+  static Message read(List<String> words, Config.Names names, Assigner.Settings settings)
+      throws Fault {
+    if (words.size() % 2 == 0) {
+      throw new Fault("an odd number of fields after '" + brief(words.get(0)) + "'");
     }
-
-    /** A decimal number: Java's own reader takes words and other bases too. */
-    private static double number(String text) {
-        for (int k = 0; k < text.length(); k++) {
-            if ("0123456789.+-eE".indexOf(text.charAt(k)) < 0) {
-                throw new NumberFormatException(text);
-            }
+    Fields at = new Fields(words, names, settings.proxies());
+    return switch (words.get(0)) {
+      case "ping" -> new Ping();
+      case "collector" -> new Collector(at.zone());
+      case "joined" ->
+          new Joined(at.proxy(), at.zone(), at.real("weight", MOST_PER_S), at.flag("fresh"));
+      case "applied" ->
+          new Applied(at.proxy(), (int) at.whole("mark", MOST_MARK), at.us("took_ms", MOST_MS));
+      case "usage" -> {
+        long span = at.span(settings);
+        long tries = at.tries(span);
+        // Those that failed may have come in the period before: they can be more than came.
+        yield new Usage(at.proxy(), at.grade(), tries, at.whole("failed", MOST_PER_S), span);
+      }
+      case "heard" -> {
+        long span = at.span(settings);
+        long tries = at.tries(span);
+        long failed = at.whole("failed", (double) tries);
+        // No client waits longer than the longest of its times, so no good answer took twice that.
+        long longest =
+            settings.grades().stream().mapToLong(Assigner.Grade::deadlineUs).max().orElse(0);
+        yield new Heard(
+            at.zone(),
+            at.need("server"),
+            tries,
+            failed,
+            failed < tries ? at.us("mean_ms", 2e-3 * longest) : 0,
+            span,
+            at.load(at.values.getOrDefault("load", "")));
+      }
+      default -> throw new Fault("an unknown kind '" + brief(words.get(0)) + "'");
+    };
+  }
+
+  /** A decimal number: Java's own reader takes words and other bases too. */
+  private static double number(String text) {
+    for (int k = 0; k < text.length(); k++) {
+      if ("0123456789.+-eE".indexOf(text.charAt(k)) < 0) {
+        throw new NumberFormatException(text);
+      }
+    }
+    return Double.parseDouble(text);
+  }
+
+  static String brief(String text) {
+    return text.length() > 40 ? text.substring(0, 40) + "..." : text;
+  }
+
+  /**
+   * A load report's values in the order of the settings, by PROTOCOL's names or the settings': 0
+   * for one that is missing, none at all for no report; unknown ones are passed over.
+   */
+  static float[] load(String text, String pair, Config.Names names) {
+    Map<String, Float> values = new HashMap<>();
+    for (String part : text.split(",")) {
+      String[] sides = part.trim().split(pair, 2);
+      try {
+        float value = sides.length == 2 ? Float.parseFloat(sides[1].trim()) : Float.NaN;
+        if (Float.isFinite(value)) {
+          values.put(Config.Names.word(sides[0].trim()), value);
         }
-        return Double.parseDouble(text);
+      } catch (NumberFormatException e) {
+        values.remove(sides[0].trim());
+      }
     }
-
-    static String brief(String text) {
-        return text.length() > 40 ? text.substring(0, 40) + "..." : text;
+    if (values.isEmpty()) {
+      return new float[0];
     }
-
-    /**
-     * A load report's values in the order of the settings, by PROTOCOL's names or the settings': 0 for one
-     * that is missing, none at all for no report; unknown ones are passed over.
-     */
-    static float[] load(String text, String pair, Config.Names names) {
-        Map<String, Float> values = new HashMap<>();
-        for (String part : text.split(",")) {
-            String[] sides = part.trim().split(pair, 2);
-            try {
-                float value = sides.length == 2 ? Float.parseFloat(sides[1].trim()) : Float.NaN;
-                if (Float.isFinite(value)) {
-                    values.put(Config.Names.word(sides[0].trim()), value);
-                }
-            } catch (NumberFormatException e) {
-                values.remove(sides[0].trim());
-            }
-        }
-        if (values.isEmpty()) {
-            return new float[0];
-        }
-        float[] out = new float[names.load().size()];
-        for (int k = 0; k < out.length; k++) {
-            out[k] = values.getOrDefault(names.load().get(k), 0f);
-        }
-        return out;
+    float[] out = new float[names.load().size()];
+    for (int k = 0; k < out.length; k++) {
+      out[k] = values.getOrDefault(names.load().get(k), 0f);
     }
-
-    /** A probe's body: the word TEXT, then pairs. */
-    static float[] probeLoad(byte[] body, Config.Names names) {
-        String text = new String(body, StandardCharsets.UTF_8).trim();
-        return load(text.startsWith("TEXT") ? text.substring(4) : "", "=", names);
+    return out;
+  }
+
+  /** A probe's body: the word TEXT, then pairs. */
+  static float[] probeLoad(byte[] body, Config.Names names) {
+    String text = new String(body, StandardCharsets.UTF_8).trim();
+    return load(text.startsWith("TEXT") ? text.substring(4) : "", "=", names);
+  }
+
+  /** The values of a message by name; of a name that stands twice the last counts. */
+  final class Fields {
+    private final Map<String, String> values = new HashMap<>();
+    private final Config.Names names;
+    private final int proxies;
+
+    private Fields(List<String> words, Config.Names names, int proxies) {
+      this.names = names;
+      this.proxies = proxies;
+      for (int k = 1; k < words.size(); k += 2) {
+        values.put(words.get(k), words.get(k + 1));
+      }
     }
 
-    /** The values of a message by name; of a name that stands twice the last counts. */
-    final class Fields {
-        private final Map<String, String> values = new HashMap<>();
-        private final Config.Names names;
-        private final int proxies;
-
-        private Fields(List<String> words, Config.Names names, int proxies) {
-            this.names = names;
-            this.proxies = proxies;
-            for (int k = 1; k < words.size(); k += 2) {
-                values.put(words.get(k), words.get(k + 1));
-            }
-        }
-
-        private String need(String key) throws Fault {
-            String value = values.get(key);
-            if (value == null) {
-                throw new Fault("the value " + key + " is missing");
-            }
-            return value;
-        }
+    private String need(String key) throws Fault {
+      String value = values.get(key);
+      if (value == null) {
+        throw new Fault("the value " + key + " is missing");
+      }
+      return value;
+    }
 
-        private double real(String key, double most) throws Fault {
-            String value = need(key);
-            try {
-                double out = number(value);
-                if (out >= 0 && out <= most) {
-                    return out;
-                }
-            } catch (NumberFormatException e) {
-                throw new Fault("the value " + key + " is unreadable: '" + brief(value) + "'");
-            }
-            throw new Fault("the value " + key + " is out of range: '" + brief(value) + "'");
+    private double real(String key, double most) throws Fault {
+      String value = need(key);
+      try {
+        double out = number(value);
+        if (out >= 0 && out <= most) {
+          return out;
         }
+      } catch (NumberFormatException e) {
+        throw new Fault("the value " + key + " is unreadable: '" + brief(value) + "'");
+      }
+      throw new Fault("the value " + key + " is out of range: '" + brief(value) + "'");
+    }
 
-        private long whole(String key, double most) throws Fault {
-            double out = real(key, most);
-            if (out != Math.rint(out)) {
-                throw new Fault("the value " + key + " is not a whole number: '" + brief(need(key)) + "'");
-            }
-            return (long) out;
-        }
+    private long whole(String key, double most) throws Fault {
+      double out = real(key, most);
+      if (out != Math.rint(out)) {
+        throw new Fault("the value " + key + " is not a whole number: '" + brief(need(key)) + "'");
+      }
+      return (long) out;
+    }
 
-        private long us(String key, double mostMs) throws Fault {
-            return Math.round(real(key, mostMs) * 1000);
-        }
+    private long us(String key, double mostMs) throws Fault {
+      return Math.round(real(key, mostMs) * 1000);
+    }
 
-        private long span(Assigner.Settings settings) throws Fault {
-            long out = us("span_ms", 1e-3 * MOST_PERIODS * settings.periodUs());
-            if (out <= 0) {
-                throw new Fault("the value span_ms is out of range: '" + brief(need("span_ms")) + "'");
-            }
-            return out;
-        }
+    private long span(Assigner.Settings settings) throws Fault {
+      long out = us("span_ms", 1e-3 * MOST_PERIODS * settings.periodUs());
+      if (out <= 0) {
+        throw new Fault("the value span_ms is out of range: '" + brief(need("span_ms")) + "'");
+      }
+      return out;
+    }
 
-        private long tries(long spanUs) throws Fault {
-            return whole("tries", MOST_PER_S * Math.max(1, spanUs / 1e6));
-        }
+    private long tries(long spanUs) throws Fault {
+      return whole("tries", MOST_PER_S * Math.max(1, spanUs / 1e6));
+    }
 
-        /** The load report of a message: a spoilt one spoils its message. */
-        private float[] load(String text) throws Fault {
-            for (String part : text.isEmpty() ? new String[0] : text.split(",", -1)) {
-                int colon = part.indexOf(':');
-                try {
-                    if (colon > 0 && number(part.substring(colon + 1).trim()) >= 0) {
-                        continue;
-                    }
-                } catch (NumberFormatException e) {
-                    throw new Fault("the value load is unreadable: '" + brief(text) + "'");
-                }
-                throw new Fault("the value load is out of range: '" + brief(text) + "'");
-            }
-            return Message.load(text, ":", names);
+    /** The load report of a message: a spoilt one spoils its message. */
+    private float[] load(String text) throws Fault {
+      for (String part : text.isEmpty() ? new String[0] : text.split(",", -1)) {
+        int colon = part.indexOf(':');
+        try {
+          if (colon > 0 && number(part.substring(colon + 1).trim()) >= 0) {
+            continue;
+          }
+        } catch (NumberFormatException e) {
+          throw new Fault("the value load is unreadable: '" + brief(text) + "'");
         }
+        throw new Fault("the value load is out of range: '" + brief(text) + "'");
+      }
+      return Message.load(text, ":", names);
+    }
 
-        private boolean flag(String key) throws Fault {
-            String value = need(key);
-            if (!value.equals("1") && !value.equals("0")) {
-                throw new Fault("the value " + key + " is neither 0 nor 1: '" + brief(value) + "'");
-            }
-            return value.equals("1");
-        }
+    private boolean flag(String key) throws Fault {
+      String value = need(key);
+      if (!value.equals("1") && !value.equals("0")) {
+        throw new Fault("the value " + key + " is neither 0 nor 1: '" + brief(value) + "'");
+      }
+      return value.equals("1");
+    }
 
-        private int proxy() throws Fault {
-            long out = whole("proxy", Integer.MAX_VALUE);
-            if (out >= proxies) {
-                throw new Fault("the proxy " + out + " is not known");
-            }
-            return (int) out;
-        }
+    private int proxy() throws Fault {
+      long out = whole("proxy", Integer.MAX_VALUE);
+      if (out >= proxies) {
+        throw new Fault("the proxy " + out + " is not known");
+      }
+      return (int) out;
+    }
 
-        private int place(String key, Map<String, Integer> of) throws Fault {
-            Integer out = of.get(need(key));
-            if (out == null) {
-                throw new Fault("the " + key + " '" + brief(need(key)) + "' is not known");
-            }
-            return out;
-        }
+    private int place(String key, Map<String, Integer> of) throws Fault {
+      Integer out = of.get(need(key));
+      if (out == null) {
+        throw new Fault("the " + key + " '" + brief(need(key)) + "' is not known");
+      }
+      return out;
+    }
 
-        private int zone() throws Fault {
-            return place("zone", names.zones());
-        }
+    private int zone() throws Fault {
+      return place("zone", names.zones());
+    }
 
-        private int grade() throws Fault {
-            return place("class", names.classAt());
-        }
+    private int grade() throws Fault {
+      return place("class", names.classAt());
     }
+  }
+
+  /**
+   * A line of discovery's list; a zone or kind is its position in the settings, address null if
+   * unusable.
+   */
+  record Instance(
+      String server,
+      String hostPort,
+      int zone,
+      int kind,
+      int cell,
+      Assigner.State state,
+      double weight,
+      long startedUs) {
+
+    private static final Map<String, Assigner.State> STATES =
+        Map.of(
+            "in_service",
+            Assigner.State.READY,
+            "terminating",
+            Assigner.State.DRAINING,
+            "terminated",
+            Assigner.State.GONE);
+
+    /** No address and port that can be used is longer. */
+    private static final int MOST_ADDRESS = 64;
 
     /**
-     * A line of discovery's list; a zone or kind is its position in the settings, address null if unusable.
+     * One of its fields; null in a zone that the settings don't have, which is passed over. A
+     * lifecycle that is not known is one that wants nothing new.
      */
-    record Instance(String server, String hostPort, int zone, int kind, int cell, Assigner.State state,
-            double weight, long startedUs) {
-
-        private static final Map<String, Assigner.State> STATES = Map.of("in_service", Assigner.State.READY,
-                "terminating", Assigner.State.DRAINING, "terminated", Assigner.State.GONE);
-        /** No address and port that can be used is longer. */
-        private static final int MOST_ADDRESS = 64;
-
-        /**
-         * One of its fields; null in a zone that the settings don't have, which is passed over. A lifecycle
-         * that is not known is one that wants nothing new.
-         */
-        static Instance of(Paths at, Config.Names names) throws SettingsException {
-            Integer zone = names.zones().get(at.need("zone"));
-            if (zone == null) {
-                return null;
-            }
-            String id = at.need("instanceId");
-            if (id.codePointCount(0, id.length()) > ListLimits.MOST_ID) {
-                throw at.fault("instanceId", "is longer than " + ListLimits.MOST_ID + " characters: '"
-                        + Message.brief(id) + "'");
-            }
-            String hostPort = at.text("hostPort");
-            return new Instance(id, hostPort == null || hostPort.length() > MOST_ADDRESS ? null : hostPort,
-                    zone, names.kinds().getOrDefault(at.text("machineType"), names.kinds().size()),
-                    (int) at.optional("cell"),
-                    STATES.getOrDefault(at.need("lifecycle"), Assigner.State.DRAINING),
-                    at.has("weight") ? at.real("weight") : 1,
-                    Math.round(at.optional("startedAtMs") * 1000));
-        }
+    static Instance of(Paths at, Config.Names names) throws SettingsException {
+      Integer zone = names.zones().get(at.need("zone"));
+      if (zone == null) {
+        return null;
+      }
+      String id = at.need("instanceId");
+      if (id.codePointCount(0, id.length()) > ListLimits.MOST_ID) {
+        throw at.fault(
+            "instanceId",
+            "is longer than " + ListLimits.MOST_ID + " characters: '" + Message.brief(id) + "'");
+      }
+      String hostPort = at.text("hostPort");
+      return new Instance(
+          id,
+          hostPort == null || hostPort.length() > MOST_ADDRESS ? null : hostPort,
+          zone,
+          names.kinds().getOrDefault(at.text("machineType"), names.kinds().size()),
+          (int) at.optional("cell"),
+          STATES.getOrDefault(at.need("lifecycle"), Assigner.State.DRAINING),
+          at.has("weight") ? at.real("weight") : 1,
+          Math.round(at.optional("startedAtMs") * 1000));
     }
-
-    /** Discovery's answer: the whole list, or what changed. */
-    record Listing(long generation, boolean whole, List<Instance> instances) {
-        /** What is known where nothing was told. */
-        static final Listing NONE = new Listing(0, true, List.of());
+  }
+
+  /** Discovery's answer: the whole list, or what changed. */
+  record Listing(long generation, boolean whole, List<Instance> instances) {
+    /** What is known where nothing was told. */
+    static final Listing NONE = new Listing(0, true, List.of());
+  }
+
+  /** A way of trying again and a level, which come as a pair. */
+  record Level(double level, int retry) {}
+
+  /** A part of an update; null or empty where a field is left out. Classes null: all of them. */
+  record Part(
+      List<String> classes,
+      boolean whole,
+      Map<String, Double> lines,
+      Level level,
+      List<String> out,
+      List<String> back,
+      int ticket) {}
+
+  /** The bytes of one message to a proxy. */
+  static byte[] write(List<Part> parts) {
+    ByteArrayOutputStream out = new ByteArrayOutputStream(256);
+    for (int k = 0; k < parts.size(); k++) {
+      Part part = parts.get(k);
+      List<String> words = new ArrayList<>(List.of("update"));
+      if (part.classes() != null) {
+        words.addAll(List.of("classes", String.join("+", part.classes())));
+      }
+      if (part.whole()) {
+        words.addAll(List.of("whole", "1"));
+      }
+      if (!part.lines().isEmpty()) {
+        StringJoiner lines = new StringJoiner(",");
+        part.lines().forEach((server, weight) -> lines.add(server + ":" + plain(weight)));
+        words.addAll(List.of("lines", lines.toString()));
+      }
+      if (part.level() != null) {
+        words.addAll(
+            List.of(
+                "level",
+                plain(part.level().level()),
+                "retry",
+                Integer.toString(part.level().retry())));
+      }
+      if (!part.out().isEmpty()) {
+        words.addAll(List.of("out", String.join(",", part.out())));
+      }
+      if (!part.back().isEmpty()) {
+        words.addAll(List.of("back", String.join(",", part.back())));
+      }
+      if (part.ticket() >= 0) {
+        words.addAll(List.of("ticket", Integer.toString(part.ticket())));
+      }
+      if (k < parts.size() - 1) {
+        words.addAll(List.of("more", "1"));
+      }
+      out.writeBytes(Resp.write(words));
     }
+    return out.toByteArray();
+  }
 
-    /** A way of trying again and a level, which come as a pair. */
-    record Level(double level, int retry) {}
-
-    /** A part of an update; null or empty where a field is left out. Classes null: all of them. */
-    record Part(List<String> classes, boolean whole, Map<String, Double> lines, Level level, List<String> out,
-            List<String> back, int ticket) {}
-
-    /** The bytes of one message to a proxy. */
-    static byte[] write(List<Part> parts) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(256);
-        for (int k = 0; k < parts.size(); k++) {
-            Part part = parts.get(k);
-            List<String> words = new ArrayList<>(List.of("update"));
-            if (part.classes() != null) {
-                words.addAll(List.of("classes", String.join("+", part.classes())));
-            }
-            if (part.whole()) {
-                words.addAll(List.of("whole", "1"));
-            }
-            if (!part.lines().isEmpty()) {
-                StringJoiner lines = new StringJoiner(",");
-                part.lines().forEach((server, weight) -> lines.add(server + ":" + plain(weight)));
-                words.addAll(List.of("lines", lines.toString()));
-            }
-            if (part.level() != null) {
-                words.addAll(List.of("level", plain(part.level().level()), "retry",
-                        Integer.toString(part.level().retry())));
-            }
-            if (!part.out().isEmpty()) {
-                words.addAll(List.of("out", String.join(",", part.out())));
-            }
-            if (!part.back().isEmpty()) {
-                words.addAll(List.of("back", String.join(",", part.back())));
-            }
-            if (part.ticket() >= 0) {
-                words.addAll(List.of("ticket", Integer.toString(part.ticket())));
-            }
-            if (k < parts.size() - 1) {
-                words.addAll(List.of("more", "1"));
-            }
-            out.writeBytes(Resp.write(words));
-        }
-        return out.toByteArray();
-    }
-
-    /** A figure with the simulator's precision and without an exponent. */
-    static String plain(double value) {
-        return new BigDecimal(Float.toString((float) value)).toPlainString();
-    }
+  /** A figure with the simulator's precision and without an exponent. */
+  static String plain(double value) {
+    return new BigDecimal(Float.toString((float) value)).toPlainString();
+  }
 }
--- a/src/main/java/pearusher/serve/Outbound.java
+++ b/src/main/java/pearusher/serve/Outbound.java
@@ -33,424 +33,441 @@
 import pearusher.settings.SettingsException;
 
 /**
- * The client side: calls to discovery (a watch, the whole list) and probes of servers, each on a connection
- * of its own. Every call ends exactly once, with one {@link Ending}, and says so to the exchange. It must
- * never call again by itself: when to ask is the module's.
+ * The client side: calls to discovery (a watch, the whole list) and probes of servers, each on a
+ * connection of its own. Every call ends exactly once, with one {@link Ending}, and says so to the
+ * exchange. It must never call again by itself: when to ask is the module's.
  */
 final class Outbound extends SelectorManager implements Exchange.Calls {
-    private static final int MOST_LOAD = 4 << 10;
-
-    /** What a call is for. */
-    private enum Purpose { WATCH, FETCH, PROBE }
-
-    private volatile Config config;
-    private final Exchange exchange;
-    private final Scheduler scheduler;
-    /** The watch that counts; an earlier one's end tells nothing. */
-    private volatile Call watch;
-    private volatile boolean lost;
-    private final AtomicLong unreadable = new AtomicLong();
-    private final AtomicLong tooLong = new AtomicLong();
-
-    Outbound(Config config, Exchange exchange, Executor executor, Scheduler scheduler) {
-        super(executor, scheduler, 1);
-        this.config = config;
-        this.exchange = exchange;
-        this.scheduler = scheduler;
-        setConnectTimeout(config.timeouts().connectMs());
+  private static final int MOST_LOAD = 4 << 10;
+
+  /** What a call is for. */
+  private enum Purpose {
+    WATCH,
+    FETCH,
+    PROBE
+  }
+
+  private volatile Config config;
+  private final Exchange exchange;
+  private final Scheduler scheduler;
+
+  /** The watch that counts; an earlier one's end tells nothing. */
+  private volatile Call watch;
+
+  private volatile boolean lost;
+  private final AtomicLong unreadable = new AtomicLong();
+  private final AtomicLong tooLong = new AtomicLong();
+
+  Outbound(Config config, Exchange exchange, Executor executor, Scheduler scheduler) {
+    super(executor, scheduler, 1);
+    this.config = config;
+    this.exchange = exchange;
+    this.scheduler = scheduler;
+    setConnectTimeout(config.timeouts().connectMs());
+  }
+
+  /** Calls from now on go where the new configuration says; those on their way end as they do. */
+  void reload(Config now) {
+    config = now;
+    setConnectTimeout(now.timeouts().connectMs());
+  }
+
+  @Override
+  public void watch(boolean on, long since) {
+    Call old = watch;
+    Call next = on ? new Call(Purpose.WATCH, -1, "/catalog/members?follow=1&since=" + since) : null;
+    watch = next;
+    if (old != null) {
+      old.finish(Ending.DROPPED);
     }
-
-    /** Calls from now on go where the new configuration says; those on their way end as they do. */
-    void reload(Config now) {
-        config = now;
-        setConnectTimeout(now.timeouts().connectMs());
-    }
-
-    @Override
-    public void watch(boolean on, long since) {
-        Call old = watch;
-        Call next = on ? new Call(Purpose.WATCH, -1, "/catalog/members?follow=1&since=" + since) : null;
-        watch = next;
-        if (old != null) {
-            old.finish(Ending.DROPPED);
-        }
-        if (next != null) {
-            next.dial(config.discovery());
-        }
-    }
-
-    @Override
-    public void fetch() {
-        new Call(Purpose.FETCH, -1, "/catalog/members").dial(config.discovery());
-    }
-
-    @Override
-    public void probe(long server, String hostPort) {
-        boolean loads = config.settings().reportFrom() != Assigner.ReportFrom.NOWHERE;
-        Call call = new Call(Purpose.PROBE, server, loads ? "/_load" : "/ping");
-        InetSocketAddress address = hostPort == null ? null : Config.address(hostPort);
-        if (address == null) {
-            call.finish(Ending.UNREACHABLE);
-        } else {
-            call.dial(address);
-        }
-    }
-
-    @Override
-    protected EndPoint newEndPoint(SelectableChannel channel, ManagedSelector selector, SelectionKey key) {
-        return new PlainEndPoint(channel, selector, key, scheduler);
+    if (next != null) {
+      next.dial(config.discovery());
     }
-
-    @Override
-    public Connection newConnection(SelectableChannel channel, EndPoint endPoint, Object call) {
-        return ((Call) call).connected(endPoint);
+  }
+
+  @Override
+  public void fetch() {
+    new Call(Purpose.FETCH, -1, "/catalog/members").dial(config.discovery());
+  }
+
+  @Override
+  public void probe(long server, String hostPort) {
+    boolean loads = config.settings().reportFrom() != Assigner.ReportFrom.NOWHERE;
+    Call call = new Call(Purpose.PROBE, server, loads ? "/_load" : "/ping");
+    InetSocketAddress address = hostPort == null ? null : Config.address(hostPort);
+    if (address == null) {
+      call.finish(Ending.UNREACHABLE);
+    } else {
+      call.dial(address);
     }
-
-    @Override
-    protected void connectionFailed(SelectableChannel channel, Throwable failure, Object call) {
-        super.connectionFailed(channel, failure, call);
-        ((Call) call).finish(Ending.ofConnect(failure));
+  }
+
+  @Override
+  protected EndPoint newEndPoint(
+      SelectableChannel channel, ManagedSelector selector, SelectionKey key) {
+    return new PlainEndPoint(channel, selector, key, scheduler);
+  }
+
+  @Override
+  public Connection newConnection(SelectableChannel channel, EndPoint endPoint, Object call) {
+    return ((Call) call).connected(endPoint);
+  }
+
+  @Override
+  protected void connectionFailed(SelectableChannel channel, Throwable failure, Object call) {
+    super.connectionFailed(channel, failure, call);
+    ((Call) call).finish(Ending.ofConnect(failure));
+  }
+
+  /** One request and its answer. */
+  private final class Call implements HttpParser.ResponseHandler {
+    private final Purpose purpose;
+    private final long server;
+    private final String path;
+    private final long startNs = System.nanoTime();
+
+    /** The body of a probe's answer. */
+    private final ByteArrayOutputStream body = new ByteArrayOutputStream();
+
+    /** Reads what discovery answers; null for a probe. */
+    private final ListingReader lists;
+
+    private final HttpParser parser = new HttpParser(this);
+    private Scheduler.Task limit;
+    private String host;
+    private SocketChannel channel;
+    private volatile EndPoint endPoint;
+    private int status;
+    private Message.Listing list;
+    private float[] load = new float[0];
+    private boolean up;
+    private boolean finished;
+
+    Call(Purpose purpose, long server, String path) {
+      this.purpose = purpose;
+      this.server = server;
+      this.path = path;
+      lists = purpose == Purpose.PROBE ? null : new ListingReader(config.names(), config.lists());
     }
 
-    /** One request and its answer. */
-    private final class Call implements HttpParser.ResponseHandler {
-        private final Purpose purpose;
-        private final long server;
-        private final String path;
-        private final long startNs = System.nanoTime();
-        /** The body of a probe's answer. */
-        private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-        /** Reads what discovery answers; null for a probe. */
-        private final ListingReader lists;
-        private final HttpParser parser = new HttpParser(this);
-        private Scheduler.Task limit;
-        private String host;
-        private SocketChannel channel;
-        private volatile EndPoint endPoint;
-        private int status;
-        private Message.Listing list;
-        private float[] load = new float[0];
-        private boolean up;
-        private boolean finished;
-
-        Call(Purpose purpose, long server, String path) {
-            this.purpose = purpose;
-            this.server = server;
-            this.path = path;
-            lists = purpose == Purpose.PROBE ? null : new ListingReader(config.names(), config.lists());
-        }
-
-        void dial(InetSocketAddress to) {
-            host = to.getAddress().getHostAddress() + ":" + to.getPort();
-            limit = scheduler.schedule(() -> finish(Ending.SILENT), (long) config.timeouts().connectMs()
-                    + config.timeouts().answerMs(), TimeUnit.MILLISECONDS);
-            getExecutor().execute(() -> {
+    void dial(InetSocketAddress to) {
+      host = to.getAddress().getHostAddress() + ":" + to.getPort();
+      limit =
+          scheduler.schedule(
+              () -> finish(Ending.SILENT),
+              (long) config.timeouts().connectMs() + config.timeouts().answerMs(),
+              TimeUnit.MILLISECONDS);
+      getExecutor()
+          .execute(
+              () -> {
                 try {
-                    SocketChannel made = SocketChannel.open();
-                    synchronized (this) {
-                        if (finished) {
-                            made.close();
-                            return;
-                        }
-                        channel = made;
-                    }
-                    made.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                    made.configureBlocking(false);
-                    if (made.connect(to)) {
-                        accept(made, this);
-                    } else {
-                        Outbound.this.connect(made, this);
+                  SocketChannel made = SocketChannel.open();
+                  synchronized (this) {
+                    if (finished) {
+                      made.close();
+                      return;
                     }
+                    channel = made;
+                  }
+                  made.setOption(StandardSocketOptions.TCP_NODELAY, true);
+                  made.configureBlocking(false);
+                  if (made.connect(to)) {
+                    accept(made, this);
+                  } else {
+                    Outbound.this.connect(made, this);
+                  }
                 } catch (IOException e) {
-                    finish(Ending.ofConnect(e));
+                  finish(Ending.ofConnect(e));
                 }
-            });
-        }
+              });
+    }
 
-        Connection connected(EndPoint made) {
-            endPoint = made;
-            return new Wire(made);
-        }
+    Connection connected(EndPoint made) {
+      endPoint = made;
+      return new Wire(made);
+    }
 
-        /** The call's connection, once it is up. */
-        private final class Wire extends AbstractConnection {
-            Wire(EndPoint endPoint) {
-                super(endPoint, Outbound.this.getExecutor());
+    /** The call's connection, once it is up. */
+    private final class Wire extends AbstractConnection {
+      Wire(EndPoint endPoint) {
+        super(endPoint, Outbound.this.getExecutor());
+      }
+
+      @Override
+      public void onOpen() {
+        super.onOpen();
+        try {
+          getEndPoint().write(Callback.from(() -> {}, e -> finish(Ending.ofFailure(e))), request());
+          fillInterested();
+        } catch (IOException e) {
+          finish(Ending.ofFailure(e));
+        }
+      }
+
+      @Override
+      public void onFillable() {
+        ByteBuffer buffer = ByteBuffer.allocate(16 << 10);
+        try {
+          while (!done()) {
+            buffer.clear().flip();
+            int n = getEndPoint().fill(buffer);
+            if (n < 0) {
+              parser.atEOF();
+              parser.parseNext(buffer);
+              finish(Ending.CLOSED);
+              return;
             }
-
-            @Override
-            public void onOpen() {
-                super.onOpen();
-                try {
-                    getEndPoint().write(Callback.from(() -> {}, e -> finish(Ending.ofFailure(e))),
-                            request());
-                    fillInterested();
-                } catch (IOException e) {
-                    finish(Ending.ofFailure(e));
-                }
+            if (n == 0) {
+              fillInterested();
+              return;
             }
-
-            @Override
-            public void onFillable() {
-                ByteBuffer buffer = ByteBuffer.allocate(16 << 10);
-                try {
-                    while (!done()) {
-                        buffer.clear().flip();
-                        int n = getEndPoint().fill(buffer);
-                        if (n < 0) {
-                            parser.atEOF();
-                            parser.parseNext(buffer);
-                            finish(Ending.CLOSED);
-                            return;
-                        }
-                        if (n == 0) {
-                            fillInterested();
-                            return;
-                        }
-                        while (buffer.hasRemaining() && !done()) {
-                            parser.parseNext(buffer);
-                        }
-                    }
-                } catch (IOException e) {
-                    finish(Ending.RESET);
-                } catch (RuntimeException e) {
-                    finish(Ending.GARBAGE);
-                }
+            while (buffer.hasRemaining() && !done()) {
+              parser.parseNext(buffer);
             }
+          }
+        } catch (IOException e) {
+          finish(Ending.RESET);
+        } catch (RuntimeException e) {
+          finish(Ending.GARBAGE);
+        }
+      }
+
+      @Override
+      protected boolean onReadTimeout(TimeoutException timeout) {
+        finish(Ending.SILENT);
+        return false;
+      }
+
+      @Override
+      public void onFillInterestedFailed(Throwable cause) {
+        if (!(cause instanceof TimeoutException)) {
+          finish(Ending.ofFailure(cause));
+        }
+        super.onFillInterestedFailed(cause);
+      }
+
+      @Override
+      public void onClose(Throwable cause) {
+        super.onClose(cause);
+        finish(cause == null ? Ending.CLOSED : Ending.ofFailure(cause));
+      }
+    }
 
-            @Override
-            protected boolean onReadTimeout(TimeoutException timeout) {
-                finish(Ending.SILENT);
-                return false;
-            }
+    private ByteBuffer request() throws IOException {
+      HttpFields fields =
+          HttpFields.build()
+              .put(HttpHeader.HOST, host)
+              .put(HttpHeader.ACCEPT, purpose == Purpose.PROBE ? "text/plain" : "application/json");
+      MetaData.Request request =
+          new MetaData.Request("GET", HttpURI.from(path), HttpVersion.HTTP_1_1, fields, 0);
+      HttpGenerator generator = new HttpGenerator();
+      ByteBuffer header = ByteBuffer.allocate(2048);
+      header.flip();
+      generator.generateRequest(request, header, null, null, true);
+      return header;
+    }
 
-            @Override
-            public void onFillInterestedFailed(Throwable cause) {
-                if (!(cause instanceof TimeoutException)) {
-                    finish(Ending.ofFailure(cause));
-                }
-                super.onFillInterestedFailed(cause);
-            }
+    private synchronized boolean done() {
+      return finished;
+    }
 
-            @Override
-            public void onClose(Throwable cause) {
-                super.onClose(cause);
-                finish(cause == null ? Ending.CLOSED : Ending.ofFailure(cause));
-            }
+    /** Ends the call, once: what it brought, or how it failed, goes to the exchange. */
+    void finish(Ending ending) {
+      synchronized (this) {
+        if (finished) {
+          return;
         }
-
-        private ByteBuffer request() throws IOException {
-            HttpFields fields = HttpFields.build().put(HttpHeader.HOST, host)
-                    .put(HttpHeader.ACCEPT, purpose == Purpose.PROBE ? "text/plain" : "application/json");
-            MetaData.Request request = new MetaData.Request("GET", HttpURI.from(path),
-                    HttpVersion.HTTP_1_1, fields, 0);
-            HttpGenerator generator = new HttpGenerator();
-            ByteBuffer header = ByteBuffer.allocate(2048);
-            header.flip();
-            generator.generateRequest(request, header, null, null, true);
-            return header;
+        finished = true;
+      }
+      synchronized (this) {
+        if (limit != null) {
+          limit.cancel();
         }
-
-        private synchronized boolean done() {
-            return finished;
+      }
+      getExecutor().execute(this::hangUp);
+      if (purpose == Purpose.PROBE) {
+        exchange.probed(server, ending.probe(), (System.nanoTime() - startNs) / 1000, load);
+      } else if (ending != Ending.DROPPED && (purpose == Purpose.FETCH || watch == this)) {
+        if (ending.answered() && list != null) {
+          exchange.listed(list, false);
+        } else {
+          if (!lost) {
+            Logger.warn("discovery lost: {} ended: {}", purpose, ending);
+          }
+          lost = true;
+          exchange.listFailed(() -> purpose == Purpose.FETCH || watch == this);
         }
+      }
+    }
 
-        /** Ends the call, once: what it brought, or how it failed, goes to the exchange. */
-        void finish(Ending ending) {
-            synchronized (this) {
-                if (finished) {
-                    return;
-                }
-                finished = true;
-            }
-            synchronized (this) {
-                if (limit != null) {
-                    limit.cancel();
-                }
-            }
-            getExecutor().execute(this::hangUp);
-            if (purpose == Purpose.PROBE) {
-                exchange.probed(server, ending.probe(), (System.nanoTime() - startNs) / 1000, load);
-            } else if (ending != Ending.DROPPED && (purpose == Purpose.FETCH || watch == this)) {
-                if (ending.answered() && list != null) {
-                    exchange.listed(list, false);
-                } else {
-                    if (!lost) {
-                        Logger.warn("discovery lost: {} ended: {}", purpose, ending);
-                    }
-                    lost = true;
-                    exchange.listFailed(() -> purpose == Purpose.FETCH || watch == this);
-                }
-            }
+    private void hangUp() {
+      EndPoint up = endPoint;
+      try {
+        if (up != null) {
+          up.close();
         }
-
-        private void hangUp() {
-            EndPoint up = endPoint;
-            try {
-                if (up != null) {
-                    up.close();
-                }
-                synchronized (this) {
-                    if (channel != null) {
-                        channel.close();
-                    }
-                }
-            } catch (IOException e) {
-                Logger.debug(e);
-            }
+        synchronized (this) {
+          if (channel != null) {
+            channel.close();
+          }
         }
+      } catch (IOException e) {
+        Logger.debug(e);
+      }
+    }
 
-        // The parser's answers.
+    // The parser's answers.
 
-        @Override
-        public void startResponse(HttpVersion version, int code, String reason) {
-            status = code;
-        }
+    @Override
+    public void startResponse(HttpVersion version, int code, String reason) {
+      status = code;
+    }
 
-        @Override
-        public void parsedHeader(HttpField field) {}
+    @Override
+    public void parsedHeader(HttpField field) {}
 
-        @Override
-        public boolean headerComplete() {
-            if (purpose == Purpose.WATCH && status == 200) {
-                // From here on it may last; its beats are what must not stay out.
-                lineDue();
-            }
-            return false;
-        }
+    @Override
+    public boolean headerComplete() {
+      if (purpose == Purpose.WATCH && status == 200) {
+        // From here on it may last; its beats are what must not stay out.
+        lineDue();
+      }
+      return false;
+    }
 
-        @Override
-        public boolean content(ByteBuffer part) {
-            if (purpose == Purpose.PROBE) {
-                load(part);
-            } else if (status == 200) {
-                list(part);
-            }
-            part.position(part.limit());
-            return false;
-        }
+    @Override
+    public boolean content(ByteBuffer part) {
+      if (purpose == Purpose.PROBE) {
+        load(part);
+      } else if (status == 200) {
+        list(part);
+      }
+      part.position(part.limit());
+      return false;
+    }
 
-        private void load(ByteBuffer part) {
-            if (body.size() + part.remaining() > MOST_LOAD) {
-                finish(Ending.TOO_LONG);
-                return;
-            }
-            while (part.hasRemaining()) {
-                body.write(part.get());
-            }
-        }
+    private void load(ByteBuffer part) {
+      if (body.size() + part.remaining() > MOST_LOAD) {
+        finish(Ending.TOO_LONG);
+        return;
+      }
+      while (part.hasRemaining()) {
+        body.write(part.get());
+      }
+    }
 
-        /** Hands a part of a list to its reader, a watch's line by line. */
-        private void list(ByteBuffer part) {
-            try {
-                while (part.hasRemaining() && !done()) {
-                    int lineEnd = purpose == Purpose.WATCH ? lineEnd(part) : -1;
-                    int end = lineEnd < 0 ? part.limit() : lineEnd;
-                    lists.feed(part.duplicate().limit(end));
-                    part.position(end);
-                    if (lineEnd >= 0) {
-                        part.get();
-                        line();
-                    }
-                }
-            } catch (ListTooLongException e) {
-                // The same list comes again at each call: told at 1, 2, 4, 8 ...
-                if (Long.bitCount(tooLong.incrementAndGet()) == 1) {
-                    Logger.warn("discovery: a list of {}", e.getMessage());
-                }
-                finish(Ending.TOO_LONG);
-            }
+    /** Hands a part of a list to its reader, a watch's line by line. */
+    private void list(ByteBuffer part) {
+      try {
+        while (part.hasRemaining() && !done()) {
+          int lineEnd = purpose == Purpose.WATCH ? lineEnd(part) : -1;
+          int end = lineEnd < 0 ? part.limit() : lineEnd;
+          lists.feed(part.duplicate().limit(end));
+          part.position(end);
+          if (lineEnd >= 0) {
+            part.get();
+            line();
+          }
         }
-
-        private int lineEnd(ByteBuffer part) {
-            for (int at = part.position(); at < part.limit(); at++) {
-                if (part.get(at) == '\n') {
-                    return at;
-                }
-            }
-            return -1;
+      } catch (ListTooLongException e) {
+        // The same list comes again at each call: told at 1, 2, 4, 8 ...
+        if (Long.bitCount(tooLong.incrementAndGet()) == 1) {
+          Logger.warn("discovery: a list of {}", e.getMessage());
         }
+        finish(Ending.TOO_LONG);
+      }
+    }
 
-        /**
-         * The next line of a watch must be whole in time. Guards against one that brings a byte now and then:
-         * it is never idle, and would never tell anything again.
-         */
-        private void lineDue() {
-            synchronized (this) {
-                limit.cancel();
-                if (!finished) {
-                    limit = scheduler.schedule(() -> finish(Ending.SILENT), config.timeouts().silentMs(),
-                            TimeUnit.MILLISECONDS);
-                }
-            }
+    private int lineEnd(ByteBuffer part) {
+      for (int at = part.position(); at < part.limit(); at++) {
+        if (part.get(at) == '\n') {
+          return at;
         }
+      }
+      return -1;
+    }
 
-        /** A line of a watch; an empty one is a beat. */
-        private void line() {
-            lineDue();
-            try {
-                Message.Listing told = lists.endOfLine();
-                if (told == null && up) {
-                    return;
-                }
-                if (told != null) {
-                    exchange.listed(told, !up, () -> watch == this);
-                }
-                up |= told != null;
-                if (lost && watch == this) {
-                    lost = false;
-                    Logger.info("discovery back");
-                }
-            } catch (SettingsException e) {
-                unreadable("line", e);
-                finish(Ending.GARBAGE);
-            }
+    /**
+     * The next line of a watch must be whole in time. Guards against one that brings a byte now and
+     * then: it is never idle, and would never tell anything again.
+     */
+    private void lineDue() {
+      synchronized (this) {
+        limit.cancel();
+        if (!finished) {
+          limit =
+              scheduler.schedule(
+                  () -> finish(Ending.SILENT), config.timeouts().silentMs(), TimeUnit.MILLISECONDS);
         }
+      }
+    }
 
-        /** It may say the same at each call: told at 1, 2, 4, 8 ... */
-        private void unreadable(String what, SettingsException why) {
-            if (Long.bitCount(unreadable.incrementAndGet()) == 1) {
-                Logger.warn("discovery: a {} can't be read: {}", what, why.getMessage());
-            }
+    /** A line of a watch; an empty one is a beat. */
+    private void line() {
+      lineDue();
+      try {
+        Message.Listing told = lists.endOfLine();
+        if (told == null && up) {
+          return;
         }
-
-        @Override
-        public boolean contentComplete() {
-            return false;
+        if (told != null) {
+          exchange.listed(told, !up, () -> watch == this);
         }
-
-        @Override
-        public boolean messageComplete() {
-            if (done()) {
-                return true;
-            }
-            Ending ending = Ending.ofStatus(status);
-            if (ending.answered()) {
-                try {
-                    if (purpose == Purpose.FETCH) {
-                        list = lists.endOfBody();
-                    } else if (purpose == Purpose.PROBE) {
-                        load = Message.probeLoad(body.toByteArray(), config.names());
-                    } else {
-                        ending = Ending.CLOSED;
-                    }
-                } catch (SettingsException e) {
-                    unreadable("list", e);
-                    ending = Ending.GARBAGE;
-                }
-            }
-            finish(ending);
-            return true;
+        up |= told != null;
+        if (lost && watch == this) {
+          lost = false;
+          Logger.info("discovery back");
         }
+      } catch (SettingsException e) {
+        unreadable("line", e);
+        finish(Ending.GARBAGE);
+      }
+    }
 
-        @Override
-        public void earlyEOF() {
-            finish(Ending.CLOSED);
-        }
+    /** It may say the same at each call: told at 1, 2, 4, 8 ... */
+    private void unreadable(String what, SettingsException why) {
+      if (Long.bitCount(unreadable.incrementAndGet()) == 1) {
+        Logger.warn("discovery: a {} can't be read: {}", what, why.getMessage());
+      }
+    }
+
+    @Override
+    public boolean contentComplete() {
+      return false;
+    }
 
-        @Override
-        public void badMessage(HttpException failure) {
-            finish(Ending.GARBAGE);
+    @Override
+    public boolean messageComplete() {
+      if (done()) {
+        return true;
+      }
+      Ending ending = Ending.ofStatus(status);
+      if (ending.answered()) {
+        try {
+          if (purpose == Purpose.FETCH) {
+            list = lists.endOfBody();
+          } else if (purpose == Purpose.PROBE) {
+            load = Message.probeLoad(body.toByteArray(), config.names());
+          } else {
+            ending = Ending.CLOSED;
+          }
+        } catch (SettingsException e) {
+          unreadable("list", e);
+          ending = Ending.GARBAGE;
         }
+      }
+      finish(ending);
+      return true;
+    }
+
+    @Override
+    public void earlyEOF() {
+      finish(Ending.CLOSED);
+    }
+
+    @Override
+    public void badMessage(HttpException failure) {
+      finish(Ending.GARBAGE);
     }
+  }
 }
--- a/src/main/java/pearusher/serve/ReportIntake.java
+++ b/src/main/java/pearusher/serve/ReportIntake.java
@@ -8,116 +8,174 @@
 import pearusher.intake.Sums;
 
 /**
- * The way of a report to the module: through the intake where the operators switched it on, else through the
- * bounded queue. Reports come from any thread and reach the module on the decision thread. It keeps nothing
- * itself; what waits is the intake's or the queue's.
+ * The way of a report to the module: through the intake where the operators switched it on, else
+ * through the bounded queue. Reports come from any thread and reach the module on the decision
+ * thread. It keeps nothing itself; what waits is the intake's or the queue's.
  */
 final class ReportIntake {
-    private final EventLoop loop;
-    private final ReportQueue queue;
-    /** Where reports wait, where the operators switched it on; else null, and they wait in the queue. */
-    private final SharedIntake intake;
-    private final long periodUs;
-    private final Supplier<Assigner> module;
-    /** A listed server's number by its name; null for one that no list has named yet. */
-    private final Function<String, Long> numbers;
-    private Consumer<Item> listener = item -> {};
-
-    ReportIntake(EventLoop loop, ReportQueue queue, SharedIntake intake, long periodUs,
-            Supplier<Assigner> module, Function<String, Long> numbers) {
-        this.loop = loop;
-        this.queue = queue;
-        this.intake = intake;
-        this.periodUs = periodUs;
-        this.module = module;
-        this.numbers = numbers;
-    }
+  private final EventLoop loop;
+  private final ReportQueue queue;
 
-    /**
-     * Tries at a server. A report on a server that no list has named yet is dropped: the proxies' list may be
-     * newer.
-     *
-     * @param origin the proxy, or a number below 0 that is the collector's own
-     */
-    void heard(Message.Heard what, int origin) {
-        if (intake != null) {
-            intake.offer(new Item(origin, new Item.Tries(what.server(), what.zone()), Sums.of(what.tries(),
-                    what.failed(), what.meanUs(), what.spanUs(), what.load())), this::wake);
-            return;
-        }
-        queue.add(() -> {
-            Long server = numbers.apply(what.server());
-            if (server != null) {
-                module.get().heard(loop.nowUs(), server, what.zone(), what.tries(), what.failed(),
-                        what.spanUs(), what.meanUs(), what.load());
-            }
-        });
-    }
+  /**
+   * Where reports wait, where the operators switched it on; else null, and they wait in the queue.
+   */
+  private final SharedIntake intake;
 
-    /** Requests that came to a proxy; {@code origin} as in {@link #heard}. */
-    void usage(Message.Usage what, int origin) {
-        if (intake != null) {
-            // Those that failed may be more than came: there is no mean to be weighted by the good ones.
-            intake.offer(new Item(origin, new Item.Requests(what.proxy(), what.grade()),
-                    new Sums(what.tries(),
-                            what.failed(), 0, what.spanUs(), 1, new float[0], 0)), this::wake);
-            return;
-        }
-        queue.add(() -> module.get().usage(loop.nowUs(), what.proxy(), what.grade(), what.tries(),
-                what.failed(), what.spanUs()));
-    }
+  private final long periodUs;
+  private final Supplier<Assigner> module;
 
-    private void wake() {
-        loop.add(() -> intake.next(loop.nowUs(), this::deliver));
-    }
+  /** A listed server's number by its name; null for one that no list has named yet. */
+  private final Function<String, Long> numbers;
 
-    /** Whether the intake holds reports that no event announces. */
-    boolean isFlooded() {
-        return intake != null && intake.flooded();
-    }
+  private Consumer<Item> listener = item -> {};
+
+  ReportIntake(
+      EventLoop loop,
+      ReportQueue queue,
+      SharedIntake intake,
+      long periodUs,
+      Supplier<Assigner> module,
+      Function<String, Long> numbers) {
+    this.loop = loop;
+    this.queue = queue;
+    this.intake = intake;
+    this.periodUs = periodUs;
+    this.module = module;
+    this.numbers = numbers;
+  }
 
-    /** Hands the module what of a flood is due, on the decision thread. */
-    void serveFlood() {
-        intake.serve(loop.nowUs(), this::deliver);
+  /**
+   * Tries at a server. A report on a server that no list has named yet is dropped: the proxies'
+   * list may be newer.
+   *
+   * @param origin the proxy, or a number below 0 that is the collector's own
+   */
+  void heard(Message.Heard what, int origin) {
+    if (intake != null) {
+      intake.offer(
+          new Item(
+              origin,
+              new Item.Tries(what.server(), what.zone()),
+              Sums.of(what.tries(), what.failed(), what.meanUs(), what.spanUs(), what.load())),
+          this::wake);
+      return;
     }
+    queue.add(
+        () -> {
+          Long server = numbers.apply(what.server());
+          if (server != null) {
+            module
+                .get()
+                .heard(
+                    loop.nowUs(),
+                    server,
+                    what.zone(),
+                    what.tries(),
+                    what.failed(),
+                    what.spanUs(),
+                    what.meanUs(),
+                    what.load());
+          }
+        });
+  }
 
-    /** Tells a test of each report that has its turn, on the decision thread. */
-    void listen(Consumer<Item> to) {
-        listener = to;
+  /** Requests that came to a proxy; {@code origin} as in {@link #heard}. */
+  void usage(Message.Usage what, int origin) {
+    if (intake != null) {
+      // Those that failed may be more than came: there is no mean to be weighted by the good ones.
+      intake.offer(
+          new Item(
+              origin,
+              new Item.Requests(what.proxy(), what.grade()),
+              new Sums(what.tries(), what.failed(), 0, what.spanUs(), 1, new float[0], 0)),
+          this::wake);
+      return;
     }
+    queue.add(
+        () ->
+            module
+                .get()
+                .usage(
+                    loop.nowUs(),
+                    what.proxy(),
+                    what.grade(),
+                    what.tries(),
+                    what.failed(),
+                    what.spanUs()));
+  }
+
+  private void wake() {
+    loop.add(() -> intake.next(loop.nowUs(), this::deliver));
+  }
+
+  /** Whether the intake holds reports that no event announces. */
+  boolean isFlooded() {
+    return intake != null && intake.flooded();
+  }
 
-    /** A report has its turn. A server that no list has named yet is passed over, as ever. */
-    private void deliver(Item item) {
-        listener.accept(item);
-        if (item.about() instanceof Item.Requests requests) {
-            deliver(item, requests);
-        } else if (item.about() instanceof Item.Tries tries) {
-            deliver(item, tries);
-        }
+  /** Hands the module what of a flood is due, on the decision thread. */
+  void serveFlood() {
+    intake.serve(loop.nowUs(), this::deliver);
+  }
+
+  /** Tells a test of each report that has its turn, on the decision thread. */
+  void listen(Consumer<Item> to) {
+    listener = to;
+  }
+
+  /** A report has its turn. A server that no list has named yet is passed over, as ever. */
+  private void deliver(Item item) {
+    listener.accept(item);
+    if (item.about() instanceof Item.Requests requests) {
+      deliver(item, requests);
+    } else if (item.about() instanceof Item.Tries tries) {
+      deliver(item, tries);
     }
+  }
 
-    private void deliver(Item item, Item.Requests about) {
-        // A rate of long ago says nothing of now, whatever it is counted for.
-        if (item.ageUs() > SharedIntake.OLD_USAGE_PERIODS * periodUs) {
-            return;
-        }
-        Sums sums = item.sums();
-        module.get().usage(loop.nowUs(), about.proxy(), about.grade(), sums.tries(), sums.failed(),
-                sums.spanUs());
+  private void deliver(Item item, Item.Requests about) {
+    // A rate of long ago says nothing of now, whatever it is counted for.
+    if (item.ageUs() > SharedIntake.OLD_USAGE_PERIODS * periodUs) {
+      return;
     }
+    Sums sums = item.sums();
+    module
+        .get()
+        .usage(
+            loop.nowUs(), about.proxy(), about.grade(), sums.tries(), sums.failed(), sums.spanUs());
+  }
 
-    private void deliver(Item item, Item.Tries about) {
-        Long server = numbers.apply(about.server());
-        if (server == null) {
-            return;
-        }
-        Sums sums = item.sums();
-        if (item.ageUs() == 0) {
-            module.get().heard(loop.nowUs(), server, about.zone(), sums.tries(), sums.failed(),
-                    sums.spanUs(), sums.meanUs(), sums.load());
-            return;
-        }
-        module.get().heard(loop.nowUs(), server, about.zone(), sums.tries(), sums.failed(),
-                sums.spanUs(), sums.meanUs(), sums.load(), item.ageUs());
+  private void deliver(Item item, Item.Tries about) {
+    Long server = numbers.apply(about.server());
+    if (server == null) {
+      return;
+    }
+    Sums sums = item.sums();
+    if (item.ageUs() == 0) {
+      module
+          .get()
+          .heard(
+              loop.nowUs(),
+              server,
+              about.zone(),
+              sums.tries(),
+              sums.failed(),
+              sums.spanUs(),
+              sums.meanUs(),
+              sums.load());
+      return;
     }
+    module
+        .get()
+        .heard(
+            loop.nowUs(),
+            server,
+            about.zone(),
+            sums.tries(),
+            sums.failed(),
+            sums.spanUs(),
+            sums.meanUs(),
+            sums.load(),
+            item.ageUs());
+  }
 }
--- a/src/main/java/pearusher/serve/Serve.java
+++ b/src/main/java/pearusher/serve/Serve.java
@@ -17,211 +17,244 @@
 import pearusher.settings.SettingsException;
 
 /**
- * The life of one assigner: it reads the configuration, puts the parts together, starts and stops them, and
- * says how the process ends. It must never do any part's work.
+ * The life of one assigner: it reads the configuration, puts the parts together, starts and stops
+ * them, and says how the process ends. It must never do any part's work.
  */
 public final class Serve {
-    private static final int THREADS = 8;
-    /** How often a store is looked at. */
-    private static final long LOOK_MS = 100;
-
-    private final Exchange exchange;
-    private final QueuedThreadPool threads = new QueuedThreadPool(THREADS, 4);
-    private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("timers", true);
-    private final Streams streams;
-    private final Outbound outbound;
-    private final Peers peers;
-    private final Thread decisions;
-
-    private final Durable durable;
-
-    Serve(Config config, BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker, LongSupplier clock,
-            Consumer<Throwable> failed) {
-        this(config, maker, clock, failed, null, null);
-    }
+  private static final int THREADS = 8;
 
-    Serve(Config config, BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker, LongSupplier clock,
-            Consumer<Throwable> failed, Durable durable, SharedIntake intake) {
-        this.durable = durable;
-        threads.setName("io");
-        threads.setDaemon(true);
-        exchange = new Exchange(config, maker, clock, failed, durable, intake);
-        streams = new Streams(config, exchange, threads, scheduler);
-        outbound = new Outbound(config, exchange, threads, scheduler);
-        peers = new Peers(config, exchange, threads);
-        exchange.connect(outbound, peers);
-        decisions = new Thread(exchange::run, "decisions");
-        decisions.setDaemon(true);
-    }
+  /** How often a store is looked at. */
+  private static final long LOOK_MS = 100;
 
-    /** Listens, hands the module what is known, and only then answers pings. */
-    InetSocketAddress start() throws Exception {
-        threads.start();
-        scheduler.start();
-        InetSocketAddress at = streams.listen();
-        peers.listen();
-        outbound.start();
-        if (durable != null) {
-            durable.start();
-            look();
-        }
-        exchange.begin();
-        decisions.start();
-        streams.ready();
-        return at;
-    }
+  private final Exchange exchange;
+  private final QueuedThreadPool threads = new QueuedThreadPool(THREADS, 4);
+  private final ScheduledExecutorScheduler scheduler =
+      new ScheduledExecutorScheduler("timers", true);
+  private final Streams streams;
+  private final Outbound outbound;
+  private final Peers peers;
+  private final Thread decisions;
 
-    /** The store is looked at often enough that a disk which hangs is seen in time. */
-    private void look() {
-        durable.watch();
-        scheduler.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
-    }
+  private final Durable durable;
 
-    Exchange exchange() {
-        return exchange;
-    }
+  Serve(
+      Config config,
+      BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker,
+      LongSupplier clock,
+      Consumer<Throwable> failed) {
+    this(config, maker, clock, failed, null, null);
+  }
 
-    Peers peers() {
-        return peers;
-    }
+  Serve(
+      Config config,
+      BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker,
+      LongSupplier clock,
+      Consumer<Throwable> failed,
+      Durable durable,
+      SharedIntake intake) {
+    this.durable = durable;
+    threads.setName("io");
+    threads.setDaemon(true);
+    exchange = new Exchange(config, maker, clock, failed, durable, intake);
+    streams = new Streams(config, exchange, threads, scheduler);
+    outbound = new Outbound(config, exchange, threads, scheduler);
+    peers = new Peers(config, exchange, threads);
+    exchange.connect(outbound, peers);
+    decisions = new Thread(exchange::run, "decisions");
+    decisions.setDaemon(true);
+  }
 
-    /** A new configuration for the parts that take it; a watch begins anew where discovery is now. */
-    void reload(Config now) {
-        streams.reload(now);
-        peers.reload(now);
-        outbound.reload(now);
-        exchange.moved();
+  /** Listens, hands the module what is known, and only then answers pings. */
+  InetSocketAddress start() throws Exception {
+    threads.start();
+    scheduler.start();
+    InetSocketAddress at = streams.listen();
+    peers.listen();
+    outbound.start();
+    if (durable != null) {
+      durable.start();
+      look();
     }
+    exchange.begin();
+    decisions.start();
+    streams.ready();
+    return at;
+  }
 
-    Streams streams() {
-        return streams;
-    }
+  /** The store is looked at often enough that a disk which hangs is seen in time. */
+  private void look() {
+    durable.watch();
+    scheduler.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
+  }
 
-    void stop() throws Exception {
-        decisions.interrupt();
-        streams.stop();
-        peers.close();
-        outbound.stop();
-        scheduler.stop();
-        threads.stop();
-        if (durable != null) {
-            durable.close();
-        }
-    }
+  Exchange exchange() {
+    return exchange;
+  }
 
-    /** The process without settings of the operators': everything that they switch on is off. */
-    public static int run(Map<String, String> environment,
-            BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker) {
-        return run(environment, maker, Extras.NONE);
-    }
+  Peers peers() {
+    return peers;
+  }
 
-    /** The process: 0 after SIGTERM, 1 where it fails, 2 for a faulty configuration. */
-    public static int run(Map<String, String> environment,
-            BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker, Extras extras) {
-        // Asked for too early, the file is read again once all is there: it may be newer than what was read.
-        AtomicBoolean early = new AtomicBoolean();
-        AtomicReference<Runnable> reload = new AtomicReference<>(() -> early.set(true));
-        onHangUp(() -> reload.get().run());
-        Config config;
-        try {
-            config = Config.read(environment);
-        } catch (SettingsException e) {
-            System.err.println("pearusher: " + e.getMessage());
-            return 2;
-        }
-        AtomicBoolean failing = new AtomicBoolean();
-        Logger.info("start: {} on {}, discovery {}, {} servers known", config.name(), text(config.listen()),
-                text(config.discovery()), config.known().instances().size());
-        Consumer<Throwable> failed = failure -> {
-            failing.set(true);
-            Logger.error(failure, "the module failed, ending with status 1");
-            Runtime.getRuntime().halt(1);
-        };
-        Durable durable;
-        try {
-            durable = extras.keeping() == null ? null
-                    : Durable.open(config, extras.keeping(), Exchange.unixClock());
-        } catch (IOException e) {
-            Logger.error("can't start on the store: {}", e.getMessage());
-            return 1;
-        }
-        SharedIntake intake = extras.intake() == null ? null : new SharedIntake(extras.intake());
-        Serve serve = new Serve(config, maker, Exchange.unixClock(), failed, durable, intake);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            if (!failing.get()) {
-                Logger.info("shutdown: {} ends on SIGTERM", config.name());
-                if (durable != null) {
-                    durable.end();
-                }
-                Runtime.getRuntime().halt(0);
-            }
-        }));
-        try {
-            WarmUp.run(config, maker);
-            serve.start();
-            reload.set(serve.reloading(config, environment));
-            if (early.get()) {
-                reload.get().run();
-            }
-            Logger.info("ready: {}", config.name());
-            Thread.currentThread().join();
-        } catch (RuntimeException e) {
-            failed.accept(e);
-        } catch (Exception e) {
-            failing.set(true);
-            Logger.error("can't start on {}: {}", text(config.listen()), e.getMessage());
-        }
-        failing.set(true);
-        return 1;
+  /** A new configuration for the parts that take it; a watch begins anew where discovery is now. */
+  void reload(Config now) {
+    streams.reload(now);
+    peers.reload(now);
+    outbound.reload(now);
+    exchange.moved();
+  }
+
+  Streams streams() {
+    return streams;
+  }
+
+  void stop() throws Exception {
+    decisions.interrupt();
+    streams.stop();
+    peers.close();
+    outbound.stop();
+    scheduler.stop();
+    threads.stop();
+    if (durable != null) {
+      durable.close();
     }
+  }
 
-    private Runnable reloading(Config first, Map<String, String> environment) {
-        return () -> {
-            // Each signal comes on a thread of its own: the last to read must be the last to be taken over.
-            synchronized (this) {
-                try {
-                    Config now = first.reload(environment);
-                    Logger.info("reload: discovery {}", text(now.discovery()));
-                    reload(now);
-                } catch (SettingsException | RuntimeException e) {
-                    Logger.warn("reload: {}; the old configuration stays", e.getMessage());
-                }
-            }
+  /** The process without settings of the operators': everything that they switch on is off. */
+  public static int run(
+      Map<String, String> environment,
+      BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker) {
+    return run(environment, maker, Extras.NONE);
+  }
+
+  /** The process: 0 after SIGTERM, 1 where it fails, 2 for a faulty configuration. */
+  public static int run(
+      Map<String, String> environment,
+      BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker,
+      Extras extras) {
+    // Asked for too early, the file is read again once all is there: it may be newer than what was
+    // read.
+    AtomicBoolean early = new AtomicBoolean();
+    AtomicReference<Runnable> reload = new AtomicReference<>(() -> early.set(true));
+    onHangUp(() -> reload.get().run());
+    Config config;
+    try {
+      config = Config.read(environment);
+    } catch (SettingsException e) {
+      System.err.println("pearusher: " + e.getMessage());
+      return 2;
+    }
+    AtomicBoolean failing = new AtomicBoolean();
+    Logger.info(
+        "start: {} on {}, discovery {}, {} servers known",
+        config.name(),
+        text(config.listen()),
+        text(config.discovery()),
+        config.known().instances().size());
+    Consumer<Throwable> failed =
+        failure -> {
+          failing.set(true);
+          Logger.error(failure, "the module failed, ending with status 1");
+          Runtime.getRuntime().halt(1);
         };
+    Durable durable;
+    try {
+      durable =
+          extras.keeping() == null
+              ? null
+              : Durable.open(config, extras.keeping(), Exchange.unixClock());
+    } catch (IOException e) {
+      Logger.error("can't start on the store: {}", e.getMessage());
+      return 1;
+    }
+    SharedIntake intake = extras.intake() == null ? null : new SharedIntake(extras.intake());
+    Serve serve = new Serve(config, maker, Exchange.unixClock(), failed, durable, intake);
+    Runtime.getRuntime()
+        .addShutdownHook(
+            new Thread(
+                () -> {
+                  if (!failing.get()) {
+                    Logger.info("shutdown: {} ends on SIGTERM", config.name());
+                    if (durable != null) {
+                      durable.end();
+                    }
+                    Runtime.getRuntime().halt(0);
+                  }
+                }));
+    try {
+      WarmUp.run(config, maker);
+      serve.start();
+      reload.set(serve.reloading(config, environment));
+      if (early.get()) {
+        reload.get().run();
+      }
+      Logger.info("ready: {}", config.name());
+      Thread.currentThread().join();
+    } catch (RuntimeException e) {
+      failed.accept(e);
+    } catch (Exception e) {
+      failing.set(true);
+      Logger.error("can't start on {}: {}", text(config.listen()), e.getMessage());
     }
+    failing.set(true);
+    return 1;
+  }
 
-    /**
-     * SIGHUP asks for the file again; without this the virtual machine would end on it. The class that takes
-     * signals is not part of the Java standard and the compiler warns of it, so it is named at run time only.
-     * Where the signal was ignored when the process began (nohup, a trap of the shell that started it), the
-     * virtual machine leaves it so and drops the handler without a word: discovery moved, and an assigner
-     * that had not been told kept its list for good. The run line takes the signal back; here it is said.
-     */
-    private static void onHangUp(Runnable then) {
+  private Runnable reloading(Config first, Map<String, String> environment) {
+    return () -> {
+      // Each signal comes on a thread of its own: the last to read must be the last to be taken
+      // over.
+      synchronized (this) {
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object taker = Proxy.newProxyInstance(Serve.class.getClassLoader(), new Class<?>[] {handler},
-                    (self, method, args) -> {
-                        if (method.getName().equals("handle")) {
-                            then.run();
-                            return null;
-                        }
-                        return method.getName().equals("hashCode") ? System.identityHashCode(self)
-                                : method.getName().equals("equals") ? self == args[0] : "hang-up";
-                    });
-            Object before = signal.getMethod("handle", signal, handler).invoke(null,
-                    signal.getConstructor(String.class).newInstance("HUP"), taker);
-            if (before == handler.getField("SIG_IGN").get(null)) {
-                Logger.warn("no reload on SIGHUP: it was ignored when the process began; start it by "
-                        + "env --default-signal=HUP");
-            }
-        } catch (ReflectiveOperationException e) {
-            Logger.warn("no reload on SIGHUP: {}", e.getMessage());
+          Config now = first.reload(environment);
+          Logger.info("reload: discovery {}", text(now.discovery()));
+          reload(now);
+        } catch (SettingsException | RuntimeException e) {
+          Logger.warn("reload: {}; the old configuration stays", e.getMessage());
         }
-    }
+      }
+    };
+  }
 
-    private static String text(InetSocketAddress address) {
-        return address.getAddress().getHostAddress() + ":" + address.getPort();
+  /**
+   * SIGHUP asks for the file again; without this the virtual machine would end on it. The class
+   * that takes signals is not part of the Java standard and the compiler warns of it, so it is
+   * named at run time only. Where the signal was ignored when the process began (nohup, a trap of
+   * the shell that started it), the virtual machine leaves it so and drops the handler without a
+   * word: discovery moved, and an assigner that had not been told kept its list for good. The run
+   * line takes the signal back; here it is said.
+   */
+  private static void onHangUp(Runnable then) {
+    try {
+      Class<?> signal = Class.forName("sun.misc.Signal");
+      Class<?> handler = Class.forName("sun.misc.SignalHandler");
+      Object taker =
+          Proxy.newProxyInstance(
+              Serve.class.getClassLoader(),
+              new Class<?>[] {handler},
+              (self, method, args) -> {
+                if (method.getName().equals("handle")) {
+                  then.run();
+                  return null;
+                }
+                return method.getName().equals("hashCode")
+                    ? System.identityHashCode(self)
+                    : method.getName().equals("equals") ? self == args[0] : "hang-up";
+              });
+      Object before =
+          signal
+              .getMethod("handle", signal, handler)
+              .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), taker);
+      if (before == handler.getField("SIG_IGN").get(null)) {
+        Logger.warn(
+            "no reload on SIGHUP: it was ignored when the process began; start it by "
+                + "env --default-signal=HUP");
+      }
+    } catch (ReflectiveOperationException e) {
+      Logger.warn("no reload on SIGHUP: {}", e.getMessage());
     }
+  }
+
+  private static String text(InetSocketAddress address) {
+    return address.getAddress().getHostAddress() + ":" + address.getPort();
+  }
 }
--- a/src/main/java/pearusher/serve/SharedIntake.java
+++ b/src/main/java/pearusher/serve/SharedIntake.java
@@ -8,95 +8,105 @@
 import pearusher.intake.Item;
 
 /**
- * The intake behind a lock: streams put reports in on their threads, the decision thread takes them out. It
- * says when a flood begins and ends. It must never hold the lock while the module works.
+ * The intake behind a lock: streams put reports in on their threads, the decision thread takes them
+ * out. It says when a flood begins and ends. It must never hold the lock while the module works.
  */
 final class SharedIntake {
-    /** How long the decision thread sleeps at most while reports of a flood wait, in microseconds. */
-    static final long SERVE_US = 20_000;
-
-    /** Periods after which what came for a proxy is not told any more. */
-    static final int OLD_USAGE_PERIODS = 2;
-
-    private final Intake intake;
-    private final List<Item> items = new ArrayList<>();
-
-    SharedIntake(Intake.Bounds bounds) {
-        intake = new Intake(bounds, new Intake.Events() {
-            @Override
-            public void flood(int origin, double part) {
-                Logger.warn("flood of reports: origin=\"{}\" part={}", name(origin), hundredths(part));
-            }
-
-            private long thinned;
-            private long expired;
-
-            @Override
-            public void expired(Item item) {
+  /** How long the decision thread sleeps at most while reports of a flood wait, in microseconds. */
+  static final long SERVE_US = 20_000;
+
+  /** Periods after which what came for a proxy is not told any more. */
+  static final int OLD_USAGE_PERIODS = 2;
+
+  private final Intake intake;
+  private final List<Item> items = new ArrayList<>();
+
+  SharedIntake(Intake.Bounds bounds) {
+    intake =
+        new Intake(
+            bounds,
+            new Intake.Events() {
+              @Override
+              public void flood(int origin, double part) {
+                Logger.warn(
+                    "flood of reports: origin=\"{}\" part={}", name(origin), hundredths(part));
+              }
+
+              private long thinned;
+              private long expired;
+
+              @Override
+              public void expired(Item item) {
                 if (Long.bitCount(++expired) == 1) {
-                    Logger.warn("reports expired: count={} origin=\"{}\"", expired, name(item.origin()));
+                  Logger.warn(
+                      "reports expired: count={} origin=\"{}\"", expired, name(item.origin()));
                 }
-            }
+              }
 
-            @Override
-            public void sampled(double kept, double error) {
+              @Override
+              public void sampled(double kept, double error) {
                 if (Long.bitCount(++thinned) == 1) {
-                    Logger.warn("reports sampled: times={} kept={} error={}", thinned, hundredths(kept),
-                            hundredths(error));
+                  Logger.warn(
+                      "reports sampled: times={} kept={} error={}",
+                      thinned,
+                      hundredths(kept),
+                      hundredths(error));
                 }
-            }
+              }
 
-            @Override
-            public void over(long merged, long refused) {
+              @Override
+              public void over(long merged, long refused) {
                 Logger.info("flood of reports over: merged={} refused={}", merged, refused);
-            }
-        });
+              }
+            });
+  }
+
+  private static String name(int origin) {
+    return origin < 0 ? "collector " + -origin : "proxy " + origin;
+  }
+
+  private static double hundredths(double value) {
+    return Math.round(100 * value) / 100.0;
+  }
+
+  /**
+   * Takes a report; outside of a flood {@code wake} asks for its turn, in the order of the reports.
+   */
+  void offer(Item item, Runnable wake) {
+    synchronized (intake) {
+      if (intake.offer(item) && !intake.flooded()) {
+        wake.run();
+      }
     }
+  }
 
-    private static String name(int origin) {
-        return origin < 0 ? "collector " + -origin : "proxy " + origin;
-    }
+  /** The oldest report, outside of a flood. */
+  void next(long nowUs, Consumer<Item> out) {
+    take(() -> intake.next(nowUs, items::add), out);
+  }
 
-    private static double hundredths(double value) {
-        return Math.round(100 * value) / 100.0;
-    }
-
-    /** Takes a report; outside of a flood {@code wake} asks for its turn, in the order of the reports. */
-    void offer(Item item, Runnable wake) {
-        synchronized (intake) {
-            if (intake.offer(item) && !intake.flooded()) {
-                wake.run();
-            }
-        }
-    }
-
-    /** The oldest report, outside of a flood. */
-    void next(long nowUs, Consumer<Item> out) {
-        take(() -> intake.next(nowUs, items::add), out);
-    }
-
-    /** In a flood: what is due. */
-    void serve(long nowUs, Consumer<Item> out) {
-        take(() -> intake.serve(nowUs, items::add), out);
-    }
+  /** In a flood: what is due. */
+  void serve(long nowUs, Consumer<Item> out) {
+    take(() -> intake.serve(nowUs, items::add), out);
+  }
 
-    private void take(Runnable how, Consumer<Item> out) {
-        synchronized (intake) {
-            how.run();
-        }
-        items.forEach(out);
-        items.clear();
+  private void take(Runnable how, Consumer<Item> out) {
+    synchronized (intake) {
+      how.run();
     }
+    items.forEach(out);
+    items.clear();
+  }
 
-    boolean flooded() {
-        synchronized (intake) {
-            return intake.flooded();
-        }
+  boolean flooded() {
+    synchronized (intake) {
+      return intake.flooded();
     }
+  }
 
-    int waiting() {
-        synchronized (intake) {
-            return intake.waiting();
-        }
+  int waiting() {
+    synchronized (intake) {
+      return intake.waiting();
     }
+  }
 }
