--- a/src/main/java/pearusher/serve/StreamConnection.java
+++ b/src/main/java/pearusher/serve/StreamConnection.java
@@ -11,227 +11,249 @@
 import org.tinylog.Logger;
 
 /**
- * One connection of the listening socket. Who has not said what it is counts as unidentified: whatever else
- * it sends ends it. On an identified one a message that makes no sense costs that message alone, since its
- * end would leave a proxy's time limits running; what can't be framed ends it. One thread at a time reads;
- * any may send or end it. It grows with what it has read of a message and with what waits to be sent, both
- * bounded.
+ * One connection of the listening socket. Who has not said what it is counts as unidentified:
+ * whatever else it sends ends it. On an identified one a message that makes no sense costs that
+ * message alone, since its end would leave a proxy's time limits running; what can't be framed ends
+ * it. One thread at a time reads; any may send or end it. It grows with what it has read of a
+ * message and with what waits to be sent, both bounded.
  */
 final class StreamConnection extends AbstractConnection implements Exchange.Stream {
-    /** Bytes that an unidentified connection's message may have: a joining needs a hundred. */
-    private static final int MOST_UNIDENTIFIED = 8 << 10;
-    /** Reads after which a sender without pause gives way to others. */
-    private static final int MOST_READS = 16;
-
-    /** What all connections of a socket have in common. */
-    record Shared(Exchange exchange, ConnectionRegistry registry, RejectionLog log, Supplier<Config> config,
-            BooleanSupplier stopping, ThreadLocal<ByteBuffer> buffers) {}
-
-    private final Shared shared;
-    private final ConnectionRegistry registry;
-    private final Resp.Reader reader = new Resp.Reader(MOST_UNIDENTIFIED);
-    private final SendQueue unsent;
-    private volatile boolean collector;
-    /** A collector's own number, for the shares of a flood. */
-    private final int origin;
-    /** Its place among all that were taken; connections are made by several threads, in any order. */
-    private final long taken;
-    private Ending ending;
-    /** Set once it has joined; below 0: it is no proxy's. */
-    volatile int proxy = -1;
-    /** It has said what it is, the first and only time. */
-    volatile boolean identified;
-    /** Some bytes of it came. */
-    volatile boolean begun;
-
-    // Guarded by the registry, which alone uses them.
-
-    boolean opened;
-    boolean evicted;
-    boolean closed;
-    int pings;
-    long unidentifiedSinceNs;
-    long unfinishedSinceNs;
-
-    StreamConnection(EndPoint endPoint, Executor executor, Shared shared, long taken, int origin) {
-        super(endPoint, executor);
-        this.shared = shared;
-        this.taken = taken;
-        this.origin = origin;
-        registry = shared.registry();
-        unsent = new SendQueue(endPoint, cause -> end(Ending.ofFailure(cause), null));
-    }
+  /** Bytes that an unidentified connection's message may have: a joining needs a hundred. */
+  private static final int MOST_UNIDENTIFIED = 8 << 10;
 
-    @Override
-    public void onOpen() {
-        super.onOpen();
-        registry.opened(this);
-        fillInterested();
-    }
+  /** Reads after which a sender without pause gives way to others. */
+  private static final int MOST_READS = 16;
+
+  /** What all connections of a socket have in common. */
+  record Shared(
+      Exchange exchange,
+      ConnectionRegistry registry,
+      RejectionLog log,
+      Supplier<Config> config,
+      BooleanSupplier stopping,
+      ThreadLocal<ByteBuffer> buffers) {}
+
+  private final Shared shared;
+  private final ConnectionRegistry registry;
+  private final Resp.Reader reader = new Resp.Reader(MOST_UNIDENTIFIED);
+  private final SendQueue unsent;
+  private volatile boolean collector;
+
+  /** A collector's own number, for the shares of a flood. */
+  private final int origin;
+
+  /** Its place among all that were taken; connections are made by several threads, in any order. */
+  private final long taken;
+
+  private Ending ending;
+
+  /** Set once it has joined; below 0: it is no proxy's. */
+  volatile int proxy = -1;
 
-    @Override
-    public void onFillable() {
-        ByteBuffer buffer = shared.buffers().get();
-        try {
-            boolean any = false;
-            for (int round = 0; round < MOST_READS; round++) {
-                buffer.clear().flip();
-                int n = getEndPoint().fill(buffer);
-                if (n < 0) {
-                    end(Ending.CLOSED, null);
-                    return;
-                }
-                if (n == 0) {
-                    break;
-                }
-                begun = true;
-                any |= messages(buffer);
-            }
-            registry.read(this, any);
-            fillInterested();
-        } catch (Resp.Fault e) {
-            end(Ending.ofFault(e.kind()), e.getMessage());
-        } catch (Message.Fault e) {
-            end(Ending.GARBAGE, e.getMessage());
-        } catch (IOException e) {
-            end(Ending.RESET, null);
-        } catch (RuntimeException e) {
-            Logger.error(e, "a fault of our own while reading");
-            end(Ending.GARBAGE, "it could not be read");
+  /** It has said what it is, the first and only time. */
+  volatile boolean identified;
+
+  /** Some bytes of it came. */
+  volatile boolean begun;
+
+  // Guarded by the registry, which alone uses them.
+
+  boolean opened;
+  boolean evicted;
+  boolean closed;
+  int pings;
+  long unidentifiedSinceNs;
+  long unfinishedSinceNs;
+
+  StreamConnection(EndPoint endPoint, Executor executor, Shared shared, long taken, int origin) {
+    super(endPoint, executor);
+    this.shared = shared;
+    this.taken = taken;
+    this.origin = origin;
+    registry = shared.registry();
+    unsent = new SendQueue(endPoint, cause -> end(Ending.ofFailure(cause), null));
+  }
+
+  @Override
+  public void onOpen() {
+    super.onOpen();
+    registry.opened(this);
+    fillInterested();
+  }
+
+  @Override
+  public void onFillable() {
+    ByteBuffer buffer = shared.buffers().get();
+    try {
+      boolean any = false;
+      for (int round = 0; round < MOST_READS; round++) {
+        buffer.clear().flip();
+        int n = getEndPoint().fill(buffer);
+        if (n < 0) {
+          end(Ending.CLOSED, null);
+          return;
+        }
+        if (n == 0) {
+          break;
         }
+        begun = true;
+        any |= messages(buffer);
+      }
+      registry.read(this, any);
+      fillInterested();
+    } catch (Resp.Fault e) {
+      end(Ending.ofFault(e.kind()), e.getMessage());
+    } catch (Message.Fault e) {
+      end(Ending.GARBAGE, e.getMessage());
+    } catch (IOException e) {
+      end(Ending.RESET, null);
+    } catch (RuntimeException e) {
+      Logger.error(e, "a fault of our own while reading");
+      end(Ending.GARBAGE, "it could not be read");
     }
+  }
 
-    /** Takes the messages that are whole now; whether there were any. */
-    private boolean messages(ByteBuffer buffer) throws Resp.Fault, Message.Fault {
-        boolean any = false;
-        List<String> words;
-        while ((words = reader.next(buffer)) != null) {
-            any = true;
-            try {
-                Config config = shared.config().get();
-                message(Message.read(words, config.names(), config.settings()));
-            } catch (Message.Fault e) {
-                if (!identified) {
-                    throw e;
-                }
-                shared.log().dropped(who(), e.getMessage());
-            }
+  /** Takes the messages that are whole now; whether there were any. */
+  private boolean messages(ByteBuffer buffer) throws Resp.Fault, Message.Fault {
+    boolean any = false;
+    List<String> words;
+    while ((words = reader.next(buffer)) != null) {
+      any = true;
+      try {
+        Config config = shared.config().get();
+        message(Message.read(words, config.names(), config.settings()));
+      } catch (Message.Fault e) {
+        if (!identified) {
+          throw e;
         }
-        return any;
+        shared.log().dropped(who(), e.getMessage());
+      }
     }
+    return any;
+  }
 
-    private void message(Message message) throws Message.Fault {
-        Exchange exchange = shared.exchange();
-        if (message instanceof Message.Ping) {
-            if (registry.pinged(this)) {
-                pong();
-            }
-        } else if (!identified && message instanceof Message.Collector) {
-            collector = true;
-            identify(() -> {});
-        } else if (!identified && message instanceof Message.Joined joined) {
-            identify(() -> {
-                proxy = joined.proxy();
-                exchange.joined(this, joined);
-            });
-        } else if (message instanceof Message.Applied applied && identified && proxy == applied.proxy()) {
-            exchange.applied(this, applied);
-        } else if (message instanceof Message.Heard heard && collector) {
-            exchange.heard(heard, origin);
-        } else if (message instanceof Message.Usage usage && (collector || (identified
-                && proxy == usage.proxy()))) {
-            exchange.usage(usage, collector ? origin : usage.proxy());
-        } else {
-            throw new Message.Fault("no place for " + message);
-        }
+  private void message(Message message) throws Message.Fault {
+    Exchange exchange = shared.exchange();
+    if (message instanceof Message.Ping) {
+      if (registry.pinged(this)) {
+        pong();
+      }
+    } else if (!identified && message instanceof Message.Collector) {
+      collector = true;
+      identify(() -> {});
+    } else if (!identified && message instanceof Message.Joined joined) {
+      identify(
+          () -> {
+            proxy = joined.proxy();
+            exchange.joined(this, joined);
+          });
+    } else if (message instanceof Message.Applied applied
+        && identified
+        && proxy == applied.proxy()) {
+      exchange.applied(this, applied);
+    } else if (message instanceof Message.Heard heard && collector) {
+      exchange.heard(heard, origin);
+    } else if (message instanceof Message.Usage usage
+        && (collector || (identified && proxy == usage.proxy()))) {
+      exchange.usage(usage, collector ? origin : usage.proxy());
+    } else {
+      throw new Message.Fault("no place for " + message);
     }
+  }
 
-    private void identify(Runnable how) {
-        registry.identify(this, () -> {
-            identified = true;
-            reader.most(Resp.MOST);
-            how.run();
+  private void identify(Runnable how) {
+    registry.identify(
+        this,
+        () -> {
+          identified = true;
+          reader.most(Resp.MOST);
+          how.run();
         });
-    }
+  }
 
-    /** Whether a message has begun and is not whole yet. */
-    boolean isMidMessage() {
-        return reader.half();
-    }
+  /** Whether a message has begun and is not whole yet. */
+  boolean isMidMessage() {
+    return reader.half();
+  }
 
-    /** Answers the pings that came. */
-    void pong() {
-        int due = registry.takePings(this);
-        for (int k = 0; k < due; k++) {
-            send(Resp.write(List.of("pong")));
-        }
+  /** Answers the pings that came. */
+  void pong() {
+    int due = registry.takePings(this);
+    for (int k = 0; k < due; k++) {
+      send(Resp.write(List.of("pong")));
     }
+  }
 
-    @Override
-    public void send(byte[] message) {
-        if (unsent.add(message)) {
-            getExecutor().execute(unsent::iterate);
-        } else {
-            getExecutor().execute(() -> end(Ending.UNREAD, SendQueue.MOST_UNREAD + " bytes wait for it"));
-        }
+  @Override
+  public void send(byte[] message) {
+    if (unsent.add(message)) {
+      getExecutor().execute(unsent::iterate);
+    } else {
+      getExecutor().execute(() -> end(Ending.UNREAD, SendQueue.MOST_UNREAD + " bytes wait for it"));
     }
+  }
 
-    @Override
-    public long taken() {
-        return taken;
-    }
+  @Override
+  public long taken() {
+    return taken;
+  }
 
-    /** The proxy has a newer stream: this one is closed like an unidentified one, a little later. */
-    @Override
-    public void replaced() {
-        registry.replaced(this);
-    }
+  /** The proxy has a newer stream: this one is closed like an unidentified one, a little later. */
+  @Override
+  public void replaced() {
+    registry.replaced(this);
+  }
 
-    @Override
-    public void onFillInterestedFailed(Throwable cause) {
-        end(Ending.ofFailure(cause), null);
-        super.onFillInterestedFailed(cause);
-    }
+  @Override
+  public void onFillInterestedFailed(Throwable cause) {
+    end(Ending.ofFailure(cause), null);
+    super.onFillInterestedFailed(cause);
+  }
 
-    /** Ends it for its descriptor, but not who has joined since it was chosen: the reserve has room. */
-    void evict() {
-        if (registry.evict(this)) {
-            end(Ending.EVICTED, null);
-        }
+  /**
+   * Ends it for its descriptor, but not who has joined since it was chosen: the reserve has room.
+   */
+  void evict() {
+    if (registry.evict(this)) {
+      end(Ending.EVICTED, null);
     }
+  }
 
-    /** The one way in which a connection ends, whoever ends it; the first cause counts. */
-    void end(Ending how, String why) {
-        synchronized (this) {
-            if (ending != null) {
-                return;
-            }
-            ending = how;
-        }
-        if (why != null && !identified) {
-            shared.log().refused(who(), how + ": " + why);
-        } else if (why != null) {
-            Logger.warn("connection of {} ended: {}: {}", who(), how, why);
-        } else if (proxy >= 0 && how != Ending.CLOSED && how != Ending.DROPPED) {
-            Logger.info("connection of {} ended: {}", who(), how);
-        }
-        getEndPoint().close();
+  /** The one way in which a connection ends, whoever ends it; the first cause counts. */
+  void end(Ending how, String why) {
+    synchronized (this) {
+      if (ending != null) {
+        return;
+      }
+      ending = how;
     }
-
-    private String who() {
-        return proxy >= 0 ? "proxy " + proxy : collector ? "a collector" : "a stranger";
+    if (why != null && !identified) {
+      shared.log().refused(who(), how + ": " + why);
+    } else if (why != null) {
+      Logger.warn("connection of {} ended: {}: {}", who(), how, why);
+    } else if (proxy >= 0 && how != Ending.CLOSED && how != Ending.DROPPED) {
+      Logger.info("connection of {} ended: {}", who(), how);
     }
+    getEndPoint().close();
+  }
 
-    @Override
-    public void onClose(Throwable cause) {
-        super.onClose(cause);
-        end(shared.stopping().getAsBoolean() ? Ending.DROPPED
-                : cause == null ? Ending.CLOSED : Ending.ofFailure(cause), null);
-        unsent.clear();
-        reader.close();
-        registry.closed(this);
-        if (proxy >= 0) {
-            shared.exchange().ended(this, proxy);
-        }
+  private String who() {
+    return proxy >= 0 ? "proxy " + proxy : collector ? "a collector" : "a stranger";
+  }
+
+  @Override
+  public void onClose(Throwable cause) {
+    super.onClose(cause);
+    end(
+        shared.stopping().getAsBoolean()
+            ? Ending.DROPPED
+            : cause == null ? Ending.CLOSED : Ending.ofFailure(cause),
+        null);
+    unsent.clear();
+    reader.close();
+    registry.closed(this);
+    if (proxy >= 0) {
+      shared.exchange().ended(this, proxy);
     }
+  }
 }
--- a/src/main/java/pearusher/serve/StreamMembership.java
+++ b/src/main/java/pearusher/serve/StreamMembership.java
@@ -9,90 +9,107 @@
 import pearusher.recovery.Rejoin;
 
 /**
- * Which stream speaks for which proxy: joinings, ends and answers to marks, told to the module, the tables
- * and the store. Only the decision thread uses it. It grows with the proxies that are joined here.
+ * Which stream speaks for which proxy: joinings, ends and answers to marks, told to the module, the
+ * tables and the store. Only the decision thread uses it. It grows with the proxies that are joined
+ * here.
  */
 final class StreamMembership {
-    private final EventLoop loop;
-    private final Tables tables;
-    /** What lasts, where the operators switched it on; else null. */
-    private final Durable durable;
-    private final Supplier<Assigner> module;
-    /** The same map by the numbers of the servers that are still listed. */
-    private final Function<Map<String, Boolean>, Map<Long, Boolean>> numbers;
-    private final Map<Integer, Exchange.Stream> streams = new HashMap<>();
-    /** Answers to marks that could not be. */
-    private long impossibleAnswers;
+  private final EventLoop loop;
+  private final Tables tables;
 
-    StreamMembership(EventLoop loop, Tables tables, Durable durable, Supplier<Assigner> module,
-            Function<Map<String, Boolean>, Map<Long, Boolean>> numbers) {
-        this.loop = loop;
-        this.tables = tables;
-        this.durable = durable;
-        this.module = module;
-        this.numbers = numbers;
-    }
+  /** What lasts, where the operators switched it on; else null. */
+  private final Durable durable;
 
-    /** The stream of a proxy that is joined. */
-    Exchange.Stream stream(int proxy) {
-        return streams.get(proxy);
-    }
+  private final Supplier<Assigner> module;
 
-    int size() {
-        return streams.size();
-    }
+  /** The same map by the numbers of the servers that are still listed. */
+  private final Function<Map<String, Boolean>, Map<Long, Boolean>> numbers;
+
+  private final Map<Integer, Exchange.Stream> streams = new HashMap<>();
+
+  /** Answers to marks that could not be. */
+  private long impossibleAnswers;
+
+  StreamMembership(
+      EventLoop loop,
+      Tables tables,
+      Durable durable,
+      Supplier<Assigner> module,
+      Function<Map<String, Boolean>, Map<Long, Boolean>> numbers) {
+    this.loop = loop;
+    this.tables = tables;
+    this.durable = durable;
+    this.module = module;
+    this.numbers = numbers;
+  }
 
-    /**
-     * Guards against joinings that are read in another order than they came: a proxy that was cut off right
-     * after it joined dials again, and both connections may be read at once. The dead one would take the
-     * place of the good one, and its end would unseat the proxy.
-     */
-    void joined(Exchange.Stream stream, Message.Joined what) {
-        Exchange.Stream old = streams.get(what.proxy());
-        if (old != null && old.taken() > stream.taken()) {
-            stream.replaced();
-            return;
-        }
-        streams.put(what.proxy(), stream);
-        if (old != null) {
-            module.get().left(loop.nowUs(), what.proxy());
-            old.replaced();
-        }
-        tables.joined(what.proxy());
-        module.get().joined(loop.nowUs(), what.proxy(), what.zone(), what.perS(), what.fresh());
-        Rejoin lacks = durable == null ? null : durable.joined(what.proxy(), what.fresh());
-        if (lacks != null) {
-            tables.announced(what.proxy(), numbers.apply(lacks.announced()));
-            module.get().holds(loop.nowUs(), what.proxy(), lacks.table(), lacks.cost());
-        }
+  /** The stream of a proxy that is joined. */
+  Exchange.Stream stream(int proxy) {
+    return streams.get(proxy);
+  }
+
+  int size() {
+    return streams.size();
+  }
+
+  /**
+   * Guards against joinings that are read in another order than they came: a proxy that was cut off
+   * right after it joined dials again, and both connections may be read at once. The dead one would
+   * take the place of the good one, and its end would unseat the proxy.
+   */
+  void joined(Exchange.Stream stream, Message.Joined what) {
+    Exchange.Stream old = streams.get(what.proxy());
+    if (old != null && old.taken() > stream.taken()) {
+      stream.replaced();
+      return;
+    }
+    streams.put(what.proxy(), stream);
+    if (old != null) {
+      module.get().left(loop.nowUs(), what.proxy());
+      old.replaced();
     }
+    tables.joined(what.proxy());
+    module.get().joined(loop.nowUs(), what.proxy(), what.zone(), what.perS(), what.fresh());
+    Rejoin lacks = durable == null ? null : durable.joined(what.proxy(), what.fresh());
+    if (lacks != null) {
+      tables.announced(what.proxy(), numbers.apply(lacks.announced()));
+      module.get().holds(loop.nowUs(), what.proxy(), lacks.table(), lacks.cost());
+    }
+  }
 
-    /** A stream ended; one whose proxy has joined anew since then unseats nobody. */
-    void ended(Exchange.Stream stream, int proxy) {
-        if (streams.remove(proxy, stream)) {
-            tables.left(proxy);
-            module.get().left(loop.nowUs(), proxy);
-            if (durable != null) {
-                durable.left(proxy);
-            }
-        }
+  /** A stream ended; one whose proxy has joined anew since then unseats nobody. */
+  void ended(Exchange.Stream stream, int proxy) {
+    if (streams.remove(proxy, stream)) {
+      tables.left(proxy);
+      module.get().left(loop.nowUs(), proxy);
+      if (durable != null) {
+        durable.left(proxy);
+      }
     }
+  }
 
-    /** A proxy answers a mark; one that another stream was sent, or that could not be, counts for nothing. */
-    void applied(Exchange.Stream stream, Message.Applied what) {
-        if (streams.get(what.proxy()) != stream) {
-            return;
-        }
-        if (!tables.answered(loop.nowUs(), what.proxy(), what.mark(), what.tookUs())) {
-            if (Long.bitCount(++impossibleAnswers) == 1) {
-                Logger.warn("answers dropped: {} so far, the last of proxy {}: no mark {} is {} us old",
-                        impossibleAnswers, what.proxy(), what.mark(), what.tookUs());
-            }
-            return;
-        }
-        if (durable != null) {
-            durable.applied(what.proxy(), what.mark());
-        }
-        module.get().applied(loop.nowUs(), what.proxy(), what.mark(), what.tookUs());
+  /**
+   * A proxy answers a mark; one that another stream was sent, or that could not be, counts for
+   * nothing.
+   */
+  void applied(Exchange.Stream stream, Message.Applied what) {
+    if (streams.get(what.proxy()) != stream) {
+      return;
+    }
+    if (!tables.answered(loop.nowUs(), what.proxy(), what.mark(), what.tookUs())) {
+      if (Long.bitCount(++impossibleAnswers) == 1) {
+        Logger.warn(
+            "answers dropped: {} so far, the last of proxy {}: no mark {} is {} us old",
+            impossibleAnswers,
+            what.proxy(),
+            what.mark(),
+            what.tookUs());
+      }
+      return;
+    }
+    if (durable != null) {
+      durable.applied(what.proxy(), what.mark());
     }
+    module.get().applied(loop.nowUs(), what.proxy(), what.mark(), what.tookUs());
+  }
 }
--- a/src/main/java/pearusher/serve/TableOrders.java
+++ b/src/main/java/pearusher/serve/TableOrders.java
@@ -7,70 +7,78 @@
 import pearusher.recovery.Rejoin;
 
 /**
- * The module's orders on tables, proxies and servers: each goes to the tables and, where a store is on, by
- * the server's name to the ledger. Only the decision thread uses it. It keeps nothing itself.
+ * The module's orders on tables, proxies and servers: each goes to the tables and, where a store is
+ * on, by the server's name to the ledger. Only the decision thread uses it. It keeps nothing
+ * itself.
  */
 final class TableOrders {
-    private final Tables tables;
-    /** What lasts, where the operators switched it on; else null. */
-    private final Durable durable;
-    private final int classes;
-    private final LongFunction<String> names;
-    /** The same map by the numbers of the servers that are still listed. */
-    private final Function<Map<String, Boolean>, Map<Long, Boolean>> numbers;
+  private final Tables tables;
 
-    TableOrders(Tables tables, Durable durable, int classes, LongFunction<String> names,
-            Function<Map<String, Boolean>, Map<Long, Boolean>> numbers) {
-        this.tables = tables;
-        this.durable = durable;
-        this.classes = classes;
-        this.names = names;
-        this.numbers = numbers;
-    }
+  /** What lasts, where the operators switched it on; else null. */
+  private final Durable durable;
+
+  private final int classes;
+  private final LongFunction<String> names;
+
+  /** The same map by the numbers of the servers that are still listed. */
+  private final Function<Map<String, Boolean>, Map<Long, Boolean>> numbers;
+
+  TableOrders(
+      Tables tables,
+      Durable durable,
+      int classes,
+      LongFunction<String> names,
+      Function<Map<String, Boolean>, Map<Long, Boolean>> numbers) {
+    this.tables = tables;
+    this.durable = durable;
+    this.classes = classes;
+    this.names = names;
+    this.numbers = numbers;
+  }
 
-    void line(int table, long server, double weight) {
-        tables.line(table, server, weight);
-        if (durable != null) {
-            durable.ledger().line(table, names.apply(server), weight);
-        }
+  void line(int table, long server, double weight) {
+    tables.line(table, server, weight);
+    if (durable != null) {
+      durable.ledger().line(table, names.apply(server), weight);
     }
+  }
 
-    void clear(int table) {
-        tables.clear(table);
-        if (durable != null) {
-            durable.ledger().clear(table);
-        }
+  void clear(int table) {
+    tables.clear(table);
+    if (durable != null) {
+      durable.ledger().clear(table);
     }
+  }
 
-    void withdraw(long nowUs, long server, boolean out) {
-        tables.withdraw(server, out);
-        if (durable != null) {
-            durable.ledger().withdraw(names.apply(server), out, nowUs);
-        }
+  void withdraw(long nowUs, long server, boolean out) {
+    tables.withdraw(server, out);
+    if (durable != null) {
+      durable.ledger().withdraw(names.apply(server), out, nowUs);
     }
+  }
 
-    void bind(int proxy, int table, int classBits) {
-        Rejoin lacks = durable == null ? null : durable.bound(proxy, table, tables.all(classBits));
-        if (lacks == null) {
-            tables.bind(proxy, table, classBits);
-            return;
-        }
-        tables.adopt(proxy, lacks, numbers.apply(lacks.ejections()));
+  void bind(int proxy, int table, int classBits) {
+    Rejoin lacks = durable == null ? null : durable.bound(proxy, table, tables.all(classBits));
+    if (lacks == null) {
+      tables.bind(proxy, table, classBits);
+      return;
     }
+    tables.adopt(proxy, lacks, numbers.apply(lacks.ejections()));
+  }
 
-    void admit(int table, int classBits, double level, int retry) {
-        tables.admit(table, classBits, level, retry);
-        for (int k = 0; durable != null && k < classes; k++) {
-            if ((classBits == 0 || (classBits >> k & 1) != 0) && table != Tables.ALL) {
-                durable.ledger().admit(table, k, new Level(level, retry));
-            }
-        }
+  void admit(int table, int classBits, double level, int retry) {
+    tables.admit(table, classBits, level, retry);
+    for (int k = 0; durable != null && k < classes; k++) {
+      if ((classBits == 0 || (classBits >> k & 1) != 0) && table != Tables.ALL) {
+        durable.ledger().admit(table, k, new Level(level, retry));
+      }
     }
+  }
 
-    void mark(int number, boolean toAll) {
-        tables.mark(number, toAll);
-        if (durable != null) {
-            durable.ledger().mark(number);
-        }
+  void mark(int number, boolean toAll) {
+    tables.mark(number, toAll);
+    if (durable != null) {
+      durable.ledger().mark(number);
     }
+  }
 }
--- a/src/main/java/pearusher/serve/Tables.java
+++ b/src/main/java/pearusher/serve/Tables.java
@@ -8,170 +8,180 @@
 import pearusher.recovery.Rejoin;
 
 /**
- * What is ordered: each table's lines and levels, the levels for all, the withdrawals, who is bound to what
- * and what each proxy was told on its stream. It turns the orders of one turn into one message a proxy, as
- * WIRE says orders take effect. It must never judge: nothing is ordered, held back or changed here. Only the
- * decision thread uses it. It grows with the tables and their lines, and with the proxies and the servers
- * that each was told of.
+ * What is ordered: each table's lines and levels, the levels for all, the withdrawals, who is bound
+ * to what and what each proxy was told on its stream. It turns the orders of one turn into one
+ * message a proxy, as WIRE says orders take effect. It must never judge: nothing is ordered, held
+ * back or changed here. Only the decision thread uses it. It grows with the tables and their lines,
+ * and with the proxies and the servers that each was told of.
  */
 final class Tables {
-    /** The table number that stands for all of them, in levels. */
-    static final int ALL = 65535;
-
-    private final RequestClasses classes;
-    private final Map<Integer, TableState> tables = new TreeMap<>();
-    private final Map<Integer, ProxyStreamState> proxies = new TreeMap<>();
-    private final GlobalLevels forAll;
-    private final EjectionState ejections = new EjectionState();
-    private final UpdateComposer composer;
-    /** Of this turn; null for none. */
-    private UpdateComposer.MarkOrder mark;
-
-    Tables(List<String> classes, LongFunction<String> names) {
-        this.classes = new RequestClasses(classes);
-        forAll = new GlobalLevels(classes.size());
-        composer = new UpdateComposer(this.classes, names, tables, forAll, ejections);
-    }
-
-    /** A table as an earlier process left it: who is bound gets it, nobody hears of it by itself. */
-    void restore(int number, Map<Long, Double> lines, Map<Integer, Message.Level> levels) {
-        table(number).lines.putAll(lines);
-        levels.forEach((k, level) -> table(number).levels[k] = level);
-    }
-
-    /** A server that an earlier process withdrew, and that still is out. */
-    void restoreOut(long server) {
-        ejections.restore(server);
-    }
-
-    /** A stream whose proxy holds a table of ours: it was told before how these servers stand. */
-    void announced(int proxy, Map<Long, Boolean> out) {
-        proxies.get(proxy).announced.putAll(out);
-    }
-
-    /** Binds a proxy that holds the table but for what is named: that alone goes to it. */
-    void adopt(int proxy, Rejoin lacks, Map<Long, Boolean> ejected) {
-        table(lacks.table());
-        proxies.get(proxy).adopt(lacks, ejected);
-    }
-
-    /** A stream begins: what the proxy holds of withdrawals is not known, and no table of ours is its. */
-    void joined(int proxy) {
-        proxies.put(proxy, new ProxyStreamState(classes.count()));
-    }
-
-    /** The proxy shuts out no server but those in doubt at all. */
-    void sure(int proxy) {
-        proxies.get(proxy).sure = true;
-    }
-
-    void doubt(long server, boolean all) {
-        ejections.doubt(server, all);
-    }
-
-    void forget(long server) {
-        ejections.forget(server);
-        proxies.values().forEach(p -> p.announced.remove(server));
-    }
-
-    /** What is kept by server and proxy, lines of tables aside. */
-    int size() {
-        return ejections.size() + proxies.values().stream().mapToInt(ProxyStreamState::size).sum();
-    }
-
-    void left(int proxy) {
-        proxies.remove(proxy);
-    }
-
-    private TableState table(int number) {
-        return tables.computeIfAbsent(number, n -> new TableState(classes.count()));
-    }
-
-    void line(int number, long server, double weight) {
-        table(number).line(server, weight);
-    }
-
-    void clear(int number) {
-        table(number).clear();
-    }
-
-    void withdraw(long server, boolean out) {
-        ejections.order(server, out);
-    }
-
-    /** Whether these are all classes. */
-    boolean all(int classBits) {
-        return classes.all(classBits);
-    }
-
-    void bind(int proxy, int number, int classBits) {
-        ProxyStreamState p = proxies.get(proxy);
-        if (p == null) {
-            return;
-        }
-        table(number);
-        for (int k = 0; k < classes.count(); k++) {
-            if ((classes.bits(classBits) >> k & 1) != 0) {
-                p.bind(k, number);
+  /** The table number that stands for all of them, in levels. */
+  static final int ALL = 65535;
+
+  private final RequestClasses classes;
+  private final Map<Integer, TableState> tables = new TreeMap<>();
+  private final Map<Integer, ProxyStreamState> proxies = new TreeMap<>();
+  private final GlobalLevels forAll;
+  private final EjectionState ejections = new EjectionState();
+  private final UpdateComposer composer;
+
+  /** Of this turn; null for none. */
+  private UpdateComposer.MarkOrder mark;
+
+  Tables(List<String> classes, LongFunction<String> names) {
+    this.classes = new RequestClasses(classes);
+    forAll = new GlobalLevels(classes.size());
+    composer = new UpdateComposer(this.classes, names, tables, forAll, ejections);
+  }
+
+  /** A table as an earlier process left it: who is bound gets it, nobody hears of it by itself. */
+  void restore(int number, Map<Long, Double> lines, Map<Integer, Message.Level> levels) {
+    table(number).lines.putAll(lines);
+    levels.forEach((k, level) -> table(number).levels[k] = level);
+  }
+
+  /** A server that an earlier process withdrew, and that still is out. */
+  void restoreOut(long server) {
+    ejections.restore(server);
+  }
+
+  /** A stream whose proxy holds a table of ours: it was told before how these servers stand. */
+  void announced(int proxy, Map<Long, Boolean> out) {
+    proxies.get(proxy).announced.putAll(out);
+  }
+
+  /** Binds a proxy that holds the table but for what is named: that alone goes to it. */
+  void adopt(int proxy, Rejoin lacks, Map<Long, Boolean> ejected) {
+    table(lacks.table());
+    proxies.get(proxy).adopt(lacks, ejected);
+  }
+
+  /**
+   * A stream begins: what the proxy holds of withdrawals is not known, and no table of ours is its.
+   */
+  void joined(int proxy) {
+    proxies.put(proxy, new ProxyStreamState(classes.count()));
+  }
+
+  /** The proxy shuts out no server but those in doubt at all. */
+  void sure(int proxy) {
+    proxies.get(proxy).sure = true;
+  }
+
+  void doubt(long server, boolean all) {
+    ejections.doubt(server, all);
+  }
+
+  void forget(long server) {
+    ejections.forget(server);
+    proxies.values().forEach(p -> p.announced.remove(server));
+  }
+
+  /** What is kept by server and proxy, lines of tables aside. */
+  int size() {
+    return ejections.size() + proxies.values().stream().mapToInt(ProxyStreamState::size).sum();
+  }
+
+  void left(int proxy) {
+    proxies.remove(proxy);
+  }
+
+  private TableState table(int number) {
+    return tables.computeIfAbsent(number, n -> new TableState(classes.count()));
+  }
+
+  void line(int number, long server, double weight) {
+    table(number).line(server, weight);
+  }
+
+  void clear(int number) {
+    table(number).clear();
+  }
+
+  void withdraw(long server, boolean out) {
+    ejections.order(server, out);
+  }
+
+  /** Whether these are all classes. */
+  boolean all(int classBits) {
+    return classes.all(classBits);
+  }
+
+  void bind(int proxy, int number, int classBits) {
+    ProxyStreamState p = proxies.get(proxy);
+    if (p == null) {
+      return;
+    }
+    table(number);
+    for (int k = 0; k < classes.count(); k++) {
+      if ((classes.bits(classBits) >> k & 1) != 0) {
+        p.bind(k, number);
+      }
+    }
+  }
+
+  void admit(int number, int classBits, double level, int retry) {
+    Message.Level to = new Message.Level(level, retry);
+    int which = classes.bits(classBits);
+    if (number == ALL) {
+      forAll.order(which, to);
+      return;
+    }
+    TableState table = table(number);
+    GlobalLevels.set(table.levels, which, to);
+    table.changedLevels |= which;
+  }
+
+  /** A number below 0 is no mark. */
+  void mark(int number, boolean toAll) {
+    mark = number < 0 ? null : new UpdateComposer.MarkOrder(number, toAll);
+  }
+
+  /** Gives each proxy's message of the turn, and starts the next turn. */
+  void turn(long now, BiConsumer<Integer, byte[]> send) {
+    boolean quiet =
+        ejections.changed().isEmpty()
+            && forAll.changed() == 0
+            && mark == null
+            && tables.values().stream().noneMatch(TableState::isTouched);
+    proxies.forEach(
+        (id, p) -> {
+          p.announcedForAll &= ~forAll.changed();
+          List<Message.Part> parts =
+              quiet && !p.isBoundAnew() ? List.of() : composer.compose(p, mark);
+          if (!parts.isEmpty()) {
+            if (parts.stream().anyMatch(part -> part.ticket() >= 0)) {
+              p.owe(mark.number(), now);
             }
-        }
-    }
-
-    void admit(int number, int classBits, double level, int retry) {
-        Message.Level to = new Message.Level(level, retry);
-        int which = classes.bits(classBits);
-        if (number == ALL) {
-            forAll.order(which, to);
-            return;
-        }
-        TableState table = table(number);
-        GlobalLevels.set(table.levels, which, to);
-        table.changedLevels |= which;
-    }
-
-    /** A number below 0 is no mark. */
-    void mark(int number, boolean toAll) {
-        mark = number < 0 ? null : new UpdateComposer.MarkOrder(number, toAll);
-    }
-
-    /** Gives each proxy's message of the turn, and starts the next turn. */
-    void turn(long now, BiConsumer<Integer, byte[]> send) {
-        boolean quiet = ejections.changed().isEmpty() && forAll.changed() == 0 && mark == null
-                && tables.values().stream().noneMatch(TableState::isTouched);
-        proxies.forEach((id, p) -> {
-            p.announcedForAll &= ~forAll.changed();
-            List<Message.Part> parts = quiet && !p.isBoundAnew() ? List.of() : composer.compose(p, mark);
-            if (!parts.isEmpty()) {
-                if (parts.stream().anyMatch(part -> part.ticket() >= 0)) {
-                    p.owe(mark.number(), now);
-                }
-                send.accept(id, Message.write(parts));
-            }
-            p.endTurn();
+            send.accept(id, Message.write(parts));
+          }
+          p.endTurn();
         });
-        tables.entrySet().removeIf(entry -> entry.getValue().isEmptied() && !isFollowed(entry.getKey()));
-        tables.values().forEach(TableState::endTurn);
-        ejections.endTurn();
-        forAll.endTurn();
-        mark = null;
-    }
-
-    private boolean isFollowed(int number) {
-        return proxies.values().stream().anyMatch(proxy -> proxy.follows(number));
-    }
-
-    /** Tables that are kept, for tests of what must not grow. */
-    int tables() {
-        return tables.size();
-    }
-
-    /**
-     * Takes a proxy's answer to a mark: false where that mark was not ordered on its stream, was answered
-     * before, or would have taken longer than it is out. Guards the pace of the channel against spoilt
-     * answers, which the module takes at their word.
-     */
-    boolean answered(long now, int proxy, int number, long tookUs) {
-        ProxyStreamState p = proxies.get(proxy);
-        return p != null && p.answer(now, number, tookUs);
-    }
+    tables
+        .entrySet()
+        .removeIf(entry -> entry.getValue().isEmptied() && !isFollowed(entry.getKey()));
+    tables.values().forEach(TableState::endTurn);
+    ejections.endTurn();
+    forAll.endTurn();
+    mark = null;
+  }
+
+  private boolean isFollowed(int number) {
+    return proxies.values().stream().anyMatch(proxy -> proxy.follows(number));
+  }
+
+  /** Tables that are kept, for tests of what must not grow. */
+  int tables() {
+    return tables.size();
+  }
+
+  /**
+   * Takes a proxy's answer to a mark: false where that mark was not ordered on its stream, was
+   * answered before, or would have taken longer than it is out. Guards the pace of the channel
+   * against spoilt answers, which the module takes at their word.
+   */
+  boolean answered(long now, int proxy, int number, long tookUs) {
+    ProxyStreamState p = proxies.get(proxy);
+    return p != null && p.answer(now, number, tookUs);
+  }
 }
--- a/src/main/java/pearusher/serve/WarmUp.java
+++ b/src/main/java/pearusher/serve/WarmUp.java
@@ -8,113 +8,145 @@
 import pearusher.Assigner;
 
 /**
- * Runs the way of an event from bytes to decision to bytes on invented periods, before the first ping is
- * answered, so that the first real ones don't meet code that was never compiled. It works on an exchange and
- * a module of its own that nobody hears; it must never touch the real ones, a socket or the log.
+ * Runs the way of an event from bytes to decision to bytes on invented periods, before the first
+ * ping is answered, so that the first real ones don't meet code that was never compiled. It works
+ * on an exchange and a module of its own that nobody hears; it must never touch the real ones, a
+ * socket or the log.
  */
 final class WarmUp {
-    /** Ends after so many periods or nanoseconds, whichever comes first. */
-    private static final int PERIODS = 60;
-    private static final long MOST_NS = 400_000_000L;
-    /**
-     * What a period holds at the most, enough to compile what real ones meet. Guards against a fleet whose
-     * first invented period alone, all servers for all zones, would take longer than the start may.
-     */
-    private static final int MOST_SERVERS = 256;
-    private static final int MOST_PROXIES = 1024;
-    private static final int MOST_ZONES = 8;
-
-    /** An exchange to which the outside world is nothing. */
-    private static final class Silent extends Exchange {
-        Silent(Config config, BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker,
-                AtomicLong clock) {
-            super(config, maker, clock::get, failure -> {});
-            connect(new Calls() {
-                @Override
-                public void watch(boolean on, long since) {}
-
-                @Override
-                public void fetch() {}
-
-                @Override
-                public void probe(long server, String hostPort) {}
-            }, (peer, body) -> {});
-        }
-
-        @Override
-        void pause() {}
-
-        @Override
-        public void log(String text) {}
+  /** Ends after so many periods or nanoseconds, whichever comes first. */
+  private static final int PERIODS = 60;
+
+  private static final long MOST_NS = 400_000_000L;
+
+  /**
+   * What a period holds at the most, enough to compile what real ones meet. Guards against a fleet
+   * whose first invented period alone, all servers for all zones, would take longer than the start
+   * may.
+   */
+  private static final int MOST_SERVERS = 256;
+
+  private static final int MOST_PROXIES = 1024;
+  private static final int MOST_ZONES = 8;
+
+  /** An exchange to which the outside world is nothing. */
+  private static final class Silent extends Exchange {
+    Silent(
+        Config config,
+        BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker,
+        AtomicLong clock) {
+      super(config, maker, clock::get, failure -> {});
+      connect(
+          new Calls() {
+            @Override
+            public void watch(boolean on, long since) {}
+
+            @Override
+            public void fetch() {}
+
+            @Override
+            public void probe(long server, String hostPort) {}
+          },
+          (peer, body) -> {});
     }
 
-    /** A stream whose proxy reads nothing; each message is read back as a proxy would. */
-    private record Nobody() implements Exchange.Stream {
-        @Override
-        public void send(byte[] message) {
-            try (Resp.Reader reader = new Resp.Reader(Resp.MOST)) {
-                reader.next(ByteBuffer.wrap(message));
-            } catch (Resp.Fault e) {
-                throw new IllegalStateException(e);
-            }
-        }
-
-        @Override
-        public void replaced() {}
+    @Override
+    void pause() {}
+
+    @Override
+    public void log(String text) {}
+  }
+
+  /** A stream whose proxy reads nothing; each message is read back as a proxy would. */
+  private record Nobody() implements Exchange.Stream {
+    @Override
+    public void send(byte[] message) {
+      try (Resp.Reader reader = new Resp.Reader(Resp.MOST)) {
+        reader.next(ByteBuffer.wrap(message));
+      } catch (Resp.Fault e) {
+        throw new IllegalStateException(e);
+      }
     }
 
-    private WarmUp() {}
-
-    static void run(Config whole, BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker) {
-        Config config = whole.withFewerKnown(MOST_SERVERS);
-        AtomicLong clock = new AtomicLong(1_000_000_000_000_000L);
-        Exchange exchange = new Silent(config, maker, clock);
-        long end = System.nanoTime() + MOST_NS;
-        int period = 0;
-        try (Resp.Reader reader = new Resp.Reader(Resp.MOST)) {
-            exchange.begin();
-            exchange.listed(new Message.Listing(config.known().generation(), false, List.of()), true);
-            while (period < PERIODS && System.nanoTime() < end) {
-                clock.addAndGet(config.settings().periodUs());
-                period(config, exchange, reader, period++);
-                exchange.turn();
-            }
-        } catch (Resp.Fault | Message.Fault e) {
-            throw new IllegalStateException(e);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-        Logger.debug("warmed up by {} periods", period);
+    @Override
+    public void replaced() {}
+  }
+
+  private WarmUp() {}
+
+  static void run(Config whole, BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker) {
+    Config config = whole.withFewerKnown(MOST_SERVERS);
+    AtomicLong clock = new AtomicLong(1_000_000_000_000_000L);
+    Exchange exchange = new Silent(config, maker, clock);
+    long end = System.nanoTime() + MOST_NS;
+    int period = 0;
+    try (Resp.Reader reader = new Resp.Reader(Resp.MOST)) {
+      exchange.begin();
+      exchange.listed(new Message.Listing(config.known().generation(), false, List.of()), true);
+      while (period < PERIODS && System.nanoTime() < end) {
+        clock.addAndGet(config.settings().periodUs());
+        period(config, exchange, reader, period++);
+        exchange.turn();
+      }
+    } catch (Resp.Fault | Message.Fault e) {
+      throw new IllegalStateException(e);
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+    Logger.debug("warmed up by {} periods", period);
+  }
 
-    private static void period(Config config, Exchange exchange, Resp.Reader reader, int period)
-            throws Resp.Fault, Message.Fault {
-        List<String> zones = config.names().zones().keySet().stream().limit(MOST_ZONES).toList();
-        for (int p = 0; p < Math.min(MOST_PROXIES, config.settings().proxies()); p++) {
-            String zone = zones.get(p % zones.size());
-            if (period == 0) {
-                exchange.joined(new Nobody(), (Message.Joined) read(config, reader, "joined proxy " + p
-                        + " zone "
-                        + zone + " weight 5.5 fresh 1"));
-            }
-            for (String grade : config.names().classes()) {
-                exchange.usage((Message.Usage) read(config, reader, "usage proxy " + p + " class " + grade
-                        + " tries " + (1 + (p + period) % 7) + " failed 0 span_ms 1000.0"));
-            }
-        }
-        for (Message.Instance one : config.known().instances()) {
-            for (String zone : zones) {
-                int ms = 20 + (one.server().hashCode() + period * 7 & 63);
-                exchange.heard((Message.Heard) read(config, reader, "heard zone " + zone + " server "
-                        + one.server() + " tries 9 failed " + period % 2 + " mean_ms " + ms
+  private static void period(Config config, Exchange exchange, Resp.Reader reader, int period)
+      throws Resp.Fault, Message.Fault {
+    List<String> zones = config.names().zones().keySet().stream().limit(MOST_ZONES).toList();
+    for (int p = 0; p < Math.min(MOST_PROXIES, config.settings().proxies()); p++) {
+      String zone = zones.get(p % zones.size());
+      if (period == 0) {
+        exchange.joined(
+            new Nobody(),
+            (Message.Joined)
+                read(
+                    config, reader, "joined proxy " + p + " zone " + zone + " weight 5.5 fresh 1"));
+      }
+      for (String grade : config.names().classes()) {
+        exchange.usage(
+            (Message.Usage)
+                read(
+                    config,
+                    reader,
+                    "usage proxy "
+                        + p
+                        + " class "
+                        + grade
+                        + " tries "
+                        + (1 + (p + period) % 7)
+                        + " failed 0 span_ms 1000.0"));
+      }
+    }
+    for (Message.Instance one : config.known().instances()) {
+      for (String zone : zones) {
+        int ms = 20 + (one.server().hashCode() + period * 7 & 63);
+        exchange.heard(
+            (Message.Heard)
+                read(
+                    config,
+                    reader,
+                    "heard zone "
+                        + zone
+                        + " server "
+                        + one.server()
+                        + " tries 9 failed "
+                        + period % 2
+                        + " mean_ms "
+                        + ms
                         + ".5 span_ms 1000.0 load inflight:7,util:0.61"));
-            }
-        }
+      }
     }
+  }
 
-    private static Message read(Config config, Resp.Reader reader, String line) throws Resp.Fault,
-            Message.Fault {
-        List<String> words = reader.next(ByteBuffer.wrap(Resp.write(List.of(line.split(" ")))));
-        return Message.read(words, config.names(), config.settings());
-    }
+  private static Message read(Config config, Resp.Reader reader, String line)
+      throws Resp.Fault, Message.Fault {
+    List<String> words = reader.next(ByteBuffer.wrap(Resp.write(List.of(line.split(" ")))));
+    return Message.read(words, config.names(), config.settings());
+  }
 }
--- a/src/main/java/pearusher/settings/SettingsException.java
+++ b/src/main/java/pearusher/settings/SettingsException.java
@@ -2,9 +2,9 @@
 
 /** A setting or a key of the configuration that is missing or can't be used; the text names it. */
 public class SettingsException extends Exception {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    public SettingsException(String text) {
-        super(text);
-    }
+  public SettingsException(String text) {
+    super(text);
+  }
 }
--- a/src/test/java/pearusher/Fleet.java
+++ b/src/test/java/pearusher/Fleet.java
@@ -8,193 +8,266 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Settings for tests, and a sink that keeps what was ordered and counts the channel's lines itself. */
+/**
+ * Settings for tests, and a sink that keeps what was ordered and counts the channel's lines itself.
+ */
 final class Fleet implements Assigner.Orders {
-    static final long S = 1_000_000;
-    static final float[] NO_LOAD = new float[0];
-
-    final List<String> orders = new ArrayList<>();
-    final List<String> logs = new ArrayList<>();
-    final Map<Integer, Map<Long, Double>> tables = new TreeMap<>();
-    final Map<Integer, Integer> bound = new TreeMap<>();
-    final Set<Long> withdrawn = new HashSet<>();
-    final Map<Integer, Integer> retries = new HashMap<>();
-    final Map<Integer, Double> levels = new HashMap<>();
-    final Map<Long, Long> timers = new TreeMap<>();
-    final Set<Integer> joined = new HashSet<>();
-    final List<Long> forgotten = new ArrayList<>();
-    final Map<Long, Boolean> doubted = new TreeMap<>();
-    int linesThisReply;
-    int marks;
-
-    static Assigner.Grade grade(Assigner.Effect effect, double worth) {
-        boolean writes = effect == Assigner.Effect.UNSAFE;
-        return new Assigner.Grade(S, 3 * S, worth, 0.2, effect, false, 5 * S, writes, false, 0);
-    }
+  static final long S = 1_000_000;
+  static final float[] NO_LOAD = new float[0];
 
-    static Assigner.Settings settings(Assigner.Levels levels, List<Assigner.Grade> grades, int zones,
-            double crossZone, int slices) {
-        return settings(levels, grades, zones, crossZone, slices, 0);
-    }
+  final List<String> orders = new ArrayList<>();
+  final List<String> logs = new ArrayList<>();
+  final Map<Integer, Map<Long, Double>> tables = new TreeMap<>();
+  final Map<Integer, Integer> bound = new TreeMap<>();
+  final Set<Long> withdrawn = new HashSet<>();
+  final Map<Integer, Integer> retries = new HashMap<>();
+  final Map<Integer, Double> levels = new HashMap<>();
+  final Map<Long, Long> timers = new TreeMap<>();
+  final Set<Integer> joined = new HashSet<>();
+  final List<Long> forgotten = new ArrayList<>();
+  final Map<Long, Boolean> doubted = new TreeMap<>();
+  int linesThisReply;
+  int marks;
 
-    static Assigner.Settings settings(Assigner.Levels levels, List<Assigner.Grade> grades, int zones,
-            double crossZone, int slices, int messagesMost) {
-        return settings(levels, grades, zones, crossZone, slices, messagesMost, 8);
-    }
+  static Assigner.Grade grade(Assigner.Effect effect, double worth) {
+    boolean writes = effect == Assigner.Effect.UNSAFE;
+    return new Assigner.Grade(S, 3 * S, worth, 0.2, effect, false, 5 * S, writes, false, 0);
+  }
 
-    static Assigner.Settings settings(Assigner.Levels levels, List<Assigner.Grade> grades, int zones,
-            double crossZone, int slices, int messagesMost, int proxies) {
-        return new Assigner.Settings(7, zones, grades, proxies, 0, 1, 0,
-                new Assigner.Channel(3000, 10, 4500, messagesMost, 10 * S, 200_000, 500_000),
-                new Assigner.Limits(3 * S, 2 * S, 0.2, 10 * S, 3, 2 * S, 10 * S, false),
-                new Assigner.Prices(crossZone, 0.02, 0.04, 0.05, 0.05, 0, 0, 0, 0, 0, 0), levels, 1,
-                1.2, S, 150, 3, slices,
-                true, true, true, Assigner.ReportFrom.PROBES, List.of(Assigner.Field.UTIL), false, 5000,
-                null, null);
-    }
+  static Assigner.Settings settings(
+      Assigner.Levels levels,
+      List<Assigner.Grade> grades,
+      int zones,
+      double crossZone,
+      int slices) {
+    return settings(levels, grades, zones, crossZone, slices, 0);
+  }
 
-    static Assigner.Settings seeded(Assigner.Settings s, long seed) {
-        return changed(s, seed, s.channel());
-    }
+  static Assigner.Settings settings(
+      Assigner.Levels levels,
+      List<Assigner.Grade> grades,
+      int zones,
+      double crossZone,
+      int slices,
+      int messagesMost) {
+    return settings(levels, grades, zones, crossZone, slices, messagesMost, 8);
+  }
 
-    /** The same on a channel of another pace, which holds a second and a half of its lines. */
-    static Assigner.Settings paced(Assigner.Settings s, double linesPerS) {
-        Assigner.Channel c = s.channel();
-        return changed(s, s.seed(), new Assigner.Channel(linesPerS, c.head(), 1.5 * linesPerS,
-                c.messagesMost(), c.messagesOverUs(), c.lateUs(), c.lateMostUs()));
-    }
+  static Assigner.Settings settings(
+      Assigner.Levels levels,
+      List<Assigner.Grade> grades,
+      int zones,
+      double crossZone,
+      int slices,
+      int messagesMost,
+      int proxies) {
+    return new Assigner.Settings(
+        7,
+        zones,
+        grades,
+        proxies,
+        0,
+        1,
+        0,
+        new Assigner.Channel(3000, 10, 4500, messagesMost, 10 * S, 200_000, 500_000),
+        new Assigner.Limits(3 * S, 2 * S, 0.2, 10 * S, 3, 2 * S, 10 * S, false),
+        new Assigner.Prices(crossZone, 0.02, 0.04, 0.05, 0.05, 0, 0, 0, 0, 0, 0),
+        levels,
+        1,
+        1.2,
+        S,
+        150,
+        3,
+        slices,
+        true,
+        true,
+        true,
+        Assigner.ReportFrom.PROBES,
+        List.of(Assigner.Field.UTIL),
+        false,
+        5000,
+        null,
+        null);
+  }
 
-    private static Assigner.Settings changed(Assigner.Settings s, long seed, Assigner.Channel channel) {
-        return new Assigner.Settings(seed, s.zones(), s.grades(), s.proxies(), s.me(), s.instances(),
-                s.zone(), channel, s.limits(), s.prices(), s.levels(), s.usualRetry(), s.tryAims(),
-                s.periodUs(),
-                s.intakePerS(), s.ejects(), s.slices(), s.listOnRequest(), s.probes(), s.peers(),
-                s.reportFrom(), s.reportFields(), s.weightsListed(), s.tickUs(), s.goal(), s.site());
-    }
+  static Assigner.Settings seeded(Assigner.Settings s, long seed) {
+    return changed(s, seed, s.channel());
+  }
 
-    static Assigner.Settings settings() {
-        return settings(Assigner.Levels.SHARE, List.of(grade(Assigner.Effect.SAFE, 1),
-                grade(Assigner.Effect.UNSAFE, 3)), 2, 0, 0);
-    }
+  /** The same on a channel of another pace, which holds a second and a half of its lines. */
+  static Assigner.Settings paced(Assigner.Settings s, double linesPerS) {
+    Assigner.Channel c = s.channel();
+    return changed(
+        s,
+        s.seed(),
+        new Assigner.Channel(
+            linesPerS,
+            c.head(),
+            1.5 * linesPerS,
+            c.messagesMost(),
+            c.messagesOverUs(),
+            c.lateUs(),
+            c.lateMostUs()));
+  }
 
-    static Assigner.Entry ready(long id, int zone, long startedUs) {
-        return new Assigner.Entry(id, zone, 0, 0, Assigner.State.READY, 1, startedUs);
-    }
+  private static Assigner.Settings changed(
+      Assigner.Settings s, long seed, Assigner.Channel channel) {
+    return new Assigner.Settings(
+        seed,
+        s.zones(),
+        s.grades(),
+        s.proxies(),
+        s.me(),
+        s.instances(),
+        s.zone(),
+        channel,
+        s.limits(),
+        s.prices(),
+        s.levels(),
+        s.usualRetry(),
+        s.tryAims(),
+        s.periodUs(),
+        s.intakePerS(),
+        s.ejects(),
+        s.slices(),
+        s.listOnRequest(),
+        s.probes(),
+        s.peers(),
+        s.reportFrom(),
+        s.reportFields(),
+        s.weightsListed(),
+        s.tickUs(),
+        s.goal(),
+        s.site());
+  }
 
-    static Assigner.Entry state(long id, int zone, Assigner.State state) {
-        return new Assigner.Entry(id, zone, 0, 0, state, 1, 0);
-    }
+  static Assigner.Settings settings() {
+    return settings(
+        Assigner.Levels.SHARE,
+        List.of(grade(Assigner.Effect.SAFE, 1), grade(Assigner.Effect.UNSAFE, 3)),
+        2,
+        0,
+        0);
+  }
 
-    /** Servers 1 to n, long started, alternating over the zones. */
-    static List<Assigner.Entry> servers(int n, int zones) {
-        List<Assigner.Entry> out = new ArrayList<>();
-        for (int i = 1; i <= n; i++) {
-            out.add(ready(i, i % zones, 0));
-        }
-        return out;
-    }
+  static Assigner.Entry ready(long id, int zone, long startedUs) {
+    return new Assigner.Entry(id, zone, 0, 0, Assigner.State.READY, 1, startedUs);
+  }
 
-    double share(int table, long server) {
-        return tables.get(table).getOrDefault(server, 0.0) / sum(table);
-    }
+  static Assigner.Entry state(long id, int zone, Assigner.State state) {
+    return new Assigner.Entry(id, zone, 0, 0, state, 1, 0);
+  }
 
-    double sum(int table) {
-        double sum = 0;
-        for (double w : tables.getOrDefault(table, Map.of()).values()) {
-            sum += w;
-        }
-        return sum;
+  /** Servers 1 to n, long started, alternating over the zones. */
+  static List<Assigner.Entry> servers(int n, int zones) {
+    List<Assigner.Entry> out = new ArrayList<>();
+    for (int i = 1; i <= n; i++) {
+      out.add(ready(i, i % zones, 0));
     }
+    return out;
+  }
 
-    @Override
-    public void line(int table, long server, double weight) {
-        orders.add("line " + table + " " + server + " " + weight);
-        Map<Long, Double> lines = tables.computeIfAbsent(table, t -> new TreeMap<>());
-        if (weight > 0) {
-            lines.put(server, weight);
-        } else {
-            lines.remove(server);
-        }
-        linesThisReply += (int) bound.values().stream().filter(t -> t == table).count();
-    }
+  double share(int table, long server) {
+    return tables.get(table).getOrDefault(server, 0.0) / sum(table);
+  }
 
-    @Override
-    public void clear(int table) {
-        orders.add("clear " + table);
-        tables.remove(table);
+  double sum(int table) {
+    double sum = 0;
+    for (double w : tables.getOrDefault(table, Map.of()).values()) {
+      sum += w;
     }
+    return sum;
+  }
 
-    @Override
-    public void withdraw(long server, boolean out) {
-        orders.add("withdraw " + server + " " + out);
-        if (out) {
-            withdrawn.add(server);
-        } else {
-            withdrawn.remove(server);
-        }
-        linesThisReply += joined.size();
+  @Override
+  public void line(int table, long server, double weight) {
+    orders.add("line " + table + " " + server + " " + weight);
+    Map<Long, Double> lines = tables.computeIfAbsent(table, t -> new TreeMap<>());
+    if (weight > 0) {
+      lines.put(server, weight);
+    } else {
+      lines.remove(server);
     }
+    linesThisReply += (int) bound.values().stream().filter(t -> t == table).count();
+  }
 
-    @Override
-    public void bind(int proxy, int table, int classBits) {
-        orders.add("bind " + proxy + " " + table + " " + classBits);
-        bound.put(proxy, table);
-        linesThisReply += 1 + tables.getOrDefault(table, Map.of()).size();
-    }
+  @Override
+  public void clear(int table) {
+    orders.add("clear " + table);
+    tables.remove(table);
+  }
 
-    @Override
-    public void admit(int table, int classBits, double level, int retry) {
-        orders.add("admit " + table + " " + classBits + " " + level + " " + retry);
-        retries.put(classBits, retry);
-        levels.put(classBits, level);
-        linesThisReply += (int) bound.values().stream().filter(t -> t == table).count();
+  @Override
+  public void withdraw(long server, boolean out) {
+    orders.add("withdraw " + server + " " + out);
+    if (out) {
+      withdrawn.add(server);
+    } else {
+      withdrawn.remove(server);
     }
+    linesThisReply += joined.size();
+  }
 
-    @Override
-    public void mark(int number, boolean toAll) {
-        orders.add("mark " + number);
-        marks = number;
-    }
+  @Override
+  public void bind(int proxy, int table, int classBits) {
+    orders.add("bind " + proxy + " " + table + " " + classBits);
+    bound.put(proxy, table);
+    linesThisReply += 1 + tables.getOrDefault(table, Map.of()).size();
+  }
 
-    @Override
-    public void watch(boolean on) {
-        orders.add("watch " + on);
-    }
+  @Override
+  public void admit(int table, int classBits, double level, int retry) {
+    orders.add("admit " + table + " " + classBits + " " + level + " " + retry);
+    retries.put(classBits, retry);
+    levels.put(classBits, level);
+    linesThisReply += (int) bound.values().stream().filter(t -> t == table).count();
+  }
 
-    @Override
-    public void fetch() {
-        orders.add("fetch");
-    }
+  @Override
+  public void mark(int number, boolean toAll) {
+    orders.add("mark " + number);
+    marks = number;
+  }
 
-    @Override
-    public void probe(long server) {
-        orders.add("probe " + server);
-    }
+  @Override
+  public void watch(boolean on) {
+    orders.add("watch " + on);
+  }
 
-    @Override
-    public void timer(long delayUs, long token) {
-        orders.add("timer " + delayUs + " " + token);
-        timers.put(token, delayUs);
-    }
+  @Override
+  public void fetch() {
+    orders.add("fetch");
+  }
 
-    @Override
-    public void tell(long peer, byte[] body) {
-        orders.add("tell");
-    }
+  @Override
+  public void probe(long server) {
+    orders.add("probe " + server);
+  }
 
-    @Override
-    public void log(String text) {
-        orders.add("log " + text);
-        logs.add(text);
-    }
+  @Override
+  public void timer(long delayUs, long token) {
+    orders.add("timer " + delayUs + " " + token);
+    timers.put(token, delayUs);
+  }
 
-    @Override
-    public void doubt(long server, boolean all) {
-        doubted.put(server, all);
-    }
+  @Override
+  public void tell(long peer, byte[] body) {
+    orders.add("tell");
+  }
 
-    @Override
-    public void forget(long server) {
-        forgotten.add(server);
-    }
+  @Override
+  public void log(String text) {
+    orders.add("log " + text);
+    logs.add(text);
+  }
+
+  @Override
+  public void doubt(long server, boolean all) {
+    doubted.put(server, all);
+  }
+
+  @Override
+  public void forget(long server) {
+    forgotten.add(server);
+  }
 }
--- a/src/test/java/pearusher/HistorySettings.java
+++ b/src/test/java/pearusher/HistorySettings.java
@@ -4,51 +4,99 @@
 
 /** Builds settings for recorded histories; each field has a default that a history may change. */
 final class HistorySettings {
-    private static final long SECOND = 1_000_000;
+  private static final long SECOND = 1_000_000;
 
-    long seed = 7;
-    int zones = 2;
-    int proxies = 8;
-    int instances = 1;
-    int classes = 2;
-    double linesPerS = 3000;
-    double backlog = 4500;
-    int messagesMost;
-    long graceUs = 2 * SECOND;
-    long rampUs = 10 * SECOND;
-    double crossZone;
-    Assigner.Levels levels = Assigner.Levels.SHARE;
-    double intakePerS = 150;
-    int slices;
-    boolean listOnRequest;
-    boolean probes;
-    boolean peers;
-    Assigner.ReportFrom reportFrom = Assigner.ReportFrom.PROBES;
-    List<Assigner.Field> reportFields = List.of(Assigner.Field.QUEUE, Assigner.Field.UTIL);
-    boolean ownZoneJoins;
+  long seed = 7;
+  int zones = 2;
+  int proxies = 8;
+  int instances = 1;
+  int classes = 2;
+  double linesPerS = 3000;
+  double backlog = 4500;
+  int messagesMost;
+  long graceUs = 2 * SECOND;
+  long rampUs = 10 * SECOND;
+  double crossZone;
+  Assigner.Levels levels = Assigner.Levels.SHARE;
+  double intakePerS = 150;
+  int slices;
+  boolean listOnRequest;
+  boolean probes;
+  boolean peers;
+  Assigner.ReportFrom reportFrom = Assigner.ReportFrom.PROBES;
+  List<Assigner.Field> reportFields = List.of(Assigner.Field.QUEUE, Assigner.Field.UTIL);
+  boolean ownZoneJoins;
 
-    private static Assigner.Grade grade(int number) {
-        Assigner.Effect effect = switch (number % 3) {
-            case 0 -> Assigner.Effect.SAFE;
-            case 1 -> Assigner.Effect.UNSAFE;
-            default -> Assigner.Effect.KEYED;
+  private static Assigner.Grade grade(int number) {
+    Assigner.Effect effect =
+        switch (number % 3) {
+          case 0 -> Assigner.Effect.SAFE;
+          case 1 -> Assigner.Effect.UNSAFE;
+          default -> Assigner.Effect.KEYED;
         };
-        boolean writes = effect != Assigner.Effect.SAFE;
-        return new Assigner.Grade(SECOND + number * 200_000L, 3 * SECOND, 1 + 2 * number, 0.2, effect, writes,
-                5 * SECOND, writes, false, 0);
-    }
+    boolean writes = effect != Assigner.Effect.SAFE;
+    return new Assigner.Grade(
+        SECOND + number * 200_000L,
+        3 * SECOND,
+        1 + 2 * number,
+        0.2,
+        effect,
+        writes,
+        5 * SECOND,
+        writes,
+        false,
+        0);
+  }
 
-    Assigner.Settings build() {
-        List<Assigner.Grade> grades = List.of(grade(0), grade(1), grade(2)).subList(0, classes);
-        Assigner.Channel channel = new Assigner.Channel(linesPerS, 10, backlog, messagesMost, 10 * SECOND,
-                200_000, 500_000);
-        Assigner.Limits limits = new Assigner.Limits(3 * SECOND, graceUs, 0.2, rampUs, 3, 2 * SECOND,
-                10 * SECOND, false);
-        Assigner.Prices prices = new Assigner.Prices(crossZone, 0.02, 0.04, 0.05, 0.05, 0, 0, 0, 0, 0, 0);
-        Assigner.Site site = new Assigner.Site(Assigner.Pick.RANDOM, 0, 0, 1, 60 * SECOND, SECOND, 0,
-                ownZoneJoins, false, false, 0, 0, 0);
-        return new Assigner.Settings(seed, zones, grades, proxies, 0, instances, 0, channel, limits, prices,
-                levels, 1, 1.2, SECOND, intakePerS, 3, slices, listOnRequest, probes, peers, reportFrom,
-                reportFields, false, 5000, null, site);
-    }
+  Assigner.Settings build() {
+    List<Assigner.Grade> grades = List.of(grade(0), grade(1), grade(2)).subList(0, classes);
+    Assigner.Channel channel =
+        new Assigner.Channel(linesPerS, 10, backlog, messagesMost, 10 * SECOND, 200_000, 500_000);
+    Assigner.Limits limits =
+        new Assigner.Limits(3 * SECOND, graceUs, 0.2, rampUs, 3, 2 * SECOND, 10 * SECOND, false);
+    Assigner.Prices prices =
+        new Assigner.Prices(crossZone, 0.02, 0.04, 0.05, 0.05, 0, 0, 0, 0, 0, 0);
+    Assigner.Site site =
+        new Assigner.Site(
+            Assigner.Pick.RANDOM,
+            0,
+            0,
+            1,
+            60 * SECOND,
+            SECOND,
+            0,
+            ownZoneJoins,
+            false,
+            false,
+            0,
+            0,
+            0);
+    return new Assigner.Settings(
+        seed,
+        zones,
+        grades,
+        proxies,
+        0,
+        instances,
+        0,
+        channel,
+        limits,
+        prices,
+        levels,
+        1,
+        1.2,
+        SECOND,
+        intakePerS,
+        3,
+        slices,
+        listOnRequest,
+        probes,
+        peers,
+        reportFrom,
+        reportFields,
+        false,
+        5000,
+        null,
+        site);
+  }
 }
--- a/src/test/java/pearusher/OrderRecorder.java
+++ b/src/test/java/pearusher/OrderRecorder.java
@@ -14,181 +14,183 @@
 /**
  * Receives orders and computes a digest of them.
  *
- * <p>Each order is written as one line of fixed words and numbers. The words belong to this class alone, so
- * that names in the main code can change without changing a digest. Texts for the log have a digest of their
- * own; the digest of the orders holds only the fact that a text was logged.
+ * <p>Each order is written as one line of fixed words and numbers. The words belong to this class
+ * alone, so that names in the main code can change without changing a digest. Texts for the log
+ * have a digest of their own; the digest of the orders holds only the fact that a text was logged.
  */
 final class OrderRecorder implements Assigner.Orders {
-    /** A timer that was ordered. */
-    record Timer(long delayUs, long token) {}
-
-    /** Weights by server, by table. */
-    final Map<Integer, Map<Long, Double>> tables = new TreeMap<>();
-    /** The table of each bound proxy. */
-    final Map<Integer, Integer> bound = new TreeMap<>();
-    final Set<Long> withdrawn = new TreeSet<>();
-
-    // Orders of the reply at hand.
-    final List<Timer> timers = new ArrayList<>();
-    final List<Long> probes = new ArrayList<>();
-    final Set<Integer> boundNow = new TreeSet<>();
-    final Map<Integer, Integer> changesByTable = new TreeMap<>();
-    int withdrawalsNow;
-    int markNow;
-    boolean watchNow;
-
-    private final MessageDigest orderDigest = sha256();
-    private final MessageDigest textDigest = sha256();
-    private final Map<String, Integer> counts = new TreeMap<>();
-
-    static MessageDigest sha256() {
-        try {
-            return MessageDigest.getInstance("SHA-256");
-        } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);
-        }
-    }
-
-    /** Forgets what belongs to the last reply and writes the time of the next one. */
-    void startReply(long now) {
-        timers.clear();
-        probes.clear();
-        boundNow.clear();
-        changesByTable.clear();
-        withdrawalsNow = 0;
-        markNow = 0;
-        watchNow = false;
-        add(orderDigest, "at " + now);
-    }
-
-    String ordersDigest() {
-        return HexFormat.of().formatHex(orderDigest.digest());
-    }
-
-    String textsDigest() {
-        return HexFormat.of().formatHex(textDigest.digest());
-    }
-
-    /** How many orders of each kind were given. */
-    Map<String, Integer> counts() {
-        return counts;
-    }
-
-    private static void add(MessageDigest digest, String line) {
-        digest.update((line + "\n").getBytes(StandardCharsets.UTF_8));
-    }
-
-    private void write(String kind, Object... values) {
-        counts.merge(kind, 1, Integer::sum);
-        StringBuilder text = new StringBuilder(kind);
-        for (Object value : values) {
-            text.append(' ').append(value);
-        }
-        add(orderDigest, text.toString());
-    }
-
-    private static String number(double value) {
-        return Double.toHexString(value);
-    }
-
-    private static String yesOrNo(boolean value) {
-        return value ? "yes" : "no";
-    }
-
-    @Override
-    public void line(int table, long server, double weight) {
-        write("weight", table, server, number(weight));
-        Map<Long, Double> weights = tables.computeIfAbsent(table, t -> new TreeMap<>());
-        if (weight > 0) {
-            weights.put(server, weight);
-        } else {
-            weights.remove(server);
-        }
-        changesByTable.merge(table, 1, Integer::sum);
-    }
-
-    @Override
-    public void clear(int table) {
-        write("drop-table", table);
-        tables.remove(table);
-    }
-
-    @Override
-    public void withdraw(long server, boolean out) {
-        write("exclude", server, yesOrNo(out));
-        if (out) {
-            withdrawn.add(server);
-        } else {
-            withdrawn.remove(server);
-        }
-        withdrawalsNow++;
-    }
-
-    @Override
-    public void bind(int proxy, int table, int classBits) {
-        write("assign-table", proxy, table, classBits);
-        bound.put(proxy, table);
-        boundNow.add(proxy);
-    }
-
-    @Override
-    public void admit(int table, int classBits, double level, int retry) {
-        write("admission", table, classBits, number(level), retry);
-        changesByTable.merge(table, 1, Integer::sum);
-    }
-
-    @Override
-    public void mark(int number, boolean toAll) {
-        write("checkpoint", number, yesOrNo(toAll));
-        markNow = number;
-    }
-
-    @Override
-    public void watch(boolean on) {
-        write("subscribe", yesOrNo(on));
-        watchNow = on;
-    }
-
-    @Override
-    public void fetch() {
-        write("request-list");
-    }
-
-    @Override
-    public void probe(long server) {
-        write("health-check", server);
-        probes.add(server);
-    }
-
-    @Override
-    public void timer(long delayUs, long token) {
-        write("wake-up", delayUs, token);
-        timers.add(new Timer(delayUs, token));
-    }
-
-    @Override
-    public void tell(long peer, byte[] body) {
-        write("peer-message", peer, HexFormat.of().formatHex(body));
-    }
-
-    @Override
-    public void log(String text) {
-        write("text");
-        add(textDigest, text);
-    }
-
-    @Override
-    public void sure(int proxy) {
-        write("proxy-state-known", proxy);
-    }
-
-    @Override
-    public void doubt(long server, boolean all) {
-        write("server-state-unknown", server, yesOrNo(all));
-    }
-
-    @Override
-    public void forget(long server) {
-        write("release-server", server);
-    }
+  /** A timer that was ordered. */
+  record Timer(long delayUs, long token) {}
+
+  /** Weights by server, by table. */
+  final Map<Integer, Map<Long, Double>> tables = new TreeMap<>();
+
+  /** The table of each bound proxy. */
+  final Map<Integer, Integer> bound = new TreeMap<>();
+
+  final Set<Long> withdrawn = new TreeSet<>();
+
+  // Orders of the reply at hand.
+  final List<Timer> timers = new ArrayList<>();
+  final List<Long> probes = new ArrayList<>();
+  final Set<Integer> boundNow = new TreeSet<>();
+  final Map<Integer, Integer> changesByTable = new TreeMap<>();
+  int withdrawalsNow;
+  int markNow;
+  boolean watchNow;
+
+  private final MessageDigest orderDigest = sha256();
+  private final MessageDigest textDigest = sha256();
+  private final Map<String, Integer> counts = new TreeMap<>();
+
+  static MessageDigest sha256() {
+    try {
+      return MessageDigest.getInstance("SHA-256");
+    } catch (NoSuchAlgorithmException e) {
+      throw new IllegalStateException(e);
+    }
+  }
+
+  /** Forgets what belongs to the last reply and writes the time of the next one. */
+  void startReply(long now) {
+    timers.clear();
+    probes.clear();
+    boundNow.clear();
+    changesByTable.clear();
+    withdrawalsNow = 0;
+    markNow = 0;
+    watchNow = false;
+    add(orderDigest, "at " + now);
+  }
+
+  String ordersDigest() {
+    return HexFormat.of().formatHex(orderDigest.digest());
+  }
+
+  String textsDigest() {
+    return HexFormat.of().formatHex(textDigest.digest());
+  }
+
+  /** How many orders of each kind were given. */
+  Map<String, Integer> counts() {
+    return counts;
+  }
+
+  private static void add(MessageDigest digest, String line) {
+    digest.update((line + "\n").getBytes(StandardCharsets.UTF_8));
+  }
+
+  private void write(String kind, Object... values) {
+    counts.merge(kind, 1, Integer::sum);
+    StringBuilder text = new StringBuilder(kind);
+    for (Object value : values) {
+      text.append(' ').append(value);
+    }
+    add(orderDigest, text.toString());
+  }
+
+  private static String number(double value) {
+    return Double.toHexString(value);
+  }
+
+  private static String yesOrNo(boolean value) {
+    return value ? "yes" : "no";
+  }
+
+  @Override
+  public void line(int table, long server, double weight) {
+    write("weight", table, server, number(weight));
+    Map<Long, Double> weights = tables.computeIfAbsent(table, t -> new TreeMap<>());
+    if (weight > 0) {
+      weights.put(server, weight);
+    } else {
+      weights.remove(server);
+    }
+    changesByTable.merge(table, 1, Integer::sum);
+  }
+
+  @Override
+  public void clear(int table) {
+    write("drop-table", table);
+    tables.remove(table);
+  }
+
+  @Override
+  public void withdraw(long server, boolean out) {
+    write("exclude", server, yesOrNo(out));
+    if (out) {
+      withdrawn.add(server);
+    } else {
+      withdrawn.remove(server);
+    }
+    withdrawalsNow++;
+  }
+
+  @Override
+  public void bind(int proxy, int table, int classBits) {
+    write("assign-table", proxy, table, classBits);
+    bound.put(proxy, table);
+    boundNow.add(proxy);
+  }
+
+  @Override
+  public void admit(int table, int classBits, double level, int retry) {
+    write("admission", table, classBits, number(level), retry);
+    changesByTable.merge(table, 1, Integer::sum);
+  }
+
+  @Override
+  public void mark(int number, boolean toAll) {
+    write("checkpoint", number, yesOrNo(toAll));
+    markNow = number;
+  }
+
+  @Override
+  public void watch(boolean on) {
+    write("subscribe", yesOrNo(on));
+    watchNow = on;
+  }
+
+  @Override
+  public void fetch() {
+    write("request-list");
+  }
+
+  @Override
+  public void probe(long server) {
+    write("health-check", server);
+    probes.add(server);
+  }
+
+  @Override
+  public void timer(long delayUs, long token) {
+    write("wake-up", delayUs, token);
+    timers.add(new Timer(delayUs, token));
+  }
+
+  @Override
+  public void tell(long peer, byte[] body) {
+    write("peer-message", peer, HexFormat.of().formatHex(body));
+  }
+
+  @Override
+  public void log(String text) {
+    write("text");
+    add(textDigest, text);
+  }
+
+  @Override
+  public void sure(int proxy) {
+    write("proxy-state-known", proxy);
+  }
+
+  @Override
+  public void doubt(long server, boolean all) {
+    write("server-state-unknown", server, yesOrNo(all));
+  }
+
+  @Override
+  public void forget(long server) {
+    write("release-server", server);
+  }
 }
--- a/src/test/java/pearusher/Play.java
+++ b/src/test/java/pearusher/Play.java
@@ -4,95 +4,105 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Plays periods of reports to one instance: each server answers in its own time and fails its own share. */
+/**
+ * Plays periods of reports to one instance: each server answers in its own time and fails its own
+ * share.
+ */
 final class Play {
-    final Fleet fleet = new Fleet();
-    final Rules rules;
-    final Assigner.Settings set;
-    final Map<Long, Double> meanMs = new TreeMap<>();
-    final Map<Long, Double> fails = new TreeMap<>();
-    double triesPerZone = 100;
-    long now = 100 * Fleet.S;
+  final Fleet fleet = new Fleet();
+  final Rules rules;
+  final Assigner.Settings set;
+  final Map<Long, Double> meanMs = new TreeMap<>();
+  final Map<Long, Double> fails = new TreeMap<>();
+  double triesPerZone = 100;
+  long now = 100 * Fleet.S;
 
-    Play(Assigner.Settings set) {
-        this.set = set;
-        rules = new Rules(set, fleet);
-    }
+  Play(Assigner.Settings set) {
+    this.set = set;
+    rules = new Rules(set, fleet);
+  }
 
-    Play start(List<Assigner.Entry> servers, int proxies) {
-        rules.listed(now, Assigner.ListForm.CACHED, servers);
-        for (int p = 0; p < proxies; p++) {
-            join(p, true);
-        }
-        rules.close(now);
-        return this;
+  Play start(List<Assigner.Entry> servers, int proxies) {
+    rules.listed(now, Assigner.ListForm.CACHED, servers);
+    for (int p = 0; p < proxies; p++) {
+      join(p, true);
     }
+    rules.close(now);
+    return this;
+  }
 
-    void join(int proxy, boolean standing) {
-        join(proxy, proxy % set.zones(), standing);
-    }
+  void join(int proxy, boolean standing) {
+    join(proxy, proxy % set.zones(), standing);
+  }
 
-    void join(int proxy, int zone, boolean standing) {
-        fleet.joined.add(proxy);
-        rules.joined(now, proxy, zone, 10, standing);
-    }
+  void join(int proxy, int zone, boolean standing) {
+    fleet.joined.add(proxy);
+    rules.joined(now, proxy, zone, 10, standing);
+  }
 
-    void leave(int proxy) {
-        fleet.joined.remove(proxy);
-        fleet.bound.remove(proxy);
-        rules.left(now, proxy);
-    }
+  void leave(int proxy) {
+    fleet.joined.remove(proxy);
+    fleet.bound.remove(proxy);
+    rules.left(now, proxy);
+  }
 
-    void list(Assigner.ListForm form, List<Assigner.Entry> entries) {
-        rules.listed(now, form, entries);
-        rules.close(now);
-    }
+  void list(Assigner.ListForm form, List<Assigner.Entry> entries) {
+    rules.listed(now, form, entries);
+    rules.close(now);
+  }
 
-    void step(long us) {
-        now += us;
-        fleet.linesThisReply = 0;
-    }
+  void step(long us) {
+    now += us;
+    fleet.linesThisReply = 0;
+  }
 
-    /** One period: reports by the shares of each zone's table, then the end of the instant. */
-    void period() {
-        step(Fleet.S);
-        reports();
-        rules.close(now);
-        if (fleet.marks > 0) {
-            for (int proxy : fleet.joined) {
-                rules.applied(now, proxy, fleet.marks, 200_000);
-            }
-        }
+  /** One period: reports by the shares of each zone's table, then the end of the instant. */
+  void period() {
+    step(Fleet.S);
+    reports();
+    rules.close(now);
+    if (fleet.marks > 0) {
+      for (int proxy : fleet.joined) {
+        rules.applied(now, proxy, fleet.marks, 200_000);
+      }
     }
+  }
 
-    /** A period's reports, by the shares of each zone's table. */
-    void reports() {
-        for (int z = 0; z < set.zones(); z++) {
-            Map<Long, Double> table = fleet.tables.getOrDefault(z, Map.of());
-            double sum = fleet.sum(z);
-            for (long id : List.copyOf(table.keySet())) {
-                if (fleet.withdrawn.contains(id)) {
-                    continue;
-                }
-                long tries = Math.round(triesPerZone * (table.get(id) / sum));
-                long failed = Math.round(tries * fails.getOrDefault(id, 0.0));
-                if (tries > 0) {
-                    rules.heard(now, id, z, tries, failed, Fleet.S,
-                            Math.round(1000 * meanMs.getOrDefault(id, 200.0)), Fleet.NO_LOAD);
-                }
-            }
+  /** A period's reports, by the shares of each zone's table. */
+  void reports() {
+    for (int z = 0; z < set.zones(); z++) {
+      Map<Long, Double> table = fleet.tables.getOrDefault(z, Map.of());
+      double sum = fleet.sum(z);
+      for (long id : List.copyOf(table.keySet())) {
+        if (fleet.withdrawn.contains(id)) {
+          continue;
         }
-        for (int proxy : fleet.joined) {
-            for (int k = 0; k < set.grades().size(); k++) {
-                rules.usage(now, proxy, k, 10, 0, Fleet.S);
-            }
+        long tries = Math.round(triesPerZone * (table.get(id) / sum));
+        long failed = Math.round(tries * fails.getOrDefault(id, 0.0));
+        if (tries > 0) {
+          rules.heard(
+              now,
+              id,
+              z,
+              tries,
+              failed,
+              Fleet.S,
+              Math.round(1000 * meanMs.getOrDefault(id, 200.0)),
+              Fleet.NO_LOAD);
         }
+      }
     }
+    for (int proxy : fleet.joined) {
+      for (int k = 0; k < set.grades().size(); k++) {
+        rules.usage(now, proxy, k, 10, 0, Fleet.S);
+      }
+    }
+  }
 
-    Play periods(int n) {
-        for (int i = 0; i < n; i++) {
-            period();
-        }
-        return this;
+  Play periods(int n) {
+    for (int i = 0; i < n; i++) {
+      period();
     }
+    return this;
+  }
 }
--- a/src/test/java/pearusher/PolicyHistoryTest.java
+++ b/src/test/java/pearusher/PolicyHistoryTest.java
@@ -14,44 +14,53 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Characterization of the decision module: seeded histories of events must give exactly the recorded orders.
+ * Characterization of the decision module: seeded histories of events must give exactly the
+ * recorded orders.
  *
- * <p>The digests stand in policy-histories.txt, one history a line: its name, the digest of all orders and
- * the digest of the texts for the log. A change that is meant to keep behaviour changes none of them; where
- * a change of behaviour is meant, the failure message holds the new line.
+ * <p>The digests stand in policy-histories.txt, one history a line: its name, the digest of all
+ * orders and the digest of the texts for the log. A change that is meant to keep behaviour changes
+ * none of them; where a change of behaviour is meant, the failure message holds the new line.
  */
 class PolicyHistoryTest {
-    private static final String RECORDED = "/policy-histories.txt";
+  private static final String RECORDED = "/policy-histories.txt";
 
-    static List<PolicyScenarios.Scenario> scenarios() {
-        return PolicyScenarios.all();
-    }
+  static List<PolicyScenarios.Scenario> scenarios() {
+    return PolicyScenarios.all();
+  }
 
-    private static Map<String, String> recorded() throws IOException {
-        Map<String, String> lines = new TreeMap<>();
-        try (InputStream in = PolicyHistoryTest.class.getResourceAsStream(RECORDED)) {
-            assertNotNull(in, RECORDED);
-            new String(in.readAllBytes(), StandardCharsets.UTF_8).lines()
-                    .forEach(line -> lines.put(line.split(" ")[0], line));
-        }
-        return lines;
+  private static Map<String, String> recorded() throws IOException {
+    Map<String, String> lines = new TreeMap<>();
+    try (InputStream in = PolicyHistoryTest.class.getResourceAsStream(RECORDED)) {
+      assertNotNull(in, RECORDED);
+      new String(in.readAllBytes(), StandardCharsets.UTF_8)
+          .lines()
+          .forEach(line -> lines.put(line.split(" ")[0], line));
     }
+    return lines;
+  }
 
-    private static String line(PolicyScenarios.Scenario scenario) {
-        PolicyHistory history = scenario.play();
-        return scenario.name() + " " + history.orders.ordersDigest() + " " + history.orders.textsDigest();
-    }
+  private static String line(PolicyScenarios.Scenario scenario) {
+    PolicyHistory history = scenario.play();
+    return scenario.name()
+        + " "
+        + history.orders.ordersDigest()
+        + " "
+        + history.orders.textsDigest();
+  }
 
-    @ParameterizedTest
-    @MethodSource("scenarios")
-    void aHistoryGivesTheRecordedOrders(PolicyScenarios.Scenario scenario) throws IOException {
-        assertEquals(recorded().get(scenario.name()), line(scenario),
-                "the orders of this history changed; new line of " + RECORDED);
-    }
+  @ParameterizedTest
+  @MethodSource("scenarios")
+  void aHistoryGivesTheRecordedOrders(PolicyScenarios.Scenario scenario) throws IOException {
+    assertEquals(
+        recorded().get(scenario.name()),
+        line(scenario),
+        "the orders of this history changed; new line of " + RECORDED);
+  }
 
-    @Test
-    void everyRecordedHistoryIsPlayed() throws IOException {
-        assertEquals(recorded().keySet().stream().toList(),
-                scenarios().stream().map(PolicyScenarios.Scenario::name).sorted().toList());
-    }
+  @Test
+  void everyRecordedHistoryIsPlayed() throws IOException {
+    assertEquals(
+        recorded().keySet().stream().toList(),
+        scenarios().stream().map(PolicyScenarios.Scenario::name).sorted().toList());
+  }
 }
--- a/src/test/java/pearusher/adapter/CodecTest.java
+++ b/src/test/java/pearusher/adapter/CodecTest.java
@@ -21,249 +21,311 @@
 import pearusher.settings.SettingsReader;
 
 class CodecTest {
-    private static final long A = 0x0a124a071b5bL;
-    private static final long B = 0x0a9011f21b84L;
+  private static final long A = 0x0a124a071b5bL;
+  private static final long B = 0x0a9011f21b84L;
 
-    private final List<String> heard = new ArrayList<>();
+  private final List<String> heard = new ArrayList<>();
 
-    private static Assigner.Settings settings(String text) throws SettingsException {
-        return SettingsReader.read(7, Paths.lines(text));
-    }
+  private static Assigner.Settings settings(String text) throws SettingsException {
+    return SettingsReader.read(7, Paths.lines(text));
+  }
 
-    /** An assigner that writes down what it is told and orders nothing. */
-    private Assigner recorder() {
-        return (Assigner) Proxy.newProxyInstance(CodecTest.class.getClassLoader(),
-                new Class<?>[] {Assigner.class}, (self, method, args) -> {
-                    List<String> words = new ArrayList<>(List.of(method.getName()));
-                    for (Object arg : args) {
-                        words.add(arg instanceof float[] f ? Arrays.toString(f)
-                                : arg instanceof byte[] b ? Arrays.toString(b) : String.valueOf(arg));
-                    }
-                    heard.add(String.join(" ", words));
-                    return null;
-                });
-    }
+  /** An assigner that writes down what it is told and orders nothing. */
+  private Assigner recorder() {
+    return (Assigner)
+        Proxy.newProxyInstance(
+            CodecTest.class.getClassLoader(),
+            new Class<?>[] {Assigner.class},
+            (self, method, args) -> {
+              List<String> words = new ArrayList<>(List.of(method.getName()));
+              for (Object arg : args) {
+                words.add(
+                    arg instanceof float[] f
+                        ? Arrays.toString(f)
+                        : arg instanceof byte[] b ? Arrays.toString(b) : String.valueOf(arg));
+              }
+              heard.add(String.join(" ", words));
+              return null;
+            });
+  }
 
-    private static byte[] run(BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker, InputStream in)
-            throws Exception {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Loop(maker).run(in, out);
-        return out.toByteArray();
-    }
+  private static byte[] run(
+      BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker, InputStream in)
+      throws Exception {
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    new Loop(maker).run(in, out);
+    return out.toByteArray();
+  }
 
-    private static byte[] run(BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker, byte[] in)
-            throws Exception {
-        return run(maker, new ByteArrayInputStream(in));
-    }
+  private static byte[] run(
+      BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker, byte[] in) throws Exception {
+    return run(maker, new ByteArrayInputStream(in));
+  }
 
-    private List<String> events(String... records) throws Exception {
-        String[] all = new String[records.length + 2];
-        all[0] = "0f0300";
-        all[1] = Wire.hello(Wire.SETTINGS);
-        System.arraycopy(records, 0, all, 2, records.length);
-        run((s, o) -> recorder(), Wire.frame(5, all));
-        return heard.stream().filter(h -> !h.startsWith("close")).toList();
-    }
+  private List<String> events(String... records) throws Exception {
+    String[] all = new String[records.length + 2];
+    all[0] = "0f0300";
+    all[1] = Wire.hello(Wire.SETTINGS);
+    System.arraycopy(records, 0, all, 2, records.length);
+    run((s, o) -> recorder(), Wire.frame(5, all));
+    return heard.stream().filter(h -> !h.startsWith("close")).toList();
+  }
 
-    @Test
-    void anEmptyBatchGetsAnEmptyReply() throws Exception {
-        byte[] in = Wire.hex("00000000 00000000 5a5c800000000000");
-        assertArrayEquals(new byte[8], run((s, o) -> recorder(), in));
-        assertArrayEquals(new byte[0], run((s, o) -> recorder(), new byte[0]));
-    }
+  @Test
+  void anEmptyBatchGetsAnEmptyReply() throws Exception {
+    byte[] in = Wire.hex("00000000 00000000 5a5c800000000000");
+    assertArrayEquals(new byte[8], run((s, o) -> recorder(), in));
+    assertArrayEquals(new byte[0], run((s, o) -> recorder(), new byte[0]));
+  }
 
-    @Test
-    void everyEventIsDecoded() throws Exception {
-        List<String> got = events(Wire.list(),
-                "03 4d00000000000000",
-                "04 0a124a07 5b1b 9801 10270000 01 0000003f",
-                "05 0200 0200 6869",
-                "07 2900 01 0000d040 01",
-                "08 2900",
-                "09 10270000 07000000 2900",
-                "0a 0e000000 01000000 40420f00 00 0a124a07 5b1b 7abc0000 01 52b81e3f",
-                "0b 2900 01 09000000 02000000 80841e00",
-                "0c 05000000 01000000 01 0700 80841e00",
-                "0d 01 0700",
-                "0e 0700 0a9011f2 841b 0000403f");
-        String rest = ", kind=0, cell=0, state=READY, weight=";
-        assertEquals("listed 5 CACHED [Entry[server=" + A + ", zone=0" + rest + "1.0, startedUs=0], "
-                + "Entry[server=" + B + ", zone=1" + rest + "1.5, startedUs=6100000]]", got.get(0));
-        assertEquals(List.of("timer 5 77", "probed 5 " + A + " NO_ANSWER 10000 [0.5]",
-                "told 5 2 [104, 105]", "joined 5 41 1 6.5 true", "left 5 41", "applied 5 41 7 10000",
-                "heard 5 " + A + " 0 14 1 1000000 48250 [0.62]", "usage 5 41 1 9 2 2000000",
-                "sliceUsage 5 7 1 5 1 2000000", "sliceGiven 5 7 true", "sliceLine 5 7 " + B + " 0.75"),
-                got.subList(1, got.size()));
-    }
+  @Test
+  void everyEventIsDecoded() throws Exception {
+    List<String> got =
+        events(
+            Wire.list(),
+            "03 4d00000000000000",
+            "04 0a124a07 5b1b 9801 10270000 01 0000003f",
+            "05 0200 0200 6869",
+            "07 2900 01 0000d040 01",
+            "08 2900",
+            "09 10270000 07000000 2900",
+            "0a 0e000000 01000000 40420f00 00 0a124a07 5b1b 7abc0000 01 52b81e3f",
+            "0b 2900 01 09000000 02000000 80841e00",
+            "0c 05000000 01000000 01 0700 80841e00",
+            "0d 01 0700",
+            "0e 0700 0a9011f2 841b 0000403f");
+    String rest = ", kind=0, cell=0, state=READY, weight=";
+    assertEquals(
+        "listed 5 CACHED [Entry[server="
+            + A
+            + ", zone=0"
+            + rest
+            + "1.0, startedUs=0], "
+            + "Entry[server="
+            + B
+            + ", zone=1"
+            + rest
+            + "1.5, startedUs=6100000]]",
+        got.get(0));
+    assertEquals(
+        List.of(
+            "timer 5 77",
+            "probed 5 " + A + " NO_ANSWER 10000 [0.5]",
+            "told 5 2 [104, 105]",
+            "joined 5 41 1 6.5 true",
+            "left 5 41",
+            "applied 5 41 7 10000",
+            "heard 5 " + A + " 0 14 1 1000000 48250 [0.62]",
+            "usage 5 41 1 9 2 2000000",
+            "sliceUsage 5 7 1 5 1 2000000",
+            "sliceGiven 5 7 true",
+            "sliceLine 5 7 " + B + " 0.75"),
+        got.subList(1, got.size()));
+  }
 
-    @Test
-    void listFormsStatesAndProbeEnds() throws Exception {
-        String entry = "01000000 0a124a07 5b1b 00 0100 0200 ";
-        String rest = " 0000803f 0000000000000000";
-        List<String> got = events("02 00 01000000" + entry + "02" + rest, "02 01 01000000" + entry + "00"
-                + rest,
-                "02 03 01000000 00000000", "04 0a124a07 5b1b c800 00000000 00",
-                "04 0a124a07 5b1b f601 00000000 00", "04 0a124a07 5b1b ad01 00000000 00",
-                "04 0a124a07 5b1b 0902 00000000 00", "04 0a124a07 5b1b 0802 00000000 00",
-                "04 0a124a07 5b1b bc01 00000000 00");
-        assertTrue(got.get(0).contains("CHANGES") && got.get(0).contains("kind=1, cell=2, state=DRAINING"));
-        assertTrue(got.get(1).contains("WHOLE") && got.get(1).contains("state=GONE"));
-        assertTrue(got.get(2).contains("FAILED"));
-        List<String> ends = List.of("OK", "ERROR", "TURNED_AWAY", "DOWN", "BROKEN", "OTHER");
-        for (int i = 0; i < ends.size(); i++) {
-            assertEquals("probed 5 " + A + " " + ends.get(i) + " 0 []", got.get(3 + i));
-        }
+  @Test
+  void listFormsStatesAndProbeEnds() throws Exception {
+    String entry = "01000000 0a124a07 5b1b 00 0100 0200 ";
+    String rest = " 0000803f 0000000000000000";
+    List<String> got =
+        events(
+            "02 00 01000000" + entry + "02" + rest,
+            "02 01 01000000" + entry + "00" + rest,
+            "02 03 01000000 00000000",
+            "04 0a124a07 5b1b c800 00000000 00",
+            "04 0a124a07 5b1b f601 00000000 00",
+            "04 0a124a07 5b1b ad01 00000000 00",
+            "04 0a124a07 5b1b 0902 00000000 00",
+            "04 0a124a07 5b1b 0802 00000000 00",
+            "04 0a124a07 5b1b bc01 00000000 00");
+    assertTrue(
+        got.get(0).contains("CHANGES") && got.get(0).contains("kind=1, cell=2, state=DRAINING"));
+    assertTrue(got.get(1).contains("WHOLE") && got.get(1).contains("state=GONE"));
+    assertTrue(got.get(2).contains("FAILED"));
+    List<String> ends = List.of("OK", "ERROR", "TURNED_AWAY", "DOWN", "BROKEN", "OTHER");
+    for (int i = 0; i < ends.size(); i++) {
+      assertEquals("probed 5 " + A + " " + ends.get(i) + " 0 []", got.get(3 + i));
     }
+  }
 
-    @Test
-    void everyActionIsEncoded() throws Exception {
-        byte[] got = run((s, o) -> {
-            o.line(117, B, 0.75);
-            o.admit(117, 2, 0.5, 1);
-            o.timer(500_000, 77);
-            o.clear(117);
-            o.withdraw(A, true);
-            o.bind(41, 117, 0);
-            o.mark(9, true);
-            o.watch(true);
-            o.fetch();
-            o.probe(A);
-            o.tell(-1, new byte[] {104, 105});
-            o.log("two servers known");
-            return recorder();
-        }, Wire.frame(5, "0f0300", Wire.hello(Wire.SETTINGS)));
-        byte[] body = Wire.hex("48 0300 4e 7500 0a9011f2 841b 0000403f 46 01 0000003f 7500 0200"
+  @Test
+  void everyActionIsEncoded() throws Exception {
+    byte[] got =
+        run(
+            (s, o) -> {
+              o.line(117, B, 0.75);
+              o.admit(117, 2, 0.5, 1);
+              o.timer(500_000, 77);
+              o.clear(117);
+              o.withdraw(A, true);
+              o.bind(41, 117, 0);
+              o.mark(9, true);
+              o.watch(true);
+              o.fetch();
+              o.probe(A);
+              o.tell(-1, new byte[] {104, 105});
+              o.log("two servers known");
+              return recorder();
+            },
+            Wire.frame(5, "0f0300", Wire.hello(Wire.SETTINGS)));
+    byte[] body =
+        Wire.hex(
+            "48 0300 4e 7500 0a9011f2 841b 0000403f 46 01 0000003f 7500 0200"
                 + "4d 20a10700 4d00000000000000 4a 7500 42 0a124a07 5b1b 01 45 2900 7500 0000"
                 + "43 09000000 01 44 01 47 4b 0a124a07 5b1b 49 ffffffff 0200 6869"
                 + "41 1100 74776f2073657276657273206b6e6f776e");
-        assertArrayEquals(Wire.join(Wire.hex(Wire.u32(body.length) + Wire.u32(13)), body), got);
-    }
+    assertArrayEquals(Wire.join(Wire.hex(Wire.u32(body.length) + Wire.u32(13)), body), got);
+  }
 
-    @Test
-    void settingsReachTheModuleInItsOwnTerms() throws Exception {
-        Assigner.Settings s = settings(Wire.SETTINGS);
-        assertEquals(2, s.zones());
-        assertEquals(2, s.grades().size());
-        assertEquals(Assigner.Effect.UNSAFE, s.grades().get(1).effect());
-        assertEquals(750_000, s.grades().get(1).aimUs());
-        assertTrue(s.grades().get(1).writes() && s.grades().get(1).ownZone());
-        assertEquals(Assigner.Levels.RATE, s.levels());
-        assertEquals(Assigner.ReportFrom.PROBES, s.reportFrom());
-        assertEquals(List.of(Assigner.Field.UTIL, Assigner.Field.INFLIGHT), s.reportFields());
-        assertEquals(5900, s.channel().backlog());
-        assertEquals(17_000_000, s.limits().rampUs());
-        Assigner.Settings more = settings(Wire.SETTINGS + "\nfamilyInfo.pick=p2c\ngoal.whole=0.55"
+  @Test
+  void settingsReachTheModuleInItsOwnTerms() throws Exception {
+    Assigner.Settings s = settings(Wire.SETTINGS);
+    assertEquals(2, s.zones());
+    assertEquals(2, s.grades().size());
+    assertEquals(Assigner.Effect.UNSAFE, s.grades().get(1).effect());
+    assertEquals(750_000, s.grades().get(1).aimUs());
+    assertTrue(s.grades().get(1).writes() && s.grades().get(1).ownZone());
+    assertEquals(Assigner.Levels.RATE, s.levels());
+    assertEquals(Assigner.ReportFrom.PROBES, s.reportFrom());
+    assertEquals(List.of(Assigner.Field.UTIL, Assigner.Field.INFLIGHT), s.reportFields());
+    assertEquals(5900, s.channel().backlog());
+    assertEquals(17_000_000, s.limits().rampUs());
+    Assigner.Settings more =
+        settings(
+            Wire.SETTINGS
+                + "\nfamilyInfo.pick=p2c\ngoal.whole=0.55"
                 + "\nfamilyInfo.connsLeast=172.0\nfamilyInfo.zonal=true"
                 + "\nfees.handshake=0.04\ncountedBy=work");
-        assertEquals(Assigner.Pick.TWO, more.site().pick());
-        assertEquals(0.55, more.goal().whole());
-        assertTrue(more.site().ownZoneJoins() && more.goal().byWork());
-        assertEquals(172, more.site().connsLeast());
-        assertEquals(0.04, more.prices().handshake());
-    }
+    assertEquals(Assigner.Pick.TWO, more.site().pick());
+    assertEquals(0.55, more.goal().whole());
+    assertTrue(more.site().ownZoneJoins() && more.goal().byWork());
+    assertEquals(172, more.site().connsLeast());
+    assertEquals(0.04, more.prices().handshake());
+  }
 
-    @Test
-    void aMissingOrUnreadableKeyIsNamed() {
-        for (String line : Wire.SETTINGS.split("\n")) {
-            String key = line.substring(0, line.indexOf('='));
-            boolean optional = key.endsWith(".name") || key.equals("kinds") || key.equals("report.fields")
-                    || key.equals("some.newKey") || key.equals("rules.askWithinUs");
-            String without = Wire.SETTINGS.replace(line + "\n", "").replace("\n" + line, "");
-            if (!optional) {
-                SettingsException e = assertThrows(SettingsException.class,
-                        () -> settings(without), key);
-                assertTrue(e.getMessage().contains(key), e.getMessage());
-            }
-        }
-        SettingsException e = assertThrows(SettingsException.class,
-                () -> settings(Wire.SETTINGS.replace("transitUs=294000", "transitUs=soon")));
-        assertTrue(e.getMessage().contains("familyInfo.transitUs"), e.getMessage());
+  @Test
+  void aMissingOrUnreadableKeyIsNamed() {
+    for (String line : Wire.SETTINGS.split("\n")) {
+      String key = line.substring(0, line.indexOf('='));
+      boolean optional =
+          key.endsWith(".name")
+              || key.equals("kinds")
+              || key.equals("report.fields")
+              || key.equals("some.newKey")
+              || key.equals("rules.askWithinUs");
+      String without = Wire.SETTINGS.replace(line + "\n", "").replace("\n" + line, "");
+      if (!optional) {
+        SettingsException e = assertThrows(SettingsException.class, () -> settings(without), key);
+        assertTrue(e.getMessage().contains(key), e.getMessage());
+      }
     }
+    SettingsException e =
+        assertThrows(
+            SettingsException.class,
+            () -> settings(Wire.SETTINGS.replace("transitUs=294000", "transitUs=soon")));
+    assertTrue(e.getMessage().contains("familyInfo.transitUs"), e.getMessage());
+  }
 
-    /** An input that gives a single byte, or what lies before a cut, at a time. */
-    private static InputStream cutAt(byte[] all, int cut) {
-        return new InputStream() {
-            private int at;
+  /** An input that gives a single byte, or what lies before a cut, at a time. */
+  private static InputStream cutAt(byte[] all, int cut) {
+    return new InputStream() {
+      private int at;
 
-            @Override
-            public int read() {
-                return at < all.length ? all[at++] & 0xff : -1;
-            }
+      @Override
+      public int read() {
+        return at < all.length ? all[at++] & 0xff : -1;
+      }
 
-            @Override
-            public int read(byte[] to, int off, int len) {
-                if (at >= all.length) {
-                    return -1;
-                }
-                int n = Math.min(len, (at < cut ? cut : all.length) - at);
-                System.arraycopy(all, at, to, off, n);
-                at += n;
-                return n;
-            }
-        };
-    }
+      @Override
+      public int read(byte[] to, int off, int len) {
+        if (at >= all.length) {
+          return -1;
+        }
+        int n = Math.min(len, (at < cut ? cut : all.length) - at);
+        System.arraycopy(all, at, to, off, n);
+        at += n;
+        return n;
+      }
+    };
+  }
 
-    private static byte[] shortDay(String settings) {
-        return Wire.join(Wire.frame(1_000_000, "0f0300", Wire.hello(settings), Wire.list()),
-                Wire.frame(1_005_000, "0f0300", "07 2900 01 0000d040 01"),
-                Wire.frame(2_005_000, "0f0300",
-                        "0a 0e000000 01000000 40420f00 00 0a124a07 5b1b 7abc0000 01 52b81e3f"),
-                Wire.frame(3_005_000, "0f0300", "03 0100000000000000"));
-    }
+  private static byte[] shortDay(String settings) {
+    return Wire.join(
+        Wire.frame(1_000_000, "0f0300", Wire.hello(settings), Wire.list()),
+        Wire.frame(1_005_000, "0f0300", "07 2900 01 0000d040 01"),
+        Wire.frame(
+            2_005_000,
+            "0f0300",
+            "0a 0e000000 01000000 40420f00 00 0a124a07 5b1b 7abc0000 01 52b81e3f"),
+        Wire.frame(3_005_000, "0f0300", "03 0100000000000000"));
+  }
 
-    @Test
-    void framesSplitAtEveryByteReadTheSame() throws Exception {
-        byte[] day = shortDay(Wire.SETTINGS);
-        byte[] whole = run(Rules::new, day);
-        assertTrue(whole.length > 100);
-        for (int cut = 1; cut < day.length; cut++) {
-            assertArrayEquals(whole, run(Rules::new, cutAt(day, cut)), "cut at " + cut);
-        }
+  @Test
+  void framesSplitAtEveryByteReadTheSame() throws Exception {
+    byte[] day = shortDay(Wire.SETTINGS);
+    byte[] whole = run(Rules::new, day);
+    assertTrue(whole.length > 100);
+    for (int cut = 1; cut < day.length; cut++) {
+      assertArrayEquals(whole, run(Rules::new, cutAt(day, cut)), "cut at " + cut);
     }
+  }
 
-    @Test
-    void renamingEveryZoneClassAndKindChangesNoAction() throws Exception {
-        String renamed = Wire.SETTINGS.replace("vannes", "x1").replace("lorient", "x2")
-                .replace("day-view", "x3").replace("fill-visit", "x4").replace("three-core,four-core",
-                        "x5,x6");
-        assertArrayEquals(run(Rules::new, shortDay(Wire.SETTINGS)), run(Rules::new, shortDay(renamed)));
-    }
+  @Test
+  void renamingEveryZoneClassAndKindChangesNoAction() throws Exception {
+    String renamed =
+        Wire.SETTINGS
+            .replace("vannes", "x1")
+            .replace("lorient", "x2")
+            .replace("day-view", "x3")
+            .replace("fill-visit", "x4")
+            .replace("three-core,four-core", "x5,x6");
+    assertArrayEquals(run(Rules::new, shortDay(Wire.SETTINGS)), run(Rules::new, shortDay(renamed)));
+  }
 
-    @Test
-    void badInputIsNamedWithItsPlace() {
-        byte[] good = shortDay(Wire.SETTINGS);
-        for (int cut : new int[] {5, 20, good.length - 3}) {
-            WireException e = assertThrows(WireException.class,
-                    () -> run(Rules::new, Arrays.copyOf(good, cut)));
-            assertTrue(e.getMessage().contains("truncated"), e.getMessage());
-        }
-        WireException unknown = assertThrows(WireException.class,
-                () -> run(Rules::new, Wire.frame(1, "0f0300", "63")));
-        assertTrue(unknown.getMessage().contains("code 99") && unknown.getMessage().contains("byte 3"),
-                unknown.getMessage());
-        byte[] more = Wire.frame(1, "0f0300", "03 4d00000000000000");
-        more[4] = 3;
-        assertTrue(assertThrows(WireException.class, () -> run(Rules::new, more)).getMessage()
-                .contains("length doesn't add up"));
-        more[4] = 1;
-        assertTrue(assertThrows(WireException.class, () -> run(Rules::new, more)).getMessage()
-                .contains("length doesn't add up"));
-        assertThrows(WireException.class, () -> run(Rules::new, Wire.frame(1, "0f0300", "02 07 00000000")));
-        assertThrows(WireException.class, () -> run(Rules::new, Wire.frame(1, "08 2900")));
+  @Test
+  void badInputIsNamedWithItsPlace() {
+    byte[] good = shortDay(Wire.SETTINGS);
+    for (int cut : new int[] {5, 20, good.length - 3}) {
+      WireException e =
+          assertThrows(WireException.class, () -> run(Rules::new, Arrays.copyOf(good, cut)));
+      assertTrue(e.getMessage().contains("truncated"), e.getMessage());
     }
+    WireException unknown =
+        assertThrows(WireException.class, () -> run(Rules::new, Wire.frame(1, "0f0300", "63")));
+    assertTrue(
+        unknown.getMessage().contains("code 99") && unknown.getMessage().contains("byte 3"),
+        unknown.getMessage());
+    byte[] more = Wire.frame(1, "0f0300", "03 4d00000000000000");
+    more[4] = 3;
+    assertTrue(
+        assertThrows(WireException.class, () -> run(Rules::new, more))
+            .getMessage()
+            .contains("length doesn't add up"));
+    more[4] = 1;
+    assertTrue(
+        assertThrows(WireException.class, () -> run(Rules::new, more))
+            .getMessage()
+            .contains("length doesn't add up"));
+    assertThrows(
+        WireException.class, () -> run(Rules::new, Wire.frame(1, "0f0300", "02 07 00000000")));
+    assertThrows(WireException.class, () -> run(Rules::new, Wire.frame(1, "08 2900")));
+  }
 
-    @Test
-    void anExceptionInTheModuleBecomesTheFaultAction() throws Exception {
-        byte[] got = run((s, o) -> {
-            throw new IllegalStateException("no way");
-        }, Wire.frame(5, "0f0300", Wire.hello(Wire.SETTINGS)));
-        assertEquals(76, got[8 + 3]);
-        assertTrue(new String(got, java.nio.charset.StandardCharsets.UTF_8).contains("no way"));
-    }
+  @Test
+  void anExceptionInTheModuleBecomesTheFaultAction() throws Exception {
+    byte[] got =
+        run(
+            (s, o) -> {
+              throw new IllegalStateException("no way");
+            },
+            Wire.frame(5, "0f0300", Wire.hello(Wire.SETTINGS)));
+    assertEquals(76, got[8 + 3]);
+    assertTrue(new String(got, java.nio.charset.StandardCharsets.UTF_8).contains("no way"));
+  }
 
-    @Test
-    void anInstanceIsDroppedAtPowerOff() throws Exception {
-        assertEquals(List.of("timer 5 1"), events("03 0100000000000000", "06", "08 2900"));
-        assertTrue(heard.stream().noneMatch(h -> h.startsWith("close")));
-    }
+  @Test
+  void anInstanceIsDroppedAtPowerOff() throws Exception {
+    assertEquals(List.of("timer 5 1"), events("03 0100000000000000", "06", "08 2900"));
+    assertTrue(heard.stream().noneMatch(h -> h.startsWith("close")));
+  }
 }
--- a/src/test/java/pearusher/adapter/WireTranscriptTest.java
+++ b/src/test/java/pearusher/adapter/WireTranscriptTest.java
@@ -26,252 +26,334 @@
 import pearusher.Rules;
 
 /**
- * Characterization of the simulator's wire: batches of binary events must give exactly the recorded bytes.
+ * Characterization of the simulator's wire: batches of binary events must give exactly the recorded
+ * bytes.
  *
- * <p>The answers stand in wire-transcripts.txt, one a line: a name and the bytes in hex or their digest. A
- * change that is meant to keep behaviour changes none of them; where a change of behaviour is meant, the
- * failure message holds the new answer.
+ * <p>The answers stand in wire-transcripts.txt, one a line: a name and the bytes in hex or their
+ * digest. A change that is meant to keep behaviour changes none of them; where a change of
+ * behaviour is meant, the failure message holds the new answer.
  */
 class WireTranscriptTest {
-    private static final String RECORDED = "/wire-transcripts.txt";
-    private static final long START_US = 50_000_000;
-    private static final long SECOND = 1_000_000;
-    /** An instance's decisions fail at this time, in the tests that ask for it. */
-    private static final long FAULT_US = 53_000_000;
-    private static final int SERVERS = 24;
-    private static final int PROXIES = 8;
-    private static final int[] PROBE_STATUSES = {200, 200, 200, 502, 429, 408, 521, 520, 777};
+  private static final String RECORDED = "/wire-transcripts.txt";
+  private static final long START_US = 50_000_000;
+  private static final long SECOND = 1_000_000;
 
-    private static final String RATE = Wire.SETTINGS;
-    private static final String SHARE = Wire.SETTINGS.replace("throttleBy=per_second", "throttleBy=fraction")
-            .replace("discovery=on_request", "discovery=pushed").replace("azs=vannes,lorient", "azs=a,b,c")
-            .replace("messagesMost=0", "messagesMost=6").replace("fees.crossZone=0.06", "fees.crossZone=0");
-    private static final String NO_LEVELS = Wire.SETTINGS.replace("throttleBy=per_second", "throttleBy=off")
-            .replace("report.fields=utilization,outstanding", "report.fields=outstanding");
-    private static final String SLICES = Wire.SETTINGS.replace("shards=0", "shards=4");
+  /** An instance's decisions fail at this time, in the tests that ask for it. */
+  private static final long FAULT_US = 53_000_000;
 
-    private static Map<String, String> recorded() throws IOException {
-        Map<String, String> lines = new TreeMap<>();
-        try (InputStream in = WireTranscriptTest.class.getResourceAsStream(RECORDED)) {
-            assertNotNull(in, RECORDED);
-            new String(in.readAllBytes(), StandardCharsets.UTF_8).lines()
-                    .forEach(line -> lines.put(line.split(" ")[0], line));
-        }
-        return lines;
-    }
+  private static final int SERVERS = 24;
+  private static final int PROXIES = 8;
+  private static final int[] PROBE_STATUSES = {200, 200, 200, 502, 429, 408, 521, 520, 777};
 
-    private static void assertRecorded(String name, String answer) throws IOException {
-        assertEquals(recorded().get(name), name + " " + answer, "new line of " + RECORDED);
-    }
+  private static final String RATE = Wire.SETTINGS;
+  private static final String SHARE =
+      Wire.SETTINGS
+          .replace("throttleBy=per_second", "throttleBy=fraction")
+          .replace("discovery=on_request", "discovery=pushed")
+          .replace("azs=vannes,lorient", "azs=a,b,c")
+          .replace("messagesMost=0", "messagesMost=6")
+          .replace("fees.crossZone=0.06", "fees.crossZone=0");
+  private static final String NO_LEVELS =
+      Wire.SETTINGS
+          .replace("throttleBy=per_second", "throttleBy=off")
+          .replace("report.fields=utilization,outstanding", "report.fields=outstanding");
+  private static final String SLICES = Wire.SETTINGS.replace("shards=0", "shards=4");
 
-    private static byte[] answers(BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker,
-            byte[]... frames) throws IOException, WireException {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Loop(maker).run(new ByteArrayInputStream(Wire.join(frames)), out);
-        return out.toByteArray();
+  private static Map<String, String> recorded() throws IOException {
+    Map<String, String> lines = new TreeMap<>();
+    try (InputStream in = WireTranscriptTest.class.getResourceAsStream(RECORDED)) {
+      assertNotNull(in, RECORDED);
+      new String(in.readAllBytes(), StandardCharsets.UTF_8)
+          .lines()
+          .forEach(line -> lines.put(line.split(" ")[0], line));
     }
+    return lines;
+  }
 
-    private static String hex(byte[] bytes) {
-        return HexFormat.of().formatHex(bytes);
-    }
+  private static void assertRecorded(String name, String answer) throws IOException {
+    assertEquals(recorded().get(name), name + " " + answer, "new line of " + RECORDED);
+  }
 
-    private static String digest(byte[] bytes) throws NoSuchAlgorithmException {
-        return bytes.length + " bytes " + hex(MessageDigest.getInstance("SHA-256").digest(bytes));
-    }
+  private static byte[] answers(
+      BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker, byte[]... frames)
+      throws IOException, WireException {
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    new Loop(maker).run(new ByteArrayInputStream(Wire.join(frames)), out);
+    return out.toByteArray();
+  }
+
+  private static String hex(byte[] bytes) {
+    return HexFormat.of().formatHex(bytes);
+  }
 
-    private static String list(int form, int from, int to, int zones, int state, long startedUs) {
-        List<String> entries = new ArrayList<>();
-        for (int number = from; number <= to; number++) {
-            entries.add(WireEvents.entry(number, number % zones, state, 1 + number % 2, startedUs));
-        }
-        return WireEvents.list(form, entries.toArray(new String[0]));
+  private static String digest(byte[] bytes) throws NoSuchAlgorithmException {
+    return bytes.length + " bytes " + hex(MessageDigest.getInstance("SHA-256").digest(bytes));
+  }
+
+  private static String list(int form, int from, int to, int zones, int state, long startedUs) {
+    List<String> entries = new ArrayList<>();
+    for (int number = from; number <= to; number++) {
+      entries.add(WireEvents.entry(number, number % zones, state, 1 + number % 2, startedUs));
     }
+    return WireEvents.list(form, entries.toArray(new String[0]));
+  }
 
-    /** The first batch of an instance: settings, list and proxies. */
-    private static List<String> begin(int instance, String settings, int servers, int zones, int proxies) {
-        List<String> records = new ArrayList<>(List.of(WireEvents.instance(instance), Wire.hello(settings),
+  /** The first batch of an instance: settings, list and proxies. */
+  private static List<String> begin(
+      int instance, String settings, int servers, int zones, int proxies) {
+    List<String> records =
+        new ArrayList<>(
+            List.of(
+                WireEvents.instance(instance),
+                Wire.hello(settings),
                 list(WireEvents.CACHED, 1, servers, zones, WireEvents.READY, 0)));
-        for (int proxy = 0; proxy < proxies; proxy++) {
-            records.add(WireEvents.joined(proxy, proxy % zones, 6.5, proxy % 3 > 0));
-        }
-        return records;
+    for (int proxy = 0; proxy < proxies; proxy++) {
+      records.add(WireEvents.joined(proxy, proxy % zones, 6.5, proxy % 3 > 0));
     }
+    return records;
+  }
 
-    private static byte[] frame(long nowUs, List<String> records) {
-        return Wire.frame(nowUs, records.toArray(new String[0]));
-    }
+  private static byte[] frame(long nowUs, List<String> records) {
+    return Wire.frame(nowUs, records.toArray(new String[0]));
+  }
 
-    @Test
-    void twoInstancesInOneBatchGiveTheRecordedBytes() throws Exception {
-        List<String> first = begin(1, RATE, 3, 2, 2);
-        first.addAll(begin(2, SHARE, 3, 3, 3));
-        assertRecorded("two-instances", hex(answers(Rules::new, frame(START_US, first),
-                Wire.frame(START_US + SECOND, WireEvents.instance(2), WireEvents.timer(1),
-                        WireEvents.instance(1), WireEvents.heard(1, 0, 20, 5, 250_000, 0.5),
-                        list(WireEvents.CHANGES, 3, 3, 2, WireEvents.DRAINING, 0), WireEvents.timer(1)))));
-    }
+  @Test
+  void twoInstancesInOneBatchGiveTheRecordedBytes() throws Exception {
+    List<String> first = begin(1, RATE, 3, 2, 2);
+    first.addAll(begin(2, SHARE, 3, 3, 3));
+    assertRecorded(
+        "two-instances",
+        hex(
+            answers(
+                Rules::new,
+                frame(START_US, first),
+                Wire.frame(
+                    START_US + SECOND,
+                    WireEvents.instance(2),
+                    WireEvents.timer(1),
+                    WireEvents.instance(1),
+                    WireEvents.heard(1, 0, 20, 5, 250_000, 0.5),
+                    list(WireEvents.CHANGES, 3, 3, 2, WireEvents.DRAINING, 0),
+                    WireEvents.timer(1)))));
+  }
 
-    @Test
-    void slicesAndUnknownInstancesGiveTheRecordedBytes() throws Exception {
-        List<String> first = begin(4, SLICES, 3, 2, 2);
-        first.addAll(List.of(WireEvents.sliceGiven(1, true), WireEvents.sliceLine(1, 2, 0.75),
-                WireEvents.sliceUsage(1, 0, 9, 1), WireEvents.instance(9), WireEvents.timer(1)));
-        assertRecorded("slices", hex(answers(Rules::new, frame(START_US, first), frame(START_US + 5, List
-                .of()),
-                Wire.frame(START_US + SECOND, WireEvents.instance(4), WireEvents.stopped(),
-                        WireEvents.timer(1)))));
-    }
+  @Test
+  void slicesAndUnknownInstancesGiveTheRecordedBytes() throws Exception {
+    List<String> first = begin(4, SLICES, 3, 2, 2);
+    first.addAll(
+        List.of(
+            WireEvents.sliceGiven(1, true),
+            WireEvents.sliceLine(1, 2, 0.75),
+            WireEvents.sliceUsage(1, 0, 9, 1),
+            WireEvents.instance(9),
+            WireEvents.timer(1)));
+    assertRecorded(
+        "slices",
+        hex(
+            answers(
+                Rules::new,
+                frame(START_US, first),
+                frame(START_US + 5, List.of()),
+                Wire.frame(
+                    START_US + SECOND,
+                    WireEvents.instance(4),
+                    WireEvents.stopped(),
+                    WireEvents.timer(1)))));
+  }
 
-    @Test
-    void aMinuteOfThreeInstancesGivesTheRecordedBytes() throws Exception {
-        assertAll(IntStream.rangeClosed(1, 3).mapToObj(seed -> () -> assertRecorded("minute-" + seed,
-                digest(answers(Rules::new, minute(seed))))));
-    }
+  @Test
+  void aMinuteOfThreeInstancesGivesTheRecordedBytes() throws Exception {
+    assertAll(
+        IntStream.rangeClosed(1, 3)
+            .mapToObj(
+                seed ->
+                    () ->
+                        assertRecorded(
+                            "minute-" + seed, digest(answers(Rules::new, minute(seed))))));
+  }
 
-    /** A minute of events for three instances, with records of every code. */
-    private static byte[][] minute(int seed) {
-        SplittableRandom random = new SplittableRandom(seed);
-        List<byte[]> frames = new ArrayList<>();
-        List<String> first = begin(1, RATE, SERVERS, 2, PROXIES);
-        first.addAll(begin(2, SHARE, SERVERS, 3, PROXIES));
-        first.addAll(begin(300, NO_LEVELS, SERVERS, 2, PROXIES));
-        first.addAll(begin(4, SLICES, SERVERS, 2, PROXIES));
-        frames.add(frame(START_US, first));
-        for (int second = 1; second <= 60; second++) {
-            long nowUs = START_US + second * SECOND;
-            boolean jam = second > 15 && second < 30;
-            List<String> records = new ArrayList<>();
-            for (int instance : new int[] {1, 2, 300}) {
-                records.add(WireEvents.instance(instance));
-                addReports(records, random, instance == 2 ? 3 : 2, jam);
-                addChanges(records, random, second, nowUs);
-            }
-            records.add(WireEvents.instance(4));
-            records.add(WireEvents.sliceUsage(second % 4, 1, second, 0));
-            records.add(WireEvents.sliceGiven(second % 4, second % 2 == 0));
-            records.add(WireEvents.sliceLine(second % 4, second % SERVERS, 0.5));
-            frames.add(frame(nowUs, records));
-            frames.add(frame(nowUs + 100_000, timers(1, 2, 300)));
-        }
-        frames.add(Wire.frame(START_US + 61 * SECOND, WireEvents.instance(2), WireEvents.stopped(),
-                WireEvents.timer(1), WireEvents.instance(300), WireEvents.timer(1)));
-        return frames.toArray(new byte[0][]);
+  /** A minute of events for three instances, with records of every code. */
+  private static byte[][] minute(int seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    List<byte[]> frames = new ArrayList<>();
+    List<String> first = begin(1, RATE, SERVERS, 2, PROXIES);
+    first.addAll(begin(2, SHARE, SERVERS, 3, PROXIES));
+    first.addAll(begin(300, NO_LEVELS, SERVERS, 2, PROXIES));
+    first.addAll(begin(4, SLICES, SERVERS, 2, PROXIES));
+    frames.add(frame(START_US, first));
+    for (int second = 1; second <= 60; second++) {
+      long nowUs = START_US + second * SECOND;
+      boolean jam = second > 15 && second < 30;
+      List<String> records = new ArrayList<>();
+      for (int instance : new int[] {1, 2, 300}) {
+        records.add(WireEvents.instance(instance));
+        addReports(records, random, instance == 2 ? 3 : 2, jam);
+        addChanges(records, random, second, nowUs);
+      }
+      records.add(WireEvents.instance(4));
+      records.add(WireEvents.sliceUsage(second % 4, 1, second, 0));
+      records.add(WireEvents.sliceGiven(second % 4, second % 2 == 0));
+      records.add(WireEvents.sliceLine(second % 4, second % SERVERS, 0.5));
+      frames.add(frame(nowUs, records));
+      frames.add(frame(nowUs + 100_000, timers(1, 2, 300)));
     }
+    frames.add(
+        Wire.frame(
+            START_US + 61 * SECOND,
+            WireEvents.instance(2),
+            WireEvents.stopped(),
+            WireEvents.timer(1),
+            WireEvents.instance(300),
+            WireEvents.timer(1)));
+    return frames.toArray(new byte[0][]);
+  }
 
-    private static List<String> timers(int... instances) {
-        List<String> records = new ArrayList<>();
-        for (int instance : instances) {
-            records.addAll(List.of(WireEvents.instance(instance), WireEvents.timer(1), WireEvents.timer(2),
-                    WireEvents.timer(3)));
-        }
-        return records;
+  private static List<String> timers(int... instances) {
+    List<String> records = new ArrayList<>();
+    for (int instance : instances) {
+      records.addAll(
+          List.of(
+              WireEvents.instance(instance),
+              WireEvents.timer(1),
+              WireEvents.timer(2),
+              WireEvents.timer(3)));
     }
+    return records;
+  }
 
-    private static void addReports(List<String> records, SplittableRandom random, int zones, boolean jam) {
-        for (int number = 1; number <= SERVERS; number++) {
-            long tries = 10 + random.nextInt(10);
-            long failed = jam || number == 3 ? random.nextLong(tries) : 0;
-            long meanUs = (jam ? 600_000 : 100_000) + random.nextInt(100_000);
-            records.add(WireEvents.heard(number, random.nextInt(zones), tries, failed, meanUs, 0.25));
-        }
-        for (int proxy = 0; proxy < PROXIES; proxy++) {
-            records.add(WireEvents.usage(proxy, 0, 5 + random.nextInt(20), jam ? 3 : 0));
-            records.add(WireEvents.usage(proxy, 1, random.nextInt(10), 0));
-        }
+  private static void addReports(
+      List<String> records, SplittableRandom random, int zones, boolean jam) {
+    for (int number = 1; number <= SERVERS; number++) {
+      long tries = 10 + random.nextInt(10);
+      long failed = jam || number == 3 ? random.nextLong(tries) : 0;
+      long meanUs = (jam ? 600_000 : 100_000) + random.nextInt(100_000);
+      records.add(WireEvents.heard(number, random.nextInt(zones), tries, failed, meanUs, 0.25));
     }
-
-    private static void addChanges(List<String> records, SplittableRandom random, int second, long nowUs) {
-        int number = 1 + random.nextInt(SERVERS);
-        int proxy = random.nextInt(PROXIES);
-        for (int mark = second - 2; mark <= second; mark++) {
-            records.add(WireEvents.applied(proxy, Math.max(1, mark), 200_000 + random.nextInt(900_000)));
-        }
-        int status = PROBE_STATUSES[random.nextInt(PROBE_STATUSES.length)];
-        records.add(WireEvents.probed(number, status, 7000, random.nextDouble(), 3));
-        switch (second % 12) {
-            case 1 -> records.add(list(WireEvents.CHANGES, number, number, 2, WireEvents.DRAINING, 0));
-            case 3 -> records.add(list(WireEvents.CHANGES, number, number, 2, WireEvents.GONE, 0));
-            case 5 -> records.add(list(WireEvents.CHANGES, number, number, 2, WireEvents.READY, nowUs));
-            case 7 -> records.add(WireEvents.left(proxy));
-            case 8 -> records.add(WireEvents.joined(proxy, proxy % 2, 8, second % 3 == 0));
-            case 9 -> records.add(WireEvents.told(2, "686921"));
-            case 10 -> records.add(list(WireEvents.WHOLE, 1, SERVERS, 2, WireEvents.READY, 0));
-            case 11 -> records.add(WireEvents.list(WireEvents.FAILED));
-            default -> records.add(WireEvents.timer(77));
-        }
+    for (int proxy = 0; proxy < PROXIES; proxy++) {
+      records.add(WireEvents.usage(proxy, 0, 5 + random.nextInt(20), jam ? 3 : 0));
+      records.add(WireEvents.usage(proxy, 1, random.nextInt(10), 0));
     }
+  }
 
-    @Test
-    void anInstanceThatFailsGivesItsFaultAndOthersContinue() throws Exception {
-        List<String> first = begin(1, RATE, 3, 2, 2);
-        first.addAll(begin(2, SHARE, 3, 3, 3));
-        assertRecorded("failing-instance", digest(answers(WireTranscriptTest::failing, frame(START_US, first),
-                frame(FAULT_US, timers(1, 2)), frame(FAULT_US + SECOND, timers(1, 2)))));
+  private static void addChanges(
+      List<String> records, SplittableRandom random, int second, long nowUs) {
+    int number = 1 + random.nextInt(SERVERS);
+    int proxy = random.nextInt(PROXIES);
+    for (int mark = second - 2; mark <= second; mark++) {
+      records.add(WireEvents.applied(proxy, Math.max(1, mark), 200_000 + random.nextInt(900_000)));
     }
-
-    @Test
-    void anInstanceThatFailsAtItsStartGivesItsFault() throws Exception {
-        assertRecorded("failing-start", hex(answers((settings, orders) -> {
-            throw withoutTrace();
-        }, frame(START_US, begin(1, RATE, 3, 2, 2)))));
+    int status = PROBE_STATUSES[random.nextInt(PROBE_STATUSES.length)];
+    records.add(WireEvents.probed(number, status, 7000, random.nextDouble(), 3));
+    switch (second % 12) {
+      case 1 -> records.add(list(WireEvents.CHANGES, number, number, 2, WireEvents.DRAINING, 0));
+      case 3 -> records.add(list(WireEvents.CHANGES, number, number, 2, WireEvents.GONE, 0));
+      case 5 -> records.add(list(WireEvents.CHANGES, number, number, 2, WireEvents.READY, nowUs));
+      case 7 -> records.add(WireEvents.left(proxy));
+      case 8 -> records.add(WireEvents.joined(proxy, proxy % 2, 8, second % 3 == 0));
+      case 9 -> records.add(WireEvents.told(2, "686921"));
+      case 10 -> records.add(list(WireEvents.WHOLE, 1, SERVERS, 2, WireEvents.READY, 0));
+      case 11 -> records.add(WireEvents.list(WireEvents.FAILED));
+      default -> records.add(WireEvents.timer(77));
     }
+  }
 
-    /** The first instance's decisions fail at one time; each event has its time as first argument. */
-    private static Assigner failing(Assigner.Settings settings, Assigner.Orders orders) {
-        Rules rules = new Rules(settings, orders);
-        boolean fails = settings.levels() == Assigner.Levels.RATE;
-        return (Assigner) Proxy.newProxyInstance(WireTranscriptTest.class.getClassLoader(),
-                new Class<?>[] {Assigner.class}, (self, method, arguments) -> {
-                    if (fails && arguments[0].equals(FAULT_US)) {
-                        throw withoutTrace();
-                    }
-                    return method.invoke(rules, arguments);
-                });
-    }
+  @Test
+  void anInstanceThatFailsGivesItsFaultAndOthersContinue() throws Exception {
+    List<String> first = begin(1, RATE, 3, 2, 2);
+    first.addAll(begin(2, SHARE, 3, 3, 3));
+    assertRecorded(
+        "failing-instance",
+        digest(
+            answers(
+                WireTranscriptTest::failing,
+                frame(START_US, first),
+                frame(FAULT_US, timers(1, 2)),
+                frame(FAULT_US + SECOND, timers(1, 2)))));
+  }
 
-    private static RuntimeException withoutTrace() {
-        RuntimeException failure = new IllegalStateException("decisions failed");
-        failure.setStackTrace(new StackTraceElement[0]);
-        return failure;
-    }
+  @Test
+  void anInstanceThatFailsAtItsStartGivesItsFault() throws Exception {
+    assertRecorded(
+        "failing-start",
+        hex(
+            answers(
+                (settings, orders) -> {
+                  throw withoutTrace();
+                },
+                frame(START_US, begin(1, RATE, 3, 2, 2)))));
+  }
 
-    /** What a faulty input answers: bytes of the batches before it, and the text of the fault. */
-    private static String fault(byte[] input) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        WireException fault = assertThrows(WireException.class,
-                () -> new Loop(Rules::new).run(new ByteArrayInputStream(input), out));
-        return hex(out.toByteArray()) + "; " + fault.getMessage();
-    }
+  /** The first instance's decisions fail at one time; each event has its time as first argument. */
+  private static Assigner failing(Assigner.Settings settings, Assigner.Orders orders) {
+    Rules rules = new Rules(settings, orders);
+    boolean fails = settings.levels() == Assigner.Levels.RATE;
+    return (Assigner)
+        Proxy.newProxyInstance(
+            WireTranscriptTest.class.getClassLoader(),
+            new Class<?>[] {Assigner.class},
+            (self, method, arguments) -> {
+              if (fails && arguments[0].equals(FAULT_US)) {
+                throw withoutTrace();
+              }
+              return method.invoke(rules, arguments);
+            });
+  }
 
-    private static byte[] announced(long count, byte[] frame) {
-        frame[4] = (byte) count;
-        return frame;
-    }
+  private static RuntimeException withoutTrace() {
+    RuntimeException failure = new IllegalStateException("decisions failed");
+    failure.setStackTrace(new StackTraceElement[0]);
+    return failure;
+  }
 
-    @Test
-    void aFaultyInputEndsWithTheRecordedText() throws IOException {
-        byte[] good = Wire.frame(START_US, WireEvents.instance(1), WireEvents.timer(1));
-        Map<String, byte[]> inputs = new TreeMap<>();
-        inputs.put("short-header", Wire.join(good, Wire.hex("0100 0000")));
-        inputs.put("short-frame", Wire.join(good, Wire.hex("09000000 01000000 0000000000000000 0f01")));
-        inputs.put("long-frame", Wire.hex("ffffffff 01000000 0000000000000000"));
-        inputs.put("unknown-code", Wire.join(good, Wire.frame(1, WireEvents.instance(1), "10")));
-        inputs.put("code-zero", Wire.frame(1, WireEvents.instance(1), "00"));
-        inputs.put("no-instance", Wire.join(good, Wire.frame(1, WireEvents.timer(1))));
-        inputs.put("too-few-records", announced(3, good.clone()));
-        inputs.put("too-many-records", announced(1, good.clone()));
-        inputs.put("list-form", Wire.frame(1, WireEvents.instance(1), "0204" + Wire.u64(0)));
-        inputs.put("server-state", Wire.frame(1, WireEvents.instance(1),
-                list(WireEvents.WHOLE, 1, 1, 2, 3, 0)));
-        inputs.put("short-record", Wire.frame(1, WireEvents.instance(1), "0301"));
-        inputs.put("short-load", Wire.frame(1, WireEvents.instance(1), "04" + WireEvents.server(1)
-                + "c800 00000000 02 00000000"));
-        inputs.put("short-instance", Wire.frame(1, "0f01"));
-        inputs.put("short-text", Wire.frame(1, WireEvents.instance(1), "01" + Wire.u64(7) + "ff000000 61"));
-        inputs.put("no-settings", Wire.frame(1, WireEvents.instance(1), Wire.hello("azs=vannes")));
-        inputs.put("settings-value", Wire.frame(1, WireEvents.instance(1), Wire.hello(
-                Wire.SETTINGS.replace("transitUs=294000", "transitUs=soon"))));
-        assertAll(inputs.entrySet().stream()
-                .map(input -> () -> assertRecorded("fault-" + input.getKey(), fault(input.getValue()))));
-    }
+  /** What a faulty input answers: bytes of the batches before it, and the text of the fault. */
+  private static String fault(byte[] input) {
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    WireException fault =
+        assertThrows(
+            WireException.class,
+            () -> new Loop(Rules::new).run(new ByteArrayInputStream(input), out));
+    return hex(out.toByteArray()) + "; " + fault.getMessage();
+  }
+
+  private static byte[] announced(long count, byte[] frame) {
+    frame[4] = (byte) count;
+    return frame;
+  }
+
+  @Test
+  void aFaultyInputEndsWithTheRecordedText() throws IOException {
+    byte[] good = Wire.frame(START_US, WireEvents.instance(1), WireEvents.timer(1));
+    Map<String, byte[]> inputs = new TreeMap<>();
+    inputs.put("short-header", Wire.join(good, Wire.hex("0100 0000")));
+    inputs.put("short-frame", Wire.join(good, Wire.hex("09000000 01000000 0000000000000000 0f01")));
+    inputs.put("long-frame", Wire.hex("ffffffff 01000000 0000000000000000"));
+    inputs.put("unknown-code", Wire.join(good, Wire.frame(1, WireEvents.instance(1), "10")));
+    inputs.put("code-zero", Wire.frame(1, WireEvents.instance(1), "00"));
+    inputs.put("no-instance", Wire.join(good, Wire.frame(1, WireEvents.timer(1))));
+    inputs.put("too-few-records", announced(3, good.clone()));
+    inputs.put("too-many-records", announced(1, good.clone()));
+    inputs.put("list-form", Wire.frame(1, WireEvents.instance(1), "0204" + Wire.u64(0)));
+    inputs.put(
+        "server-state",
+        Wire.frame(1, WireEvents.instance(1), list(WireEvents.WHOLE, 1, 1, 2, 3, 0)));
+    inputs.put("short-record", Wire.frame(1, WireEvents.instance(1), "0301"));
+    inputs.put(
+        "short-load",
+        Wire.frame(
+            1, WireEvents.instance(1), "04" + WireEvents.server(1) + "c800 00000000 02 00000000"));
+    inputs.put("short-instance", Wire.frame(1, "0f01"));
+    inputs.put(
+        "short-text", Wire.frame(1, WireEvents.instance(1), "01" + Wire.u64(7) + "ff000000 61"));
+    inputs.put("no-settings", Wire.frame(1, WireEvents.instance(1), Wire.hello("azs=vannes")));
+    inputs.put(
+        "settings-value",
+        Wire.frame(
+            1,
+            WireEvents.instance(1),
+            Wire.hello(Wire.SETTINGS.replace("transitUs=294000", "transitUs=soon"))));
+    assertAll(
+        inputs.entrySet().stream()
+            .map(
+                input -> () -> assertRecorded("fault-" + input.getKey(), fault(input.getValue()))));
+  }
 }
--- a/src/test/java/pearusher/capacity/FleetModelTest.java
+++ b/src/test/java/pearusher/capacity/FleetModelTest.java
@@ -14,88 +14,94 @@
 import pearusher.serve.WireSizes;
 
 class FleetModelTest {
-    private final FleetModel fleet = new FleetModel(FleetModel.Skew.ASSUMED);
+  private final FleetModel fleet = new FleetModel(FleetModel.Skew.ASSUMED);
 
-    @Test
-    void theFleetHasTheTargetsSize() {
-        List<FleetModel.Service> services = fleet.services();
-        assertEquals(Target.SERVICES, services.size());
-        assertEquals(Target.ZONES, fleet.zones().size());
-        assertEquals(Target.REGIONS,
-                fleet.zones().stream().mapToInt(FleetModel.Zone::region).distinct().count());
-        assertEquals(Target.TASKS, services.stream().mapToInt(FleetModel.Service::tasks).sum());
-        assertEquals(Target.TASKS,
-                services.stream().mapToInt(s -> Arrays.stream(s.tasksByZone()).sum()).sum());
-        assertEquals(Target.REQUESTS_PER_S,
-                services.stream().mapToDouble(FleetModel.Service::requests).sum(), 1e-3);
-    }
+  @Test
+  void theFleetHasTheTargetsSize() {
+    List<FleetModel.Service> services = fleet.services();
+    assertEquals(Target.SERVICES, services.size());
+    assertEquals(Target.ZONES, fleet.zones().size());
+    assertEquals(
+        Target.REGIONS,
+        fleet.zones().stream().mapToInt(FleetModel.Zone::region).distinct().count());
+    assertEquals(Target.TASKS, services.stream().mapToInt(FleetModel.Service::tasks).sum());
+    assertEquals(
+        Target.TASKS, services.stream().mapToInt(s -> Arrays.stream(s.tasksByZone()).sum()).sum());
+    assertEquals(
+        Target.REQUESTS_PER_S,
+        services.stream().mapToDouble(FleetModel.Service::requests).sum(),
+        1e-3);
+  }
 
-    @Test
-    void theSkewIsTheOneStated() {
-        int[] tasks = fleet.services().stream().mapToInt(FleetModel.Service::tasks).toArray();
-        double[] zipf = Apportionment.zipf(Target.SERVICES, FleetModel.Skew.ASSUMED.tasks());
-        int free = Target.TASKS - Target.SERVICES * FleetModel.LEAST_TASKS;
-        for (int k = 0; k < tasks.length; k++) {
-            assertEquals(FleetModel.LEAST_TASKS + free * zipf[k] / Arrays.stream(zipf).sum(), tasks[k], 1);
-        }
+  @Test
+  void theSkewIsTheOneStated() {
+    int[] tasks = fleet.services().stream().mapToInt(FleetModel.Service::tasks).toArray();
+    double[] zipf = Apportionment.zipf(Target.SERVICES, FleetModel.Skew.ASSUMED.tasks());
+    int free = Target.TASKS - Target.SERVICES * FleetModel.LEAST_TASKS;
+    for (int k = 0; k < tasks.length; k++) {
+      assertEquals(
+          FleetModel.LEAST_TASKS + free * zipf[k] / Arrays.stream(zipf).sum(), tasks[k], 1);
     }
+  }
 
-    @Test
-    void aSeedGivesOneFleet() {
-        assertEquals(report(1), report(1));
-        assertTrue(!report(1).equals(report(2)));
-    }
+  @Test
+  void aSeedGivesOneFleet() {
+    assertEquals(report(1), report(1));
+    assertTrue(!report(1).equals(report(2)));
+  }
 
-    private static List<Double> report(long seed) {
-        return new FleetModel(new FleetModel.Skew(0.9, 1, 0.7, 21.5, seed)).services().stream()
-                .map(FleetModel.Service::requests).toList();
-    }
+  private static List<Double> report(long seed) {
+    return new FleetModel(new FleetModel.Skew(0.9, 1, 0.7, 21.5, seed))
+        .services().stream().map(FleetModel.Service::requests).toList();
+  }
 
-    @ParameterizedTest
-    @EnumSource(TierMap.class)
-    void everyMapUsesAllAssignersAndServesAllRequests(TierMap map) {
-        List<TierMap.Tier> tiers = map.tiers(fleet);
-        assertEquals(Target.ASSIGNERS, tiers.stream().mapToInt(TierMap.Tier::assigners).sum());
-        assertEquals(Target.REQUESTS_PER_S, tiers.stream().mapToDouble(TierMap.Tier::requests).sum(), 1e-3);
-        assertTrue(tiers.stream().allMatch(t -> t.assigners() >= 1 && t.proxies() >= 1));
-    }
+  @ParameterizedTest
+  @EnumSource(TierMap.class)
+  void everyMapUsesAllAssignersAndServesAllRequests(TierMap map) {
+    List<TierMap.Tier> tiers = map.tiers(fleet);
+    assertEquals(Target.ASSIGNERS, tiers.stream().mapToInt(TierMap.Tier::assigners).sum());
+    assertEquals(
+        Target.REQUESTS_PER_S, tiers.stream().mapToDouble(TierMap.Tier::requests).sum(), 1e-3);
+    assertTrue(tiers.stream().allMatch(t -> t.assigners() >= 1 && t.proxies() >= 1));
+  }
 
-    @ParameterizedTest
-    @EnumSource(TierMap.class)
-    void aReportLineNeedsATryAndAPair(TierMap map) throws Exception {
-        WireSizes sizes = WireSizes.measure();
-        for (TierMap.Tier tier : map.tiers(fleet)) {
-            AssignerLoad load = AssignerLoad.of(tier, sizes);
-            assertTrue(load.heardLines() <= load.requests() * AssignerLoad.TRIES_PER_REQUEST + 1e-9);
-            assertTrue(load.heardLines() <= load.pairsInScope() / AssignerLoad.PERIOD_S + 1e-9);
-            assertTrue(load.zonesInScope() <= Math.max(1, load.proxies()) + 1e-9);
-        }
+  @ParameterizedTest
+  @EnumSource(TierMap.class)
+  void aReportLineNeedsATryAndAPair(TierMap map) throws Exception {
+    WireSizes sizes = WireSizes.measure();
+    for (TierMap.Tier tier : map.tiers(fleet)) {
+      AssignerLoad load = AssignerLoad.of(tier, sizes);
+      assertTrue(load.heardLines() <= load.requests() * AssignerLoad.TRIES_PER_REQUEST + 1e-9);
+      assertTrue(load.heardLines() <= load.pairsInScope() / AssignerLoad.PERIOD_S + 1e-9);
+      assertTrue(load.zonesInScope() <= Math.max(1, load.proxies()) + 1e-9);
     }
+  }
 
-    @Test
-    void partsAddUp() {
-        assertArrayEquals(new int[] {3, 2, 2}, Apportionment.split(7, new double[] {1, 1, 1}, 0));
-        assertArrayEquals(new int[] {5, 1, 1}, Apportionment.split(7, new double[] {1, 0, 0}, 1));
-        assertThrows(IllegalArgumentException.class, () -> Apportionment.split(1, new double[] {1, 1}, 1));
-    }
+  @Test
+  void partsAddUp() {
+    assertArrayEquals(new int[] {3, 2, 2}, Apportionment.split(7, new double[] {1, 1, 1}, 0));
+    assertArrayEquals(new int[] {5, 1, 1}, Apportionment.split(7, new double[] {1, 0, 0}, 1));
+    assertThrows(
+        IllegalArgumentException.class, () -> Apportionment.split(1, new double[] {1, 1}, 1));
+  }
 
-    @Test
-    void pickingFollowsTheWeights() {
-        ProxyTable table = new ProxyTable();
-        table.replace("a:1,b:2,c:0.5,d:4.5");
-        table.change("a:3");
-        table.buildAlias();
-        int picks = 200_000;
-        double[] sums = new double[4];
-        double[] alias = new double[4];
-        SplittableRandom random = new SplittableRandom(7);
-        for (int k = 0; k < picks; k++) {
-            sums[table.pickBySums(random)] += 1.0 / picks;
-            alias[table.pickByAlias(random)] += 1.0 / picks;
-        }
-        double[] shares = {table.share(0), table.share(1), table.share(2), table.share(3)};
-        assertArrayEquals(new double[] {0.3, 0.2, 0.05, 0.45}, shares, 1e-9);
-        assertArrayEquals(shares, sums, 0.01);
-        assertArrayEquals(shares, alias, 0.01);
+  @Test
+  void pickingFollowsTheWeights() {
+    ProxyTable table = new ProxyTable();
+    table.replace("a:1,b:2,c:0.5,d:4.5");
+    table.change("a:3");
+    table.buildAlias();
+    int picks = 200_000;
+    double[] sums = new double[4];
+    double[] alias = new double[4];
+    SplittableRandom random = new SplittableRandom(7);
+    for (int k = 0; k < picks; k++) {
+      sums[table.pickBySums(random)] += 1.0 / picks;
+      alias[table.pickByAlias(random)] += 1.0 / picks;
     }
+    double[] shares = {table.share(0), table.share(1), table.share(2), table.share(3)};
+    assertArrayEquals(new double[] {0.3, 0.2, 0.05, 0.45}, shares, 1e-9);
+    assertArrayEquals(shares, sums, 0.01);
+    assertArrayEquals(shares, alias, 0.01);
+  }
 }
--- a/src/test/java/pearusher/cli/CliTest.java
+++ b/src/test/java/pearusher/cli/CliTest.java
@@ -19,117 +19,128 @@
 
 /** Commands, their output and their exit status. */
 class CliTest {
-    @TempDir
-    Path dir;
-    private final StringWriter out = new StringWriter();
-    private final StringWriter err = new StringWriter();
+  @TempDir Path dir;
+  private final StringWriter out = new StringWriter();
+  private final StringWriter err = new StringWriter();
 
-    private int run(String... args) {
-        out.getBuffer().setLength(0);
-        err.getBuffer().setLength(0);
-        CommandLine line = Cli.line();
-        line.setOut(new PrintWriter(out));
-        line.setErr(new PrintWriter(err));
-        return line.execute(args);
-    }
+  private int run(String... args) {
+    out.getBuffer().setLength(0);
+    err.getBuffer().setLength(0);
+    CommandLine line = Cli.line();
+    line.setOut(new PrintWriter(out));
+    line.setErr(new PrintWriter(err));
+    return line.execute(args);
+  }
 
-    private Path store() throws IOException {
-        Path at = dir.resolve("store");
-        FileDisk disk = new FileDisk(at);
-        disk.make();
-        try (Store store = Store.open(disk, Options.USUAL)) {
-            store.append(new Batch().put("b", "two".getBytes(StandardCharsets.UTF_8)).put("a", "one".getBytes(StandardCharsets.UTF_8)));
-            store.append(new Batch().put("c", new byte[] {0, 1}));
-        }
-        return at;
+  private Path store() throws IOException {
+    Path at = dir.resolve("store");
+    FileDisk disk = new FileDisk(at);
+    disk.make();
+    try (Store store = Store.open(disk, Options.USUAL)) {
+      store.append(
+          new Batch()
+              .put("b", "two".getBytes(StandardCharsets.UTF_8))
+              .put("a", "one".getBytes(StandardCharsets.UTF_8)));
+      store.append(new Batch().put("c", new byte[] {0, 1}));
     }
+    return at;
+  }
 
-    @Test
-    void wrongUseIsStatusTwoWithAHint() {
-        assertEquals(2, run());
-        assertTrue(err.toString().startsWith("pearusher: a command is missing"), err.toString());
-        assertEquals(2, run("sotre"));
-        assertTrue(err.toString().contains("sotre"), err.toString());
-        assertEquals(2, run("store", "inspect"));
-        assertTrue(err.toString().contains("DIRECTORY"), err.toString());
-        assertEquals(2, run("settings"));
-    }
+  @Test
+  void wrongUseIsStatusTwoWithAHint() {
+    assertEquals(2, run());
+    assertTrue(err.toString().startsWith("pearusher: a command is missing"), err.toString());
+    assertEquals(2, run("sotre"));
+    assertTrue(err.toString().contains("sotre"), err.toString());
+    assertEquals(2, run("store", "inspect"));
+    assertTrue(err.toString().contains("DIRECTORY"), err.toString());
+    assertEquals(2, run("settings"));
+  }
 
-    @Test
-    void helpTellsEveryCommand() {
-        assertEquals(0, run("--help"));
-        for (String one : new String[] {"serve", "adapter", "settings", "store", "Exit status"}) {
-            assertTrue(out.toString().contains(one), one);
-        }
-        assertEquals(0, run("store", "--help"));
-        for (String one : new String[] {"inspect", "verify", "dump", "compact", "backup", "restore"}) {
-            assertTrue(out.toString().contains(one), one);
-        }
-        assertEquals(0, run("store", "backup", "--help"));
+  @Test
+  void helpTellsEveryCommand() {
+    assertEquals(0, run("--help"));
+    for (String one : new String[] {"serve", "adapter", "settings", "store", "Exit status"}) {
+      assertTrue(out.toString().contains(one), one);
     }
-
-    @Test
-    void settingsAreCheckedAndShown() throws IOException {
-        Path file = Files.writeString(dir.resolve("p.conf"), "store {\n directory /d\n sync evry\n}\n");
-        assertEquals(2, run("settings", "check", file.toString()));
-        assertTrue(out.toString().contains(file + ":3:2: store.sync: 'evry' is not one of"), out.toString());
-        assertEquals(2, run("settings", "check", "--json", file.toString()));
-        assertTrue(out.toString().startsWith("[{\"file\":\"" + file + "\",\"line\":3,\"column\":2,"),
-                out.toString());
-        assertEquals(2, run("settings", "show", file.toString()));
-        Files.writeString(file, "store {\n directory /d\n}\n");
-        assertEquals(0, run("settings", "check", file.toString()));
-        assertEquals(0, run("settings", "show", file.toString()));
-        assertTrue(out.toString().matches("(?s).*store.directory +/d +" + file + ":2:2.*"), out.toString());
-        assertEquals(0, run("settings", "show", "--json"));
-        assertTrue(out.toString().contains("\"store.sync\":{\"value\":\"off\",\"from\":\"default\""),
-                out.toString());
+    assertEquals(0, run("store", "--help"));
+    for (String one : new String[] {"inspect", "verify", "dump", "compact", "backup", "restore"}) {
+      assertTrue(out.toString().contains(one), one);
     }
+    assertEquals(0, run("store", "backup", "--help"));
+  }
 
-    @Test
-    void aStoreIsLookedAtCopiedAndRestored() throws IOException {
-        Path at = store();
-        assertEquals(0, run("store", "inspect", "--json", at.toString()));
-        assertTrue(out.toString().contains("\"sequence\":2,\"confirmed\":2,\"keys\":3"), out.toString());
-        assertEquals(0, run("store", "dump", at.toString()));
-        assertEquals("a = one\nb = two\nc = 0x0001\n", out.toString());
-        assertEquals(0, run("store", "dump", "--json", "--prefix", "a", at.toString()));
-        assertEquals("{\"a\":\"6f6e65\"}\n", out.toString());
-        assertEquals(0, run("store", "compact", at.toString()));
-        assertEquals(0, run("store", "verify", at.toString()));
-        assertTrue(out.toString().matches("(?s).*checkpoints +1\n.*damage +none\n"), out.toString());
-        Path copy = dir.resolve("copy");
-        assertEquals(0, run("store", "backup", at.toString(), copy.toString()));
-        assertEquals("copied up to record 2\n", out.toString());
-        Path back = dir.resolve("back");
-        assertEquals(0, run("store", "restore", back.toString(), "--from", copy.toString()));
-        assertEquals(0, run("store", "dump", back.toString()));
-        assertTrue(out.toString().startsWith("!copied = "), out.toString());
-        assertEquals(1, run("store", "restore", back.toString(), "--from", copy.toString()));
-        assertTrue(err.toString().contains("is not empty"), err.toString());
-    }
+  @Test
+  void settingsAreCheckedAndShown() throws IOException {
+    Path file = Files.writeString(dir.resolve("p.conf"), "store {\n directory /d\n sync evry\n}\n");
+    assertEquals(2, run("settings", "check", file.toString()));
+    assertTrue(
+        out.toString().contains(file + ":3:2: store.sync: 'evry' is not one of"), out.toString());
+    assertEquals(2, run("settings", "check", "--json", file.toString()));
+    assertTrue(
+        out.toString().startsWith("[{\"file\":\"" + file + "\",\"line\":3,\"column\":2,"),
+        out.toString());
+    assertEquals(2, run("settings", "show", file.toString()));
+    Files.writeString(file, "store {\n directory /d\n}\n");
+    assertEquals(0, run("settings", "check", file.toString()));
+    assertEquals(0, run("settings", "show", file.toString()));
+    assertTrue(
+        out.toString().matches("(?s).*store.directory +/d +" + file + ":2:2.*"), out.toString());
+    assertEquals(0, run("settings", "show", "--json"));
+    assertTrue(
+        out.toString().contains("\"store.sync\":{\"value\":\"off\",\"from\":\"default\""),
+        out.toString());
+  }
+
+  @Test
+  void aStoreIsLookedAtCopiedAndRestored() throws IOException {
+    Path at = store();
+    assertEquals(0, run("store", "inspect", "--json", at.toString()));
+    assertTrue(
+        out.toString().contains("\"sequence\":2,\"confirmed\":2,\"keys\":3"), out.toString());
+    assertEquals(0, run("store", "dump", at.toString()));
+    assertEquals("a = one\nb = two\nc = 0x0001\n", out.toString());
+    assertEquals(0, run("store", "dump", "--json", "--prefix", "a", at.toString()));
+    assertEquals("{\"a\":\"6f6e65\"}\n", out.toString());
+    assertEquals(0, run("store", "compact", at.toString()));
+    assertEquals(0, run("store", "verify", at.toString()));
+    assertTrue(out.toString().matches("(?s).*checkpoints +1\n.*damage +none\n"), out.toString());
+    Path copy = dir.resolve("copy");
+    assertEquals(0, run("store", "backup", at.toString(), copy.toString()));
+    assertEquals("copied up to record 2\n", out.toString());
+    Path back = dir.resolve("back");
+    assertEquals(0, run("store", "restore", back.toString(), "--from", copy.toString()));
+    assertEquals(0, run("store", "dump", back.toString()));
+    assertTrue(out.toString().startsWith("!copied = "), out.toString());
+    assertEquals(1, run("store", "restore", back.toString(), "--from", copy.toString()));
+    assertTrue(err.toString().contains("is not empty"), err.toString());
+  }
 
-    @Test
-    void whatFailsIsStatusOneAndOneLine() throws IOException {
-        Path at = store();
-        assertEquals(1, run("store", "inspect", dir.resolve("none").toString()));
-        assertEquals(1, err.toString().lines().count(), err.toString());
-        try (Store held = Store.open(new FileDisk(at), Options.USUAL)) {
-            assertEquals(1, run("store", "compact", at.toString()));
-            assertTrue(err.toString().contains("is in use by another process"), err.toString());
-            // Looking and copying need no lock.
-            assertEquals(0, run("store", "inspect", at.toString()));
-            assertEquals(2, held.recovered().sequence());
-        }
-        Path log;
-        try (var files = Files.list(at)) {
-            log = files.filter(f -> f.getFileName().toString().startsWith("log-")).sorted().findFirst()
-                    .orElseThrow();
-        }
-        byte[] bytes = Files.readAllBytes(log);
-        bytes[70] ^= 1;
-        Files.write(log, bytes);
-        assertEquals(1, run("store", "verify", at.toString()));
-        assertTrue(out.toString().contains("record 1 can't be read"), out.toString());
+  @Test
+  void whatFailsIsStatusOneAndOneLine() throws IOException {
+    Path at = store();
+    assertEquals(1, run("store", "inspect", dir.resolve("none").toString()));
+    assertEquals(1, err.toString().lines().count(), err.toString());
+    try (Store held = Store.open(new FileDisk(at), Options.USUAL)) {
+      assertEquals(1, run("store", "compact", at.toString()));
+      assertTrue(err.toString().contains("is in use by another process"), err.toString());
+      // Looking and copying need no lock.
+      assertEquals(0, run("store", "inspect", at.toString()));
+      assertEquals(2, held.recovered().sequence());
+    }
+    Path log;
+    try (var files = Files.list(at)) {
+      log =
+          files
+              .filter(f -> f.getFileName().toString().startsWith("log-"))
+              .sorted()
+              .findFirst()
+              .orElseThrow();
     }
+    byte[] bytes = Files.readAllBytes(log);
+    bytes[70] ^= 1;
+    Files.write(log, bytes);
+    assertEquals(1, run("store", "verify", at.toString()));
+    assertTrue(out.toString().contains("record 1 can't be read"), out.toString());
+  }
 }
--- a/src/test/java/pearusher/conf/SettingsTest.java
+++ b/src/test/java/pearusher/conf/SettingsTest.java
@@ -25,119 +25,170 @@
 
 /** Good and broken files as a table of cases; places and words of each fault. */
 class SettingsTest {
-    private static String fault(String text) {
-        return assertThrows(FaultyException.class, () -> Settings.parse("f", text)).getMessage();
-    }
+  private static String fault(String text) {
+    return assertThrows(FaultyException.class, () -> Settings.parse("f", text)).getMessage();
+  }
 
-    /** Each case: a file, and after an arrow its first fault. */
-    static Stream<Arguments> broken() throws IOException {
-        String all;
-        try (InputStream in = SettingsTest.class.getResourceAsStream("broken.txt")) {
-            all = new String(in.readAllBytes(), StandardCharsets.UTF_8);
-        }
-        return Stream.of(all.split("----\n")).map(one -> Arguments.of((Object[]) one.strip().split("=> ",
-                2)));
+  /** Each case: a file, and after an arrow its first fault. */
+  static Stream<Arguments> broken() throws IOException {
+    String all;
+    try (InputStream in = SettingsTest.class.getResourceAsStream("broken.txt")) {
+      all = new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
+    return Stream.of(all.split("----\n"))
+        .map(one -> Arguments.of((Object[]) one.strip().split("=> ", 2)));
+  }
 
-    @ParameterizedTest
-    @MethodSource("broken")
-    void brokenFiles(String text, String expected) {
-        assertEquals(expected, fault(text).lines().findFirst().orElseThrow());
-    }
+  @ParameterizedTest
+  @MethodSource("broken")
+  void brokenFiles(String text, String expected) {
+    assertEquals(expected, fault(text).lines().findFirst().orElseThrow());
+  }
 
-    @Test
-    void allFaultsOfAFileAreTold() {
-        assertEquals(3, fault("store {\n sync x\n segment y\n nothing z\n}\n").lines().count());
-    }
+  @Test
+  void allFaultsOfAFileAreTold() {
+    assertEquals(3, fault("store {\n sync x\n segment y\n nothing z\n}\n").lines().count());
+  }
 
-    // The values in force are listed in the order of the keys.
-    @SuppressWarnings("EnumOrdinal")
-    @Test
-    void goodFiles() throws FaultyException {
-        assertFalse(Settings.parse("f", "").on("store"));
-        assertFalse(Settings.parse("f", "# nothing\n\n  # else\r\n").on("store"));
-        Settings all = Settings.parse("f", "store { # on\n  directory \"/a b/\\\"c\\\\d\"\n  sync interval\n"
-                + "  interval 5ms\n  patience 2.5s\n  segment 64KiB\n  compact-times 1.5\n  damage stop\n}");
-        assertTrue(all.on("store"));
-        assertEquals("/a b/\"c\\d", all.word(Key.STORE_DIRECTORY));
-        assertEquals(5_000, all.number(Key.STORE_INTERVAL));
-        assertEquals(2_500_000, all.number(Key.STORE_PATIENCE));
-        assertEquals(65_536, all.number(Key.STORE_SEGMENT));
-        assertEquals(1.5, all.number(Key.STORE_COMPACT_TIMES));
-        assertEquals(600_000_000, all.number(Key.STORE_TRUST));
-        List<Settings.Value> force = all.inForce();
-        assertEquals(Key.values().length, force.size());
-        assertEquals("f:3:3", force.get(Key.STORE_SYNC.ordinal()).from());
-        assertEquals("default", force.get(Key.STORE_TRUST.ordinal()).from());
-        assertEquals("10min", force.get(Key.STORE_TRUST.ordinal()).text());
-    }
+  // The values in force are listed in the order of the keys.
+  @SuppressWarnings("EnumOrdinal")
+  @Test
+  void goodFiles() throws FaultyException {
+    assertFalse(Settings.parse("f", "").on("store"));
+    assertFalse(Settings.parse("f", "# nothing\n\n  # else\r\n").on("store"));
+    Settings all =
+        Settings.parse(
+            "f",
+            "store { # on\n"
+                + "  directory \"/a b/\\\"c\\\\d\"\n"
+                + "  sync interval\n"
+                + "  interval 5ms\n"
+                + "  patience 2.5s\n"
+                + "  segment 64KiB\n"
+                + "  compact-times 1.5\n"
+                + "  damage stop\n"
+                + "}");
+    assertTrue(all.on("store"));
+    assertEquals("/a b/\"c\\d", all.word(Key.STORE_DIRECTORY));
+    assertEquals(5_000, all.number(Key.STORE_INTERVAL));
+    assertEquals(2_500_000, all.number(Key.STORE_PATIENCE));
+    assertEquals(65_536, all.number(Key.STORE_SEGMENT));
+    assertEquals(1.5, all.number(Key.STORE_COMPACT_TIMES));
+    assertEquals(600_000_000, all.number(Key.STORE_TRUST));
+    List<Settings.Value> force = all.inForce();
+    assertEquals(Key.values().length, force.size());
+    assertEquals("f:3:3", force.get(Key.STORE_SYNC.ordinal()).from());
+    assertEquals("default", force.get(Key.STORE_TRUST.ordinal()).from());
+    assertEquals("10min", force.get(Key.STORE_TRUST.ordinal()).text());
+  }
 
-    /** What the list of keys says of itself holds: each default can be read and lies in its limits. */
-    @Test
-    void theDefaultsAreGood() {
-        for (Key key : Key.values()) {
-            assertTrue(key.usual() == null || !Double.isNaN(key.number(key.usual())), key.path());
-            assertFalse(key.help().isBlank());
-        }
+  /**
+   * What the list of keys says of itself holds: each default can be read and lies in its limits.
+   */
+  @Test
+  void theDefaultsAreGood() {
+    for (Key key : Key.values()) {
+      assertTrue(key.usual() == null || !Double.isNaN(key.number(key.usual())), key.path());
+      assertFalse(key.help().isBlank());
     }
+  }
 
-    /** The page for operators lists every key with its default and its help. */
-    @Test
-    void thePageListsEveryKey() throws IOException {
-        String page = Files.readString(Path.of("docs", "configuration.md"));
-        for (Key key : Key.values()) {
-            assertTrue(page.matches("(?s).*\\| `" + key.path() + "` \\| "
-                    + (key.usual() == null ? "needed" : "`" + key.usual() + "`") + ".*"), key.path());
-            assertTrue(page.contains(key.help()), key.path() + ": " + key.help());
-        }
+  /** The page for operators lists every key with its default and its help. */
+  @Test
+  void thePageListsEveryKey() throws IOException {
+    String page = Files.readString(Path.of("docs", "configuration.md"));
+    for (Key key : Key.values()) {
+      assertTrue(
+          page.matches(
+              "(?s).*\\| `"
+                  + key.path()
+                  + "` \\| "
+                  + (key.usual() == null ? "needed" : "`" + key.usual() + "`")
+                  + ".*"),
+          key.path());
+      assertTrue(page.contains(key.help()), key.path() + ": " + key.help());
     }
+  }
 
-    @Test
-    void includesAreFollowedAndTheirFaultsHaveTheirPlace(@TempDir Path dir) throws Exception {
-        Path main = Files.writeString(dir.resolve("main.conf"), "include \"sub/store.conf\"\n");
-        Path sub = Files.createDirectory(dir.resolve("sub"));
-        Files.writeString(sub.resolve("store.conf"), "include more.conf\n");
-        Path more = Files.writeString(sub.resolve("more.conf"), "store {\n  directory /d\n}\n");
-        Settings read = Settings.read(main);
-        assertEquals(more + ":2:3", read.inForce().get(0).from());
-        Files.writeString(more, "store {\n  directory /d\n  sync x\n}\n");
-        assertTrue(assertThrows(FaultyException.class, () -> Settings.read(main)).getMessage()
-                .startsWith(more + ":3:3: store.sync: "));
-        Files.writeString(more, "include ../main.conf\n");
-        assertEquals(more + ":1:1: include: includes itself: " + sub.resolve("../main.conf"),
-                assertThrows(FaultyException.class, () -> Settings.read(main)).getMessage());
-        Files.writeString(more, "include none.conf\n");
-        assertEquals(more + ":1:1: include: " + sub.resolve("none.conf")
-                + " can't be read; name a file that is there and may be read",
-                assertThrows(FaultyException.class, () -> Settings.read(main)).getMessage());
-        Files.write(more, new byte[] {(byte) 0xff, (byte) 0xfe, 0});
-        assertTrue(assertThrows(FaultyException.class, () -> Settings.read(main)).getMessage()
-                .contains("is not UTF-8 text"));
-        assertTrue(assertThrows(FaultyException.class, () -> Settings.read(dir.resolve("no"))).getMessage()
-                .startsWith(dir.resolve("no") + ": "));
-    }
+  @Test
+  void includesAreFollowedAndTheirFaultsHaveTheirPlace(@TempDir Path dir) throws Exception {
+    Path main = Files.writeString(dir.resolve("main.conf"), "include \"sub/store.conf\"\n");
+    Path sub = Files.createDirectory(dir.resolve("sub"));
+    Files.writeString(sub.resolve("store.conf"), "include more.conf\n");
+    Path more = Files.writeString(sub.resolve("more.conf"), "store {\n  directory /d\n}\n");
+    Settings read = Settings.read(main);
+    assertEquals(more + ":2:3", read.inForce().get(0).from());
+    Files.writeString(more, "store {\n  directory /d\n  sync x\n}\n");
+    assertTrue(
+        assertThrows(FaultyException.class, () -> Settings.read(main))
+            .getMessage()
+            .startsWith(more + ":3:3: store.sync: "));
+    Files.writeString(more, "include ../main.conf\n");
+    assertEquals(
+        more + ":1:1: include: includes itself: " + sub.resolve("../main.conf"),
+        assertThrows(FaultyException.class, () -> Settings.read(main)).getMessage());
+    Files.writeString(more, "include none.conf\n");
+    assertEquals(
+        more
+            + ":1:1: include: "
+            + sub.resolve("none.conf")
+            + " can't be read; name a file that is there and may be read",
+        assertThrows(FaultyException.class, () -> Settings.read(main)).getMessage());
+    Files.write(more, new byte[] {(byte) 0xff, (byte) 0xfe, 0});
+    assertTrue(
+        assertThrows(FaultyException.class, () -> Settings.read(main))
+            .getMessage()
+            .contains("is not UTF-8 text"));
+    assertTrue(
+        assertThrows(FaultyException.class, () -> Settings.read(dir.resolve("no")))
+            .getMessage()
+            .startsWith(dir.resolve("no") + ": "));
+  }
 
-    @Provide
-    static Arbitrary<String> texts() {
-        Arbitrary<String> piece = Arbitraries.of("store", "{", "}", "\n", "\r", "directory", "sync", " ",
-                "\t",
-                "\"", "\\", "#", "include", "/d", "5ms", "8MiB", "interval", "x", "\0", "\u20ac", "{\n",
-                "}\n", "a b\n", "store {\n directory /d\n");
-        return Arbitraries.oneOf(piece.list().ofMaxSize(40).map(l -> String.join("", l)),
-                Arbitraries.strings().ofMaxLength(200),
-                Arbitraries.of("{", "\"", "a {\n").map(s -> s.repeat(9000)));
-    }
+  @Provide
+  static Arbitrary<String> texts() {
+    Arbitrary<String> piece =
+        Arbitraries.of(
+            "store",
+            "{",
+            "}",
+            "\n",
+            "\r",
+            "directory",
+            "sync",
+            " ",
+            "\t",
+            "\"",
+            "\\",
+            "#",
+            "include",
+            "/d",
+            "5ms",
+            "8MiB",
+            "interval",
+            "x",
+            "\0",
+            "\u20ac",
+            "{\n",
+            "}\n",
+            "a b\n",
+            "store {\n directory /d\n");
+    return Arbitraries.oneOf(
+        piece.list().ofMaxSize(40).map(l -> String.join("", l)),
+        Arbitraries.strings().ofMaxLength(200),
+        Arbitraries.of("{", "\"", "a {\n").map(s -> s.repeat(9000)));
+  }
 
-    /** Whatever stands there: settings, or faults that each have a place; never another exception. */
-    @Property(seed = "41", tries = 3000)
-    void anyTextEndsWithSettingsOrPlaces(@ForAll("texts") String text) {
-        try {
-            Settings.parse("f", text);
-        } catch (FaultyException e) {
-            assertFalse(e.faults().isEmpty());
-            for (Fault one : e.faults()) {
-                assertTrue(one.line() >= 1 && one.column() >= 1 && !one.text().isBlank(), one.toString());
-            }
-        }
+  /** Whatever stands there: settings, or faults that each have a place; never another exception. */
+  @Property(seed = "41", tries = 3000)
+  void anyTextEndsWithSettingsOrPlaces(@ForAll("texts") String text) {
+    try {
+      Settings.parse("f", text);
+    } catch (FaultyException e) {
+      assertFalse(e.faults().isEmpty());
+      for (Fault one : e.faults()) {
+        assertTrue(one.line() >= 1 && one.column() >= 1 && !one.text().isBlank(), one.toString());
+      }
     }
+  }
 }
--- a/src/test/java/pearusher/recovery/LedgerTest.java
+++ b/src/test/java/pearusher/recovery/LedgerTest.java
@@ -21,313 +21,334 @@
 
 /** What a joiner lacks, what a start believes, and that both are right after any crash. */
 class LedgerTest {
-    private static final long HOUR = 3_600_000_000L;
-    private static final String NAMES = "n0 lookup,order north";
-    private final Map<String, byte[]> store = new HashMap<>();
-    private long now = 1_000_000_000_000_000L;
+  private static final long HOUR = 3_600_000_000L;
+  private static final String NAMES = "n0 lookup,order north";
+  private final Map<String, byte[]> store = new HashMap<>();
+  private long now = 1_000_000_000_000_000L;
 
-    private Ledger ledger() {
-        return ledger(Doubt.NONE, NAMES, now, false);
-    }
+  private Ledger ledger() {
+    return ledger(Doubt.NONE, NAMES, now, false);
+  }
 
-    private Ledger ledger(Doubt given, String names, long at, boolean shared) {
-        return Ledger.of(new HashMap<>(store), given, names, at, HOUR, shared);
-    }
+  private Ledger ledger(Doubt given, String names, long at, boolean shared) {
+    return Ledger.of(new HashMap<>(store), given, names, at, HOUR, shared);
+  }
 
-    private void end(Ledger ledger) {
-        Map<String, byte[]> changes = ledger.end(now += 1000);
-        if (changes != null) {
-            Batch.of(changes).applyTo(store);
-        }
+  private void end(Ledger ledger) {
+    Map<String, byte[]> changes = ledger.end(now += 1000);
+    if (changes != null) {
+      Batch.of(changes).applyTo(store);
     }
+  }
 
-    private static ListedServer server(String name, Assigner.State state) {
-        return new ListedServer(name, "127.0.0.1:1", 0, 0, 0, state, 1, 0);
-    }
+  private static ListedServer server(String name, Assigner.State state) {
+    return new ListedServer(name, "127.0.0.1:1", 0, 0, 0, state, 1, 0);
+  }
 
-    /** A table of two lines, proxy 3 bound to it; it has answered if that is asked. */
-    private Ledger bound(boolean answered) {
-        Ledger ledger = ledger();
-        ledger.listed(7, false, List.of(server("a", Assigner.State.READY), server("b",
-                Assigner.State.READY)));
-        ledger.line(0, "a", 1.5);
-        ledger.line(0, "b", 0.5);
-        ledger.admit(0, 1, new Level(0.8, 0));
-        assertNull(ledger.joined(3, true));
-        ledger.bind(3, 0, true);
-        ledger.mark(11);
-        ledger.sent(3);
-        end(ledger);
-        if (answered) {
-            ledger.applied(3, 11);
-            end(ledger);
-        }
-        return ledger;
+  /** A table of two lines, proxy 3 bound to it; it has answered if that is asked. */
+  private Ledger bound(boolean answered) {
+    Ledger ledger = ledger();
+    ledger.listed(
+        7, false, List.of(server("a", Assigner.State.READY), server("b", Assigner.State.READY)));
+    ledger.line(0, "a", 1.5);
+    ledger.line(0, "b", 0.5);
+    ledger.admit(0, 1, new Level(0.8, 0));
+    assertNull(ledger.joined(3, true));
+    ledger.bind(3, 0, true);
+    ledger.mark(11);
+    ledger.sent(3);
+    end(ledger);
+    if (answered) {
+      ledger.applied(3, 11);
+      end(ledger);
     }
+    return ledger;
+  }
 
-    @Test
-    void whoHasAnsweredLacksNothing() {
-        bound(true);
-        Rejoin lacks = ledger().joined(3, false);
-        assertEquals(0, lacks.cost());
-        assertEquals(0, lacks.table());
-    }
+  @Test
+  void whoHasAnsweredLacksNothing() {
+    bound(true);
+    Rejoin lacks = ledger().joined(3, false);
+    assertEquals(0, lacks.cost());
+    assertEquals(0, lacks.table());
+  }
 
-    @Test
-    void whoHasNotAnsweredGetsItsTableWhole() {
-        bound(false);
-        assertNull(ledger().joined(3, false));
-        assertNull(ledger().joined(4, false), "never bound");
-    }
+  @Test
+  void whoHasNotAnsweredGetsItsTableWhole() {
+    bound(false);
+    assertNull(ledger().joined(3, false));
+    assertNull(ledger().joined(4, false), "never bound");
+  }
 
-    /** A proxy's own word wins over the store's. */
-    @Test
-    void aFreshProxyHoldsNothingWhateverTheStoreSays() {
-        bound(true);
-        Ledger again = ledger();
-        assertNull(again.joined(3, true));
-        end(again);
-        assertNull(ledger().joined(3, false), "and that lasts");
-    }
+  /** A proxy's own word wins over the store's. */
+  @Test
+  void aFreshProxyHoldsNothingWhateverTheStoreSays() {
+    bound(true);
+    Ledger again = ledger();
+    assertNull(again.joined(3, true));
+    end(again);
+    assertNull(ledger().joined(3, false), "and that lasts");
+  }
 
-    @Test
-    void whatChangedSinceTheAnswerIsLacking() {
-        Ledger ledger = bound(true);
-        ledger.line(0, "b", 0.7);
-        ledger.withdraw("a", true, now);
-        ledger.admit(0, 1, new Level(1, 1));
-        end(ledger);
-        Rejoin lacks = ledger().joined(3, false);
-        assertEquals(Map.of("b", 0.7), lacks.lines());
-        assertEquals(Map.of(1, new Level(1, 1)), lacks.levels());
-        assertEquals(Map.of("a", true), lacks.ejections());
-        ledger.mark(12);
-        ledger.sent(3);
-        end(ledger);
-        ledger.applied(3, 12);
-        end(ledger);
-        lacks = ledger().joined(3, false);
-        assertEquals(0, lacks.cost());
-        assertEquals(Map.of("a", true, "b", false), lacks.announced());
-    }
+  @Test
+  void whatChangedSinceTheAnswerIsLacking() {
+    Ledger ledger = bound(true);
+    ledger.line(0, "b", 0.7);
+    ledger.withdraw("a", true, now);
+    ledger.admit(0, 1, new Level(1, 1));
+    end(ledger);
+    Rejoin lacks = ledger().joined(3, false);
+    assertEquals(Map.of("b", 0.7), lacks.lines());
+    assertEquals(Map.of(1, new Level(1, 1)), lacks.levels());
+    assertEquals(Map.of("a", true), lacks.ejections());
+    ledger.mark(12);
+    ledger.sent(3);
+    end(ledger);
+    ledger.applied(3, 12);
+    end(ledger);
+    lacks = ledger().joined(3, false);
+    assertEquals(0, lacks.cost());
+    assertEquals(Map.of("a", true, "b", false), lacks.announced());
+  }
 
-    /** Marks of an earlier process, and those of another stream, answer for nothing. */
-    @Test
-    void anAnswerCountsOnItsOwnStreamOnly() {
-        Ledger ledger = bound(false);
-        assertNull(ledger.joined(3, false));
-        ledger.applied(3, 11);
-        end(ledger);
-        assertNull(ledger().joined(3, false));
-        assertEquals(11, ledger().mark(), "the next mark is another one");
-    }
+  /** Marks of an earlier process, and those of another stream, answer for nothing. */
+  @Test
+  void anAnswerCountsOnItsOwnStreamOnly() {
+    Ledger ledger = bound(false);
+    assertNull(ledger.joined(3, false));
+    ledger.applied(3, 11);
+    end(ledger);
+    assertNull(ledger().joined(3, false));
+    assertEquals(11, ledger().mark(), "the next mark is another one");
+  }
 
-    @Test
-    void aStartTakesOutWhatTheListNoLongerNames() {
-        bound(true);
-        Ledger again = ledger();
-        again.withdraw("b", true, now);
-        end(again);
-        again = ledger();
-        again.begin(List.of(server("b", Assigner.State.READY)), now);
-        Rejoin lacks = again.joined(3, false);
-        assertEquals(Map.of("a", 0.0), lacks.lines());
-        assertEquals(Map.of("b", false), lacks.ejections(), "b is back");
-        again.begin(List.of(server("b", Assigner.State.DRAINING)), now);
-        assertEquals(Set.of("b"), again.lines(0).keySet());
-    }
+  @Test
+  void aStartTakesOutWhatTheListNoLongerNames() {
+    bound(true);
+    Ledger again = ledger();
+    again.withdraw("b", true, now);
+    end(again);
+    again = ledger();
+    again.begin(List.of(server("b", Assigner.State.READY)), now);
+    Rejoin lacks = again.joined(3, false);
+    assertEquals(Map.of("a", 0.0), lacks.lines());
+    assertEquals(Map.of("b", false), lacks.ejections(), "b is back");
+    again.begin(List.of(server("b", Assigner.State.DRAINING)), now);
+    assertEquals(Set.of("b"), again.lines(0).keySet());
+  }
 
-    /** A whole list that leaves a server out says that it is gone: the next start must not list it. */
-    @Test
-    void aWholeListForgetsWhomItDoesNotName() {
-        Ledger ledger = bound(true);
-        ledger.listed(8, true, List.of(server("b", Assigner.State.READY)));
-        end(ledger);
-        assertEquals(Set.of("b"), ledger().servers().keySet());
-        assertEquals(8, ledger().generation());
-    }
+  /**
+   * A whole list that leaves a server out says that it is gone: the next start must not list it.
+   */
+  @Test
+  void aWholeListForgetsWhomItDoesNotName() {
+    Ledger ledger = bound(true);
+    ledger.listed(8, true, List.of(server("b", Assigner.State.READY)));
+    end(ledger);
+    assertEquals(Set.of("b"), ledger().servers().keySet());
+    assertEquals(8, ledger().generation());
+  }
 
-    /** Each doubt takes what it must, and the epoch, the turn and the mark rise all the same. */
-    @Test
-    void doubts() {
-        bound(true);
-        assertEquals(Doubt.EMPTY, Ledger.of(Map.of(), Doubt.NONE, NAMES, now, HOUR, false).doubt());
-        assertEquals(Doubt.NONE, ledger().doubt());
-        Map<Doubt, Ledger> doubted = Map.of(Doubt.COPIED, ledger(Doubt.COPIED, NAMES, now, false),
-                Doubt.GIVEN_UP, ledger(Doubt.GIVEN_UP, NAMES, now, false),
-                Doubt.SETTINGS, ledger(Doubt.NONE, "n0 order,lookup north", now, false),
-                Doubt.SILENT, ledger(Doubt.NONE, NAMES, now + HOUR + 1, false),
-                Doubt.CLOCK, ledger(Doubt.NONE, NAMES, now - HOUR, false));
-        doubted.forEach((doubt, ledger) -> {
-            assertEquals(doubt, ledger.doubt());
-            assertEquals(2, ledger.epoch());
-            assertEquals(11, ledger.mark());
-            assertTrue(ledger.turn() > 0);
-            assertEquals(Set.of(), ledger.tables());
-            assertNull(ledger.joined(3, false));
+  /** Each doubt takes what it must, and the epoch, the turn and the mark rise all the same. */
+  @Test
+  void doubts() {
+    bound(true);
+    assertEquals(Doubt.EMPTY, Ledger.of(Map.of(), Doubt.NONE, NAMES, now, HOUR, false).doubt());
+    assertEquals(Doubt.NONE, ledger().doubt());
+    Map<Doubt, Ledger> doubted =
+        Map.of(
+            Doubt.COPIED,
+            ledger(Doubt.COPIED, NAMES, now, false),
+            Doubt.GIVEN_UP,
+            ledger(Doubt.GIVEN_UP, NAMES, now, false),
+            Doubt.SETTINGS,
+            ledger(Doubt.NONE, "n0 order,lookup north", now, false),
+            Doubt.SILENT,
+            ledger(Doubt.NONE, NAMES, now + HOUR + 1, false),
+            Doubt.CLOCK,
+            ledger(Doubt.NONE, NAMES, now - HOUR, false));
+    doubted.forEach(
+        (doubt, ledger) -> {
+          assertEquals(doubt, ledger.doubt());
+          assertEquals(2, ledger.epoch());
+          assertEquals(11, ledger.mark());
+          assertTrue(ledger.turn() > 0);
+          assertEquals(Set.of(), ledger.tables());
+          assertNull(ledger.joined(3, false));
         });
-        Ledger shared = ledger(Doubt.NONE, NAMES, now, true);
-        assertEquals(Doubt.SHARED, shared.doubt());
-        assertNull(shared.joined(3, false), "it may hold another assigner's table");
-        assertEquals(Set.of("a", "b"), shared.lines(0).keySet());
-        store.put("t/0/l/c", new byte[] {1});
-        assertEquals(Doubt.UNREADABLE, ledger().doubt());
-        Ledger unreadable = ledger();
-        end(unreadable);
-        assertEquals(Set.of("m"), store.keySet(), "what is not believed does not stay");
-    }
+    Ledger shared = ledger(Doubt.NONE, NAMES, now, true);
+    assertEquals(Doubt.SHARED, shared.doubt());
+    assertNull(shared.joined(3, false), "it may hold another assigner's table");
+    assertEquals(Set.of("a", "b"), shared.lines(0).keySet());
+    store.put("t/0/l/c", new byte[] {1});
+    assertEquals(Doubt.UNREADABLE, ledger().doubt());
+    Ledger unreadable = ledger();
+    end(unreadable);
+    assertEquals(Set.of("m"), store.keySet(), "what is not believed does not stay");
+  }
 
-    /** A way to repeat that is unsafe for its class is not taken over, wherever it came from. */
-    @Test
-    void noUnsafeRepeatIsTakenOver() {
-        Ledger ledger = ledger();
-        ledger.admit(0, 0, new Level(1, 3));
-        ledger.admit(0, 1, new Level(1, 3));
-        end(ledger);
-        assertEquals(Map.of(0, new Level(1, 3), 1, new Level(1, 1)), ledger().levels(0,
-                List.of(Assigner.Effect.SAFE, Assigner.Effect.UNSAFE)));
-    }
+  /** A way to repeat that is unsafe for its class is not taken over, wherever it came from. */
+  @Test
+  void noUnsafeRepeatIsTakenOver() {
+    Ledger ledger = ledger();
+    ledger.admit(0, 0, new Level(1, 3));
+    ledger.admit(0, 1, new Level(1, 3));
+    end(ledger);
+    assertEquals(
+        Map.of(0, new Level(1, 3), 1, new Level(1, 1)),
+        ledger().levels(0, List.of(Assigner.Effect.SAFE, Assigner.Effect.UNSAFE)));
+  }
 
-    /** Servers that come and go leave nothing behind, and who was away too long gets its table whole. */
-    @Test
-    void manyServersLeaveNothingBehind() {
-        Ledger ledger = bound(true);
-        for (int k = 0; k < 5000; k++) {
-            ledger.listed(8 + k, false, List.of(server("s" + k, Assigner.State.READY)));
-            ledger.line(0, "s" + k, 1);
-            end(ledger);
-            ledger.withdraw("s" + k, true, now);
-            ledger.line(0, "s" + k, 0);
-            end(ledger);
-            ledger.forget("s" + k);
-        }
-        end(ledger);
-        assertTrue(store.size() < 150, store.size() + " keys");
-        assertNull(ledger().joined(3, false));
+  /**
+   * Servers that come and go leave nothing behind, and who was away too long gets its table whole.
+   */
+  @Test
+  void manyServersLeaveNothingBehind() {
+    Ledger ledger = bound(true);
+    for (int k = 0; k < 5000; k++) {
+      ledger.listed(8 + k, false, List.of(server("s" + k, Assigner.State.READY)));
+      ledger.line(0, "s" + k, 1);
+      end(ledger);
+      ledger.withdraw("s" + k, true, now);
+      ledger.line(0, "s" + k, 0);
+      end(ledger);
+      ledger.forget("s" + k);
     }
+    end(ledger);
+    assertTrue(store.size() < 150, store.size() + " keys");
+    assertNull(ledger().joined(3, false));
+  }
 
-    /** A proxy's end of the channel, with what it holds. */
-    private static final class Follower {
-        final Map<String, Double> lines = new TreeMap<>();
-        final Map<Integer, Level> levels = new TreeMap<>();
-        final Set<String> out = new TreeSet<>();
-        final List<Runnable> way = new ArrayList<>();
-        boolean fresh = true;
+  /** A proxy's end of the channel, with what it holds. */
+  private static final class Follower {
+    final Map<String, Double> lines = new TreeMap<>();
+    final Map<Integer, Level> levels = new TreeMap<>();
+    final Set<String> out = new TreeSet<>();
+    final List<Runnable> way = new ArrayList<>();
+    boolean fresh = true;
 
-        void word(String server, boolean isOut) {
-            if (isOut) {
-                out.add(server);
-            } else {
-                out.remove(server);
-            }
-        }
+    void word(String server, boolean isOut) {
+      if (isOut) {
+        out.add(server);
+      } else {
+        out.remove(server);
+      }
+    }
 
-        Map<String, Double> open() {
-            Map<String, Double> open = new TreeMap<>(lines);
-            open.keySet().removeAll(out);
-            return open;
-        }
+    Map<String, Double> open() {
+      Map<String, Double> open = new TreeMap<>(lines);
+      open.keySet().removeAll(out);
+      return open;
     }
+  }
 
-    /**
-     * Orders, answers, breaks and crashes drawn from a seed; messages are cut off where the crash takes
-     * them. A follower that rejoins and applies what it is said to lack must hold what was ordered.
-     */
-    @Property(seed = "9", tries = 400)
-    void whatIsLackingIsExactlyThat(@ForAll long seed) {
-        store.clear();
-        Random random = new Random(seed);
-        Follower follower = new Follower();
-        Ledger ledger = ledger();
-        Map<String, Boolean> words = new HashMap<>();
-        boolean joined = false;
-        int mark = 0;
-        for (int step = 0; step < 60; step++) {
-            if (!joined) {
-                Rejoin lacks = ledger.joined(1, follower.fresh);
-                ledger.bind(1, 0, lacks == null);
-                Map<String, Double> whole = ledger.lines(0);
-                Map<Integer, Level> levels = levels(ledger);
-                Map<String, Boolean> out = new HashMap<>(words);
-                follower.way.add(lacks == null ? () -> {
-                    follower.fresh = false;
-                    follower.lines.clear();
-                    follower.lines.putAll(whole);
-                    follower.levels.clear();
-                    follower.levels.putAll(levels);
-                    whole.keySet().forEach(s -> follower.word(s, out.getOrDefault(s, false)));
-                } : () -> apply(follower, lacks.lines(), lacks.levels(), lacks.ejections()));
-                joined = true;
-            }
-            Map<String, Double> changed = new HashMap<>();
-            Map<Integer, Level> admitted = new HashMap<>();
-            Map<String, Boolean> flips = new HashMap<>();
-            for (int k = random.nextInt(3); k > 0; k--) {
-                String server = "s" + random.nextInt(6);
-                if (random.nextInt(4) == 0) {
-                    boolean out = random.nextBoolean();
-                    ledger.withdraw(server, out, now);
-                    words.put(server, out);
-                    flips.put(server, out);
-                } else if (random.nextInt(4) == 0) {
-                    Level level = new Level(random.nextInt(5), random.nextInt(2));
-                    ledger.admit(0, 0, level);
-                    admitted.put(0, level);
-                } else {
-                    double weight = random.nextInt(4);
-                    ledger.line(0, server, weight);
-                    changed.put(server, weight);
-                    // A line goes along with how its server stands.
-                    flips.put(server, words.getOrDefault(server, false));
-                }
-            }
-            int ticket = ++mark;
-            ledger.mark(ticket);
-            ledger.sent(1);
-            end(ledger);
-            follower.way.add(() -> apply(follower, changed, admitted, flips));
-            boolean crash = random.nextInt(8) == 0;
-            int arrived = crash ? random.nextInt(follower.way.size() + 1) : follower.way.size();
-            boolean all = arrived == follower.way.size();
-            follower.way.subList(0, arrived).forEach(Runnable::run);
-            follower.way.clear();
-            if (all && random.nextInt(3) > 0) {
-                ledger.applied(1, ticket);
-                if (random.nextBoolean()) {
-                    end(ledger);
+  /**
+   * Orders, answers, breaks and crashes drawn from a seed; messages are cut off where the crash
+   * takes them. A follower that rejoins and applies what it is said to lack must hold what was
+   * ordered.
+   */
+  @Property(seed = "9", tries = 400)
+  void whatIsLackingIsExactlyThat(@ForAll long seed) {
+    store.clear();
+    Random random = new Random(seed);
+    Follower follower = new Follower();
+    Ledger ledger = ledger();
+    Map<String, Boolean> words = new HashMap<>();
+    boolean joined = false;
+    int mark = 0;
+    for (int step = 0; step < 60; step++) {
+      if (!joined) {
+        Rejoin lacks = ledger.joined(1, follower.fresh);
+        ledger.bind(1, 0, lacks == null);
+        Map<String, Double> whole = ledger.lines(0);
+        Map<Integer, Level> levels = levels(ledger);
+        Map<String, Boolean> out = new HashMap<>(words);
+        follower.way.add(
+            lacks == null
+                ? () -> {
+                  follower.fresh = false;
+                  follower.lines.clear();
+                  follower.lines.putAll(whole);
+                  follower.levels.clear();
+                  follower.levels.putAll(levels);
+                  whole.keySet().forEach(s -> follower.word(s, out.getOrDefault(s, false)));
                 }
-            }
-            if (crash) {
-                ledger = ledger();
-                joined = false;
-            } else if (random.nextInt(9) == 0) {
-                ledger.left(1);
-                joined = false;
-            }
-            if (joined) {
-                Map<String, Double> open = ledger.lines(0);
-                open.keySet().removeIf(s -> words.getOrDefault(s, false));
-                assertEquals(open, follower.open(), "seed " + seed + " step " + step);
-                assertEquals(levels(ledger), follower.levels);
-            }
+                : () -> apply(follower, lacks.lines(), lacks.levels(), lacks.ejections()));
+        joined = true;
+      }
+      Map<String, Double> changed = new HashMap<>();
+      Map<Integer, Level> admitted = new HashMap<>();
+      Map<String, Boolean> flips = new HashMap<>();
+      for (int k = random.nextInt(3); k > 0; k--) {
+        String server = "s" + random.nextInt(6);
+        if (random.nextInt(4) == 0) {
+          boolean out = random.nextBoolean();
+          ledger.withdraw(server, out, now);
+          words.put(server, out);
+          flips.put(server, out);
+        } else if (random.nextInt(4) == 0) {
+          Level level = new Level(random.nextInt(5), random.nextInt(2));
+          ledger.admit(0, 0, level);
+          admitted.put(0, level);
+        } else {
+          double weight = random.nextInt(4);
+          ledger.line(0, server, weight);
+          changed.put(server, weight);
+          // A line goes along with how its server stands.
+          flips.put(server, words.getOrDefault(server, false));
+        }
+      }
+      int ticket = ++mark;
+      ledger.mark(ticket);
+      ledger.sent(1);
+      end(ledger);
+      follower.way.add(() -> apply(follower, changed, admitted, flips));
+      boolean crash = random.nextInt(8) == 0;
+      int arrived = crash ? random.nextInt(follower.way.size() + 1) : follower.way.size();
+      boolean all = arrived == follower.way.size();
+      follower.way.subList(0, arrived).forEach(Runnable::run);
+      follower.way.clear();
+      if (all && random.nextInt(3) > 0) {
+        ledger.applied(1, ticket);
+        if (random.nextBoolean()) {
+          end(ledger);
         }
-        assertNotNull(ledger);
+      }
+      if (crash) {
+        ledger = ledger();
+        joined = false;
+      } else if (random.nextInt(9) == 0) {
+        ledger.left(1);
+        joined = false;
+      }
+      if (joined) {
+        Map<String, Double> open = ledger.lines(0);
+        open.keySet().removeIf(s -> words.getOrDefault(s, false));
+        assertEquals(open, follower.open(), "seed " + seed + " step " + step);
+        assertEquals(levels(ledger), follower.levels);
+      }
     }
+    assertNotNull(ledger);
+  }
 
-    private static Map<Integer, Level> levels(Ledger ledger) {
-        return ledger.levels(0, List.of(Assigner.Effect.SAFE, Assigner.Effect.SAFE));
-    }
+  private static Map<Integer, Level> levels(Ledger ledger) {
+    return ledger.levels(0, List.of(Assigner.Effect.SAFE, Assigner.Effect.SAFE));
+  }
 
-    private static void apply(Follower f, Map<String, Double> lines, Map<Integer, Level> levels,
-            Map<String, Boolean> words) {
-        lines.forEach((server, weight) -> {
-            if (weight > 0) {
-                f.lines.put(server, weight);
-            } else {
-                f.lines.remove(server);
-            }
+  private static void apply(
+      Follower f,
+      Map<String, Double> lines,
+      Map<Integer, Level> levels,
+      Map<String, Boolean> words) {
+    lines.forEach(
+        (server, weight) -> {
+          if (weight > 0) {
+            f.lines.put(server, weight);
+          } else {
+            f.lines.remove(server);
+          }
         });
-        f.levels.putAll(levels);
-        words.forEach(f::word);
-    }
+    f.levels.putAll(levels);
+    words.forEach(f::word);
+  }
 }
