--- a/src/test/java/pearusher/serve/StoredDataSite.java
+++ b/src/test/java/pearusher/serve/StoredDataSite.java
@@ -20,235 +20,273 @@
 import pearusher.store.Store;
 
 /**
- * An exchange on a store directory, with a fixed clock and a module that gives exactly the orders of the
- * test. It is used to write the stored test data and to read it again.
+ * An exchange on a store directory, with a fixed clock and a module that gives exactly the orders
+ * of the test. It is used to write the stored test data and to read it again.
  */
 final class StoredDataSite implements AutoCloseable {
-    /** Small segments, so that a short scenario has several; no compaction by itself. */
-    static final Options OPTIONS = new Options(Options.Policy.EACH, 0, 1500, 1 << 30, 2,
-            Options.Damage.REFUSE);
-    static final long TRUST_US = 600_000_000;
-    /** The server with the name "sK" has the cell FIRST_CELL + K. */
-    static final int FIRST_CELL = 10;
-    private static final long PATIENCE_US = 30_000_000;
-    private static final long ALIVE_US = 5_000_000;
-    private static final double REQUESTS_PER_S = 2.5;
-
-    /** Binds each proxy that joins, and gives the orders that it is asked for at the end of a turn. */
-    private static final class OrderedModule implements Assigner {
-        private final Orders orders;
-        private final Queue<Consumer<Orders>> asked = new ArrayDeque<>();
-        private final Map<Long, Integer> cells = new HashMap<>();
-        private final Map<Integer, Integer> joining = new TreeMap<>();
-        private final List<String> restored = new ArrayList<>();
-        private int lastMark;
-
-        OrderedModule(Orders orders) {
-            this.orders = orders;
-        }
-
-        @Override
-        public void listed(long now, ListForm form, List<Entry> entries) {
-            entries.forEach(entry -> cells.put(entry.server(), entry.cell()));
-        }
-
-        @Override
-        public void restored(long now, int table, Map<Long, Double> weights, double[] levels, int[] retries,
-                int mark) {
-            Map<String, Double> byName = new TreeMap<>();
-            weights.forEach((server, weight) -> byName.put(serverName(cells.get(server)), weight));
-            restored.add("table " + table + " lines " + byName + " levels " + Arrays.toString(levels)
-                    + " retries " + Arrays.toString(retries) + " last mark " + mark);
-            lastMark = mark;
-        }
-
-        @Override
-        public void joined(long now, int proxy, int zone, double perS, boolean onlyStanding) {
-            joining.put(proxy, zone);
-        }
-
-        @Override
-        public void holds(long now, int proxy, int table, int lacks) {
-            joining.put(proxy, table);
-        }
-
-        @Override
-        public void close(long now) {
-            joining.forEach((proxy, table) -> orders.bind(proxy, table, 0));
-            if (!joining.isEmpty()) {
-                orders.mark(++lastMark, false);
-            }
-            joining.clear();
-            // A mark among these takes the place of the one above.
-            for (Consumer<Orders> one = asked.poll(); one != null; one = asked.poll()) {
-                one.accept(orders);
-            }
-        }
-
-        long server(int number) {
-            return cells.entrySet().stream().filter(entry -> entry.getValue() == FIRST_CELL + number)
-                    .findFirst().orElseThrow().getKey();
-        }
-
-        @Override
-        public void timer(long now, long token) {}
-
-        @Override
-        public void left(long now, int proxy) {}
-
-        @Override
-        public void applied(long now, int proxy, int mark, long tookUs) {}
-
-        @Override
-        public void heard(long now, long server, int zone, long tries, long failed, long spanUs, long meanUs,
-                float[] load, long ageUs) {}
-
-        @Override
-        public void usage(long now, int proxy, int grade, long requests, long failed, long spanUs) {}
+  /** Small segments, so that a short scenario has several; no compaction by itself. */
+  static final Options OPTIONS =
+      new Options(Options.Policy.EACH, 0, 1500, 1 << 30, 2, Options.Damage.REFUSE);
+
+  static final long TRUST_US = 600_000_000;
+
+  /** The server with the name "sK" has the cell FIRST_CELL + K. */
+  static final int FIRST_CELL = 10;
+
+  private static final long PATIENCE_US = 30_000_000;
+  private static final long ALIVE_US = 5_000_000;
+  private static final double REQUESTS_PER_S = 2.5;
+
+  /**
+   * Binds each proxy that joins, and gives the orders that it is asked for at the end of a turn.
+   */
+  private static final class OrderedModule implements Assigner {
+    private final Orders orders;
+    private final Queue<Consumer<Orders>> asked = new ArrayDeque<>();
+    private final Map<Long, Integer> cells = new HashMap<>();
+    private final Map<Integer, Integer> joining = new TreeMap<>();
+    private final List<String> restored = new ArrayList<>();
+    private int lastMark;
+
+    OrderedModule(Orders orders) {
+      this.orders = orders;
     }
 
-    /** A proxy's stream, which keeps what it is sent. */
-    private static final class KeptStream implements Exchange.Stream {
-        private final List<byte[]> messages = new ArrayList<>();
-
-        @Override
-        public synchronized void send(byte[] message) {
-            messages.add(message);
-        }
-
-        @Override
-        public void replaced() {}
-
-        synchronized List<byte[]> take() {
-            List<byte[]> out = List.copyOf(messages);
-            messages.clear();
-            return out;
-        }
-    }
-
-    private final AtomicLong clock;
-    private final Durable durable;
-    private final Exchange exchange;
-    private OrderedModule module;
-    private final Map<Integer, KeptStream> streams = new TreeMap<>();
-
-    /**
-     * Opens the store and takes the first turn.
-     *
-     * @param work an empty directory, for the configuration
-     */
-    StoredDataSite(Path store, Path work, long nowUs) throws Exception {
-        clock = new AtomicLong(nowUs);
-        Config config = new Example().read(work);
-        FileDisk disk = new FileDisk(store);
-        disk.make();
-        Keeping keeping = new Keeping(store, OPTIONS, PATIENCE_US, ALIVE_US, TRUST_US);
-        durable = new Durable(config, keeping, Store.open(disk, OPTIONS), clock::get);
-        exchange = new Exchange(config, (settings, orders) -> {
-            module = new OrderedModule(orders);
-            return module;
-        }, clock::get, failure -> {}, durable, null) {
-            @Override
-            void pause() {}
-        };
-        exchange.connect(new Exchange.Calls() {
-            @Override
-            public void watch(boolean on, long since) {}
-
-            @Override
-            public void fetch() {}
-
-            @Override
-            public void probe(long server, String hostPort) {}
-        }, (peer, body) -> {});
-        durable.start();
-        exchange.begin();
-        settle();
-    }
-
-    static String serverName(int cell) {
-        return "s" + (cell - FIRST_CELL);
+    @Override
+    public void listed(long now, ListForm form, List<Entry> entries) {
+      entries.forEach(entry -> cells.put(entry.server(), entry.cell()));
     }
 
-    /** Lets time pass, then takes a turn and waits until the disk is done with it. */
-    void turn(long passedUs) throws InterruptedException {
-        clock.addAndGet(passedUs);
-        exchange.event(() -> {});
-        exchange.turn();
-        settle();
+    @Override
+    public void restored(
+        long now, int table, Map<Long, Double> weights, double[] levels, int[] retries, int mark) {
+      Map<String, Double> byName = new TreeMap<>();
+      weights.forEach((server, weight) -> byName.put(serverName(cells.get(server)), weight));
+      restored.add(
+          "table "
+              + table
+              + " lines "
+              + byName
+              + " levels "
+              + Arrays.toString(levels)
+              + " retries "
+              + Arrays.toString(retries)
+              + " last mark "
+              + mark);
+      lastMark = mark;
     }
 
-    private void settle() throws InterruptedException {
-        while (durable.waiting() > 0) {
-            Thread.sleep(1);
-        }
+    @Override
+    public void joined(long now, int proxy, int zone, double perS, boolean onlyStanding) {
+      joining.put(proxy, zone);
     }
 
-    void list(long generation, boolean whole, List<Message.Instance> servers) {
-        exchange.listed(new Message.Listing(generation, whole, servers), false);
+    @Override
+    public void holds(long now, int proxy, int table, int lacks) {
+      joining.put(proxy, table);
     }
 
-    /** Orders for the end of the next turn. */
-    void ask(Consumer<Assigner.Orders> orders) {
-        module.asked.add(orders);
+    @Override
+    public void close(long now) {
+      joining.forEach((proxy, table) -> orders.bind(proxy, table, 0));
+      if (!joining.isEmpty()) {
+        orders.mark(++lastMark, false);
+      }
+      joining.clear();
+      // A mark among these takes the place of the one above.
+      for (Consumer<Orders> one = asked.poll(); one != null; one = asked.poll()) {
+        one.accept(orders);
+      }
     }
 
-    /** The module's number of a server. */
     long server(int number) {
-        return module.server(number);
+      return cells.entrySet().stream()
+          .filter(entry -> entry.getValue() == FIRST_CELL + number)
+          .findFirst()
+          .orElseThrow()
+          .getKey();
     }
 
-    void join(int proxy, int zone, boolean fresh) {
-        KeptStream stream = new KeptStream();
-        streams.put(proxy, stream);
-        exchange.joined(stream, new Message.Joined(proxy, zone, REQUESTS_PER_S, fresh));
-    }
+    @Override
+    public void timer(long now, long token) {}
 
-    void answer(int proxy, int mark) {
-        exchange.applied(streams.get(proxy), new Message.Applied(proxy, mark, 0));
-    }
+    @Override
+    public void left(long now, int proxy) {}
 
-    /** The tables that the module was told at the start, a line each. */
-    List<String> restored() {
-        return module.restored;
-    }
+    @Override
+    public void applied(long now, int proxy, int mark, long tookUs) {}
 
-    /** What a proxy was sent since the last call: the bytes as text. */
-    List<String> sent(int proxy) throws Resp.Fault {
-        List<String> out = new ArrayList<>();
-        for (byte[] message : streams.get(proxy).take()) {
-            out.add("proxy " + proxy + ": " + shown(message));
-        }
-        return out.isEmpty() ? List.of("proxy " + proxy + ": nothing") : out;
-    }
+    @Override
+    public void heard(
+        long now,
+        long server,
+        int zone,
+        long tries,
+        long failed,
+        long spanUs,
+        long meanUs,
+        float[] load,
+        long ageUs) {}
 
-    /**
-     * A message of less than a table byte by byte, but for the order of servers that are out or back. That
-     * order, and the order of the lines of a whole table, follows the numbers that a start gives the servers
-     * of an unordered map, which differ from process to process: there the servers are sorted.
-     */
-    private static String shown(byte[] message) throws Resp.Fault {
-        String text = new String(message, StandardCharsets.UTF_8).replace("\r\n", "|");
-        if (!text.contains("|whole|")) {
-            return String.join("|", Arrays.stream(text.split("\\|", -1))
-                    .map(word -> word.contains(":") ? word : sorted(word)).toList());
-        }
-        List<String> parts = new ArrayList<>();
-        try (Resp.Reader reader = new Resp.Reader(Resp.MOST)) {
-            ByteBuffer from = ByteBuffer.wrap(message);
-            for (List<String> words = reader.next(from); words != null; words = reader.next(from)) {
-                parts.add(String.join(" ", words.stream().map(StoredDataSite::sorted).toList()));
-            }
-        }
-        return String.join(" ; ", parts);
-    }
+    @Override
+    public void usage(long now, int proxy, int grade, long requests, long failed, long spanUs) {}
+  }
 
-    private static String sorted(String word) {
-        return String.join(",", Arrays.stream(word.split(",")).sorted().toList());
+  /** A proxy's stream, which keeps what it is sent. */
+  private static final class KeptStream implements Exchange.Stream {
+    private final List<byte[]> messages = new ArrayList<>();
+
+    @Override
+    public synchronized void send(byte[] message) {
+      messages.add(message);
     }
 
     @Override
-    public void close() throws IOException {
-        durable.close();
+    public void replaced() {}
+
+    synchronized List<byte[]> take() {
+      List<byte[]> out = List.copyOf(messages);
+      messages.clear();
+      return out;
+    }
+  }
+
+  private final AtomicLong clock;
+  private final Durable durable;
+  private final Exchange exchange;
+  private OrderedModule module;
+  private final Map<Integer, KeptStream> streams = new TreeMap<>();
+
+  /**
+   * Opens the store and takes the first turn.
+   *
+   * @param work an empty directory, for the configuration
+   */
+  StoredDataSite(Path store, Path work, long nowUs) throws Exception {
+    clock = new AtomicLong(nowUs);
+    Config config = new Example().read(work);
+    FileDisk disk = new FileDisk(store);
+    disk.make();
+    Keeping keeping = new Keeping(store, OPTIONS, PATIENCE_US, ALIVE_US, TRUST_US);
+    durable = new Durable(config, keeping, Store.open(disk, OPTIONS), clock::get);
+    exchange =
+        new Exchange(
+            config,
+            (settings, orders) -> {
+              module = new OrderedModule(orders);
+              return module;
+            },
+            clock::get,
+            failure -> {},
+            durable,
+            null) {
+          @Override
+          void pause() {}
+        };
+    exchange.connect(
+        new Exchange.Calls() {
+          @Override
+          public void watch(boolean on, long since) {}
+
+          @Override
+          public void fetch() {}
+
+          @Override
+          public void probe(long server, String hostPort) {}
+        },
+        (peer, body) -> {});
+    durable.start();
+    exchange.begin();
+    settle();
+  }
+
+  static String serverName(int cell) {
+    return "s" + (cell - FIRST_CELL);
+  }
+
+  /** Lets time pass, then takes a turn and waits until the disk is done with it. */
+  void turn(long passedUs) throws InterruptedException {
+    clock.addAndGet(passedUs);
+    exchange.event(() -> {});
+    exchange.turn();
+    settle();
+  }
+
+  private void settle() throws InterruptedException {
+    while (durable.waiting() > 0) {
+      Thread.sleep(1);
+    }
+  }
+
+  void list(long generation, boolean whole, List<Message.Instance> servers) {
+    exchange.listed(new Message.Listing(generation, whole, servers), false);
+  }
+
+  /** Orders for the end of the next turn. */
+  void ask(Consumer<Assigner.Orders> orders) {
+    module.asked.add(orders);
+  }
+
+  /** The module's number of a server. */
+  long server(int number) {
+    return module.server(number);
+  }
+
+  void join(int proxy, int zone, boolean fresh) {
+    KeptStream stream = new KeptStream();
+    streams.put(proxy, stream);
+    exchange.joined(stream, new Message.Joined(proxy, zone, REQUESTS_PER_S, fresh));
+  }
+
+  void answer(int proxy, int mark) {
+    exchange.applied(streams.get(proxy), new Message.Applied(proxy, mark, 0));
+  }
+
+  /** The tables that the module was told at the start, a line each. */
+  List<String> restored() {
+    return module.restored;
+  }
+
+  /** What a proxy was sent since the last call: the bytes as text. */
+  List<String> sent(int proxy) throws Resp.Fault {
+    List<String> out = new ArrayList<>();
+    for (byte[] message : streams.get(proxy).take()) {
+      out.add("proxy " + proxy + ": " + shown(message));
     }
+    return out.isEmpty() ? List.of("proxy " + proxy + ": nothing") : out;
+  }
+
+  /**
+   * A message of less than a table byte by byte, but for the order of servers that are out or back.
+   * That order, and the order of the lines of a whole table, follows the numbers that a start gives
+   * the servers of an unordered map, which differ from process to process: there the servers are
+   * sorted.
+   */
+  private static String shown(byte[] message) throws Resp.Fault {
+    String text = new String(message, StandardCharsets.UTF_8).replace("\r\n", "|");
+    if (!text.contains("|whole|")) {
+      return String.join(
+          "|",
+          Arrays.stream(text.split("\\|", -1))
+              .map(word -> word.contains(":") ? word : sorted(word))
+              .toList());
+    }
+    List<String> parts = new ArrayList<>();
+    try (Resp.Reader reader = new Resp.Reader(Resp.MOST)) {
+      ByteBuffer from = ByteBuffer.wrap(message);
+      for (List<String> words = reader.next(from); words != null; words = reader.next(from)) {
+        parts.add(String.join(" ", words.stream().map(StoredDataSite::sorted).toList()));
+      }
+    }
+    return String.join(" ; ", parts);
+  }
+
+  private static String sorted(String word) {
+    return String.join(",", Arrays.stream(word.split(",")).sorted().toList());
+  }
+
+  @Override
+  public void close() throws IOException {
+    durable.close();
+  }
 }
--- a/src/test/java/pearusher/serve/StoredDataTest.java
+++ b/src/test/java/pearusher/serve/StoredDataTest.java
@@ -14,110 +14,116 @@
 import pearusher.cli.CommandRun;
 
 /**
- * A store directory of format 1 that an earlier build wrote ({@link StoredDataWriter}): every later build
- * reads the same from it. The directory and the expected texts are committed and never written again.
+ * A store directory of format 1 that an earlier build wrote ({@link StoredDataWriter}): every later
+ * build reads the same from it. The directory and the expected texts are committed and never
+ * written again.
  */
 class StoredDataTest {
-    private static final Path RESOURCES = Path.of("src", "test", "resources", "pearusher");
-    private static final Path EXPECTED = RESOURCES.resolve(StoredDataWriter.EXPECTED);
-    /** In a copy's dump, the key that marks it, with the sequence of its last record. */
-    private static final String COPY_MARK = "\"!copied\":\"[0-9a-f]{16}\",";
-
-    @TempDir
-    Path work;
-    private Path store;
-
-    @BeforeEach
-    void copyOfTheCommittedStore() throws IOException {
-        store = work.resolve("store");
-        StoredDataWriter.copy(RESOURCES.resolve(StoredDataWriter.STORE), store);
-    }
+  private static final Path RESOURCES = Path.of("src", "test", "resources", "pearusher");
+  private static final Path EXPECTED = RESOURCES.resolve(StoredDataWriter.EXPECTED);
 
-    private static String expected(String name) throws IOException {
-        return Files.readString(EXPECTED.resolve(name));
-    }
+  /** In a copy's dump, the key that marks it, with the sequence of its last record. */
+  private static final String COPY_MARK = "\"!copied\":\"[0-9a-f]{16}\",";
 
-    private static List<String> expectedLines(String name) throws IOException {
-        return Files.readAllLines(EXPECTED.resolve(name));
-    }
+  @TempDir Path work;
+  private Path store;
 
-    private static String command(String name, Path directory) {
-        return CommandRun.output(0, "store", name, directory.toString());
-    }
+  @BeforeEach
+  void copyOfTheCommittedStore() throws IOException {
+    store = work.resolve("store");
+    StoredDataWriter.copy(RESOURCES.resolve(StoredDataWriter.STORE), store);
+  }
 
-    private static String dump(Path directory) {
-        return CommandRun.output(0, "store", "dump", "--json", directory.toString());
-    }
+  private static String expected(String name) throws IOException {
+    return Files.readString(EXPECTED.resolve(name));
+  }
 
-    private static long files(Path directory, String prefix) throws IOException {
-        try (Stream<Path> all = Files.list(directory)) {
-            return all.filter(file -> file.getFileName().toString().startsWith(prefix)).count();
-        }
-    }
+  private static List<String> expectedLines(String name) throws IOException {
+    return Files.readAllLines(EXPECTED.resolve(name));
+  }
 
-    @Test
-    void theCommittedStoreHasACheckpointAndSeveralLogSegments() throws IOException {
-        assertEquals(1, files(store, "checkpoint-"));
-        assertTrue(files(store, "log-") >= 3, "log segments: " + files(store, "log-"));
-    }
+  private static String command(String name, Path directory) {
+    return CommandRun.output(0, "store", name, directory.toString());
+  }
 
-    @Test
-    void commandsOnAStoreOfFormatOneWriteTheRecordedText() throws IOException {
-        assertEquals(expected("inspect.txt"), command("inspect", store));
-        assertEquals(expected("verify.txt"), command("verify", store));
-        assertEquals(expected("dump.json"), dump(store));
-    }
+  private static String dump(Path directory) {
+    return CommandRun.output(0, "store", "dump", "--json", directory.toString());
+  }
 
-    @Test
-    void aLedgerOfAStoreOfFormatOneHoldsTheRecordedValues() throws IOException {
-        assertEquals(expectedLines("ledger.txt"), StoredDataWriter.ledger(store));
+  private static long files(Path directory, String prefix) throws IOException {
+    try (Stream<Path> all = Files.list(directory)) {
+      return all.filter(file -> file.getFileName().toString().startsWith(prefix)).count();
     }
-
-    @Test
-    void anExchangeOnAStoreOfFormatOneRestoresTablesAndTellsProxiesTheRecordedMessages() throws Exception {
-        assertEquals(expectedLines("start.txt"), StoredDataWriter.startAndOrders(store, work,
-                StoredDataWriter.READ_US));
-    }
-
-    @Test
-    void afterACompactionAStoreOfFormatOneHoldsTheSameValues() throws Exception {
-        CommandRun.output(0, "store", "compact", store.toString());
-        assertEquals(expected("dump.json"), dump(store));
-        assertEquals(expectedLines("ledger.txt"), StoredDataWriter.ledger(store));
-        assertEquals(expectedLines("start.txt"), StoredDataWriter.startAndOrders(store, work,
-                StoredDataWriter.READ_US));
-    }
-
-    @Test
-    void aBackupAndItsRestoreHoldTheSameValuesAndAreMarkedAsCopies() throws IOException {
-        Path backup = work.resolve("backup");
-        Path restored = work.resolve("restored");
-        String sequence = expected("inspect.txt").replaceAll("(?s).*\nsequence +(\\d+)\n.*", "$1");
-        assertEquals("copied up to record " + sequence + "\n", CommandRun.output(0, "store", "backup",
-                store.toString(), backup.toString()));
-        assertEquals("restored up to record " + sequence + "\n", CommandRun.output(0, "store", "restore",
-                restored.toString(), "--from", backup.toString()));
-        for (Path copy : List.of(backup, restored)) {
-            String text = dump(copy);
-            assertTrue(text.matches("(?s)\\{" + COPY_MARK + ".*"), text);
-            assertEquals(expected("dump.json"), text.replaceFirst(COPY_MARK, ""));
-            assertEquals(expectedLines("ledger.txt"), StoredDataWriter.ledger(copy));
-        }
-        assertEquals(expected("dump.json"), dump(store), "the store itself is unchanged");
-    }
-
-    /** Orders may have gone out after the copy was made: no table of it is believed. */
-    @Test
-    void anExchangeOnARestoredCopyTakesOverNoTable() throws Exception {
-        Path backup = work.resolve("backup");
-        CommandRun.output(0, "store", "backup", store.toString(), backup.toString());
-        List<String> start = StoredDataWriter.start(backup, work, StoredDataWriter.READ_US);
-        assertEquals(expectedLines("start-of-copy.txt"), start);
-    }
-
-    @Test
-    void anExchangeOnAStoreThatWasSilentForTooLongTakesOverNoTable() throws Exception {
-        long tooLate = StoredDataWriter.END_US + StoredDataSite.TRUST_US + 1_000_000;
-        assertEquals(expectedLines("start-of-copy.txt"), StoredDataWriter.start(store, work, tooLate));
+  }
+
+  @Test
+  void theCommittedStoreHasACheckpointAndSeveralLogSegments() throws IOException {
+    assertEquals(1, files(store, "checkpoint-"));
+    assertTrue(files(store, "log-") >= 3, "log segments: " + files(store, "log-"));
+  }
+
+  @Test
+  void commandsOnAStoreOfFormatOneWriteTheRecordedText() throws IOException {
+    assertEquals(expected("inspect.txt"), command("inspect", store));
+    assertEquals(expected("verify.txt"), command("verify", store));
+    assertEquals(expected("dump.json"), dump(store));
+  }
+
+  @Test
+  void aLedgerOfAStoreOfFormatOneHoldsTheRecordedValues() throws IOException {
+    assertEquals(expectedLines("ledger.txt"), StoredDataWriter.ledger(store));
+  }
+
+  @Test
+  void anExchangeOnAStoreOfFormatOneRestoresTablesAndTellsProxiesTheRecordedMessages()
+      throws Exception {
+    assertEquals(
+        expectedLines("start.txt"),
+        StoredDataWriter.startAndOrders(store, work, StoredDataWriter.READ_US));
+  }
+
+  @Test
+  void afterACompactionAStoreOfFormatOneHoldsTheSameValues() throws Exception {
+    CommandRun.output(0, "store", "compact", store.toString());
+    assertEquals(expected("dump.json"), dump(store));
+    assertEquals(expectedLines("ledger.txt"), StoredDataWriter.ledger(store));
+    assertEquals(
+        expectedLines("start.txt"),
+        StoredDataWriter.startAndOrders(store, work, StoredDataWriter.READ_US));
+  }
+
+  @Test
+  void aBackupAndItsRestoreHoldTheSameValuesAndAreMarkedAsCopies() throws IOException {
+    Path backup = work.resolve("backup");
+    Path restored = work.resolve("restored");
+    String sequence = expected("inspect.txt").replaceAll("(?s).*\nsequence +(\\d+)\n.*", "$1");
+    assertEquals(
+        "copied up to record " + sequence + "\n",
+        CommandRun.output(0, "store", "backup", store.toString(), backup.toString()));
+    assertEquals(
+        "restored up to record " + sequence + "\n",
+        CommandRun.output(0, "store", "restore", restored.toString(), "--from", backup.toString()));
+    for (Path copy : List.of(backup, restored)) {
+      String text = dump(copy);
+      assertTrue(text.matches("(?s)\\{" + COPY_MARK + ".*"), text);
+      assertEquals(expected("dump.json"), text.replaceFirst(COPY_MARK, ""));
+      assertEquals(expectedLines("ledger.txt"), StoredDataWriter.ledger(copy));
     }
+    assertEquals(expected("dump.json"), dump(store), "the store itself is unchanged");
+  }
+
+  /** Orders may have gone out after the copy was made: no table of it is believed. */
+  @Test
+  void anExchangeOnARestoredCopyTakesOverNoTable() throws Exception {
+    Path backup = work.resolve("backup");
+    CommandRun.output(0, "store", "backup", store.toString(), backup.toString());
+    List<String> start = StoredDataWriter.start(backup, work, StoredDataWriter.READ_US);
+    assertEquals(expectedLines("start-of-copy.txt"), start);
+  }
+
+  @Test
+  void anExchangeOnAStoreThatWasSilentForTooLongTakesOverNoTable() throws Exception {
+    long tooLate = StoredDataWriter.END_US + StoredDataSite.TRUST_US + 1_000_000;
+    assertEquals(expectedLines("start-of-copy.txt"), StoredDataWriter.start(store, work, tooLate));
+  }
 }
