--- a/src/bench/java/pearusher/serve/KillBench.java
+++ b/src/bench/java/pearusher/serve/KillBench.java
@@ -11,7 +11,7 @@
 import java.util.StringJoiner;
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.Histogram;
-import pearusher.Rules;
+import pearusher.policy.Rules;
 import pearusher.store.FileDisk;
 import pearusher.store.Options;
 import pearusher.store.Store;
--- a/src/main/java/pearusher/adapter/Loop.java
+++ b/src/main/java/pearusher/adapter/Loop.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.BiFunction;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 import pearusher.settings.Paths;
 import pearusher.settings.SettingsException;
 import pearusher.settings.SettingsReader;
--- a/src/main/java/pearusher/adapter/Reply.java
+++ b/src/main/java/pearusher/adapter/Reply.java
@@ -4,7 +4,7 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 
 /** Builds one reply: the orders of all instances, each led by the instance they belong to. */
 final class Reply implements Assigner.Orders {
--- a/src/main/java/pearusher/cli/Main.java
+++ b/src/main/java/pearusher/cli/Main.java
@@ -1,6 +1,6 @@
 package pearusher.cli;
 
-import pearusher.Rules;
+import pearusher.policy.Rules;
 import pearusher.serve.Serve;
 
 /**
--- a/src/main/java/pearusher/ProxyState.java
+++ b/src/main/java/pearusher/policy/ProxyState.java
@@ -1,4 +1,4 @@
-package pearusher;
+package pearusher.policy;
 
 import java.util.ArrayDeque;
 import java.util.Arrays;
--- a/src/main/java/pearusher/Rules.java
+++ b/src/main/java/pearusher/policy/Rules.java
@@ -1,8 +1,8 @@
-package pearusher;
+package pearusher.policy;
 
 import static java.util.stream.Collectors.toSet;
-import static pearusher.Statistics.median;
-import static pearusher.Statistics.total;
+import static pearusher.policy.Statistics.median;
+import static pearusher.policy.Statistics.total;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/pearusher/Tally.java
+++ b/src/main/java/pearusher/policy/Tally.java
@@ -1,4 +1,4 @@
-package pearusher;
+package pearusher.policy;
 
 /** Tries counted by what they brought; decays with the time it covers. */
 final class Tally {
--- a/src/main/java/pearusher/recovery/KnownList.java
+++ b/src/main/java/pearusher/recovery/KnownList.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 
 /**
  * The list of servers that a start begins with, made of the one it was given and the one in the
--- a/src/main/java/pearusher/recovery/Ledger.java
+++ b/src/main/java/pearusher/recovery/Ledger.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 
 /**
  * What this assigner has ordered, turn by turn, as it is to last: each table's lines and levels,
--- a/src/main/java/pearusher/recovery/LedgerTable.java
+++ b/src/main/java/pearusher/recovery/LedgerTable.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 
 /**
  * One table of the ledger: its lines, also those taken out as long as proxies may hold them, and
--- a/src/main/java/pearusher/recovery/ListedServer.java
+++ b/src/main/java/pearusher/recovery/ListedServer.java
@@ -1,6 +1,6 @@
 package pearusher.recovery;
 
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 
 /** What the list last said of a server; positions and times as in {@link Assigner.Entry}. */
 public record ListedServer(
--- a/src/main/java/pearusher/recovery/Values.java
+++ b/src/main/java/pearusher/recovery/Values.java
@@ -6,7 +6,7 @@
 import java.io.DataOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 
 /**
  * The store's keys and the bytes of their values, specified in docs/store.md; the one place that
--- a/src/main/java/pearusher/serve/Config.java
+++ b/src/main/java/pearusher/serve/Config.java
@@ -13,7 +13,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 import pearusher.settings.Paths;
 import pearusher.settings.SettingsException;
 import pearusher.settings.SettingsReader;
--- a/src/main/java/pearusher/serve/Durable.java
+++ b/src/main/java/pearusher/serve/Durable.java
@@ -10,7 +10,7 @@
 import java.util.TreeSet;
 import java.util.function.LongSupplier;
 import org.tinylog.Logger;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 import pearusher.recovery.Doubt;
 import pearusher.recovery.KnownList;
 import pearusher.recovery.Ledger;
--- a/src/main/java/pearusher/serve/Ending.java
+++ b/src/main/java/pearusher/serve/Ending.java
@@ -4,7 +4,7 @@
 import java.net.ConnectException;
 import java.net.SocketTimeoutException;
 import java.util.concurrent.TimeoutException;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 
 /**
  * Every way in which a connection can end, on either side, and what it means to the module: for a
--- a/src/main/java/pearusher/serve/Exchange.java
+++ b/src/main/java/pearusher/serve/Exchange.java
@@ -13,8 +13,8 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.tinylog.Logger;
-import pearusher.Assigner;
 import pearusher.intake.Item;
+import pearusher.policy.Assigner;
 
 /**
  * The only place where the server side, the client side and the module meet. It owns the module,
--- a/src/main/java/pearusher/serve/Message.java
+++ b/src/main/java/pearusher/serve/Message.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.StringJoiner;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 import pearusher.settings.Paths;
 import pearusher.settings.SettingsException;
 
--- a/src/main/java/pearusher/serve/ReportIntake.java
+++ b/src/main/java/pearusher/serve/ReportIntake.java
@@ -3,9 +3,9 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import pearusher.Assigner;
 import pearusher.intake.Item;
 import pearusher.intake.Sums;
+import pearusher.policy.Assigner;
 
 /**
  * The way of a report to the module: through the intake where the operators switched it on, else
--- a/src/main/java/pearusher/serve/Serve.java
+++ b/src/main/java/pearusher/serve/Serve.java
@@ -13,7 +13,7 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import org.tinylog.Logger;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 import pearusher.settings.SettingsException;
 
 /**
--- a/src/main/java/pearusher/serve/StreamMembership.java
+++ b/src/main/java/pearusher/serve/StreamMembership.java
@@ -5,7 +5,7 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import org.tinylog.Logger;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 import pearusher.recovery.Rejoin;
 
 /**
--- a/src/main/java/pearusher/serve/WarmUp.java
+++ b/src/main/java/pearusher/serve/WarmUp.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BiFunction;
 import org.tinylog.Logger;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 
 /**
  * Runs the way of an event from bytes to decision to bytes on invented periods, before the first
--- a/src/main/java/pearusher/settings/SettingsReader.java
+++ b/src/main/java/pearusher/settings/SettingsReader.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 
 /**
  * Turns settings into what the module is told at its start. It is the one reader of them, for the
--- a/src/test/java/pearusher/adapter/WireTranscriptTest.java
+++ b/src/test/java/pearusher/adapter/WireTranscriptTest.java
@@ -22,8 +22,8 @@
 import java.util.function.BiFunction;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import pearusher.Assigner;
-import pearusher.Rules;
+import pearusher.policy.Assigner;
+import pearusher.policy.Rules;
 
 /**
  * Characterization of the simulator's wire: batches of binary events must give exactly the recorded
--- a/src/test/java/pearusher/ObjectCount.java
+++ b/src/test/java/pearusher/policy/ObjectCount.java
@@ -1,4 +1,4 @@
-package pearusher;
+package pearusher.policy;
 
 import java.lang.reflect.Array;
 import java.lang.reflect.Field;
--- a/src/test/java/pearusher/OrderRecorder.java
+++ b/src/test/java/pearusher/policy/OrderRecorder.java
@@ -1,4 +1,4 @@
-package pearusher;
+package pearusher.policy;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
--- a/src/test/java/pearusher/Play.java
+++ b/src/test/java/pearusher/policy/Play.java
@@ -1,4 +1,4 @@
-package pearusher;
+package pearusher.policy;
 
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/pearusher/PolicyHistory.java
+++ b/src/test/java/pearusher/policy/PolicyHistory.java
@@ -1,4 +1,4 @@
-package pearusher;
+package pearusher.policy;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/test/java/pearusher/PolicyScenarios.java
+++ b/src/test/java/pearusher/policy/PolicyScenarios.java
@@ -1,7 +1,7 @@
-package pearusher;
+package pearusher.policy;
 
-import static pearusher.PolicyHistory.SECOND;
-import static pearusher.PolicyHistory.ids;
+import static pearusher.policy.PolicyHistory.SECOND;
+import static pearusher.policy.PolicyHistory.ids;
 
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/test/java/pearusher/ScopeTest.java
+++ b/src/test/java/pearusher/policy/ScopeTest.java
@@ -1,4 +1,4 @@
-package pearusher;
+package pearusher.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/pearusher/recovery/LedgerTest.java
+++ b/src/test/java/pearusher/recovery/LedgerTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 import pearusher.store.Batch;
 
 /** What a joiner lacks, what a start believes, and that both are right after any crash. */
--- a/src/test/java/pearusher/recovery/OutboxTest.java
+++ b/src/test/java/pearusher/recovery/OutboxTest.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 
 /** Orders wait for the disk, in order, and not for ever; and the list that a start begins with. */
 class OutboxTest {
--- a/src/test/java/pearusher/serve/ConfigurationValuesTest.java
+++ b/src/test/java/pearusher/serve/ConfigurationValuesTest.java
@@ -9,8 +9,8 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pearusher.Assigner;
 import pearusher.Recorded;
+import pearusher.policy.Assigner;
 import pearusher.settings.SettingsException;
 
 /**
--- a/src/test/java/pearusher/serve/CrossingTest.java
+++ b/src/test/java/pearusher/serve/CrossingTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 
 /**
  * The instants in which something is still owed: two events meet, in the order that the test
--- a/src/test/java/pearusher/serve/EndingTest.java
+++ b/src/test/java/pearusher/serve/EndingTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import pearusher.Assigner.Probe;
+import pearusher.policy.Assigner.Probe;
 
 class EndingTest {
   private static final Map<Ending, Probe> PROBES =
--- a/src/test/java/pearusher/serve/GrowthTest.java
+++ b/src/test/java/pearusher/serve/GrowthTest.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pearusher.Assigner;
-import pearusher.Rules;
+import pearusher.policy.Assigner;
+import pearusher.policy.Rules;
 
 /**
  * Servers and proxies come and go by thousands through the exchange and the real module: counted,
--- a/src/test/java/pearusher/serve/IntakeServeTest.java
+++ b/src/test/java/pearusher/serve/IntakeServeTest.java
@@ -16,10 +16,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pearusher.Rules;
 import pearusher.intake.Intake;
 import pearusher.intake.Item;
 import pearusher.intake.Sums;
+import pearusher.policy.Rules;
 
 /** The intake before the module: the same events below the limit, bounded and fair above it. */
 class IntakeServeTest {
--- a/src/test/java/pearusher/serve/ListLimitTest.java
+++ b/src/test/java/pearusher/serve/ListLimitTest.java
@@ -8,7 +8,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 
 /**
  * Lists over a limit, on sockets: refused with one line, as a failed call, and the last good list
--- a/src/test/java/pearusher/serve/ListingReaderTest.java
+++ b/src/test/java/pearusher/serve/ListingReaderTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 import pearusher.settings.Paths;
 import pearusher.settings.SettingsException;
 
--- a/src/test/java/pearusher/serve/Loopback.java
+++ b/src/test/java/pearusher/serve/Loopback.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 
 /** An assigner on loopback with a scripted module, its discovery, and what the log said. */
 abstract class Loopback {
--- a/src/test/java/pearusher/serve/MessageTest.java
+++ b/src/test/java/pearusher/serve/MessageTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 
 class MessageTest {
   @TempDir Path dir;
--- a/src/test/java/pearusher/serve/ParityTest.java
+++ b/src/test/java/pearusher/serve/ParityTest.java
@@ -21,9 +21,9 @@
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pearusher.Rules;
 import pearusher.adapter.Loop;
 import pearusher.adapter.Wire;
+import pearusher.policy.Rules;
 
 /**
  * One recorded sequence played through the adapter's wire and through sockets: at every proxy the
--- a/src/test/java/pearusher/serve/ProtocolTranscriptTest.java
+++ b/src/test/java/pearusher/serve/ProtocolTranscriptTest.java
@@ -22,8 +22,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import pearusher.Assigner;
 import pearusher.Recorded;
+import pearusher.policy.Assigner;
 
 /**
  * The bytes on the sockets, as they were recorded: updates of each kind, answers to pings, requests
--- a/src/test/java/pearusher/serve/RecordedSite.java
+++ b/src/test/java/pearusher/serve/RecordedSite.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import pearusher.Rules;
+import pearusher.policy.Rules;
 import pearusher.settings.SettingsException;
 
 /**
--- a/src/test/java/pearusher/serve/Scripted.java
+++ b/src/test/java/pearusher/serve/Scripted.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 
 /**
  * A module that writes down what it is told and orders what a test asks for, at the end of a turn.
--- a/src/test/java/pearusher/serve/ServeProcessTest.java
+++ b/src/test/java/pearusher/serve/ServeProcessTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 
 /** The real process: its starts and ends, as the page for on-call staff tells them. */
 class ServeProcessTest {
--- a/src/test/java/pearusher/serve/ServeTest.java
+++ b/src/test/java/pearusher/serve/ServeTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import pearusher.Assigner;
-import pearusher.Rules;
+import pearusher.policy.Assigner;
+import pearusher.policy.Rules;
 
 /**
  * The whole assigner on loopback, with a scripted module between stand-ins of all that is outside.
--- a/src/test/java/pearusher/serve/StoredDataSite.java
+++ b/src/test/java/pearusher/serve/StoredDataSite.java
@@ -14,7 +14,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
-import pearusher.Assigner;
+import pearusher.policy.Assigner;
 import pearusher.store.FileDisk;
 import pearusher.store.Options;
 import pearusher.store.Store;
