--- a/src/bench/java/pearusher/serve/WireSizes.java
+++ b/src/bench/java/pearusher/serve/WireSizes.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import pearusher.settings.SettingsException;
+import pearusher.sitesettings.SettingsException;
 
 /**
  * Bytes of real messages: written by the program's own writers, or in PROTOCOL's form where others
--- a/src/main/java/pearusher/adapter/Loop.java
+++ b/src/main/java/pearusher/adapter/Loop.java
@@ -12,9 +12,9 @@
 import java.util.TreeSet;
 import java.util.function.BiFunction;
 import pearusher.policy.Assigner;
-import pearusher.settings.Paths;
-import pearusher.settings.SettingsException;
-import pearusher.settings.SettingsReader;
+import pearusher.sitesettings.Paths;
+import pearusher.sitesettings.SettingsException;
+import pearusher.sitesettings.SettingsReader;
 
 /** Reads batches, hands each instance its events, writes one reply a batch. It decides nothing. */
 public final class Loop {
--- a/src/main/java/pearusher/serve/Config.java
+++ b/src/main/java/pearusher/serve/Config.java
@@ -14,9 +14,9 @@
 import java.util.List;
 import java.util.Map;
 import pearusher.policy.Assigner;
-import pearusher.settings.Paths;
-import pearusher.settings.SettingsException;
-import pearusher.settings.SettingsReader;
+import pearusher.sitesettings.Paths;
+import pearusher.sitesettings.SettingsException;
+import pearusher.sitesettings.SettingsReader;
 
 /**
  * What one assigner is told at its start, and anew when its file is replaced. This is the only
--- a/src/main/java/pearusher/serve/ListTooLongException.java
+++ b/src/main/java/pearusher/serve/ListTooLongException.java
@@ -1,6 +1,6 @@
 package pearusher.serve;
 
-import pearusher.settings.SettingsException;
+import pearusher.sitesettings.SettingsException;
 
 /** A list that names more servers than the heap holds; the text names the limit. */
 final class ListTooLongException extends SettingsException {
--- a/src/main/java/pearusher/serve/ListingBuilder.java
+++ b/src/main/java/pearusher/serve/ListingBuilder.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import pearusher.settings.Paths;
-import pearusher.settings.SettingsException;
+import pearusher.sitesettings.Paths;
+import pearusher.sitesettings.SettingsException;
 
 /**
  * Makes a {@link Message.Listing} of the tokens of one JSON object, in discovery's form, and keeps
--- a/src/main/java/pearusher/serve/ListingReader.java
+++ b/src/main/java/pearusher/serve/ListingReader.java
@@ -8,8 +8,8 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.ByteBuffer;
-import pearusher.settings.Paths;
-import pearusher.settings.SettingsException;
+import pearusher.sitesettings.Paths;
+import pearusher.sitesettings.SettingsException;
 
 /**
  * Reads lists of servers from bytes as they come, one JSON object after the other, and keeps only
--- a/src/main/java/pearusher/serve/Message.java
+++ b/src/main/java/pearusher/serve/Message.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.StringJoiner;
 import pearusher.policy.Assigner;
-import pearusher.settings.Paths;
-import pearusher.settings.SettingsException;
+import pearusher.sitesettings.Paths;
+import pearusher.sitesettings.SettingsException;
 
 /**
  * The messages of the sockets as small typed records: what proxies and collectors say, discovery's
--- a/src/main/java/pearusher/serve/Outbound.java
+++ b/src/main/java/pearusher/serve/Outbound.java
@@ -30,7 +30,7 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 import org.tinylog.Logger;
 import pearusher.policy.Assigner;
-import pearusher.settings.SettingsException;
+import pearusher.sitesettings.SettingsException;
 
 /**
  * The client side: calls to discovery (a watch, the whole list) and probes of servers, each on a
--- a/src/main/java/pearusher/serve/Serve.java
+++ b/src/main/java/pearusher/serve/Serve.java
@@ -14,7 +14,7 @@
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import org.tinylog.Logger;
 import pearusher.policy.Assigner;
-import pearusher.settings.SettingsException;
+import pearusher.sitesettings.SettingsException;
 
 /**
  * The life of one assigner: it reads the configuration, puts the parts together, starts and stops
--- a/src/main/java/pearusher/settings/Paths.java
+++ b/src/main/java/pearusher/sitesettings/Paths.java
@@ -1,4 +1,4 @@
-package pearusher.settings;
+package pearusher.sitesettings;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
--- a/src/main/java/pearusher/settings/SettingsException.java
+++ b/src/main/java/pearusher/sitesettings/SettingsException.java
@@ -1,4 +1,4 @@
-package pearusher.settings;
+package pearusher.sitesettings;
 
 /** A setting or a key of the configuration that is missing or can't be used; the text names it. */
 public class SettingsException extends Exception {
--- a/src/main/java/pearusher/settings/SettingsReader.java
+++ b/src/main/java/pearusher/sitesettings/SettingsReader.java
@@ -1,4 +1,4 @@
-package pearusher.settings;
+package pearusher.sitesettings;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/pearusher/adapter/CodecTest.java
+++ b/src/test/java/pearusher/adapter/CodecTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.Test;
 import pearusher.policy.Assigner;
 import pearusher.policy.Rules;
-import pearusher.settings.Paths;
-import pearusher.settings.SettingsException;
-import pearusher.settings.SettingsReader;
+import pearusher.sitesettings.Paths;
+import pearusher.sitesettings.SettingsException;
+import pearusher.sitesettings.SettingsReader;
 
 class CodecTest {
   private static final long A = 0x0a124a071b5bL;
--- a/src/test/java/pearusher/serve/ConfigTest.java
+++ b/src/test/java/pearusher/serve/ConfigTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import pearusher.policy.Assigner;
-import pearusher.settings.Paths;
-import pearusher.settings.SettingsException;
-import pearusher.settings.SettingsReader;
+import pearusher.sitesettings.Paths;
+import pearusher.sitesettings.SettingsException;
+import pearusher.sitesettings.SettingsReader;
 
 class ConfigTest {
   @TempDir Path dir;
--- a/src/test/java/pearusher/serve/ConfigurationValuesTest.java
+++ b/src/test/java/pearusher/serve/ConfigurationValuesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import pearusher.Recorded;
 import pearusher.policy.Assigner;
-import pearusher.settings.SettingsException;
+import pearusher.sitesettings.SettingsException;
 
 /**
  * The values that a configuration is read to, as they were recorded, a {@code key = value} a line.
--- a/src/test/java/pearusher/serve/Example.java
+++ b/src/test/java/pearusher/serve/Example.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.Map;
-import pearusher.settings.SettingsException;
+import pearusher.sitesettings.SettingsException;
 
 /** The documented example configuration, changed as a test needs it. */
 final class Example {
--- a/src/test/java/pearusher/serve/ListingReaderTest.java
+++ b/src/test/java/pearusher/serve/ListingReaderTest.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import pearusher.policy.Assigner;
-import pearusher.settings.Paths;
-import pearusher.settings.SettingsException;
+import pearusher.sitesettings.Paths;
+import pearusher.sitesettings.SettingsException;
 
 /**
  * Lists of servers as they come in pieces: what they mean, their faults, and what they may cost.
--- a/src/test/java/pearusher/serve/RecordedSite.java
+++ b/src/test/java/pearusher/serve/RecordedSite.java
@@ -10,7 +10,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import pearusher.policy.Rules;
-import pearusher.settings.SettingsException;
+import pearusher.sitesettings.SettingsException;
 
 /**
  * An exchange with the real module, without sockets and on a clock of the test's: discovery answers
--- a/src/test/java/pearusher/serve/Stand.java
+++ b/src/test/java/pearusher/serve/Stand.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.BooleanSupplier;
-import pearusher.settings.SettingsException;
+import pearusher.sitesettings.SettingsException;
 
 /**
  * Small stand-ins for the outside systems, written from the protocol's page, and waits on
