--- a/src/bench/java/pearusher/serve/KillBench.java
+++ b/src/bench/java/pearusher/serve/KillBench.java
@@ -12,6 +12,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.Histogram;
 import pearusher.policy.Rules;
+import pearusher.protocol.Message;
+import pearusher.protocol.Resp;
 import pearusher.store.FileDisk;
 import pearusher.store.Options;
 import pearusher.store.Store;
--- a/src/bench/java/pearusher/serve/WireSizes.java
+++ b/src/bench/java/pearusher/serve/WireSizes.java
@@ -8,6 +8,10 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import pearusher.protocol.ListTooLongException;
+import pearusher.protocol.ListingReader;
+import pearusher.protocol.Message;
+import pearusher.protocol.Resp;
 import pearusher.sitesettings.SettingsException;
 
 /**
--- a/src/main/java/pearusher/serve/ListLimits.java
+++ b/src/main/java/pearusher/protocol/ListLimits.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.protocol;
 
 /**
  * What a list of servers may hold, derived from the heap: a list beyond it is refused while the
@@ -8,7 +8,7 @@
  * @param textLength the most characters of one text in a list, whether it is needed or passed over
  * @param heapBytes the heap that both are derived from
  */
-record ListLimits(int servers, int textLength, long heapBytes) {
+public record ListLimits(int servers, int textLength, long heapBytes) {
   /** The most characters of a server's id. */
   static final int MOST_ID = 255;
 
@@ -39,14 +39,14 @@
   }
 
   /** The limits for the heap of this process. */
-  static ListLimits ofThisProcess() {
+  public static ListLimits ofThisProcess() {
     return of(Runtime.getRuntime().maxMemory());
   }
 
   /**
    * The servers that may be known at once: those that left are kept until the module forgets them.
    */
-  int known() {
+  public int known() {
     return servers + servers / 2;
   }
 
@@ -56,7 +56,7 @@
   }
 
   /** The limit on all that are known, in words. */
-  String overKnown() {
+  public String overKnown() {
     return over(known() + " servers");
   }
 
--- a/src/main/java/pearusher/serve/ListTooLongException.java
+++ b/src/main/java/pearusher/protocol/ListTooLongException.java
@@ -1,9 +1,9 @@
-package pearusher.serve;
+package pearusher.protocol;
 
 import pearusher.sitesettings.SettingsException;
 
 /** A list that names more servers than the heap holds; the text names the limit. */
-final class ListTooLongException extends SettingsException {
+public final class ListTooLongException extends SettingsException {
   private static final long serialVersionUID = 1L;
 
   ListTooLongException(String text) {
--- a/src/main/java/pearusher/serve/ListingBuilder.java
+++ b/src/main/java/pearusher/protocol/ListingBuilder.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.protocol;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -43,7 +43,7 @@
 
   private final String name;
   private final String prefix;
-  private final Config.Names names;
+  private final WireNames names;
   private final ListLimits limits;
   private final Map<String, String> head = new HashMap<>();
   private final Map<String, String> entry = new HashMap<>();
@@ -72,7 +72,7 @@
    * {@code name}: what the text is, the beginning of each fault; {@code prefix}: where the object
    * stands in it.
    */
-  ListingBuilder(String name, String prefix, Config.Names names, ListLimits limits) {
+  ListingBuilder(String name, String prefix, WireNames names, ListLimits limits) {
     this.name = name;
     this.prefix = prefix;
     this.names = names;
--- a/src/main/java/pearusher/serve/ListingReader.java
+++ b/src/main/java/pearusher/protocol/ListingReader.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.protocol;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -17,7 +17,7 @@
  * serves one answer of discovery, on one thread. What is malformed is told at the end of the
  * object, what is over the limit at once.
  */
-final class ListingReader {
+public final class ListingReader {
   private static final String NAME = "list";
 
   /**
@@ -25,7 +25,7 @@
    */
   private static final int MOST_BYTES_PER_CHARACTER = 6;
 
-  private final Config.Names names;
+  private final WireNames names;
   private final ListLimits limits;
   private final JsonFactory factory;
 
@@ -41,7 +41,7 @@
   /** Nothing came since the last object but, at most, a carriage return. */
   private boolean empty = true;
 
-  ListingReader(Config.Names names, ListLimits limits) {
+  public ListingReader(WireNames names, ListLimits limits) {
     this.names = names;
     this.limits = limits;
     factory = factory(limits);
@@ -58,7 +58,7 @@
   }
 
   /** Takes what the buffer has left. */
-  void feed(ByteBuffer piece) throws ListTooLongException {
+  public void feed(ByteBuffer piece) throws ListTooLongException {
     if (!piece.hasRemaining()) {
       return;
     }
@@ -120,7 +120,7 @@
   }
 
   /** The line ends here: what it held, null where it was empty. The next byte begins another. */
-  Message.Listing endOfLine() throws SettingsException {
+  public Message.Listing endOfLine() throws SettingsException {
     if (empty) {
       reset();
       return null;
@@ -129,7 +129,7 @@
   }
 
   /** The answer ends here: what it held. */
-  Message.Listing endOfBody() throws SettingsException {
+  public Message.Listing endOfBody() throws SettingsException {
     try {
       if (fault == null) {
         open();
@@ -170,8 +170,8 @@
    * The list that a configuration holds under a key, an empty one where it holds none. The text
    * must be known to be well formed; faults name the document and the key.
    */
-  static Message.Listing under(
-      String document, String key, InputStream text, Config.Names names, ListLimits limits)
+  public static Message.Listing under(
+      String document, String key, InputStream text, WireNames names, ListLimits limits)
       throws IOException, SettingsException {
     ListingBuilder found = null;
     try (JsonParser in = factory(limits).createParser(text)) {
--- a/src/main/java/pearusher/serve/Message.java
+++ b/src/main/java/pearusher/protocol/Message.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.protocol;
 
 import java.io.ByteArrayOutputStream;
 import java.math.BigDecimal;
@@ -18,7 +18,7 @@
  * never keep state or act: names of servers stay names here, zones and classes become positions in
  * the settings.
  */
-sealed interface Message {
+public sealed interface Message {
   record Ping() implements Message {}
 
   record Collector(int zone) implements Message {}
@@ -37,7 +37,7 @@
   final class Fault extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Fault(String text) {
+    public Fault(String text) {
       super(text);
     }
   }
@@ -57,7 +57,7 @@
    * reports that can be read: a figure that can't be would stay in the module's means for many
    * periods.
    */
-  static Message read(List<String> words, Config.Names names, Assigner.Settings settings)
+  static Message read(List<String> words, WireNames names, Assigner.Settings settings)
       throws Fault {
     if (words.size() % 2 == 0) {
       throw new Fault("an odd number of fields after '" + brief(words.get(0)) + "'");
@@ -114,14 +114,14 @@
    * A load report's values in the order of the settings, by PROTOCOL's names or the settings': 0
    * for one that is missing, none at all for no report; unknown ones are passed over.
    */
-  static float[] load(String text, String pair, Config.Names names) {
+  static float[] load(String text, String pair, WireNames names) {
     Map<String, Float> values = new HashMap<>();
     for (String part : text.split(",")) {
       String[] sides = part.trim().split(pair, 2);
       try {
         float value = sides.length == 2 ? Float.parseFloat(sides[1].trim()) : Float.NaN;
         if (Float.isFinite(value)) {
-          values.put(Config.Names.word(sides[0].trim()), value);
+          values.put(WireNames.word(sides[0].trim()), value);
         }
       } catch (NumberFormatException e) {
         values.remove(sides[0].trim());
@@ -138,7 +138,7 @@
   }
 
   /** A probe's body: the word TEXT, then pairs. */
-  static float[] probeLoad(byte[] body, Config.Names names) {
+  static float[] probeLoad(byte[] body, WireNames names) {
     String text = new String(body, StandardCharsets.UTF_8).trim();
     return load(text.startsWith("TEXT") ? text.substring(4) : "", "=", names);
   }
@@ -146,10 +146,10 @@
   /** The values of a message by name; of a name that stands twice the last counts. */
   final class Fields {
     private final Map<String, String> values = new HashMap<>();
-    private final Config.Names names;
+    private final WireNames names;
     private final int proxies;
 
-    private Fields(List<String> words, Config.Names names, int proxies) {
+    private Fields(List<String> words, WireNames names, int proxies) {
       this.names = names;
       this.proxies = proxies;
       for (int k = 1; k < words.size(); k += 2) {
@@ -281,7 +281,7 @@
      * One of its fields; null in a zone that the settings don't have, which is passed over. A
      * lifecycle that is not known is one that wants nothing new.
      */
-    static Instance of(Paths at, Config.Names names) throws SettingsException {
+    static Instance of(Paths at, WireNames names) throws SettingsException {
       Integer zone = names.zones().get(at.need("zone"));
       if (zone == null) {
         return null;
@@ -308,7 +308,7 @@
   /** Discovery's answer: the whole list, or what changed. */
   record Listing(long generation, boolean whole, List<Instance> instances) {
     /** What is known where nothing was told. */
-    static final Listing NONE = new Listing(0, true, List.of());
+    public static final Listing NONE = new Listing(0, true, List.of());
   }
 
   /** A way of trying again and a level, which come as a pair. */
--- a/src/main/java/pearusher/serve/RequestClasses.java
+++ b/src/main/java/pearusher/protocol/RequestClasses.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.protocol;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,30 +7,30 @@
  * The classes of requests, and how a set of them is written: in orders as a bit for each by its
  * place, 0 for all of them; in messages as a list of names, null for all of them. It never changes.
  */
-final class RequestClasses {
+public final class RequestClasses {
   private final List<String> names;
 
-  RequestClasses(List<String> names) {
+  public RequestClasses(List<String> names) {
     this.names = names;
   }
 
-  int count() {
+  public int count() {
     return names.size();
   }
 
   /** The bits that an order means. */
-  int bits(int classBits) {
+  public int bits(int classBits) {
     int every = (1 << names.size()) - 1;
     return classBits == 0 ? every : classBits & every;
   }
 
   /** Whether an order means all classes. */
-  boolean all(int classBits) {
+  public boolean all(int classBits) {
     return bits(classBits) == bits(0);
   }
 
   /** The names of a set of classes; null for all of them. */
-  List<String> names(int which) {
+  public List<String> names(int which) {
     if (which == bits(0)) {
       return null;
     }
--- a/src/main/java/pearusher/serve/Resp.java
+++ b/src/main/java/pearusher/protocol/Resp.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.protocol;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -13,9 +13,9 @@
  * as they come. It must never know what a word means, nor hold more than a message may have,
  * whatever was announced.
  */
-final class Resp {
+public final class Resp {
   /** Most bytes of a message, its headers included. */
-  static final int MOST = 1 << 20;
+  public static final int MOST = 1 << 20;
 
   /**
    * Unfinished bytes that all connections may hold together, by the memory that there is (a byte of
@@ -31,11 +31,11 @@
   private static final byte[] END = {'\r', '\n'};
 
   /** Not RESP, or over the limit. */
-  static final class Fault extends IOException {
+  public static final class Fault extends IOException {
     private static final long serialVersionUID = 1L;
 
     /** What is wrong with the bytes. */
-    enum Kind {
+    public enum Kind {
       MALFORMED,
       TOO_LONG
     }
@@ -47,13 +47,13 @@
       this.kind = kind;
     }
 
-    Kind kind() {
+    public Kind kind() {
       return kind;
     }
   }
 
   /** Reads one connection's bytes. */
-  static final class Reader implements AutoCloseable {
+  public static final class Reader implements AutoCloseable {
     private ByteArrayOutputStream held = new ByteArrayOutputStream(64);
     private final List<String> words = new ArrayList<>();
     private int left = -1;
@@ -68,16 +68,16 @@
     private int most;
 
     /** With the most bytes that a message may have until {@link #most} says otherwise. */
-    Reader(int most) {
+    public Reader(int most) {
       this.most = most;
     }
 
-    synchronized void most(int bytes) {
+    public synchronized void most(int bytes) {
       most = bytes;
     }
 
     /** The next whole message, or null once the bytes are used up. */
-    synchronized List<String> next(ByteBuffer from) throws Fault {
+    public synchronized List<String> next(ByteBuffer from) throws Fault {
       if (closed) {
         from.position(from.limit());
       }
@@ -110,7 +110,7 @@
     }
 
     /** A message has begun and is not whole. */
-    synchronized boolean half() {
+    public synchronized boolean half() {
       return taken > 0;
     }
 
@@ -196,7 +196,7 @@
 
   private Resp() {}
 
-  static byte[] write(List<String> words) {
+  public static byte[] write(List<String> words) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(256);
     header(out, '*', words.size());
     for (String word : words) {
--- /dev/null
+++ b/src/main/java/pearusher/protocol/WireNames.java
@@ -0,0 +1,59 @@
+package pearusher.protocol;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import pearusher.sitesettings.Paths;
+import pearusher.sitesettings.SettingsException;
+
+/** The names that the sockets use for zones, classes, machine types and values of load reports. */
+public record WireNames(
+    Map<String, Integer> zones,
+    List<String> classes,
+    Map<String, Integer> classAt,
+    Map<String, Integer> kinds,
+    List<String> load) {
+
+  /** PROTOCOL's word for each value that the settings may list; others keep their name. */
+  private static final Map<String, String> WORDS =
+      Map.of(
+          "outstanding",
+          "inflight",
+          "backlog",
+          "queue",
+          "utilization",
+          "util",
+          "recent_ms",
+          "latency_ms",
+          "throughput",
+          "qps",
+          "errors_per_s",
+          "eps");
+
+  /** One name for each value of a load report: servers are met that use the settings' words. */
+  static String word(String name) {
+    return WORDS.getOrDefault(name, name);
+  }
+
+  public static WireNames of(Paths settings) throws SettingsException {
+    List<String> classes = settings.each("grades", "name");
+    List<String> load = settings.listed("report.fields").stream().map(WireNames::word).toList();
+    return new WireNames(
+        places(settings, "azs", settings.list("azs")),
+        classes,
+        places(settings, "grades", classes),
+        places(settings, "kinds", settings.listed("kinds")),
+        load);
+  }
+
+  private static Map<String, Integer> places(Paths at, String key, List<String> names)
+      throws SettingsException {
+    Map<String, Integer> out = new HashMap<>();
+    for (String name : names) {
+      if (out.put(name, out.size()) != null) {
+        throw at.fault(key, "names '" + name + "' twice");
+      }
+    }
+    return out;
+  }
+}
--- a/src/main/java/pearusher/serve/Config.java
+++ b/src/main/java/pearusher/serve/Config.java
@@ -10,10 +10,13 @@
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import pearusher.policy.Assigner;
+import pearusher.protocol.ListLimits;
+import pearusher.protocol.ListingReader;
+import pearusher.protocol.Message;
+import pearusher.protocol.WireNames;
 import pearusher.sitesettings.Paths;
 import pearusher.sitesettings.SettingsException;
 import pearusher.sitesettings.SettingsReader;
@@ -24,7 +27,7 @@
  * every fault names its variable or key. It must never decide anything about tables: the settings
  * go to the module as they are.
  */
-record Config(
+public record Config(
     String name,
     InetSocketAddress listen,
     InetSocketAddress discovery,
@@ -34,7 +37,7 @@
     InetSocketAddress peersAll,
     Message.Listing known,
     Assigner.Settings settings,
-    Names names,
+    WireNames names,
     Timeouts timeouts,
     ListLimits lists) {
 
@@ -47,60 +50,6 @@
   /** Time-outs of input and output, in milliseconds: all may be set under the key timeouts. */
   record Timeouts(int connectMs, int answerMs, int silentMs, int strangerMs) {}
 
-  /**
-   * The names that the sockets use for zones, classes, machine types and values of load reports.
-   */
-  record Names(
-      Map<String, Integer> zones,
-      List<String> classes,
-      Map<String, Integer> classAt,
-      Map<String, Integer> kinds,
-      List<String> load) {
-
-    /** PROTOCOL's word for each value that the settings may list; others keep their name. */
-    private static final Map<String, String> WORDS =
-        Map.of(
-            "outstanding",
-            "inflight",
-            "backlog",
-            "queue",
-            "utilization",
-            "util",
-            "recent_ms",
-            "latency_ms",
-            "throughput",
-            "qps",
-            "errors_per_s",
-            "eps");
-
-    /** One name for each value of a load report: servers are met that use the settings' words. */
-    static String word(String name) {
-      return WORDS.getOrDefault(name, name);
-    }
-
-    static Names of(Paths settings) throws SettingsException {
-      List<String> classes = settings.each("grades", "name");
-      List<String> load = settings.listed("report.fields").stream().map(Names::word).toList();
-      return new Names(
-          places(settings, "azs", settings.list("azs")),
-          classes,
-          places(settings, "grades", classes),
-          places(settings, "kinds", settings.listed("kinds")),
-          load);
-    }
-
-    private static Map<String, Integer> places(Paths at, String key, List<String> names)
-        throws SettingsException {
-      Map<String, Integer> out = new HashMap<>();
-      for (String name : names) {
-        if (out.put(name, out.size()) != null) {
-          throw at.fault(key, "names '" + name + "' twice");
-        }
-      }
-      return out;
-    }
-  }
-
   static Config read(Map<String, String> environment) throws SettingsException {
     return read(environment, ListLimits.ofThisProcess());
   }
@@ -205,7 +154,7 @@
       throw at.fault("settings", "is missing");
     }
     Assigner.Settings settings = SettingsReader.read(seed(at), given);
-    Names names = Names.of(given);
+    WireNames names = WireNames.of(given);
     range(given, "zone", settings.zone(), 0, settings.zones() - 1);
     range(given, "grades.count", settings.grades().size(), 1, 16);
     range(given, "familyInfo.proxyCount", settings.proxies(), 1, 65536);
--- a/src/main/java/pearusher/serve/Durable.java
+++ b/src/main/java/pearusher/serve/Durable.java
@@ -11,6 +11,7 @@
 import java.util.function.LongSupplier;
 import org.tinylog.Logger;
 import pearusher.policy.Assigner;
+import pearusher.protocol.Message;
 import pearusher.recovery.Doubt;
 import pearusher.recovery.KnownList;
 import pearusher.recovery.Ledger;
--- a/src/main/java/pearusher/serve/Ending.java
+++ b/src/main/java/pearusher/serve/Ending.java
@@ -5,6 +5,7 @@
 import java.net.SocketTimeoutException;
 import java.util.concurrent.TimeoutException;
 import pearusher.policy.Assigner;
+import pearusher.protocol.Resp;
 
 /**
  * Every way in which a connection can end, on either side, and what it means to the module: for a
--- a/src/main/java/pearusher/serve/Exchange.java
+++ b/src/main/java/pearusher/serve/Exchange.java
@@ -15,6 +15,7 @@
 import org.tinylog.Logger;
 import pearusher.intake.Item;
 import pearusher.policy.Assigner;
+import pearusher.protocol.Message;
 
 /**
  * The only place where the server side, the client side and the module meet. It owns the module,
--- a/src/main/java/pearusher/serve/GlobalLevels.java
+++ b/src/main/java/pearusher/serve/GlobalLevels.java
@@ -1,5 +1,7 @@
 package pearusher.serve;
 
+import pearusher.protocol.Message;
+
 /**
  * The levels that were ordered for all tables, by class, and which of them changed this turn. Only
  * the decision thread uses it. It grows with the classes.
--- a/src/main/java/pearusher/serve/Outbound.java
+++ b/src/main/java/pearusher/serve/Outbound.java
@@ -30,6 +30,9 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 import org.tinylog.Logger;
 import pearusher.policy.Assigner;
+import pearusher.protocol.ListTooLongException;
+import pearusher.protocol.ListingReader;
+import pearusher.protocol.Message;
 import pearusher.sitesettings.SettingsException;
 
 /**
--- a/src/main/java/pearusher/serve/ReportIntake.java
+++ b/src/main/java/pearusher/serve/ReportIntake.java
@@ -6,6 +6,7 @@
 import pearusher.intake.Item;
 import pearusher.intake.Sums;
 import pearusher.policy.Assigner;
+import pearusher.protocol.Message;
 
 /**
  * The way of a report to the module: through the intake where the operators switched it on, else
--- a/src/main/java/pearusher/serve/ServerListState.java
+++ b/src/main/java/pearusher/serve/ServerListState.java
@@ -1,6 +1,7 @@
 package pearusher.serve;
 
 import org.tinylog.Logger;
+import pearusher.protocol.Message;
 
 /**
  * The version of the server list that is held, whether a watch of discovery runs, and what an older
--- a/src/main/java/pearusher/serve/StreamConnection.java
+++ b/src/main/java/pearusher/serve/StreamConnection.java
@@ -9,6 +9,8 @@
 import org.eclipse.jetty.io.AbstractConnection;
 import org.eclipse.jetty.io.EndPoint;
 import org.tinylog.Logger;
+import pearusher.protocol.Message;
+import pearusher.protocol.Resp;
 
 /**
  * One connection of the listening socket. Who has not said what it is counts as unidentified:
--- a/src/main/java/pearusher/serve/StreamMembership.java
+++ b/src/main/java/pearusher/serve/StreamMembership.java
@@ -6,6 +6,7 @@
 import java.util.function.Supplier;
 import org.tinylog.Logger;
 import pearusher.policy.Assigner;
+import pearusher.protocol.Message;
 import pearusher.recovery.Rejoin;
 
 /**
--- a/src/main/java/pearusher/serve/TableState.java
+++ b/src/main/java/pearusher/serve/TableState.java
@@ -5,6 +5,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import pearusher.protocol.Message;
 
 /**
  * One table as it is ordered: its lines, its levels, and what of them changed this turn. Only the
--- a/src/main/java/pearusher/serve/Tables.java
+++ b/src/main/java/pearusher/serve/Tables.java
@@ -5,6 +5,8 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.function.LongFunction;
+import pearusher.protocol.Message;
+import pearusher.protocol.RequestClasses;
 import pearusher.recovery.Rejoin;
 
 /**
--- a/src/main/java/pearusher/serve/UpdateComposer.java
+++ b/src/main/java/pearusher/serve/UpdateComposer.java
@@ -7,6 +7,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.LongFunction;
+import pearusher.protocol.Message;
+import pearusher.protocol.RequestClasses;
 
 /**
  * Composes the one message that a proxy gets of a turn, from what was ordered and what its stream
--- a/src/main/java/pearusher/serve/WarmUp.java
+++ b/src/main/java/pearusher/serve/WarmUp.java
@@ -6,6 +6,8 @@
 import java.util.function.BiFunction;
 import org.tinylog.Logger;
 import pearusher.policy.Assigner;
+import pearusher.protocol.Message;
+import pearusher.protocol.Resp;
 
 /**
  * Runs the way of an event from bytes to decision to bytes on invented periods, before the first
--- a/src/test/java/pearusher/serve/ListingReaderTest.java
+++ b/src/test/java/pearusher/protocol/ListingReaderTest.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -25,6 +25,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import pearusher.policy.Assigner;
+import pearusher.serve.Stand;
 import pearusher.sitesettings.Paths;
 import pearusher.sitesettings.SettingsException;
 
@@ -37,8 +38,8 @@
   private static final String LISTS = "\"zone\":[\"south\"],\"instanceId\":[\"b\",2,null]";
 
   private static final long HEAP = 40L << 20;
-  private static final Config.Names NAMES =
-      new Config.Names(
+  private static final WireNames NAMES =
+      new WireNames(
           Map.of("north", 0, "south", 1),
           List.of(),
           Map.of(),
@@ -486,8 +487,8 @@
     int zones = 98;
     Map<String, Integer> places = new HashMap<>();
     IntStream.range(0, zones).forEach(k -> places.put("zone-" + k, k));
-    Config.Names names =
-        new Config.Names(places, List.of(), Map.of(), new HashMap<>(Map.of("small", 0)), List.of());
+    WireNames names =
+        new WireNames(places, List.of(), Map.of(), new HashMap<>(Map.of("small", 0)), List.of());
     ListingReader reader = new ListingReader(names, ListLimits.of(39L << 20));
     byte[] text =
         many(servers, 10)
--- a/src/test/java/pearusher/serve/MessageTest.java
+++ b/src/test/java/pearusher/protocol/MessageTest.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -16,10 +16,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import pearusher.policy.Assigner;
+import pearusher.serve.Config;
+import pearusher.serve.Example;
+import pearusher.serve.Stand;
 
 class MessageTest {
   @TempDir Path dir;
-  private Config.Names names;
+  private WireNames names;
   private Assigner.Settings settings;
 
   @BeforeEach
--- a/src/test/java/pearusher/serve/ConfigTest.java
+++ b/src/test/java/pearusher/serve/ConfigTest.java
@@ -19,6 +19,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import pearusher.policy.Assigner;
+import pearusher.protocol.ListLimits;
+import pearusher.protocol.Message;
 import pearusher.sitesettings.Paths;
 import pearusher.sitesettings.SettingsException;
 import pearusher.sitesettings.SettingsReader;
--- a/src/test/java/pearusher/serve/ConfigurationValuesTest.java
+++ b/src/test/java/pearusher/serve/ConfigurationValuesTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import pearusher.Recorded;
 import pearusher.policy.Assigner;
+import pearusher.protocol.Message;
 import pearusher.sitesettings.SettingsException;
 
 /**
--- a/src/test/java/pearusher/serve/DurableOrdersTest.java
+++ b/src/test/java/pearusher/serve/DurableOrdersTest.java
@@ -19,6 +19,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import pearusher.policy.Assigner;
 import pearusher.policy.Rules;
+import pearusher.protocol.Message;
+import pearusher.protocol.Resp;
 import pearusher.store.Options;
 import pearusher.store.SimDisk;
 import pearusher.store.Store;
--- a/src/test/java/pearusher/serve/EndingTest.java
+++ b/src/test/java/pearusher/serve/EndingTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import pearusher.policy.Assigner.Probe;
+import pearusher.protocol.Resp;
 
 class EndingTest {
   private static final Map<Ending, Probe> PROBES =
--- a/src/test/java/pearusher/serve/Example.java
+++ b/src/test/java/pearusher/serve/Example.java
@@ -5,15 +5,16 @@
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.Map;
+import pearusher.protocol.ListLimits;
 import pearusher.sitesettings.SettingsException;
 
 /** The documented example configuration, changed as a test needs it. */
-final class Example {
+public final class Example {
   private String json;
   private final Map<String, String> environment = new HashMap<>();
   private ListLimits lists = ListLimits.ofThisProcess();
 
-  Example() throws IOException {
+  public Example() throws IOException {
     json = Files.readString(Path.of("docs", "example.json"));
     environment.put("EDGE_NAME", "n0");
     listen("127.0.0.1:0");
@@ -65,7 +66,7 @@
     return this;
   }
 
-  Config read(Path dir) throws IOException, SettingsException {
+  public Config read(Path dir) throws IOException, SettingsException {
     return Config.read(write(dir), lists);
   }
 }
--- a/src/test/java/pearusher/serve/GrowthTest.java
+++ b/src/test/java/pearusher/serve/GrowthTest.java
@@ -15,6 +15,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import pearusher.policy.Assigner;
 import pearusher.policy.Rules;
+import pearusher.protocol.Message;
+import pearusher.protocol.Resp;
 
 /**
  * Servers and proxies come and go by thousands through the exchange and the real module: counted,
--- a/src/test/java/pearusher/serve/IntakeServeTest.java
+++ b/src/test/java/pearusher/serve/IntakeServeTest.java
@@ -20,6 +20,7 @@
 import pearusher.intake.Item;
 import pearusher.intake.Sums;
 import pearusher.policy.Rules;
+import pearusher.protocol.Message;
 
 /** The intake before the module: the same events below the limit, bounded and fair above it. */
 class IntakeServeTest {
--- a/src/test/java/pearusher/serve/ListLimitTest.java
+++ b/src/test/java/pearusher/serve/ListLimitTest.java
@@ -9,6 +9,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import pearusher.policy.Assigner;
+import pearusher.protocol.ListLimits;
 
 /**
  * Lists over a limit, on sockets: refused with one line, as a failed call, and the last good list
--- a/src/test/java/pearusher/serve/ProtocolTranscriptTest.java
+++ b/src/test/java/pearusher/serve/ProtocolTranscriptTest.java
@@ -24,6 +24,8 @@
 import org.junit.jupiter.api.Test;
 import pearusher.Recorded;
 import pearusher.policy.Assigner;
+import pearusher.protocol.Message;
+import pearusher.protocol.Resp;
 
 /**
  * The bytes on the sockets, as they were recorded: updates of each kind, answers to pings, requests
--- a/src/test/java/pearusher/serve/RecordedSite.java
+++ b/src/test/java/pearusher/serve/RecordedSite.java
@@ -10,6 +10,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import pearusher.policy.Rules;
+import pearusher.protocol.Message;
 import pearusher.sitesettings.SettingsException;
 
 /**
--- a/src/test/java/pearusher/serve/ServeTest.java
+++ b/src/test/java/pearusher/serve/ServeTest.java
@@ -23,6 +23,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import pearusher.policy.Assigner;
 import pearusher.policy.Rules;
+import pearusher.protocol.Message;
 
 /**
  * The whole assigner on loopback, with a scripted module between stand-ins of all that is outside.
--- a/src/test/java/pearusher/serve/Stand.java
+++ b/src/test/java/pearusher/serve/Stand.java
@@ -21,13 +21,17 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.BooleanSupplier;
+import pearusher.protocol.ListLimits;
+import pearusher.protocol.ListingReader;
+import pearusher.protocol.Message;
+import pearusher.protocol.WireNames;
 import pearusher.sitesettings.SettingsException;
 
 /**
  * Small stand-ins for the outside systems, written from the protocol's page, and waits on
  * conditions.
  */
-final class Stand {
+public final class Stand {
   private Stand() {}
 
   /** Waits until it holds; a test that hangs here has failed. */
@@ -41,7 +45,7 @@
     }
   }
 
-  static byte[] words(String... words) {
+  public static byte[] words(String... words) {
     StringBuilder out = new StringBuilder("*" + words.length + "\r\n");
     for (String word : words) {
       out.append('$')
@@ -345,7 +349,7 @@
     }
   }
 
-  static String instance(
+  public static String instance(
       String id, String address, String zone, String lifecycle, long startedAtMs) {
     return "{\"instanceId\":\""
         + id
@@ -360,7 +364,7 @@
         + "}";
   }
 
-  static String listing(long generation, boolean reset, String... instances) {
+  public static String listing(long generation, boolean reset, String... instances) {
     return "{\"generation\":"
         + generation
         + ",\"reset\":"
@@ -371,7 +375,7 @@
   }
 
   /** A whole text as the reader of lists takes it. */
-  static Message.Listing read(String text, Config.Names names) throws SettingsException {
+  public static Message.Listing read(String text, WireNames names) throws SettingsException {
     ListingReader reader = new ListingReader(names, ListLimits.ofThisProcess());
     reader.feed(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
     return reader.endOfBody();
--- a/src/test/java/pearusher/serve/StoredDataSite.java
+++ b/src/test/java/pearusher/serve/StoredDataSite.java
@@ -15,6 +15,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 import pearusher.policy.Assigner;
+import pearusher.protocol.Message;
+import pearusher.protocol.Resp;
 import pearusher.store.FileDisk;
 import pearusher.store.Options;
 import pearusher.store.Store;
--- a/src/test/java/pearusher/serve/StoredDataWriter.java
+++ b/src/test/java/pearusher/serve/StoredDataWriter.java
@@ -9,6 +9,8 @@
 import java.util.TreeMap;
 import pearusher.cli.CommandRun;
 import pearusher.policy.Assigner;
+import pearusher.protocol.Message;
+import pearusher.protocol.Resp;
 import pearusher.recovery.Doubt;
 import pearusher.recovery.Ledger;
 import pearusher.recovery.Level;
--- a/src/test/java/pearusher/serve/TablesTest.java
+++ b/src/test/java/pearusher/serve/TablesTest.java
@@ -13,6 +13,7 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import pearusher.protocol.Resp;
 
 /** Orders as WIRE means them, against proxies that apply updates as PROTOCOL says. */
 class TablesTest {
