--- a/src/bench/java/pearusher/serve/KillBench.java
+++ b/src/bench/java/pearusher/serve/KillBench.java
@@ -11,6 +11,7 @@
 import java.util.StringJoiner;
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.Histogram;
+import pearusher.config.Config;
 import pearusher.policy.Rules;
 import pearusher.protocol.Message;
 import pearusher.protocol.Resp;
--- a/src/bench/java/pearusher/serve/WireSizes.java
+++ b/src/bench/java/pearusher/serve/WireSizes.java
@@ -8,6 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import pearusher.config.Config;
 import pearusher.protocol.ListTooLongException;
 import pearusher.protocol.ListingReader;
 import pearusher.protocol.Message;
--- a/src/main/java/pearusher/serve/Config.java
+++ b/src/main/java/pearusher/config/Config.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.config;
 
 import java.io.FilterInputStream;
 import java.io.IOException;
@@ -48,13 +48,14 @@
   private static final String OCTET = "(\\d{1,2}|1\\d\\d|2[0-4]\\d|25[0-5])";
 
   /** Time-outs of input and output, in milliseconds: all may be set under the key timeouts. */
-  record Timeouts(int connectMs, int answerMs, int silentMs, int strangerMs) {}
+  public record Timeouts(int connectMs, int answerMs, int silentMs, int strangerMs) {}
 
-  static Config read(Map<String, String> environment) throws SettingsException {
+  public static Config read(Map<String, String> environment) throws SettingsException {
     return read(environment, ListLimits.ofThisProcess());
   }
 
-  static Config read(Map<String, String> environment, ListLimits lists) throws SettingsException {
+  public static Config read(Map<String, String> environment, ListLimits lists)
+      throws SettingsException {
     return read(environment, lists, true);
   }
 
@@ -63,7 +64,7 @@
    * and its peers are, its time limits and descriptors. Its settings stay, and the list, which it
    * knows better.
    */
-  Config reload(Map<String, String> environment) throws SettingsException {
+  public Config reload(Map<String, String> environment) throws SettingsException {
     Config now = read(environment, lists, false);
     if (now.peers.size() != peers.size()) {
       throw new SettingsException(
@@ -112,7 +113,7 @@
   }
 
   /** The same with so many known servers at the most: the first ones of its list. */
-  Config withFewerKnown(int most) {
+  public Config withFewerKnown(int most) {
     if (known.instances().size() <= most) {
       return this;
     }
@@ -254,7 +255,7 @@
    * Four numbers and a port, or IPv6 in brackets; names are not looked up. Null where it is
    * neither.
    */
-  static InetSocketAddress address(String text) {
+  public static InetSocketAddress address(String text) {
     int colon = text.lastIndexOf(':');
     String host = colon < 0 ? "" : text.substring(0, colon);
     // A number over 255 makes it a name to the library, which would ask the network and hold up
--- a/src/main/java/pearusher/serve/ConnectionRegistry.java
+++ b/src/main/java/pearusher/serve/ConnectionRegistry.java
@@ -4,6 +4,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
+import pearusher.config.Config;
 
 /**
  * What the connections of the listening socket share: how many there are, which of them have not
--- a/src/main/java/pearusher/serve/Durable.java
+++ b/src/main/java/pearusher/serve/Durable.java
@@ -10,6 +10,7 @@
 import java.util.TreeSet;
 import java.util.function.LongSupplier;
 import org.tinylog.Logger;
+import pearusher.config.Config;
 import pearusher.policy.Assigner;
 import pearusher.protocol.Message;
 import pearusher.recovery.Doubt;
--- a/src/main/java/pearusher/serve/Exchange.java
+++ b/src/main/java/pearusher/serve/Exchange.java
@@ -13,6 +13,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.tinylog.Logger;
+import pearusher.config.Config;
 import pearusher.intake.Item;
 import pearusher.policy.Assigner;
 import pearusher.protocol.Message;
--- a/src/main/java/pearusher/serve/Outbound.java
+++ b/src/main/java/pearusher/serve/Outbound.java
@@ -29,6 +29,7 @@
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.Scheduler;
 import org.tinylog.Logger;
+import pearusher.config.Config;
 import pearusher.policy.Assigner;
 import pearusher.protocol.ListTooLongException;
 import pearusher.protocol.ListingReader;
--- a/src/main/java/pearusher/serve/Serve.java
+++ b/src/main/java/pearusher/serve/Serve.java
@@ -13,6 +13,7 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import org.tinylog.Logger;
+import pearusher.config.Config;
 import pearusher.policy.Assigner;
 import pearusher.sitesettings.SettingsException;
 
--- a/src/main/java/pearusher/serve/StreamConnection.java
+++ b/src/main/java/pearusher/serve/StreamConnection.java
@@ -9,6 +9,7 @@
 import org.eclipse.jetty.io.AbstractConnection;
 import org.eclipse.jetty.io.EndPoint;
 import org.tinylog.Logger;
+import pearusher.config.Config;
 import pearusher.protocol.Message;
 import pearusher.protocol.Resp;
 
--- a/src/main/java/pearusher/serve/WarmUp.java
+++ b/src/main/java/pearusher/serve/WarmUp.java
@@ -5,6 +5,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BiFunction;
 import org.tinylog.Logger;
+import pearusher.config.Config;
 import pearusher.policy.Assigner;
 import pearusher.protocol.Message;
 import pearusher.protocol.Resp;
--- a/src/test/java/pearusher/serve/ConfigTest.java
+++ b/src/test/java/pearusher/config/ConfigTest.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -21,6 +21,8 @@
 import pearusher.policy.Assigner;
 import pearusher.protocol.ListLimits;
 import pearusher.protocol.Message;
+import pearusher.serve.Example;
+import pearusher.serve.Stand;
 import pearusher.sitesettings.Paths;
 import pearusher.sitesettings.SettingsException;
 import pearusher.sitesettings.SettingsReader;
--- a/src/test/java/pearusher/serve/ListLimitTest.java
+++ b/src/test/java/pearusher/config/ListLimitTest.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,6 +10,8 @@
 import org.junit.jupiter.api.Test;
 import pearusher.policy.Assigner;
 import pearusher.protocol.ListLimits;
+import pearusher.serve.Loopback;
+import pearusher.serve.Stand;
 
 /**
  * Lists over a limit, on sockets: refused with one line, as a failed call, and the last good list
--- a/src/test/java/pearusher/protocol/MessageTest.java
+++ b/src/test/java/pearusher/protocol/MessageTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import pearusher.config.Config;
 import pearusher.policy.Assigner;
-import pearusher.serve.Config;
 import pearusher.serve.Example;
 import pearusher.serve.Stand;
 
--- a/src/test/java/pearusher/serve/ConfigurationValuesTest.java
+++ b/src/test/java/pearusher/serve/ConfigurationValuesTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import pearusher.Recorded;
+import pearusher.config.Config;
 import pearusher.policy.Assigner;
 import pearusher.protocol.Message;
 import pearusher.sitesettings.SettingsException;
--- a/src/test/java/pearusher/serve/DurableOrdersTest.java
+++ b/src/test/java/pearusher/serve/DurableOrdersTest.java
@@ -17,6 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import pearusher.config.Config;
 import pearusher.policy.Assigner;
 import pearusher.policy.Rules;
 import pearusher.protocol.Message;
--- a/src/test/java/pearusher/serve/Example.java
+++ b/src/test/java/pearusher/serve/Example.java
@@ -5,6 +5,7 @@
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.Map;
+import pearusher.config.Config;
 import pearusher.protocol.ListLimits;
 import pearusher.sitesettings.SettingsException;
 
@@ -22,7 +23,7 @@
     with("\"127.0.0.1:7946\"", "\"127.0.0.1:0\"");
   }
 
-  String json() {
+  public String json() {
     return json;
   }
 
@@ -31,7 +32,7 @@
   }
 
   /** Replaces a piece of the text, which must be there. */
-  Example with(String old, String now) {
+  public Example with(String old, String now) {
     if (!json.contains(old)) {
       throw new AssertionError("the example has no " + old);
     }
@@ -49,19 +50,19 @@
     return address("EDGE_LISTEN", "listen", address);
   }
 
-  Example discovery(String address) {
+  public Example discovery(String address) {
     return address("EDGE_DISCOVERY", "discovery", address);
   }
 
   /** Writes the file and gives the environment that names it. */
-  Map<String, String> write(Path dir) throws IOException {
+  public Map<String, String> write(Path dir) throws IOException {
     Path file = Files.writeString(dir.resolve("config.json"), json);
     environment.put("EDGE_CONFIG", file.toString());
     return environment;
   }
 
   /** Limits of lists other than those of this process. */
-  Example lists(ListLimits limits) {
+  public Example lists(ListLimits limits) {
     lists = limits;
     return this;
   }
--- a/src/test/java/pearusher/serve/IntakeServeTest.java
+++ b/src/test/java/pearusher/serve/IntakeServeTest.java
@@ -16,6 +16,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import pearusher.config.Config;
 import pearusher.intake.Intake;
 import pearusher.intake.Item;
 import pearusher.intake.Sums;
--- a/src/test/java/pearusher/serve/Loopback.java
+++ b/src/test/java/pearusher/serve/Loopback.java
@@ -16,18 +16,18 @@
 import pearusher.policy.Assigner;
 
 /** An assigner on loopback with a scripted module, its discovery, and what the log said. */
-abstract class Loopback {
+public abstract class Loopback {
   static final List<String> CLASSES = List.of("lookup", "order");
   @TempDir Path dir;
-  final Scripted module = new Scripted();
+  public final Scripted module = new Scripted();
   final AtomicReference<Throwable> failure = new AtomicReference<>();
   final List<Serve> running = new ArrayList<>();
-  Stand.Http discovery;
-  Example example;
+  public Stand.Http discovery;
+  public Example example;
   InetSocketAddress at;
 
   /** What the log said; it goes to standard output all the same. */
-  final ByteArrayOutputStream log = new ByteArrayOutputStream();
+  public final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
   private PrintStream standard;
 
@@ -57,7 +57,7 @@
     System.setOut(standard);
   }
 
-  void logged(String text) throws InterruptedException {
+  public void logged(String text) throws InterruptedException {
     Stand.until(
         text,
         () -> {
@@ -75,7 +75,7 @@
     return serve;
   }
 
-  Serve start() throws Exception {
+  public Serve start() throws Exception {
     return start(module);
   }
 
@@ -92,7 +92,7 @@
   }
 
   /** Starts with a watch that the module asked for. */
-  Stand.Request watch() throws Exception {
+  public Stand.Request watch() throws Exception {
     start();
     module.order(o -> o.watch(true));
     return discovery.next();
--- a/src/test/java/pearusher/serve/ParityTest.java
+++ b/src/test/java/pearusher/serve/ParityTest.java
@@ -23,6 +23,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import pearusher.adapter.Loop;
 import pearusher.adapter.Wire;
+import pearusher.config.Config;
 import pearusher.policy.Rules;
 
 /**
--- a/src/test/java/pearusher/serve/ProtocolTranscriptTest.java
+++ b/src/test/java/pearusher/serve/ProtocolTranscriptTest.java
@@ -23,6 +23,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import pearusher.Recorded;
+import pearusher.config.Config;
 import pearusher.policy.Assigner;
 import pearusher.protocol.Message;
 import pearusher.protocol.Resp;
--- a/src/test/java/pearusher/serve/RecordedSite.java
+++ b/src/test/java/pearusher/serve/RecordedSite.java
@@ -9,6 +9,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import pearusher.config.Config;
 import pearusher.policy.Rules;
 import pearusher.protocol.Message;
 import pearusher.sitesettings.SettingsException;
--- a/src/test/java/pearusher/serve/Scripted.java
+++ b/src/test/java/pearusher/serve/Scripted.java
@@ -13,8 +13,8 @@
 /**
  * A module that writes down what it is told and orders what a test asks for, at the end of a turn.
  */
-final class Scripted implements BiFunction<Assigner.Settings, Assigner.Orders, Assigner> {
-  final List<String> told = new CopyOnWriteArrayList<>();
+public final class Scripted implements BiFunction<Assigner.Settings, Assigner.Orders, Assigner> {
+  public final List<String> told = new CopyOnWriteArrayList<>();
   private final LinkedBlockingQueue<Consumer<Assigner.Orders>> asked = new LinkedBlockingQueue<>();
   private volatile Exchange exchange;
 
@@ -53,13 +53,13 @@
   }
 
   /** Gives orders in a turn of their own. */
-  void order(Consumer<Assigner.Orders> what) {
+  public void order(Consumer<Assigner.Orders> what) {
     asked.add(what);
     exchange.event(() -> {});
   }
 
   /** Waits until the module was told this, and forgets all up to then. */
-  void hear(String start) throws InterruptedException {
+  public void hear(String start) throws InterruptedException {
     Stand.until(start + " in " + told, () -> told.stream().anyMatch(t -> t.startsWith(start)));
     while (!told.remove(0).startsWith(start)) {
       // What came before is dropped.
--- a/src/test/java/pearusher/serve/ServeTest.java
+++ b/src/test/java/pearusher/serve/ServeTest.java
@@ -21,6 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import pearusher.config.Config;
 import pearusher.policy.Assigner;
 import pearusher.policy.Rules;
 import pearusher.protocol.Message;
--- a/src/test/java/pearusher/serve/Stand.java
+++ b/src/test/java/pearusher/serve/Stand.java
@@ -264,17 +264,17 @@
   }
 
   /** A call that came to an HTTP stand-in. */
-  record Request(String path, Socket socket) {
-    void write(String text) throws IOException {
+  public record Request(String path, Socket socket) {
+    public void write(String text) throws IOException {
       socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
       socket.getOutputStream().flush();
     }
 
-    void answer(int status, String body) throws IOException {
+    public void answer(int status, String body) throws IOException {
       write("HTTP/1.1 " + status + " X\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    void beginWatch() throws IOException {
+    public void beginWatch() throws IOException {
       write(
           "HTTP/1.1 200 OK\r\n"
               + "Content-Type: application/json\r\n"
@@ -282,7 +282,7 @@
     }
 
     /** A line of a watch, as a chunk of its own. */
-    void line(String text) throws IOException {
+    public void line(String text) throws IOException {
       write(Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n");
     }
 
@@ -293,12 +293,12 @@
   }
 
   /** Discovery or a server: it takes calls and leaves the answers to the test. */
-  static final class Http implements AutoCloseable {
+  public static final class Http implements AutoCloseable {
     private final ServerSocket server;
     final LinkedBlockingQueue<Request> calls = new LinkedBlockingQueue<>();
     final List<Socket> open = new CopyOnWriteArrayList<>();
 
-    Http() throws IOException {
+    public Http() throws IOException {
       server = new ServerSocket(0, 50, java.net.InetAddress.getLoopbackAddress());
       Thread taker =
           new Thread(
@@ -328,11 +328,11 @@
       taker.start();
     }
 
-    String address() {
+    public String address() {
       return "127.0.0.1:" + server.getLocalPort();
     }
 
-    Request next() throws InterruptedException {
+    public Request next() throws InterruptedException {
       Request out = calls.poll(20, java.util.concurrent.TimeUnit.SECONDS);
       if (out == null) {
         fail("no call came");
--- a/src/test/java/pearusher/serve/StoredDataSite.java
+++ b/src/test/java/pearusher/serve/StoredDataSite.java
@@ -14,6 +14,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
+import pearusher.config.Config;
 import pearusher.policy.Assigner;
 import pearusher.protocol.Message;
 import pearusher.protocol.Resp;
