--- a/src/main/java/pearusher/serve/TableState.java
+++ b/src/main/java/pearusher/publish/TableState.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.publish;
 
 import java.util.Arrays;
 import java.util.Map;
--- a/src/main/java/pearusher/serve/Tables.java
+++ b/src/main/java/pearusher/publish/Tables.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.publish;
 
 import java.util.List;
 import java.util.Map;
@@ -16,9 +16,9 @@
  * back or changed here. Only the decision thread uses it. It grows with the tables and their lines,
  * and with the proxies and the servers that each was told of.
  */
-final class Tables {
+public final class Tables {
   /** The table number that stands for all of them, in levels. */
-  static final int ALL = 65535;
+  public static final int ALL = 65535;
 
   private final RequestClasses classes;
   private final Map<Integer, TableState> tables = new TreeMap<>();
@@ -30,30 +30,30 @@
   /** Of this turn; null for none. */
   private UpdateComposer.MarkOrder mark;
 
-  Tables(List<String> classes, LongFunction<String> names) {
+  public Tables(List<String> classes, LongFunction<String> names) {
     this.classes = new RequestClasses(classes);
     forAll = new GlobalLevels(classes.size());
     composer = new UpdateComposer(this.classes, names, tables, forAll, ejections);
   }
 
   /** A table as an earlier process left it: who is bound gets it, nobody hears of it by itself. */
-  void restore(int number, Map<Long, Double> lines, Map<Integer, Message.Level> levels) {
+  public void restore(int number, Map<Long, Double> lines, Map<Integer, Message.Level> levels) {
     table(number).lines.putAll(lines);
     levels.forEach((k, level) -> table(number).levels[k] = level);
   }
 
   /** A server that an earlier process withdrew, and that still is out. */
-  void restoreOut(long server) {
+  public void restoreOut(long server) {
     ejections.restore(server);
   }
 
   /** A stream whose proxy holds a table of ours: it was told before how these servers stand. */
-  void announced(int proxy, Map<Long, Boolean> out) {
+  public void announced(int proxy, Map<Long, Boolean> out) {
     proxies.get(proxy).announced.putAll(out);
   }
 
   /** Binds a proxy that holds the table but for what is named: that alone goes to it. */
-  void adopt(int proxy, Rejoin lacks, Map<Long, Boolean> ejected) {
+  public void adopt(int proxy, Rejoin lacks, Map<Long, Boolean> ejected) {
     table(lacks.table());
     proxies.get(proxy).adopt(lacks, ejected);
   }
@@ -61,30 +61,30 @@
   /**
    * A stream begins: what the proxy holds of withdrawals is not known, and no table of ours is its.
    */
-  void joined(int proxy) {
+  public void joined(int proxy) {
     proxies.put(proxy, new ProxyStreamState(classes.count()));
   }
 
   /** The proxy shuts out no server but those in doubt at all. */
-  void sure(int proxy) {
+  public void sure(int proxy) {
     proxies.get(proxy).sure = true;
   }
 
-  void doubt(long server, boolean all) {
+  public void doubt(long server, boolean all) {
     ejections.doubt(server, all);
   }
 
-  void forget(long server) {
+  public void forget(long server) {
     ejections.forget(server);
     proxies.values().forEach(p -> p.announced.remove(server));
   }
 
   /** What is kept by server and proxy, lines of tables aside. */
-  int size() {
+  public int size() {
     return ejections.size() + proxies.values().stream().mapToInt(ProxyStreamState::size).sum();
   }
 
-  void left(int proxy) {
+  public void left(int proxy) {
     proxies.remove(proxy);
   }
 
@@ -92,24 +92,24 @@
     return tables.computeIfAbsent(number, n -> new TableState(classes.count()));
   }
 
-  void line(int number, long server, double weight) {
+  public void line(int number, long server, double weight) {
     table(number).line(server, weight);
   }
 
-  void clear(int number) {
+  public void clear(int number) {
     table(number).clear();
   }
 
-  void withdraw(long server, boolean out) {
+  public void withdraw(long server, boolean out) {
     ejections.order(server, out);
   }
 
   /** Whether these are all classes. */
-  boolean all(int classBits) {
+  public boolean all(int classBits) {
     return classes.all(classBits);
   }
 
-  void bind(int proxy, int number, int classBits) {
+  public void bind(int proxy, int number, int classBits) {
     ProxyStreamState p = proxies.get(proxy);
     if (p == null) {
       return;
@@ -122,7 +122,7 @@
     }
   }
 
-  void admit(int number, int classBits, double level, int retry) {
+  public void admit(int number, int classBits, double level, int retry) {
     Message.Level to = new Message.Level(level, retry);
     int which = classes.bits(classBits);
     if (number == ALL) {
@@ -135,12 +135,12 @@
   }
 
   /** A number below 0 is no mark. */
-  void mark(int number, boolean toAll) {
+  public void mark(int number, boolean toAll) {
     mark = number < 0 ? null : new UpdateComposer.MarkOrder(number, toAll);
   }
 
   /** Gives each proxy's message of the turn, and starts the next turn. */
-  void turn(long now, BiConsumer<Integer, byte[]> send) {
+  public void turn(long now, BiConsumer<Integer, byte[]> send) {
     boolean quiet =
         ejections.changed().isEmpty()
             && forAll.changed() == 0
@@ -182,7 +182,7 @@
    * answered before, or would have taken longer than it is out. Guards the pace of the channel
    * against spoilt answers, which the module takes at their word.
    */
-  boolean answered(long now, int proxy, int number, long tookUs) {
+  public boolean answered(long now, int proxy, int number, long tookUs) {
     ProxyStreamState p = proxies.get(proxy);
     return p != null && p.answer(now, number, tookUs);
   }
--- a/src/main/java/pearusher/serve/Durable.java
+++ b/src/main/java/pearusher/serve/Durable.java
@@ -13,6 +13,7 @@
 import pearusher.config.Config;
 import pearusher.policy.Assigner;
 import pearusher.protocol.Message;
+import pearusher.publish.Tables;
 import pearusher.recovery.Doubt;
 import pearusher.recovery.KnownList;
 import pearusher.recovery.Ledger;
--- a/src/main/java/pearusher/serve/Exchange.java
+++ b/src/main/java/pearusher/serve/Exchange.java
@@ -17,6 +17,7 @@
 import pearusher.intake.Item;
 import pearusher.policy.Assigner;
 import pearusher.protocol.Message;
+import pearusher.publish.Tables;
 
 /**
  * The only place where the server side, the client side and the module meet. It owns the module,
--- a/src/main/java/pearusher/serve/StreamMembership.java
+++ b/src/main/java/pearusher/serve/StreamMembership.java
@@ -7,6 +7,7 @@
 import org.tinylog.Logger;
 import pearusher.policy.Assigner;
 import pearusher.protocol.Message;
+import pearusher.publish.Tables;
 import pearusher.recovery.Rejoin;
 
 /**
--- a/src/main/java/pearusher/serve/TableOrders.java
+++ b/src/main/java/pearusher/serve/TableOrders.java
@@ -3,6 +3,7 @@
 import java.util.Map;
 import java.util.function.Function;
 import java.util.function.LongFunction;
+import pearusher.publish.Tables;
 import pearusher.recovery.Level;
 import pearusher.recovery.Rejoin;
 
--- a/src/test/java/pearusher/serve/TablesTest.java
+++ b/src/test/java/pearusher/publish/TablesTest.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.publish;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,6 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import pearusher.protocol.Resp;
+import pearusher.serve.Stand;
 
 /** Orders as WIRE means them, against proxies that apply updates as PROTOCOL says. */
 class TablesTest {
--- a/src/test/java/pearusher/serve/Stand.java
+++ b/src/test/java/pearusher/serve/Stand.java
@@ -142,10 +142,10 @@
   }
 
   /** What a proxy holds for one class. */
-  static final class Holding {
+  public static final class Holding {
     Map<String, Float> lines = new TreeMap<>();
-    Float level;
-    Integer retry;
+    public Float level;
+    public Integer retry;
 
     @Override
     public String toString() {
@@ -154,19 +154,19 @@
   }
 
   /** A proxy that applies updates as the page says; what it holds outlasts its streams. */
-  static final class Held {
-    final Map<String, Holding> by = new TreeMap<>();
-    final Set<String> out = new TreeSet<>();
-    final List<Integer> tickets = new CopyOnWriteArrayList<>();
-    final List<String> faults = new CopyOnWriteArrayList<>();
+  public static final class Held {
+    public final Map<String, Holding> by = new TreeMap<>();
+    public final Set<String> out = new TreeSet<>();
+    public final List<Integer> tickets = new CopyOnWriteArrayList<>();
+    public final List<String> faults = new CopyOnWriteArrayList<>();
 
     /** Whole messages, and parts of one that goes on. */
-    volatile int messages;
+    public volatile int messages;
 
     int lines;
     private int parts;
 
-    Held(List<String> classes) {
+    public Held(List<String> classes) {
       classes.forEach(c -> by.put(c, new Holding()));
     }
 
@@ -174,7 +174,7 @@
       return by + " out " + out;
     }
 
-    synchronized void update(List<String> words) {
+    public synchronized void update(List<String> words) {
       Map<String, String> at = new HashMap<>();
       for (int k = 1; k < words.size(); k += 2) {
         if (at.put(words.get(k), words.get(k + 1)) != null) {
@@ -240,7 +240,7 @@
     }
 
     /** What a class may be sent to: its lines without those shut out. */
-    synchronized Map<String, Float> open(String grade) {
+    public synchronized Map<String, Float> open(String grade) {
       Map<String, Float> open = new TreeMap<>(by.get(grade).lines);
       open.keySet().removeAll(out);
       return open;
