--- a/src/bench/java/pearusher/serve/KillBench.java
+++ b/src/bench/java/pearusher/serve/KillBench.java
@@ -12,6 +12,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.Histogram;
 import pearusher.config.Config;
+import pearusher.control.Durable;
+import pearusher.control.Exchange;
+import pearusher.control.Keeping;
 import pearusher.policy.Rules;
 import pearusher.protocol.Message;
 import pearusher.protocol.Resp;
@@ -154,7 +157,7 @@
     exchange =
         new Exchange(config, Rules::new, clock::get, failure -> {}, durable, null) {
           @Override
-          void pause() {}
+          public void pause() {}
         };
     exchange.connect(
         new Exchange.Calls() {
--- a/src/main/java/pearusher/serve/Durable.java
+++ b/src/main/java/pearusher/control/Durable.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.control;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -32,7 +32,7 @@
  * of messages runs on the decision thread, which never waits for the disk. It must never decide
  * what a proxy gets: the ledger says what one lacks, the module whether it is bound.
  */
-final class Durable implements AutoCloseable {
+public final class Durable implements AutoCloseable {
 
   /** A message on its way to a stream. */
   private record Post(Exchange.Stream to, byte[] message) {}
@@ -56,7 +56,7 @@
 
   private long lastUs;
 
-  Durable(Config config, Keeping keeping, Store store, LongSupplier clock) {
+  public Durable(Config config, Keeping keeping, Store store, LongSupplier clock) {
     this.config = config;
     this.clock = clock;
     Store.Recovered found = store.recovered();
@@ -125,7 +125,8 @@
   }
 
   /** Opens the store that the settings name. */
-  static Durable open(Config config, Keeping keeping, LongSupplier clock) throws IOException {
+  public static Durable open(Config config, Keeping keeping, LongSupplier clock)
+      throws IOException {
     FileDisk disk = new FileDisk(keeping.directory());
     disk.make();
     return new Durable(config, keeping, Store.open(disk, keeping.options()), clock);
@@ -211,7 +212,7 @@
     }
   }
 
-  void start() {
+  public void start() {
     committer.start();
   }
 
@@ -288,7 +289,7 @@
   }
 
   /** Called now and then, on any thread: a disk that hangs must not hold up a drain. */
-  void watch() {
+  public void watch() {
     synchronized (lock) {
       if (!givenUp && outbox.late(clock.getAsLong())) {
         giveUp("an order waited for the disk longer than store.patience");
@@ -316,7 +317,7 @@
   }
 
   /** An orderly end: what waits is written; a fault here is said and ends nothing. */
-  void end() {
+  public void end() {
     try {
       close();
     } catch (IOException e) {
@@ -330,7 +331,7 @@
   }
 
   /** Turns whose messages wait for the disk. */
-  int waiting() {
+  public int waiting() {
     synchronized (lock) {
       return outbox.waiting();
     }
--- a/src/main/java/pearusher/serve/EventLoop.java
+++ b/src/main/java/pearusher/control/EventLoop.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.control;
 
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/pearusher/serve/Exchange.java
+++ b/src/main/java/pearusher/control/Exchange.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.control;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -27,13 +27,13 @@
  * ledger to {@link TableOrders}. It must never do input or output itself, decide anything, nor go
  * on after the module failed. It grows with the servers that are listed.
  */
-class Exchange implements Assigner.Orders {
+public class Exchange implements Assigner.Orders {
   private static final Pattern SERVER = Pattern.compile("\\bserver ([0-9a-f]+)\\b");
 
   /**
    * A proxy's stream, on the server side. Calls come from the decision thread and must not block.
    */
-  interface Stream {
+  public interface Stream {
     void send(byte[] message);
 
     /** A newer stream of the same proxy took its place. */
@@ -46,7 +46,7 @@
   }
 
   /** The client side. */
-  interface Calls {
+  public interface Calls {
     void watch(boolean on, long since);
 
     void fetch();
@@ -55,7 +55,7 @@
   }
 
   /** The way to other assigners; peer -1: all. */
-  interface Mail {
+  public interface Mail {
     void tell(int peer, byte[] body);
   }
 
@@ -110,7 +110,7 @@
   /** Lists that would have made more servers known than the heap holds. */
   private long refusedLists;
 
-  Exchange(
+  public Exchange(
       Config config,
       BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker,
       LongSupplier clock,
@@ -118,7 +118,7 @@
     this(config, maker, clock, failed, null, null);
   }
 
-  Exchange(
+  public Exchange(
       Config config,
       BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker,
       LongSupplier clock,
@@ -142,13 +142,13 @@
   }
 
   /** Microseconds of Unix time, read once and carried on by a clock that never runs back. */
-  static LongSupplier unixClock() {
+  public static LongSupplier unixClock() {
     long base = System.currentTimeMillis() * 1000;
     long start = System.nanoTime();
     return () -> base + (System.nanoTime() - start) / 1000;
   }
 
-  void connect(Calls client, Mail peers) {
+  public void connect(Calls client, Mail peers) {
     calls = client;
     mail = peers;
   }
@@ -156,7 +156,7 @@
   /**
    * Starts the module with the list last known and takes its first turn, on the caller's thread.
    */
-  void begin() {
+  public void begin() {
     loop.begin();
     module = maker.apply(config.settings(), this);
     Message.Listing known = durable == null ? config.known() : durable.known();
@@ -172,16 +172,16 @@
   }
 
   /** The decision thread's work, until it is interrupted or the module fails. */
-  void run() {
+  public void run() {
     loop.run();
   }
 
   /** Waits for an event or a timer; what comes without a tick's pause is one turn. */
-  void turn() throws InterruptedException {
+  public void turn() throws InterruptedException {
     loop.turn();
   }
 
-  void pause() throws InterruptedException {
+  public void pause() throws InterruptedException {
     TimeUnit.MICROSECONDS.sleep(config.settings().tickUs());
   }
 
@@ -199,20 +199,20 @@
   // Events, from any thread.
 
   /** Work for the decision thread, at the next turn. */
-  void event(Runnable what) {
+  public void event(Runnable what) {
     loop.add(what);
   }
 
-  long dropped() {
+  public long dropped() {
     return queue.dropped();
   }
 
-  int waiting() {
+  public int waiting() {
     return loop.waiting();
   }
 
   /** A proxy's stream has said whose it is. */
-  void joined(Stream stream, Message.Joined what) {
+  public void joined(Stream stream, Message.Joined what) {
     event(() -> streams.joined(stream, what));
   }
 
@@ -229,40 +229,40 @@
   }
 
   /** A stream ended; one whose proxy has joined anew since then unseats nobody. */
-  void ended(Stream stream, int proxy) {
+  public void ended(Stream stream, int proxy) {
     event(() -> streams.ended(stream, proxy));
   }
 
   /** Counted with the reports: a proxy that answers without end fills no memory either. */
-  void applied(Stream stream, Message.Applied what) {
+  public void applied(Stream stream, Message.Applied what) {
     queue.add(() -> streams.applied(stream, what));
   }
 
   /** A report on a server that no list has named yet is dropped: the proxies' list may be newer. */
-  void heard(Message.Heard what) {
+  public void heard(Message.Heard what) {
     heard(what, -1);
   }
 
   /** {@code origin}: the proxy, or a number below 0 that is the collector's own. */
-  void heard(Message.Heard what, int origin) {
+  public void heard(Message.Heard what, int origin) {
     reports.heard(what, origin);
   }
 
-  void usage(Message.Usage what) {
+  public void usage(Message.Usage what) {
     usage(what, what.proxy());
   }
 
-  void usage(Message.Usage what, int origin) {
+  public void usage(Message.Usage what, int origin) {
     reports.usage(what, origin);
   }
 
   /** Tells a test of each report that has its turn, on the decision thread. */
-  void hearing(Consumer<Item> listener) {
+  public void hearing(Consumer<Item> listener) {
     reports.listen(listener);
   }
 
   /** What discovery says, on a watch or as the whole list; older than what is held: passed over. */
-  void listed(Message.Listing what, boolean begins) {
+  public void listed(Message.Listing what, boolean begins) {
     listed(what, begins, () -> true);
   }
 
@@ -272,7 +272,7 @@
    * over after the new one's first: a whole list of theirs would count as a discovery that started
    * anew.
    */
-  void listed(Message.Listing what, boolean begins, BooleanSupplier counts) {
+  public void listed(Message.Listing what, boolean begins, BooleanSupplier counts) {
     event(
         () -> {
           if (!counts.getAsBoolean()) {
@@ -305,7 +305,7 @@
   }
 
   /** The end of a watch that was moved meanwhile must not count as the end of the new one. */
-  void listFailed(BooleanSupplier counts) {
+  public void listFailed(BooleanSupplier counts) {
     event(
         () -> {
           if (counts.getAsBoolean()) {
@@ -318,7 +318,7 @@
    * Discovery may be elsewhere: the watch that runs is begun anew there, before the old address
    * closes it. One that has failed is asked for again by the module, and goes there by itself.
    */
-  void moved() {
+  public void moved() {
     event(
         () -> {
           if (listState.isWatching()) {
@@ -327,11 +327,11 @@
         });
   }
 
-  void probed(long server, Assigner.Probe end, long tookUs, float[] load) {
+  public void probed(long server, Assigner.Probe end, long tookUs, float[] load) {
     event(() -> module.probed(loop.nowUs(), server, end, tookUs, load));
   }
 
-  void told(int peer, byte[] body) {
+  public void told(int peer, byte[] body) {
     queue.add(() -> module.told(loop.nowUs(), peer, body));
   }
 
--- a/src/main/java/pearusher/serve/Keeping.java
+++ b/src/main/java/pearusher/control/Keeping.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.control;
 
 import java.nio.file.Path;
 import pearusher.store.Options;
--- a/src/main/java/pearusher/serve/ReportIntake.java
+++ b/src/main/java/pearusher/control/ReportIntake.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.control;
 
 import java.util.function.Consumer;
 import java.util.function.Function;
--- a/src/main/java/pearusher/serve/ReportQueue.java
+++ b/src/main/java/pearusher/control/ReportQueue.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.control;
 
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
--- a/src/main/java/pearusher/serve/ServerDirectory.java
+++ b/src/main/java/pearusher/control/ServerDirectory.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.control;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/pearusher/serve/ServerListState.java
+++ b/src/main/java/pearusher/control/ServerListState.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.control;
 
 import org.tinylog.Logger;
 import pearusher.protocol.Message;
--- a/src/main/java/pearusher/serve/SharedIntake.java
+++ b/src/main/java/pearusher/control/SharedIntake.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.control;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -11,7 +11,7 @@
  * The intake behind a lock: streams put reports in on their threads, the decision thread takes them
  * out. It says when a flood begins and ends. It must never hold the lock while the module works.
  */
-final class SharedIntake {
+public final class SharedIntake {
   /** How long the decision thread sleeps at most while reports of a flood wait, in microseconds. */
   static final long SERVE_US = 20_000;
 
@@ -21,7 +21,7 @@
   private final Intake intake;
   private final List<Item> items = new ArrayList<>();
 
-  SharedIntake(Intake.Bounds bounds) {
+  public SharedIntake(Intake.Bounds bounds) {
     intake =
         new Intake(
             bounds,
@@ -72,7 +72,7 @@
   /**
    * Takes a report; outside of a flood {@code wake} asks for its turn, in the order of the reports.
    */
-  void offer(Item item, Runnable wake) {
+  public void offer(Item item, Runnable wake) {
     synchronized (intake) {
       if (intake.offer(item) && !intake.flooded()) {
         wake.run();
@@ -81,12 +81,12 @@
   }
 
   /** The oldest report, outside of a flood. */
-  void next(long nowUs, Consumer<Item> out) {
+  public void next(long nowUs, Consumer<Item> out) {
     take(() -> intake.next(nowUs, items::add), out);
   }
 
   /** In a flood: what is due. */
-  void serve(long nowUs, Consumer<Item> out) {
+  public void serve(long nowUs, Consumer<Item> out) {
     take(() -> intake.serve(nowUs, items::add), out);
   }
 
@@ -98,13 +98,13 @@
     items.clear();
   }
 
-  boolean flooded() {
+  public boolean flooded() {
     synchronized (intake) {
       return intake.flooded();
     }
   }
 
-  int waiting() {
+  public int waiting() {
     synchronized (intake) {
       return intake.waiting();
     }
--- a/src/main/java/pearusher/serve/TableOrders.java
+++ b/src/main/java/pearusher/control/TableOrders.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.control;
 
 import java.util.Map;
 import java.util.function.Function;
--- a/src/main/java/pearusher/serve/Extras.java
+++ b/src/main/java/pearusher/serve/Extras.java
@@ -1,5 +1,6 @@
 package pearusher.serve;
 
+import pearusher.control.Keeping;
 import pearusher.intake.Intake;
 
 /**
--- a/src/main/java/pearusher/serve/Outbound.java
+++ b/src/main/java/pearusher/serve/Outbound.java
@@ -30,6 +30,7 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 import org.tinylog.Logger;
 import pearusher.config.Config;
+import pearusher.control.Exchange;
 import pearusher.policy.Assigner;
 import pearusher.protocol.ListTooLongException;
 import pearusher.protocol.ListingReader;
--- a/src/main/java/pearusher/serve/Peers.java
+++ b/src/main/java/pearusher/serve/Peers.java
@@ -8,6 +8,7 @@
 import java.util.concurrent.Executor;
 import org.tinylog.Logger;
 import pearusher.config.Config;
+import pearusher.control.Exchange;
 
 /**
  * Datagrams between assigners. It passes on what comes from an address in the list and sends what
--- a/src/main/java/pearusher/serve/Serve.java
+++ b/src/main/java/pearusher/serve/Serve.java
@@ -14,6 +14,9 @@
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import org.tinylog.Logger;
 import pearusher.config.Config;
+import pearusher.control.Durable;
+import pearusher.control.Exchange;
+import pearusher.control.SharedIntake;
 import pearusher.policy.Assigner;
 import pearusher.sitesettings.SettingsException;
 
--- a/src/main/java/pearusher/serve/StreamConnection.java
+++ b/src/main/java/pearusher/serve/StreamConnection.java
@@ -10,6 +10,7 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.tinylog.Logger;
 import pearusher.config.Config;
+import pearusher.control.Exchange;
 import pearusher.protocol.Message;
 import pearusher.protocol.Resp;
 
--- a/src/main/java/pearusher/serve/Streams.java
+++ b/src/main/java/pearusher/serve/Streams.java
@@ -17,6 +17,7 @@
 import org.eclipse.jetty.io.SelectorManager;
 import org.eclipse.jetty.util.thread.Scheduler;
 import pearusher.config.Config;
+import pearusher.control.Exchange;
 
 /**
  * The server side: the listening socket, which connections it takes ({@link AcceptPolicy}) and how
--- a/src/main/java/pearusher/serve/WarmUp.java
+++ b/src/main/java/pearusher/serve/WarmUp.java
@@ -6,6 +6,7 @@
 import java.util.function.BiFunction;
 import org.tinylog.Logger;
 import pearusher.config.Config;
+import pearusher.control.Exchange;
 import pearusher.policy.Assigner;
 import pearusher.protocol.Message;
 import pearusher.protocol.Resp;
@@ -54,7 +55,7 @@
     }
 
     @Override
-    void pause() {}
+    public void pause() {}
 
     @Override
     public void log(String text) {}
--- a/src/test/java/pearusher/serve/DurableOrdersTest.java
+++ b/src/test/java/pearusher/control/DurableOrdersTest.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -22,6 +22,8 @@
 import pearusher.policy.Rules;
 import pearusher.protocol.Message;
 import pearusher.protocol.Resp;
+import pearusher.serve.Example;
+import pearusher.serve.Stand;
 import pearusher.store.Options;
 import pearusher.store.SimDisk;
 import pearusher.store.Store;
@@ -104,7 +106,7 @@
     exchange =
         new Exchange(config, Rules::new, clock::get, failure -> {}, durable, null) {
           @Override
-          void pause() {}
+          public void pause() {}
         };
     exchange.connect(
         new Exchange.Calls() {
--- a/src/test/java/pearusher/serve/GrowthTest.java
+++ b/src/test/java/pearusher/control/GrowthTest.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,6 +18,8 @@
 import pearusher.policy.Rules;
 import pearusher.protocol.Message;
 import pearusher.protocol.Resp;
+import pearusher.serve.Example;
+import pearusher.serve.Stand;
 
 /**
  * Servers and proxies come and go by thousands through the exchange and the real module: counted,
@@ -92,7 +94,7 @@
     exchange =
         new Exchange(config, Rules::new, clock::get, failure -> {}) {
           @Override
-          void pause() {}
+          public void pause() {}
         };
     exchange.connect(
         new Exchange.Calls() {
--- a/src/test/java/pearusher/serve/OrderCheck.java
+++ b/src/test/java/pearusher/control/OrderCheck.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.control;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,6 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import pearusher.serve.Stand;
 
 /**
  * Reads the orders that proxies receive over the lives of an assigner, and says what no order may
@@ -13,7 +14,7 @@
  * rise, for a server that drains, or a repeat of a class that must never run twice. It knows the
  * protocol and nothing of the store.
  */
-final class OrderCheck {
+public final class OrderCheck {
   private static final class Seen {
     final Stand.Held held;
 
@@ -38,30 +39,30 @@
     }
   }
 
-  final List<String> faults = new ArrayList<>();
+  public final List<String> faults = new ArrayList<>();
   private final Map<Integer, Seen> proxies = new TreeMap<>();
   private final Map<String, Long> draining = new HashMap<>();
   private final Set<String> fragile;
   private final List<String> classes;
   private final long slack;
-  int orders;
+  public int orders;
 
   /** Whole tables, and messages of less, that went to proxies which rejoined. */
-  int wholes;
+  public int wholes;
 
-  int deltas;
+  public int deltas;
 
   /**
    * {@code slack}: how long an answer or a word of the list may be on its way, in the caller's
    * time.
    */
-  OrderCheck(List<String> classes, Set<String> fragile, long slack) {
+  public OrderCheck(List<String> classes, Set<String> fragile, long slack) {
     this.classes = classes;
     this.fragile = fragile;
     this.slack = slack;
   }
 
-  Stand.Held held(int proxy) {
+  public Stand.Held held(int proxy) {
     return proxies.computeIfAbsent(proxy, p -> new Seen(new Stand.Held(classes))).held;
   }
 
@@ -71,7 +72,7 @@
   }
 
   /** A stream begins; {@code killed}: when the assigner that the proxy followed was killed. */
-  void joined(int proxy, boolean fresh, long killed) {
+  public void joined(int proxy, boolean fresh, long killed) {
     Seen p = seen(proxy);
     p.joining = true;
     p.heldLines = p.held.by.values().stream().anyMatch(holding -> !holding.lines.isEmpty());
@@ -84,7 +85,7 @@
     }
   }
 
-  void listed(String server, boolean drains, long now) {
+  public void listed(String server, boolean drains, long now) {
     if (drains) {
       draining.putIfAbsent(server, now);
     } else {
@@ -93,7 +94,7 @@
   }
 
   /** A part of a message came. */
-  void part(int proxy, List<String> words, long now) {
+  public void part(int proxy, List<String> words, long now) {
     Seen p = seen(proxy);
     p.message.add(words);
     p.held.update(words);
@@ -156,7 +157,7 @@
   }
 
   /** Nobody may be sent to a server that the list has long called draining. */
-  void drained(int proxy, long now) {
+  public void drained(int proxy, long now) {
     for (String grade : classes) {
       for (String server : seen(proxy).held.open(grade).keySet()) {
         Long since = draining.get(server);
@@ -168,7 +169,7 @@
   }
 
   /** The proxy has answered for all that it was sent. */
-  void answered(int proxy, long now) {
+  public void answered(int proxy, long now) {
     Seen p = seen(proxy);
     p.answered.putAll(p.since);
     p.since.clear();
@@ -179,7 +180,7 @@
    * A stream ended in the middle of a message: none of it counts, and what came of it is a fault of
    * ours.
    */
-  void ended(int proxy) {
+  public void ended(int proxy) {
     seen(proxy).message.clear();
   }
 
--- a/src/test/java/pearusher/serve/Scripted.java
+++ b/src/test/java/pearusher/control/Scripted.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.control;
 
 import java.lang.reflect.Proxy;
 import java.util.ArrayList;
@@ -9,6 +9,7 @@
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import pearusher.policy.Assigner;
+import pearusher.serve.Stand;
 
 /**
  * A module that writes down what it is told and orders what a test asks for, at the end of a turn.
@@ -48,7 +49,7 @@
             });
   }
 
-  void on(Exchange what) {
+  public void on(Exchange what) {
     exchange = what;
   }
 
--- a/src/test/java/pearusher/serve/StoredDataSite.java
+++ b/src/test/java/pearusher/control/StoredDataSite.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.control;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -18,6 +18,7 @@
 import pearusher.policy.Assigner;
 import pearusher.protocol.Message;
 import pearusher.protocol.Resp;
+import pearusher.serve.Example;
 import pearusher.store.FileDisk;
 import pearusher.store.Options;
 import pearusher.store.Store;
@@ -184,7 +185,7 @@
             durable,
             null) {
           @Override
-          void pause() {}
+          public void pause() {}
         };
     exchange.connect(
         new Exchange.Calls() {
--- a/src/test/java/pearusher/serve/StoredDataWriter.java
+++ b/src/test/java/pearusher/control/StoredDataWriter.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.control;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/test/java/pearusher/serve/DurableProcessTest.java
+++ b/src/test/java/pearusher/serve/DurableProcessTest.java
@@ -22,6 +22,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import pearusher.control.OrderCheck;
 
 /**
  * The real process with a store: killed again and again, and each line that the operators' page
--- a/src/test/java/pearusher/serve/IntakeServeTest.java
+++ b/src/test/java/pearusher/serve/IntakeServeTest.java
@@ -17,6 +17,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import pearusher.config.Config;
+import pearusher.control.Exchange;
+import pearusher.control.Scripted;
+import pearusher.control.SharedIntake;
 import pearusher.intake.Intake;
 import pearusher.intake.Item;
 import pearusher.intake.Sums;
@@ -36,7 +39,7 @@
     Exchange exchange =
         new Exchange(new Example().read(dir), module, clock::get, failure -> {}, null, intake) {
           @Override
-          void pause() {}
+          public void pause() {}
         };
     module.on(exchange);
     exchange.begin();
--- a/src/test/java/pearusher/serve/Loopback.java
+++ b/src/test/java/pearusher/serve/Loopback.java
@@ -13,6 +13,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
+import pearusher.control.Exchange;
+import pearusher.control.Scripted;
 import pearusher.policy.Assigner;
 
 /** An assigner on loopback with a scripted module, its discovery, and what the log said. */
--- a/src/test/java/pearusher/serve/ParityTest.java
+++ b/src/test/java/pearusher/serve/ParityTest.java
@@ -24,6 +24,7 @@
 import pearusher.adapter.Loop;
 import pearusher.adapter.Wire;
 import pearusher.config.Config;
+import pearusher.control.Exchange;
 import pearusher.policy.Rules;
 
 /**
--- a/src/test/java/pearusher/serve/RecordedSite.java
+++ b/src/test/java/pearusher/serve/RecordedSite.java
@@ -10,6 +10,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import pearusher.config.Config;
+import pearusher.control.Exchange;
 import pearusher.policy.Rules;
 import pearusher.protocol.Message;
 import pearusher.sitesettings.SettingsException;
@@ -80,7 +81,7 @@
     exchange =
         new Exchange(config, Rules::new, clock::get, thrown -> failure = thrown) {
           @Override
-          void pause() {}
+          public void pause() {}
         };
     exchange.connect(
         new Exchange.Calls() {
--- a/src/test/java/pearusher/serve/ServeTest.java
+++ b/src/test/java/pearusher/serve/ServeTest.java
@@ -22,6 +22,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import pearusher.config.Config;
+import pearusher.control.Exchange;
 import pearusher.policy.Assigner;
 import pearusher.policy.Rules;
 import pearusher.protocol.Message;
@@ -763,7 +764,7 @@
     Exchange exchange =
         new Exchange(config, module, () -> 1_000_000, failure::set) {
           @Override
-          void pause() {
+          public void pause() {
             int k = pauses.incrementAndGet();
             if (k < 3) {
               usage(new Message.Usage(3, 0, k, 0, 1_000_000));
@@ -816,7 +817,7 @@
     Exchange exchange =
         new Exchange(config, module, () -> 1_000_000, failure::set) {
           @Override
-          void pause() {}
+          public void pause() {}
         };
     module.on(exchange);
     exchange.begin();
--- a/src/test/java/pearusher/serve/Stand.java
+++ b/src/test/java/pearusher/serve/Stand.java
@@ -35,7 +35,7 @@
   private Stand() {}
 
   /** Waits until it holds; a test that hangs here has failed. */
-  static void until(String what, BooleanSupplier holds) throws InterruptedException {
+  public static void until(String what, BooleanSupplier holds) throws InterruptedException {
     long end = System.nanoTime() + 20_000_000_000L;
     while (!holds.getAsBoolean()) {
       if (System.nanoTime() > end) {
@@ -143,7 +143,7 @@
 
   /** What a proxy holds for one class. */
   public static final class Holding {
-    Map<String, Float> lines = new TreeMap<>();
+    public Map<String, Float> lines = new TreeMap<>();
     public Float level;
     public Integer retry;
 
@@ -170,7 +170,7 @@
       classes.forEach(c -> by.put(c, new Holding()));
     }
 
-    synchronized String shown() {
+    public synchronized String shown() {
       return by + " out " + out;
     }
 
