--- a/src/main/java/pearusher/serve/Outbound.java
+++ b/src/main/java/pearusher/serve/Outbound.java
@@ -36,6 +36,8 @@
 import pearusher.protocol.ListingReader;
 import pearusher.protocol.Message;
 import pearusher.sitesettings.SettingsException;
+import pearusher.transport.Ending;
+import pearusher.transport.PlainEndPoint;
 
 /**
  * The client side: calls to discovery (a watch, the whole list) and probes of servers, each on a
--- a/src/main/java/pearusher/serve/Serve.java
+++ b/src/main/java/pearusher/serve/Serve.java
@@ -19,6 +19,8 @@
 import pearusher.control.SharedIntake;
 import pearusher.policy.Assigner;
 import pearusher.sitesettings.SettingsException;
+import pearusher.transport.Peers;
+import pearusher.transport.Streams;
 
 /**
  * The life of one assigner: it reads the configuration, puts the parts together, starts and stops
--- a/src/main/java/pearusher/serve/AcceptPolicy.java
+++ b/src/main/java/pearusher/transport/AcceptPolicy.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.transport;
 
 import java.io.File;
 import java.util.function.IntSupplier;
--- a/src/main/java/pearusher/serve/ConnectionRegistry.java
+++ b/src/main/java/pearusher/transport/ConnectionRegistry.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.transport;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
--- a/src/main/java/pearusher/serve/Ending.java
+++ b/src/main/java/pearusher/transport/Ending.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.transport;
 
 import java.io.IOException;
 import java.net.ConnectException;
@@ -12,7 +12,7 @@
  * probe by {@link #probe}, for discovery by {@link #answered}; a proxy's stream has been left in
  * every case. This is the one place of that mapping. It must never tell when to try again.
  */
-enum Ending {
+public enum Ending {
   /** An answer of status 200, whole. */
   ANSWERED(Assigner.Probe.OK),
   /** Status 503: draining, too busy or out of service for now. */
@@ -46,15 +46,15 @@
     this.probe = probe;
   }
 
-  Assigner.Probe probe() {
+  public Assigner.Probe probe() {
     return probe;
   }
 
-  boolean answered() {
+  public boolean answered() {
     return this == ANSWERED;
   }
 
-  static Ending ofStatus(int status) {
+  public static Ending ofStatus(int status) {
     return status == 200 ? ANSWERED : status == 503 ? UNAVAILABLE : ERROR_STATUS;
   }
 
@@ -67,13 +67,13 @@
   }
 
   /** What failed while connecting. */
-  static Ending ofConnect(Throwable failure) {
+  public static Ending ofConnect(Throwable failure) {
     boolean late = String.valueOf(failure.getMessage()).contains("timed out");
     return failure instanceof ConnectException && !late ? REFUSED : UNREACHABLE;
   }
 
   /** What failed on a connection that was up. */
-  static Ending ofFailure(Throwable failure) {
+  public static Ending ofFailure(Throwable failure) {
     return failure instanceof TimeoutException || failure instanceof SocketTimeoutException
         ? SILENT
         : failure instanceof IOException ? RESET : CLOSED;
--- a/src/main/java/pearusher/serve/Peers.java
+++ b/src/main/java/pearusher/transport/Peers.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.transport;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -15,7 +15,7 @@
  * the module gives it, 256 bytes at most either way; anything else is dropped and counted. It must
  * never answer by itself nor open another way between assigners.
  */
-final class Peers implements Exchange.Mail, AutoCloseable {
+public final class Peers implements Exchange.Mail, AutoCloseable {
   static final int MOST = 256;
   private volatile Config config;
   private final Exchange exchange;
@@ -23,14 +23,14 @@
   private DatagramChannel channel;
   private volatile long dropped;
 
-  Peers(Config config, Exchange exchange, Executor executor) {
+  public Peers(Config config, Exchange exchange, Executor executor) {
     this.config = config;
     this.exchange = exchange;
     this.executor = executor;
   }
 
   /** Listens, where the settings and the configuration allow it. */
-  void listen() throws IOException {
+  public void listen() throws IOException {
     if (config.peerListen() != null) {
       channel = DatagramChannel.open();
       channel.bind(config.peerListen());
@@ -40,15 +40,15 @@
     }
   }
 
-  void reload(Config now) {
+  public void reload(Config now) {
     config = now;
   }
 
-  InetSocketAddress address() throws IOException {
+  public InetSocketAddress address() throws IOException {
     return (InetSocketAddress) channel.getLocalAddress();
   }
 
-  long dropped() {
+  public long dropped() {
     return dropped;
   }
 
--- a/src/main/java/pearusher/serve/PlainEndPoint.java
+++ b/src/main/java/pearusher/transport/PlainEndPoint.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.transport;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -14,8 +14,8 @@
  * Jetty's end point, but a reset is told as a failure: its own reads a reset and an orderly close
  * alike, as the end of the input. Both sides use it; it must never do more than read.
  */
-final class PlainEndPoint extends SocketChannelEndPoint {
-  PlainEndPoint(
+public final class PlainEndPoint extends SocketChannelEndPoint {
+  public PlainEndPoint(
       SelectableChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler) {
     super((SocketChannel) channel, selector, key, scheduler);
   }
--- a/src/main/java/pearusher/serve/SendQueue.java
+++ b/src/main/java/pearusher/transport/SendQueue.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.transport;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
--- a/src/main/java/pearusher/serve/StreamConnection.java
+++ b/src/main/java/pearusher/transport/StreamConnection.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.transport;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -21,7 +21,7 @@
  * it. One thread at a time reads; any may send or end it. It grows with what it has read of a
  * message and with what waits to be sent, both bounded.
  */
-final class StreamConnection extends AbstractConnection implements Exchange.Stream {
+public final class StreamConnection extends AbstractConnection implements Exchange.Stream {
   /** Bytes that an unidentified connection's message may have: a joining needs a hundred. */
   private static final int MOST_UNIDENTIFIED = 8 << 10;
 
@@ -217,7 +217,7 @@
   /**
    * Ends it for its descriptor, but not who has joined since it was chosen: the reserve has room.
    */
-  void evict() {
+  public void evict() {
     if (registry.evict(this)) {
       end(Ending.EVICTED, null);
     }
--- a/src/main/java/pearusher/serve/Streams.java
+++ b/src/main/java/pearusher/transport/Streams.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.transport;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -27,7 +27,7 @@
  * stream of a proxy that is merely quiet or said something spoilt, nor know the module or
  * discovery.
  */
-final class Streams extends SelectorManager {
+public final class Streams extends SelectorManager {
   /** The time of unidentified connections is looked at so many times while it runs. */
   private static final int LOOKS = 16;
 
@@ -45,7 +45,7 @@
 
   private volatile boolean stopping;
 
-  Streams(Config config, Exchange exchange, Executor executor, Scheduler scheduler) {
+  public Streams(Config config, Exchange exchange, Executor executor, Scheduler scheduler) {
     super(executor, scheduler, 1);
     this.config = config;
     this.scheduler = scheduler;
@@ -69,7 +69,7 @@
   }
 
   /** Listens; the port is taken from here on, but no ping is answered before {@link #ready}. */
-  InetSocketAddress listen() throws Exception {
+  public InetSocketAddress listen() throws Exception {
     server = ServerSocketChannel.open();
     server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
     server.bind(config.listen(), 1024);
@@ -82,12 +82,12 @@
   }
 
   /** Time limits and descriptors of a new configuration; those who are connected stay. */
-  void reload(Config now) {
+  public void reload(Config now) {
     config = now;
   }
 
   /** Connections that may be held at once. */
-  int most() {
+  public int most() {
     return policy.most();
   }
 
@@ -104,7 +104,7 @@
   }
 
   /** From now on pings are answered, those that wait first. */
-  void ready() {
+  public void ready() {
     registry.ready().forEach(StreamConnection::pong);
   }
 
@@ -147,7 +147,7 @@
   }
 
   /** Who goes for a newcomer, for tests of what may cross it. */
-  StreamConnection takeEvictionCandidate() {
+  public StreamConnection takeEvictionCandidate() {
     return registry.takeEvictionCandidate();
   }
 
@@ -172,7 +172,7 @@
   }
 
   /** Connections that hold a descriptor, for tests of what must not grow. */
-  int connections() {
+  public int connections() {
     return registry.size();
   }
 }
--- a/src/test/java/pearusher/serve/CrossingTest.java
+++ b/src/test/java/pearusher/serve/CrossingTest.java
@@ -17,6 +17,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import pearusher.policy.Assigner;
+import pearusher.transport.StreamConnection;
+import pearusher.transport.Streams;
 
 /**
  * The instants in which something is still owed: two events meet, in the order that the test
--- a/src/test/java/pearusher/serve/ParityTest.java
+++ b/src/test/java/pearusher/serve/ParityTest.java
@@ -26,6 +26,7 @@
 import pearusher.config.Config;
 import pearusher.control.Exchange;
 import pearusher.policy.Rules;
+import pearusher.transport.Streams;
 
 /**
  * One recorded sequence played through the adapter's wire and through sockets: at every proxy the
--- a/src/test/java/pearusher/serve/EndingTest.java
+++ b/src/test/java/pearusher/transport/EndingTest.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
