--- a/src/main/java/pearusher/serve/Outbound.java
+++ b/src/main/java/pearusher/discovery/Outbound.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.discovery;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -44,7 +44,7 @@
  * connection of its own. Every call ends exactly once, with one {@link Ending}, and says so to the
  * exchange. It must never call again by itself: when to ask is the module's.
  */
-final class Outbound extends SelectorManager implements Exchange.Calls {
+public final class Outbound extends SelectorManager implements Exchange.Calls {
   private static final int MOST_LOAD = 4 << 10;
 
   /** What a call is for. */
@@ -65,7 +65,7 @@
   private final AtomicLong unreadable = new AtomicLong();
   private final AtomicLong tooLong = new AtomicLong();
 
-  Outbound(Config config, Exchange exchange, Executor executor, Scheduler scheduler) {
+  public Outbound(Config config, Exchange exchange, Executor executor, Scheduler scheduler) {
     super(executor, scheduler, 1);
     this.config = config;
     this.exchange = exchange;
@@ -74,7 +74,7 @@
   }
 
   /** Calls from now on go where the new configuration says; those on their way end as they do. */
-  void reload(Config now) {
+  public void reload(Config now) {
     config = now;
     setConnectTimeout(now.timeouts().connectMs());
   }
--- a/src/main/java/pearusher/serve/Serve.java
+++ b/src/main/java/pearusher/serve/Serve.java
@@ -17,6 +17,7 @@
 import pearusher.control.Durable;
 import pearusher.control.Exchange;
 import pearusher.control.SharedIntake;
+import pearusher.discovery.Outbound;
 import pearusher.policy.Assigner;
 import pearusher.sitesettings.SettingsException;
 import pearusher.transport.Peers;
--- a/src/test/java/pearusher/serve/ParityTest.java
+++ b/src/test/java/pearusher/serve/ParityTest.java
@@ -25,6 +25,7 @@
 import pearusher.adapter.Wire;
 import pearusher.config.Config;
 import pearusher.control.Exchange;
+import pearusher.discovery.Outbound;
 import pearusher.policy.Rules;
 import pearusher.transport.Streams;
 
