--- a/Makefile
+++ b/Makefile
@@ -31,11 +31,11 @@
 
 bench-store: bench-classes
 	java -Xmx2g -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.store.StoreBench $(QUICK)
-	java -Xmx1g -Dtinylog.level=off -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.serve.KillBench $(QUICK)
+	java -Xmx1g -Dtinylog.level=off -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.server.KillBench $(QUICK)
 
 # OLD: the jar of an earlier version beside its lib/, to which the time to the first pong is compared.
 bench-start: bench-classes
-	java -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.serve.StartBench $(OLD)
+	java -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.server.StartBench $(OLD)
 
 bench-intake: bench-classes
 	java -Xmx1g -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.intake.IntakeBench $(QUICK)
--- a/src/bench/java/pearusher/capacity/AssignerLoad.java
+++ b/src/bench/java/pearusher/capacity/AssignerLoad.java
@@ -1,7 +1,7 @@
 package pearusher.capacity;
 
 import java.util.Arrays;
-import pearusher.serve.WireSizes;
+import pearusher.server.WireSizes;
 
 /**
  * What one assigner of a tier is asked: upper bounds, since tries that spread evenly over servers
--- a/src/bench/java/pearusher/capacity/CapacityModel.java
+++ b/src/bench/java/pearusher/capacity/CapacityModel.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.function.ToDoubleFunction;
-import pearusher.serve.WireSizes;
+import pearusher.server.WireSizes;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
--- a/src/bench/java/pearusher/capacity/Scenarios.java
+++ b/src/bench/java/pearusher/capacity/Scenarios.java
@@ -6,7 +6,7 @@
 import java.util.function.IntPredicate;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
-import pearusher.serve.WireSizes;
+import pearusher.server.WireSizes;
 
 /**
  * Days and troubles of one map of tiers, derived by formula from the model: who is asked how much
--- a/src/bench/java/pearusher/serve/KillBench.java
+++ b/src/bench/java/pearusher/server/KillBench.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.server;
 
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
--- a/src/main/java/pearusher/cli/Main.java
+++ b/src/main/java/pearusher/cli/Main.java
@@ -1,7 +1,7 @@
 package pearusher.cli;
 
 import pearusher.policy.Rules;
-import pearusher.serve.Serve;
+import pearusher.server.Serve;
 
 /**
  * The process. The two commands that the platform starts, without options, go past the command
--- a/src/main/java/pearusher/serve/Extras.java
+++ b/src/main/java/pearusher/server/Extras.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.server;
 
 import pearusher.control.Keeping;
 import pearusher.intake.Intake;
--- a/src/test/java/pearusher/capacity/FleetModelTest.java
+++ b/src/test/java/pearusher/capacity/FleetModelTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import pearusher.serve.WireSizes;
+import pearusher.server.WireSizes;
 
 class FleetModelTest {
   private final FleetModel fleet = new FleetModel(FleetModel.Skew.ASSUMED);
--- a/src/test/java/pearusher/config/ListLimitTest.java
+++ b/src/test/java/pearusher/config/ListLimitTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 import pearusher.policy.Assigner;
 import pearusher.protocol.ListLimits;
-import pearusher.serve.Loopback;
-import pearusher.serve.Stand;
+import pearusher.server.Loopback;
+import pearusher.server.Stand;
 
 /**
  * Lists over a limit, on sockets: refused with one line, as a failed call, and the last good list
--- a/src/test/java/pearusher/control/GrowthTest.java
+++ b/src/test/java/pearusher/control/GrowthTest.java
@@ -18,8 +18,8 @@
 import pearusher.policy.Rules;
 import pearusher.protocol.Message;
 import pearusher.protocol.Resp;
-import pearusher.serve.Example;
-import pearusher.serve.Stand;
+import pearusher.server.Example;
+import pearusher.server.Stand;
 
 /**
  * Servers and proxies come and go by thousands through the exchange and the real module: counted,
--- a/src/test/java/pearusher/control/OrderCheck.java
+++ b/src/test/java/pearusher/control/OrderCheck.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import pearusher.serve.Stand;
+import pearusher.server.Stand;
 
 /**
  * Reads the orders that proxies receive over the lives of an assigner, and says what no order may
--- a/src/test/java/pearusher/control/Scripted.java
+++ b/src/test/java/pearusher/control/Scripted.java
@@ -9,7 +9,7 @@
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import pearusher.policy.Assigner;
-import pearusher.serve.Stand;
+import pearusher.server.Stand;
 
 /**
  * A module that writes down what it is told and orders what a test asks for, at the end of a turn.
--- a/src/test/java/pearusher/control/StoredDataSite.java
+++ b/src/test/java/pearusher/control/StoredDataSite.java
@@ -18,7 +18,7 @@
 import pearusher.policy.Assigner;
 import pearusher.protocol.Message;
 import pearusher.protocol.Resp;
-import pearusher.serve.Example;
+import pearusher.server.Example;
 import pearusher.store.FileDisk;
 import pearusher.store.Options;
 import pearusher.store.Store;
--- a/src/test/java/pearusher/protocol/ListingReaderTest.java
+++ b/src/test/java/pearusher/protocol/ListingReaderTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import pearusher.policy.Assigner;
-import pearusher.serve.Stand;
+import pearusher.server.Stand;
 import pearusher.sitesettings.Paths;
 import pearusher.sitesettings.SettingsException;
 
--- a/src/test/java/pearusher/protocol/MessageTest.java
+++ b/src/test/java/pearusher/protocol/MessageTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import pearusher.config.Config;
 import pearusher.policy.Assigner;
-import pearusher.serve.Example;
-import pearusher.serve.Stand;
+import pearusher.server.Example;
+import pearusher.server.Stand;
 
 class MessageTest {
   @TempDir Path dir;
--- a/src/test/java/pearusher/publish/TablesTest.java
+++ b/src/test/java/pearusher/publish/TablesTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import pearusher.protocol.Resp;
-import pearusher.serve.Stand;
+import pearusher.server.Stand;
 
 /** Orders as WIRE means them, against proxies that apply updates as PROTOCOL says. */
 class TablesTest {
--- a/src/test/java/pearusher/serve/ConfigurationValuesTest.java
+++ b/src/test/java/pearusher/server/ConfigurationValuesTest.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.server;
 
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/src/test/java/pearusher/serve/Loopback.java
+++ b/src/test/java/pearusher/server/Loopback.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.server;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/test/java/pearusher/serve/ProtocolTranscriptTest.java
+++ b/src/test/java/pearusher/server/ProtocolTranscriptTest.java
@@ -1,4 +1,4 @@
-package pearusher.serve;
+package pearusher.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
