--- a/src/main/java/pearusher/cli/AdapterCommand.java
+++ b/src/main/java/pearusher/cli/AdapterCommand.java
@@ -6,9 +6,9 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 import java.util.concurrent.Callable;
-import pearusher.adapter.Loop;
-import pearusher.adapter.WireException;
 import pearusher.policy.Rules;
+import pearusher.simulator.Loop;
+import pearusher.simulator.WireException;
 import picocli.CommandLine.Command;
 
 /** The module on the simulator's wire. */
--- a/src/main/java/pearusher/adapter/Fields.java
+++ b/src/main/java/pearusher/simulator/Fields.java
@@ -1,4 +1,4 @@
-package pearusher.adapter;
+package pearusher.simulator;
 
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
--- a/src/main/java/pearusher/adapter/WireException.java
+++ b/src/main/java/pearusher/simulator/WireException.java
@@ -1,4 +1,4 @@
-package pearusher.adapter;
+package pearusher.simulator;
 
 /** Input that is not the wire's; the text names the position and the code. */
 public final class WireException extends Exception {
--- a/src/test/java/pearusher/server/ParityTest.java
+++ b/src/test/java/pearusher/server/ParityTest.java
@@ -21,12 +21,12 @@
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pearusher.adapter.Loop;
-import pearusher.adapter.Wire;
 import pearusher.config.Config;
 import pearusher.control.Exchange;
 import pearusher.discovery.Outbound;
 import pearusher.policy.Rules;
+import pearusher.simulator.Loop;
+import pearusher.simulator.Wire;
 import pearusher.transport.Streams;
 
 /**
--- a/src/test/java/pearusher/adapter/Wire.java
+++ b/src/test/java/pearusher/simulator/Wire.java
@@ -1,4 +1,4 @@
-package pearusher.adapter;
+package pearusher.simulator;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/pearusher/adapter/WireTranscriptTest.java
+++ b/src/test/java/pearusher/simulator/WireTranscriptTest.java
@@ -1,4 +1,4 @@
-package pearusher.adapter;
+package pearusher.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertAll;
 import static org.junit.jupiter.api.Assertions.assertEquals;
