--- a/Makefile
+++ b/Makefile
@@ -31,7 +31,7 @@
 
 bench-store: bench-classes
 	java -Xmx2g -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.store.StoreBench $(QUICK)
-	java -Xmx1g -Dtinylog.level=off -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.server.KillBench $(QUICK)
+	java -Xmx1g -Dtinylog.level=off -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.server.CrashRecoveryBench $(QUICK)
 
 # OLD: the jar of an earlier version beside its lib/, to which the time to the first pong is compared.
 bench-start: bench-classes
--- a/src/bench/java/pearusher/capacity/AssignerLoad.java
+++ b/src/bench/java/pearusher/capacity/AssignerLoad.java
@@ -1,7 +1,7 @@
 package pearusher.capacity;
 
 import java.util.Arrays;
-import pearusher.server.WireSizes;
+import pearusher.server.MessageSizes;
 
 /**
  * What one assigner of a tier is asked: upper bounds, since tries that spread evenly over servers
@@ -51,7 +51,7 @@
         / Target.SECONDS_PER_DAY;
   }
 
-  static AssignerLoad of(TierMap.Tier tier, WireSizes sizes) {
+  static AssignerLoad of(TierMap.Tier tier, MessageSizes sizes) {
     double proxies = 1.0 * tier.proxies() / tier.assigners();
     double requests = tier.requests() / tier.assigners();
     double zones = zonesMet(tier.proxiesByZone(), proxies);
--- a/src/bench/java/pearusher/capacity/CapacityModel.java
+++ b/src/bench/java/pearusher/capacity/CapacityModel.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.function.ToDoubleFunction;
-import pearusher.server.WireSizes;
+import pearusher.server.MessageSizes;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -46,7 +46,7 @@
 
   @Override
   public Integer call() throws Exception {
-    WireSizes sizes = WireSizes.measure();
+    MessageSizes sizes = MessageSizes.measure();
     FleetModel fleet =
         new FleetModel(
             new FleetModel.Skew(tasksSkew, requestsSkew, regionsSkew, requestsPerProxy, seed));
@@ -64,7 +64,7 @@
     System.out.println(name + " " + String.format(Locale.ROOT, text, value) + " " + unit);
   }
 
-  private static void printSizes(WireSizes sizes) {
+  private static void printSizes(MessageSizes sizes) {
     line("size.heard", sizes.heard(), "bytes");
     line("size.heard_without_load", sizes.heardWithoutLoad(), "bytes");
     line("size.usage", sizes.usage(), "bytes");
@@ -110,7 +110,7 @@
         "tasks");
   }
 
-  private static void printMap(TierMap map, FleetModel fleet, WireSizes sizes) {
+  private static void printMap(TierMap map, FleetModel fleet, MessageSizes sizes) {
     List<TierMap.Tier> tiers = map.tiers(fleet);
     String name = map.name().toLowerCase(Locale.ROOT) + ".";
     line(name + "tiers", tiers.size(), "tiers");
@@ -179,7 +179,7 @@
   private static void spreadLoad(
       String name,
       List<TierMap.Tier> tiers,
-      WireSizes sizes,
+      MessageSizes sizes,
       ToDoubleFunction<AssignerLoad> what,
       String unit) {
     spread(
--- a/src/bench/java/pearusher/capacity/Scenarios.java
+++ b/src/bench/java/pearusher/capacity/Scenarios.java
@@ -6,7 +6,7 @@
 import java.util.function.IntPredicate;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
-import pearusher.server.WireSizes;
+import pearusher.server.MessageSizes;
 
 /**
  * Days and troubles of one map of tiers, derived by formula from the model: who is asked how much
@@ -38,11 +38,11 @@
 
   private final String name;
   private final FleetModel fleet;
-  private final WireSizes sizes;
+  private final MessageSizes sizes;
   private final List<TierMap.Tier> tiers;
   private final boolean tiersCrossRegions;
 
-  Scenarios(TierMap map, FleetModel fleet, WireSizes sizes) {
+  Scenarios(TierMap map, FleetModel fleet, MessageSizes sizes) {
     this.name = map.name().toLowerCase(Locale.ROOT) + ".";
     this.fleet = fleet;
     this.sizes = sizes;
--- a/src/bench/java/pearusher/intake/IntakeBench.java
+++ b/src/bench/java/pearusher/intake/IntakeBench.java
@@ -19,7 +19,7 @@
   private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
 
   private interface Way {
-    void offer(Item item);
+    void offer(QueuedReport item);
 
     void drain(long nowUs);
   }
@@ -37,8 +37,8 @@
       // The first round compiles.
       boolean say = round == 1;
       for (int perRelay : new int[] {1, 10, 100}) {
-        Map<Item.About, Sums> merged = new HashMap<>();
-        ArrayDeque<Item> queue = new ArrayDeque<>();
+        Map<QueuedReport.Subject, ReportTotals> merged = new HashMap<>();
+        ArrayDeque<QueuedReport> queue = new ArrayDeque<>();
         run(
             say,
             "queue_" + perRelay,
@@ -46,7 +46,7 @@
             seconds,
             new Way() {
               @Override
-              public void offer(Item item) {
+              public void offer(QueuedReport item) {
                 queue.add(item);
               }
 
@@ -63,8 +63,8 @@
             seconds,
             new Way() {
               @Override
-              public void offer(Item item) {
-                merged.merge(item.about(), item.sums(), Sums::plus);
+              public void offer(QueuedReport item) {
+                merged.merge(item.about(), item.sums(), ReportTotals::plus);
               }
 
               @Override
@@ -84,7 +84,7 @@
             seconds,
             new Way() {
               @Override
-              public void offer(Item item) {
+              public void offer(QueuedReport item) {
                 intake.offer(item);
               }
 
@@ -117,10 +117,10 @@
         for (int relay = tenth; relay < RELAYS; relay += 10) {
           for (int k = 0; k < perRelay; k++) {
             way.offer(
-                new Item(
+                new QueuedReport(
                     relay,
-                    new Item.Tries(names[(relay * 7 + k) % SERVERS], 0),
-                    Sums.of(1 + random.nextInt(60), 0, 40_000, 1_000_000, NONE)));
+                    new QueuedReport.ServerAttempts(names[(relay * 7 + k) % SERVERS], 0),
+                    ReportTotals.of(1 + random.nextInt(60), 0, 40_000, 1_000_000, NONE)));
             lines++;
           }
         }
--- a/src/bench/java/pearusher/server/KillBench.java
+++ b/src/bench/java/pearusher/server/CrashRecoveryBench.java
@@ -11,16 +11,18 @@
 import java.util.StringJoiner;
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.Histogram;
-import pearusher.config.Config;
-import pearusher.control.Durable;
-import pearusher.control.Exchange;
-import pearusher.control.Keeping;
-import pearusher.policy.Rules;
+import pearusher.config.AssignerConfig;
+import pearusher.control.Controller;
+import pearusher.control.DurablePublisher;
+import pearusher.control.OutboundCalls;
+import pearusher.control.PersistenceOptions;
+import pearusher.control.ProxyStream;
+import pearusher.policy.FaastPolicy;
 import pearusher.protocol.Message;
-import pearusher.protocol.Resp;
+import pearusher.protocol.RespCodec;
 import pearusher.store.FileDisk;
-import pearusher.store.Options;
 import pearusher.store.Store;
+import pearusher.store.StoreOptions;
 
 /**
  * What a kill costs at 400 proxies and 120 servers, with and without the store, and what the store
@@ -28,18 +30,18 @@
  * machine's; time, proxies and the channel between (a queue of lines at the settings' pace) are the
  * bench's.
  */
-public final class KillBench {
+public final class CrashRecoveryBench {
   private static final int PROXIES = 400;
   private static final int SERVERS = 120;
 
   private final Path dir;
   private final AtomicLong clock = new AtomicLong(1_000_000_000_000_000L);
   private final Map<Integer, Holder> streams = new HashMap<>();
-  private final Map<Integer, Stand.Held> held = new HashMap<>();
+  private final Map<Integer, TestPeers.AppliedUpdates> held = new HashMap<>();
   private final ArrayDeque<Arrival> channel = new ArrayDeque<>();
   private final Histogram delays = new Histogram(60_000_000_000L, 3);
   private final Histogram turns = new Histogram(60_000_000_000L, 3);
-  private final Config config;
+  private final AssignerConfig config;
 
   /** When each proxy first followed the right table after the kill. */
   private final Map<Integer, Long> right = new HashMap<>();
@@ -49,12 +51,12 @@
   private long messages;
   private long lines;
   private volatile long turnEndNs;
-  private Exchange exchange;
-  private Durable durable;
+  private Controller exchange;
+  private DurablePublisher durable;
 
   private record Arrival(long atUs, long sentUs, Holder to, List<List<String>> parts) {}
 
-  private final class Holder implements Exchange.Stream {
+  private final class Holder implements ProxyStream {
     private final int proxy;
 
     Holder(int proxy) {
@@ -69,7 +71,7 @@
         delays.recordValue(turnEndNs == 0 ? 0 : Math.max(0, now - turnEndNs));
         List<List<String>> parts = new ArrayList<>();
         double cost = config.settings().channel().head();
-        try (Resp.Reader reader = new Resp.Reader(Resp.MOST)) {
+        try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MOST)) {
           ByteBuffer from = ByteBuffer.wrap(message);
           for (List<String> words = reader.next(from); words != null; words = reader.next(from)) {
             parts.add(words);
@@ -82,7 +84,7 @@
                   };
             }
           }
-        } catch (Resp.Fault e) {
+        } catch (RespCodec.Fault e) {
           throw new IllegalStateException(e);
         }
         messages++;
@@ -98,18 +100,19 @@
     public void replaced() {}
   }
 
-  private KillBench(Path dir) throws Exception {
+  private CrashRecoveryBench(Path dir) throws Exception {
     this.dir = dir;
     StringJoiner known = new StringJoiner(",");
     for (int k = 0; k < SERVERS; k++) {
       known.add(
-          Stand.instance("s-" + k, "127.0.0.1:1", k % 2 == 0 ? "north" : "south", "in_service", 0));
+          TestPeers.instance(
+              "s-" + k, "127.0.0.1:1", k % 2 == 0 ? "north" : "south", "in_service", 0));
     }
-    String json = new Example().json();
+    String json = new ExampleConfig().json();
     int from = json.indexOf("\"instances\": [") + "\"instances\": [".length();
     int to = json.indexOf("]", from);
     config =
-        new Example()
+        new ExampleConfig()
             .with(json.substring(from, to), known.toString())
             .with("\"proxyCount\": 8", "\"proxyCount\": " + (PROXIES + 2))
             .read(dir);
@@ -124,7 +127,7 @@
               ? new String[] {"without", "each"}
               : new String[] {"without", "each", "interval"}) {
         Path dir = Files.createDirectory(root.resolve(mode + round));
-        KillBench bench = new KillBench(dir);
+        CrashRecoveryBench bench = new CrashRecoveryBench(dir);
         bench.run(mode, args.length > 0);
       }
     }
@@ -137,30 +140,30 @@
   private void start(String mode) throws Exception {
     durable = null;
     if (!mode.equals("without")) {
-      Options options =
-          new Options(
-              mode.equals("each") ? Options.Policy.EACH : Options.Policy.INTERVAL,
+      StoreOptions options =
+          new StoreOptions(
+              mode.equals("each") ? StoreOptions.Policy.EACH : StoreOptions.Policy.INTERVAL,
               20_000,
               8 << 20,
               1 << 20,
               2,
-              Options.Damage.REFUSE);
+              StoreOptions.Damage.REFUSE);
       FileDisk disk = new FileDisk(dir.resolve("store"));
       disk.make();
       durable =
-          new Durable(
+          new DurablePublisher(
               config,
-              new Keeping(dir, options, 60_000_000, 5_000_000, 600_000_000),
+              new PersistenceOptions(dir, options, 60_000_000, 5_000_000, 600_000_000),
               Store.open(disk, options),
               clock::get);
     }
     exchange =
-        new Exchange(config, Rules::new, clock::get, failure -> {}, durable, null) {
+        new Controller(config, FaastPolicy::new, clock::get, failure -> {}, durable, null) {
           @Override
           public void pause() {}
         };
     exchange.connect(
-        new Exchange.Calls() {
+        new OutboundCalls() {
           @Override
           public void watch(boolean on, long since) {}
 
@@ -180,8 +183,8 @@
   private void join(int proxy, boolean fresh) {
     Holder now = new Holder(proxy);
     streams.put(proxy, now);
-    held.computeIfAbsent(proxy, p -> new Stand.Held(config.names().classes()));
-    exchange.joined(now, new Message.Joined(proxy, proxy % 2, 2.5, fresh));
+    held.computeIfAbsent(proxy, p -> new TestPeers.AppliedUpdates(config.names().classes()));
+    exchange.joined(now, new Message.ProxyJoin(proxy, proxy % 2, 2.5, fresh));
   }
 
   private void turn() throws InterruptedException {
@@ -203,12 +206,12 @@
     synchronized (channel) {
       while (!channel.isEmpty() && channel.peek().atUs() <= clock.get()) {
         Arrival one = channel.poll();
-        Stand.Held to = held.get(one.to().proxy);
+        TestPeers.AppliedUpdates to = held.get(one.to().proxy);
         one.parts().forEach(to::update);
         if (streams.get(one.to().proxy) == one.to() && !to.tickets.isEmpty()) {
           exchange.applied(
               one.to(),
-              new Message.Applied(
+              new Message.Acknowledgement(
                   one.to().proxy,
                   to.tickets.get(to.tickets.size() - 1),
                   clock.get() - one.sentUs()));
@@ -224,11 +227,12 @@
       for (int zone = 0; zone < 2; zone++) {
         // Servers differ by four to one and hold still.
         exchange.heard(
-            new Message.Heard(zone, "s-" + k, 40, 0, 50_000 + 1_250L * k, 1_000_000, new float[0]));
+            new Message.LoadReport(
+                zone, "s-" + k, 40, 0, 50_000 + 1_250L * k, 1_000_000, new float[0]));
       }
     }
     for (int proxy : streams.keySet()) {
-      exchange.usage(new Message.Usage(proxy, 0, 15, 0, 1_000_000));
+      exchange.usage(new Message.UsageReport(proxy, 0, 15, 0, 1_000_000));
     }
     for (int k = 0; k < 20; k++) {
       tick();
@@ -244,7 +248,7 @@
    */
   private void right() {
     for (int proxy = 0; proxy < PROXIES; proxy++) {
-      Stand.Held whole = held.get(PROXIES + proxy % 2);
+      TestPeers.AppliedUpdates whole = held.get(PROXIES + proxy % 2);
       if (!right.containsKey(proxy) && whole.messages > 0 && same(held.get(proxy), whole)) {
         right.put(proxy, clock.get());
         if (right.size() == PROXIES) {
@@ -254,7 +258,7 @@
     }
   }
 
-  private boolean same(Stand.Held a, Stand.Held b) {
+  private boolean same(TestPeers.AppliedUpdates a, TestPeers.AppliedUpdates b) {
     return config.names().classes().stream().allMatch(grade -> a.open(grade).equals(b.open(grade)));
   }
 
--- a/src/bench/java/pearusher/server/WireSizes.java
+++ b/src/bench/java/pearusher/server/MessageSizes.java
@@ -8,11 +8,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import pearusher.config.Config;
-import pearusher.protocol.ListTooLongException;
-import pearusher.protocol.ListingReader;
+import pearusher.config.AssignerConfig;
+import pearusher.protocol.EndpointListReader;
+import pearusher.protocol.EndpointListTooLongException;
 import pearusher.protocol.Message;
-import pearusher.protocol.Resp;
+import pearusher.protocol.RespCodec;
+import pearusher.protocol.UpdatePart;
 import pearusher.sitesettings.SettingsException;
 
 /**
@@ -22,7 +23,7 @@
  * @param tableLine one more line of a table in an update, and {@code updateHead} what comes before
  *     the first
  */
-public record WireSizes(
+public record MessageSizes(
     double heard,
     double heardWithoutLoad,
     double usage,
@@ -42,12 +43,13 @@
           + "\"weight\":1.0,\"startedAtMs\":1764636000000}";
 
   /** Measured with the names of docs/example.json: run from the project's root. */
-  public static WireSizes measure() throws IOException, SettingsException {
+  public static MessageSizes measure() throws IOException, SettingsException {
     Path dir = Files.createTempDirectory("sizes");
     try {
-      Config config = new Example().with("\"proxyCount\": 8", "\"proxyCount\": 65536").read(dir);
+      AssignerConfig config =
+          new ExampleConfig().with("\"proxyCount\": 8", "\"proxyCount\": 65536").read(dir);
       double line = 1.0 * (update(SERVERS) - update(1)) / (SERVERS - 1);
-      return new WireSizes(
+      return new MessageSizes(
           spoken(
               config,
               "heard zone north server s-5be2a07c tries 212 failed 3 mean_ms 41.7 "
@@ -76,17 +78,17 @@
     return "s-" + Integer.toHexString(0x5be2a07c + 7919 * number);
   }
 
-  private static int spoken(Config config, String message) {
+  private static int spoken(AssignerConfig config, String message) {
     List<String> words = List.of(message.split(" "));
     try {
       Message.read(words, config.names(), config.settings());
     } catch (Message.Fault e) {
       throw new IllegalStateException("a message that the program does not read: " + message, e);
     }
-    return Resp.write(words).length;
+    return RespCodec.write(words).length;
   }
 
-  private static int list(Config config, int servers) throws SettingsException {
+  private static int list(AssignerConfig config, int servers) throws SettingsException {
     StringBuilder json = new StringBuilder("{\"generation\":41,\"reset\":true,\"instances\":[");
     for (int k = 0; k < servers; k++) {
       json.append(k > 0 ? "," : "").append(ENTRY.formatted(server(k), k / 250, k % 250));
@@ -99,11 +101,11 @@
     return text.length;
   }
 
-  private static int read(Config config, byte[] text) throws SettingsException {
-    ListingReader reader = new ListingReader(config.names(), config.lists());
+  private static int read(AssignerConfig config, byte[] text) throws SettingsException {
+    EndpointListReader reader = new EndpointListReader(config.names(), config.lists());
     try {
       reader.feed(ByteBuffer.wrap(text));
-    } catch (ListTooLongException e) {
+    } catch (EndpointListTooLongException e) {
       throw new IllegalStateException("a list that the program does not take", e);
     }
     return reader.endOfBody().instances().size();
@@ -115,8 +117,7 @@
     for (int k = 0; k < lines; k++) {
       table.put(server(k), 0.1 + (k * 0.618034) % 1);
     }
-    return Message.write(
-            List.of(new Message.Part(null, true, table, null, List.of(), List.of(), -1)))
+    return Message.write(List.of(new UpdatePart(null, true, table, null, List.of(), List.of(), -1)))
         .length;
   }
 }
--- a/src/bench/java/pearusher/server/StartBench.java
+++ b/src/bench/java/pearusher/server/StartBench.java
@@ -43,7 +43,7 @@
     try (ServerSocket free = new ServerSocket(0)) {
       port = free.getLocalPort();
     }
-    Map<String, String> environment = new Example().listen("127.0.0.1:" + port).write(dir);
+    Map<String, String> environment = new ExampleConfig().listen("127.0.0.1:" + port).write(dir);
     ProcessBuilder how =
         new ProcessBuilder(
                 "java",
@@ -63,8 +63,9 @@
     Process p = how.start();
     try {
       while (true) {
-        try (Stand.Caller caller =
-            new Stand.Caller(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))) {
+        try (TestPeers.RespClient caller =
+            new TestPeers.RespClient(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), port))) {
           caller.socket.setSoTimeout(20_000);
           caller.send("ping");
           if (caller.socket.getInputStream().read() >= 0) {
--- a/src/bench/java/pearusher/store/StoreBench.java
+++ b/src/bench/java/pearusher/store/StoreBench.java
@@ -24,7 +24,7 @@
   private static final int SERVERS = 120;
 
   private interface Engine extends AutoCloseable {
-    void append(Batch batch) throws IOException;
+    void append(WriteBatch batch) throws IOException;
 
     void sync() throws IOException;
 
@@ -72,8 +72,8 @@
     System.out.printf("%s %.3f %s%n", name, value, unit);
   }
 
-  static Batch turn(int number) {
-    Batch out = new Batch();
+  static WriteBatch turn(int number) {
+    WriteBatch out = new WriteBatch();
     for (int k = 0; k < LINES; k++) {
       byte[] value = ByteBuffer.allocate(16).putDouble(number * 0.001 + k).putLong(number).array();
       out.put(
@@ -93,7 +93,7 @@
     ByteBuffer group = ByteBuffer.allocate(1 << 22);
     return new Engine() {
       @Override
-      public void append(Batch batch) {
+      public void append(WriteBatch batch) {
         group.put(batch.encode());
       }
 
@@ -117,10 +117,10 @@
   }
 
   private static Engine own(Path dir) throws IOException {
-    Store store = Store.open(new FileDisk(dir), Options.USUAL);
+    Store store = Store.open(new FileDisk(dir), StoreOptions.USUAL);
     return new Engine() {
       @Override
-      public void append(Batch batch) throws IOException {
+      public void append(WriteBatch batch) throws IOException {
         store.append(batch);
       }
 
@@ -151,7 +151,7 @@
     MVMap<String, byte[]> map = store.openMap("all");
     return new Engine() {
       @Override
-      public void append(Batch batch) {
+      public void append(WriteBatch batch) {
         batch.changes().forEach(map::put);
       }
 
@@ -185,7 +185,7 @@
       private int appends;
 
       @Override
-      public void append(Batch batch) throws IOException {
+      public void append(WriteBatch batch) throws IOException {
         log.append(batch);
         batch.changes().forEach(map::put);
         if (++appends % 1000 == 0) {
@@ -272,11 +272,11 @@
         quick ? new int[] {10_000, 100_000} : new int[] {10_000, 100_000, 1_000_000}) {
       Path dir = Files.createTempDirectory(root, "recovery");
       long bytes;
-      try (Store store = Store.open(new FileDisk(dir), Options.USUAL)) {
+      try (Store store = Store.open(new FileDisk(dir), StoreOptions.USUAL)) {
         for (int k = 0; k < records; k++) {
           // A tenth of the keys are new: the state grows with the log, as it does at worst.
           store.append(
-              new Batch()
+              new WriteBatch()
                   .put(
                       "key/" + k % Math.max(1, records / 10),
                       ByteBuffer.allocate(24).putLong(k).array()));
@@ -293,7 +293,7 @@
         System.gc();
         long before = used();
         long start = System.nanoTime();
-        try (Store store = Store.open(new FileDisk(dir), Options.USUAL)) {
+        try (Store store = Store.open(new FileDisk(dir), StoreOptions.USUAL)) {
           Store.Recovered found = store.recovered();
           best = Math.min(best, System.nanoTime() - start);
           System.gc();
@@ -324,9 +324,9 @@
     Histogram rest = new Histogram(60_000_000_000L, 3);
     Histogram busy = new Histogram(60_000_000_000L, 3);
     int appends = quick ? 1500 : 8000;
-    try (Store store = Store.open(new FileDisk(dir), Options.USUAL)) {
+    try (Store store = Store.open(new FileDisk(dir), StoreOptions.USUAL)) {
       for (int k = 0; k < 100_000; k++) {
-        store.append(new Batch().put("key/" + k, new byte[24]));
+        store.append(new WriteBatch().put("key/" + k, new byte[24]));
       }
       store.sync();
       timed(store, appends / 4, new Histogram(60_000_000_000L, 3));
@@ -385,7 +385,7 @@
     Map<String, byte[]> last = new TreeMap<>();
     try (Engine engine = library(dir)) {
       for (int k = 0; k < turns; k++) {
-        Batch batch = turn(k);
+        WriteBatch batch = turn(k);
         batch.applyTo(last);
         engine.append(batch);
         engine.sync();
--- a/src/main/java/pearusher/cli/Cli.java
+++ b/src/main/java/pearusher/cli/CommandLineRunner.java
@@ -14,7 +14,7 @@
     description = "A table manager that assigns servers to proxies.",
     subcommands = {
       ServeCommand.class,
-      AdapterCommand.class,
+      SimulatorCommand.class,
       SettingsCommand.class,
       StoreCommand.class
     },
@@ -24,7 +24,7 @@
       "Exit status: 0 done, 1 failed, 2 used wrongly or faulty settings.",
       "'pearusher COMMAND --help' tells more of a command."
     })
-final class Cli implements Callable<Integer> {
+final class CommandLineRunner implements Callable<Integer> {
   static final int FAILED = 1;
   static final int USAGE = 2;
 
@@ -41,7 +41,7 @@
 
   /** The command line with one way to end: faults are one line, never a trace. */
   static CommandLine line() {
-    CommandLine line = new CommandLine(new Cli());
+    CommandLine line = new CommandLine(new CommandLineRunner());
     mixin(line);
     line.setExecutionExceptionHandler(
         (e, at, parsed) -> {
@@ -67,6 +67,6 @@
                 .usageHelp(true)
                 .description("Tell what the command does, and end.")
                 .build());
-    line.getSubcommands().values().forEach(Cli::mixin);
+    line.getSubcommands().values().forEach(CommandLineRunner::mixin);
   }
 }
--- a/src/main/java/pearusher/cli/Json.java
+++ b/src/main/java/pearusher/cli/JsonOutput.java
@@ -6,12 +6,12 @@
 import java.io.PrintWriter;
 
 /** Output that programs read: one JSON value and a line's end. */
-final class Json {
+final class JsonOutput {
   interface Body {
     void write(JsonGenerator to) throws IOException;
   }
 
-  private Json() {}
+  private JsonOutput() {}
 
   static void write(PrintWriter out, Body body) throws IOException {
     JsonGenerator to = new JsonFactory().createGenerator(out);
--- a/src/main/java/pearusher/cli/Main.java
+++ b/src/main/java/pearusher/cli/Main.java
@@ -1,7 +1,7 @@
 package pearusher.cli;
 
-import pearusher.policy.Rules;
-import pearusher.server.Serve;
+import pearusher.policy.FaastPolicy;
+import pearusher.server.AssignerServer;
 
 /**
  * The process. The two commands that the platform starts, without options, go past the command
@@ -12,11 +12,11 @@
 
   public static void main(String[] args) {
     if (args.length == 1 && "serve".equals(args[0])) {
-      System.exit(Serve.run(System.getenv(), Rules::new));
+      System.exit(AssignerServer.run(System.getenv(), FaastPolicy::new));
     }
     if (args.length == 1 && "adapter".equals(args[0])) {
-      System.exit(AdapterCommand.run());
+      System.exit(SimulatorCommand.run());
     }
-    System.exit(Cli.run(args));
+    System.exit(CommandLineRunner.run(args));
   }
 }
--- a/src/main/java/pearusher/cli/ServeCommand.java
+++ b/src/main/java/pearusher/cli/ServeCommand.java
@@ -3,15 +3,15 @@
 import java.nio.file.Path;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import pearusher.control.Keeping;
+import pearusher.control.PersistenceOptions;
 import pearusher.intake.Intake;
-import pearusher.operatorsettings.FaultyException;
-import pearusher.operatorsettings.Key;
-import pearusher.operatorsettings.Settings;
-import pearusher.policy.Rules;
-import pearusher.server.Extras;
-import pearusher.server.Serve;
-import pearusher.store.Options;
+import pearusher.operatorsettings.InvalidSettingsException;
+import pearusher.operatorsettings.OperatorSettings;
+import pearusher.operatorsettings.SettingKey;
+import pearusher.policy.FaastPolicy;
+import pearusher.server.AssignerServer;
+import pearusher.server.OptionalFeatures;
+import pearusher.store.StoreOptions;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -31,49 +31,49 @@
 
   @Override
   public Integer call() {
-    Settings read = Settings.none();
+    OperatorSettings read = OperatorSettings.none();
     try {
-      read = settings == null ? read : Settings.read(settings);
-    } catch (FaultyException e) {
+      read = settings == null ? read : OperatorSettings.read(settings);
+    } catch (InvalidSettingsException e) {
       e.faults().forEach(fault -> System.err.println("pearusher: " + fault));
-      return Cli.USAGE;
+      return CommandLineRunner.USAGE;
     }
-    return Serve.run(
+    return AssignerServer.run(
         System.getenv(),
-        Rules::new,
-        new Extras(
+        FaastPolicy::new,
+        new OptionalFeatures(
             read.on("store") ? keeping(read) : null, read.on("intake") ? bounds(read) : null));
   }
 
-  private static Intake.Bounds bounds(Settings from) {
+  private static Intake.Bounds bounds(OperatorSettings from) {
     return new Intake.Bounds(
-        from.number(Key.INTAKE_BUDGET),
-        (int) from.number(Key.INTAKE_CALM),
-        (int) from.number(Key.INTAKE_PLACE),
-        (long) from.number(Key.INTAKE_OVER),
-        (long) from.number(Key.INTAKE_OLDEST),
-        from.word(Key.INTAKE_SAMPLE).equals("on"),
+        from.number(SettingKey.INTAKE_BUDGET),
+        (int) from.number(SettingKey.INTAKE_CALM),
+        (int) from.number(SettingKey.INTAKE_PLACE),
+        (long) from.number(SettingKey.INTAKE_OVER),
+        (long) from.number(SettingKey.INTAKE_OLDEST),
+        from.word(SettingKey.INTAKE_SAMPLE).equals("on"),
         System.nanoTime());
   }
 
-  private static Keeping keeping(Settings from) {
-    Options options =
-        new Options(
-            Options.Policy.valueOf(upper(from, Key.STORE_SYNC)),
-            (long) from.number(Key.STORE_INTERVAL),
-            (long) from.number(Key.STORE_SEGMENT),
-            (long) from.number(Key.STORE_COMPACT_AT),
-            from.number(Key.STORE_COMPACT_TIMES),
-            Options.Damage.valueOf(upper(from, Key.STORE_DAMAGE)));
-    return new Keeping(
-        Path.of(from.word(Key.STORE_DIRECTORY)),
+  private static PersistenceOptions keeping(OperatorSettings from) {
+    StoreOptions options =
+        new StoreOptions(
+            StoreOptions.Policy.valueOf(upper(from, SettingKey.STORE_SYNC)),
+            (long) from.number(SettingKey.STORE_INTERVAL),
+            (long) from.number(SettingKey.STORE_SEGMENT),
+            (long) from.number(SettingKey.STORE_COMPACT_AT),
+            from.number(SettingKey.STORE_COMPACT_TIMES),
+            StoreOptions.Damage.valueOf(upper(from, SettingKey.STORE_DAMAGE)));
+    return new PersistenceOptions(
+        Path.of(from.word(SettingKey.STORE_DIRECTORY)),
         options,
-        (long) from.number(Key.STORE_PATIENCE),
-        (long) from.number(Key.STORE_ALIVE),
-        (long) from.number(Key.STORE_TRUST));
+        (long) from.number(SettingKey.STORE_PATIENCE),
+        (long) from.number(SettingKey.STORE_ALIVE),
+        (long) from.number(SettingKey.STORE_TRUST));
   }
 
-  private static String upper(Settings from, Key key) {
+  private static String upper(OperatorSettings from, SettingKey key) {
     return from.word(key).toUpperCase(Locale.ROOT);
   }
 }
--- a/src/main/java/pearusher/cli/SettingsCommand.java
+++ b/src/main/java/pearusher/cli/SettingsCommand.java
@@ -6,9 +6,9 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import pearusher.operatorsettings.Fault;
-import pearusher.operatorsettings.FaultyException;
-import pearusher.operatorsettings.Settings;
+import pearusher.operatorsettings.InvalidSettingsException;
+import pearusher.operatorsettings.OperatorSettings;
+import pearusher.operatorsettings.SettingsFault;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -47,27 +47,27 @@
 
     @Override
     public Integer call() throws IOException {
-      List<Fault> faults = List.of();
+      List<SettingsFault> faults = List.of();
       try {
-        Settings.read(file);
-      } catch (FaultyException e) {
+        OperatorSettings.read(file);
+      } catch (InvalidSettingsException e) {
         faults = e.faults();
       }
       PrintWriter out = spec.commandLine().getOut();
       if (json) {
-        List<Fault> all = faults;
-        Json.write(out, to -> array(to, all));
+        List<SettingsFault> all = faults;
+        JsonOutput.write(out, to -> array(to, all));
       } else {
         faults.forEach(out::println);
         out.println(faults.isEmpty() ? file + ": good" : faults.size() + " faults");
       }
       out.flush();
-      return faults.isEmpty() ? 0 : Cli.USAGE;
+      return faults.isEmpty() ? 0 : CommandLineRunner.USAGE;
     }
 
-    private static void array(JsonGenerator to, List<Fault> faults) throws IOException {
+    private static void array(JsonGenerator to, List<SettingsFault> faults) throws IOException {
       to.writeStartArray();
-      for (Fault one : faults) {
+      for (SettingsFault one : faults) {
         to.writeStartObject();
         to.writeStringField("file", one.file());
         to.writeNumberField("line", one.line());
@@ -96,21 +96,21 @@
 
     @Override
     public Integer call() throws IOException {
-      Settings settings = Settings.none();
+      OperatorSettings settings = OperatorSettings.none();
       try {
-        settings = file == null ? settings : Settings.read(file);
-      } catch (FaultyException e) {
+        settings = file == null ? settings : OperatorSettings.read(file);
+      } catch (InvalidSettingsException e) {
         e.faults().forEach(spec.commandLine().getErr()::println);
-        return Cli.USAGE;
+        return CommandLineRunner.USAGE;
       }
       PrintWriter out = spec.commandLine().getOut();
-      List<Settings.Value> values = settings.inForce();
+      List<OperatorSettings.Value> values = settings.inForce();
       if (json) {
-        Json.write(
+        JsonOutput.write(
             out,
             to -> {
               to.writeStartObject();
-              for (Settings.Value one : values) {
+              for (OperatorSettings.Value one : values) {
                 to.writeObjectFieldStart(one.key().path());
                 to.writeStringField("value", one.text());
                 to.writeStringField("from", one.from());
--- a/src/main/java/pearusher/cli/AdapterCommand.java
+++ b/src/main/java/pearusher/cli/SimulatorCommand.java
@@ -6,9 +6,9 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 import java.util.concurrent.Callable;
-import pearusher.policy.Rules;
-import pearusher.simulator.Loop;
-import pearusher.simulator.WireException;
+import pearusher.policy.FaastPolicy;
+import pearusher.simulator.SimulatorLoop;
+import pearusher.simulator.SimulatorProtocolException;
 import picocli.CommandLine.Command;
 
 /** The module on the simulator's wire. */
@@ -18,7 +18,7 @@
       "Answer the simulator's batches of events.",
       "Reads batches on standard input, writes one reply each on standard output."
     })
-final class AdapterCommand implements Callable<Integer> {
+final class SimulatorCommand implements Callable<Integer> {
   @Override
   public Integer call() {
     return run();
@@ -27,10 +27,10 @@
   static int run() {
     try (BufferedInputStream in = new BufferedInputStream(new FileInputStream(FileDescriptor.in));
         FileOutputStream out = new FileOutputStream(FileDescriptor.out)) {
-      new Loop(Rules::new).run(in, out);
-    } catch (WireException | IOException e) {
+      new SimulatorLoop(FaastPolicy::new).run(in, out);
+    } catch (SimulatorProtocolException | IOException e) {
       System.err.println("pearusher: " + e.getMessage());
-      return Cli.FAILED;
+      return CommandLineRunner.FAILED;
     }
     return 0;
   }
--- a/src/main/java/pearusher/cli/StoreCommand.java
+++ b/src/main/java/pearusher/cli/StoreCommand.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.Callable;
 import pearusher.store.FileDisk;
 import pearusher.store.Inspection;
-import pearusher.store.Options;
 import pearusher.store.Store;
+import pearusher.store.StoreOptions;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -57,7 +57,7 @@
     static void write(PrintWriter out, boolean json, Map<String, Object> fields)
         throws IOException {
       if (json) {
-        Json.write(
+        JsonOutput.write(
             out,
             to -> {
               to.writeStartObject();
@@ -106,7 +106,7 @@
     public Integer call() throws IOException {
       Inspection found = Inspection.of(disk());
       write(out(), json, found.fields());
-      return found.damage().isEmpty() ? 0 : Cli.FAILED;
+      return found.damage().isEmpty() ? 0 : CommandLineRunner.FAILED;
     }
   }
 
@@ -124,7 +124,7 @@
       Map<String, byte[]> all = new TreeMap<>(Inspection.of(disk()).state());
       all.keySet().removeIf(k -> !k.startsWith(prefix));
       if (json) {
-        Json.write(
+        JsonOutput.write(
             out(),
             to -> {
               to.writeStartObject();
@@ -158,7 +158,7 @@
   static final class Compact extends OnDirectory {
     @Override
     public Integer call() throws IOException {
-      try (Store store = Store.open(disk(), Options.USUAL)) {
+      try (Store store = Store.open(disk(), StoreOptions.USUAL)) {
         long before = store.logBytes();
         store.compact(store.seal());
         out().println("compacted " + before + " bytes of log");
--- a/src/main/java/pearusher/config/Config.java
+++ b/src/main/java/pearusher/config/AssignerConfig.java
@@ -12,14 +12,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import pearusher.policy.Assigner;
-import pearusher.protocol.ListLimits;
-import pearusher.protocol.ListingReader;
-import pearusher.protocol.Message;
+import pearusher.policy.PolicySettings;
+import pearusher.protocol.EndpointList;
+import pearusher.protocol.EndpointListLimits;
+import pearusher.protocol.EndpointListReader;
 import pearusher.protocol.WireNames;
-import pearusher.sitesettings.Paths;
+import pearusher.sitesettings.PathValues;
+import pearusher.sitesettings.PolicySettingsReader;
 import pearusher.sitesettings.SettingsException;
-import pearusher.sitesettings.SettingsReader;
 
 /**
  * What one assigner is told at its start, and anew when its file is replaced. This is the only
@@ -27,7 +27,7 @@
  * every fault names its variable or key. It must never decide anything about tables: the settings
  * go to the module as they are.
  */
-public record Config(
+public record AssignerConfig(
     String name,
     InetSocketAddress listen,
     InetSocketAddress discovery,
@@ -35,11 +35,11 @@
     InetSocketAddress peerListen,
     List<InetSocketAddress> peers,
     InetSocketAddress peersAll,
-    Message.Listing known,
-    Assigner.Settings settings,
+    EndpointList known,
+    PolicySettings settings,
     WireNames names,
     Timeouts timeouts,
-    ListLimits lists) {
+    EndpointListLimits lists) {
 
   /** What the file is called in faults. */
   static final String NAME = "configuration";
@@ -47,14 +47,11 @@
   private static final String KNOWN = "known";
   private static final String OCTET = "(\\d{1,2}|1\\d\\d|2[0-4]\\d|25[0-5])";
 
-  /** Time-outs of input and output, in milliseconds: all may be set under the key timeouts. */
-  public record Timeouts(int connectMs, int answerMs, int silentMs, int strangerMs) {}
-
-  public static Config read(Map<String, String> environment) throws SettingsException {
-    return read(environment, ListLimits.ofThisProcess());
+  public static AssignerConfig read(Map<String, String> environment) throws SettingsException {
+    return read(environment, EndpointListLimits.ofThisProcess());
   }
 
-  public static Config read(Map<String, String> environment, ListLimits lists)
+  public static AssignerConfig read(Map<String, String> environment, EndpointListLimits lists)
       throws SettingsException {
     return read(environment, lists, true);
   }
@@ -64,8 +61,8 @@
    * and its peers are, its time limits and descriptors. Its settings stay, and the list, which it
    * knows better.
    */
-  public Config reload(Map<String, String> environment) throws SettingsException {
-    Config now = read(environment, lists, false);
+  public AssignerConfig reload(Map<String, String> environment) throws SettingsException {
+    AssignerConfig now = read(environment, lists, false);
     if (now.peers.size() != peers.size()) {
       throw new SettingsException(
           "configuration: the key peers lists "
@@ -73,7 +70,7 @@
               + " addresses, until now "
               + peers.size());
     }
-    return new Config(
+    return new AssignerConfig(
         name,
         listen,
         now.discovery,
@@ -93,7 +90,8 @@
    * the names of the zones are known: a file that is replaced meanwhile is not mixed with its
    * follower.
    */
-  private static Config read(Map<String, String> environment, ListLimits lists, boolean start)
+  private static AssignerConfig read(
+      Map<String, String> environment, EndpointListLimits lists, boolean start)
       throws SettingsException {
     String file = variable(environment, "EDGE_CONFIG");
     try (SeekableByteChannel channel = Files.newByteChannel(Path.of(file))) {
@@ -113,13 +111,13 @@
   }
 
   /** The same with so many known servers at the most: the first ones of its list. */
-  public Config withFewerKnown(int most) {
+  public AssignerConfig withFewerKnown(int most) {
     if (known.instances().size() <= most) {
       return this;
     }
-    Message.Listing fewer =
-        new Message.Listing(known.generation(), known.whole(), known.instances().subList(0, most));
-    return new Config(
+    EndpointList fewer =
+        new EndpointList(known.generation(), known.whole(), known.instances().subList(0, most));
+    return new AssignerConfig(
         name,
         listen,
         discovery,
@@ -138,10 +136,13 @@
    * A variable can't change while the process runs: later on the file alone says where discovery
    * is.
    */
-  private static Config read(
-      Map<String, String> environment, ListLimits lists, boolean start, SeekableByteChannel file)
+  private static AssignerConfig read(
+      Map<String, String> environment,
+      EndpointListLimits lists,
+      boolean start,
+      SeekableByteChannel file)
       throws SettingsException, IOException {
-    Paths at = Paths.json(NAME, from(file), KNOWN);
+    PathValues at = PathValues.json(NAME, from(file), KNOWN);
     String name = same(environment, "EDGE_NAME", at, "name");
     InetSocketAddress listen = address("listen", same(environment, "EDGE_LISTEN", at, "listen"));
     InetSocketAddress discovery =
@@ -150,11 +151,11 @@
             !start && at.has("discovery")
                 ? at.need("discovery")
                 : same(environment, "EDGE_DISCOVERY", at, "discovery"));
-    Paths given = at.below("settings.");
+    PathValues given = at.below("settings.");
     if (given.isEmpty()) {
       throw at.fault("settings", "is missing");
     }
-    Assigner.Settings settings = SettingsReader.read(seed(at), given);
+    PolicySettings settings = PolicySettingsReader.read(seed(at), given);
     WireNames names = WireNames.of(given);
     range(given, "zone", settings.zone(), 0, settings.zones() - 1);
     range(given, "grades.count", settings.grades().size(), 1, 16);
@@ -190,9 +191,9 @@
             at.between("timeouts.answer_ms", 1, 60_000, 3000),
             at.between("timeouts.silent_ms", 1, 600_000, 5000),
             at.between("timeouts.stranger_ms", 1, 600_000, 2000));
-    Message.Listing known = ListingReader.under(NAME, KNOWN, from(file), names, lists);
+    EndpointList known = EndpointListReader.under(NAME, KNOWN, from(file), names, lists);
     int sockets = at.between("limits.sockets", 128, 1 << 20, 1024);
-    return new Config(
+    return new AssignerConfig(
         name,
         listen,
         discovery,
@@ -217,7 +218,8 @@
   }
 
   /** A value that stands in a variable and in the file: both must say the same. */
-  private static String same(Map<String, String> environment, String variable, Paths at, String key)
+  private static String same(
+      Map<String, String> environment, String variable, PathValues at, String key)
       throws SettingsException {
     String value = variable(environment, variable);
     if (at.has(key) && !at.need(key).equals(value)) {
@@ -227,7 +229,7 @@
     return value;
   }
 
-  private static long seed(Paths at) throws SettingsException {
+  private static long seed(PathValues at) throws SettingsException {
     try {
       return Long.parseUnsignedLong(at.need("seed"), 16);
     } catch (NumberFormatException e) {
@@ -235,7 +237,7 @@
     }
   }
 
-  private static void range(Paths at, String key, long value, long least, long most)
+  private static void range(PathValues at, String key, long value, long least, long most)
       throws SettingsException {
     if (value < least || value > most) {
       throw at.fault(key, "is out of range: " + value);
--- a/src/main/java/pearusher/control/ReportQueue.java
+++ b/src/main/java/pearusher/control/BoundedReportQueue.java
@@ -9,7 +9,7 @@
  * Bounds the reports among the events that wait: those beyond {@link #MOST_REPORTS} are dropped and
  * counted, so that a flood can't fill the memory. Any thread may add one. It holds counters only.
  */
-final class ReportQueue {
+final class BoundedReportQueue {
   /** Reports that may wait; more are dropped and counted. */
   static final int MOST_REPORTS = 20_000;
 
@@ -18,7 +18,7 @@
   private final AtomicLong dropped = new AtomicLong();
   private final AtomicBoolean flooded = new AtomicBoolean();
 
-  ReportQueue(EventLoop loop) {
+  BoundedReportQueue(EventLoop loop) {
     this.loop = loop;
   }
 
--- a/src/main/java/pearusher/control/TableOrders.java
+++ b/src/main/java/pearusher/control/CommandDispatcher.java
@@ -3,20 +3,20 @@
 import java.util.Map;
 import java.util.function.Function;
 import java.util.function.LongFunction;
-import pearusher.publish.Tables;
-import pearusher.recovery.Level;
-import pearusher.recovery.Rejoin;
+import pearusher.policy.AdmissionLevel;
+import pearusher.publish.PublishedTables;
+import pearusher.recovery.CatchUp;
 
 /**
  * The module's orders on tables, proxies and servers: each goes to the tables and, where a store is
  * on, by the server's name to the ledger. Only the decision thread uses it. It keeps nothing
  * itself.
  */
-final class TableOrders {
-  private final Tables tables;
+final class CommandDispatcher {
+  private final PublishedTables tables;
 
   /** What lasts, where the operators switched it on; else null. */
-  private final Durable durable;
+  private final DurablePublisher durable;
 
   private final int classes;
   private final LongFunction<String> names;
@@ -24,9 +24,9 @@
   /** The same map by the numbers of the servers that are still listed. */
   private final Function<Map<String, Boolean>, Map<Long, Boolean>> numbers;
 
-  TableOrders(
-      Tables tables,
-      Durable durable,
+  CommandDispatcher(
+      PublishedTables tables,
+      DurablePublisher durable,
       int classes,
       LongFunction<String> names,
       Function<Map<String, Boolean>, Map<Long, Boolean>> numbers) {
@@ -59,7 +59,7 @@
   }
 
   void bind(int proxy, int table, int classBits) {
-    Rejoin lacks = durable == null ? null : durable.bound(proxy, table, tables.all(classBits));
+    CatchUp lacks = durable == null ? null : durable.bound(proxy, table, tables.all(classBits));
     if (lacks == null) {
       tables.bind(proxy, table, classBits);
       return;
@@ -70,8 +70,8 @@
   void admit(int table, int classBits, double level, int retry) {
     tables.admit(table, classBits, level, retry);
     for (int k = 0; durable != null && k < classes; k++) {
-      if ((classBits == 0 || (classBits >> k & 1) != 0) && table != Tables.ALL) {
-        durable.ledger().admit(table, k, new Level(level, retry));
+      if ((classBits == 0 || (classBits >> k & 1) != 0) && table != PublishedTables.ALL) {
+        durable.ledger().admit(table, k, new AdmissionLevel(level, retry));
       }
     }
   }
--- a/src/main/java/pearusher/control/Exchange.java
+++ b/src/main/java/pearusher/control/Controller.java
@@ -13,57 +13,36 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.tinylog.Logger;
-import pearusher.config.Config;
-import pearusher.intake.Item;
-import pearusher.policy.Assigner;
+import pearusher.config.AssignerConfig;
+import pearusher.intake.QueuedReport;
+import pearusher.policy.AssignmentPolicy;
+import pearusher.policy.HealthCheckResult;
+import pearusher.policy.Lifecycle;
+import pearusher.policy.ListUpdateKind;
+import pearusher.policy.PolicyCommands;
+import pearusher.policy.PolicySettings;
+import pearusher.policy.ServerEntry;
+import pearusher.protocol.Endpoint;
+import pearusher.protocol.EndpointList;
 import pearusher.protocol.Message;
-import pearusher.publish.Tables;
+import pearusher.publish.PublishedTables;
 
 /**
  * The only place where the server side, the client side and the module meet. It owns the module,
  * hands events to the one thread on which that runs ({@link EventLoop}), and there passes them on,
  * and the module's orders back: for the streams of proxies to {@link StreamMembership}, for reports
- * to {@link ReportIntake}, for the versions of lists to {@link ServerListState}, for tables and
- * ledger to {@link TableOrders}. It must never do input or output itself, decide anything, nor go
- * on after the module failed. It grows with the servers that are listed.
+ * to {@link ReportDispatcher}, for the versions of lists to {@link EndpointListState}, for tables
+ * and ledger to {@link CommandDispatcher}. It must never do input or output itself, decide
+ * anything, nor go on after the module failed. It grows with the servers that are listed.
  */
-public class Exchange implements Assigner.Orders {
+public class Controller implements PolicyCommands {
   private static final Pattern SERVER = Pattern.compile("\\bserver ([0-9a-f]+)\\b");
 
-  /**
-   * A proxy's stream, on the server side. Calls come from the decision thread and must not block.
-   */
-  public interface Stream {
-    void send(byte[] message);
-
-    /** A newer stream of the same proxy took its place. */
-    void replaced();
-
-    /** Its place among all connections taken: of two of a proxy the later one is the newer. */
-    default long taken() {
-      return 0;
-    }
-  }
-
-  /** The client side. */
-  public interface Calls {
-    void watch(boolean on, long since);
-
-    void fetch();
-
-    void probe(long server, String hostPort);
-  }
-
-  /** The way to other assigners; peer -1: all. */
-  public interface Mail {
-    void tell(int peer, byte[] body);
-  }
-
   /** What a turn is made of. */
   private final class Turn implements EventLoop.Handler {
     @Override
     public void pause() throws InterruptedException {
-      Exchange.this.pause();
+      Controller.this.pause();
     }
 
     @Override
@@ -83,62 +62,62 @@
 
     @Override
     public void close() {
-      Exchange.this.close();
+      Controller.this.close();
     }
   }
 
-  private final Config config;
-  private final BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker;
+  private final AssignerConfig config;
+  private final BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker;
   private final EventLoop loop;
-  private final ReportQueue queue;
-  private final ReportIntake reports;
+  private final BoundedReportQueue queue;
+  private final ReportDispatcher reports;
 
   // All below belongs to the decision thread.
   private final ServerDirectory servers = new ServerDirectory();
-  private final Tables tables;
+  private final PublishedTables tables;
   private final StreamMembership streams;
-  private final TableOrders orders;
-  private final ServerListState listState;
+  private final CommandDispatcher orders;
+  private final EndpointListState listState;
 
   /** What lasts, where the operators switched it on; else null. */
-  private final Durable durable;
+  private final DurablePublisher durable;
 
-  private Assigner module;
-  private Calls calls;
-  private Mail mail;
+  private AssignmentPolicy module;
+  private OutboundCalls calls;
+  private PeerMessenger mail;
 
   /** Lists that would have made more servers known than the heap holds. */
   private long refusedLists;
 
-  public Exchange(
-      Config config,
-      BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker,
+  public Controller(
+      AssignerConfig config,
+      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker,
       LongSupplier clock,
       Consumer<Throwable> failed) {
     this(config, maker, clock, failed, null, null);
   }
 
-  public Exchange(
-      Config config,
-      BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker,
+  public Controller(
+      AssignerConfig config,
+      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker,
       LongSupplier clock,
       Consumer<Throwable> failed,
-      Durable durable,
-      SharedIntake intake) {
+      DurablePublisher durable,
+      SynchronizedIntake intake) {
     this.durable = durable;
     this.config = config;
     this.maker = maker;
     loop = new EventLoop(clock, failed, new Turn());
-    queue = new ReportQueue(loop);
+    queue = new BoundedReportQueue(loop);
     reports =
-        new ReportIntake(
+        new ReportDispatcher(
             loop, queue, intake, config.settings().periodUs(), () -> module, servers::number);
-    tables = new Tables(config.names().classes(), servers::name);
+    tables = new PublishedTables(config.names().classes(), servers::name);
     streams = new StreamMembership(loop, tables, durable, () -> module, this::numbers);
     orders =
-        new TableOrders(
+        new CommandDispatcher(
             tables, durable, config.names().classes().size(), servers::name, this::numbers);
-    listState = new ServerListState(config.settings().limits().askWithinUs());
+    listState = new EndpointListState(config.settings().limits().askWithinUs());
   }
 
   /** Microseconds of Unix time, read once and carried on by a clock that never runs back. */
@@ -148,7 +127,7 @@
     return () -> base + (System.nanoTime() - start) / 1000;
   }
 
-  public void connect(Calls client, Mail peers) {
+  public void connect(OutboundCalls client, PeerMessenger peers) {
     calls = client;
     mail = peers;
   }
@@ -159,8 +138,8 @@
   public void begin() {
     loop.begin();
     module = maker.apply(config.settings(), this);
-    Message.Listing known = durable == null ? config.known() : durable.known();
-    list(Assigner.ListForm.CACHED, known);
+    EndpointList known = durable == null ? config.known() : durable.known();
+    list(ListUpdateKind.CACHED, known);
     if (durable != null) {
       durable.restore(loop.nowUs(), known, servers, tables, module);
     }
@@ -212,7 +191,7 @@
   }
 
   /** A proxy's stream has said whose it is. */
-  public void joined(Stream stream, Message.Joined what) {
+  public void joined(ProxyStream stream, Message.ProxyJoin what) {
     event(() -> streams.joined(stream, what));
   }
 
@@ -229,40 +208,40 @@
   }
 
   /** A stream ended; one whose proxy has joined anew since then unseats nobody. */
-  public void ended(Stream stream, int proxy) {
+  public void ended(ProxyStream stream, int proxy) {
     event(() -> streams.ended(stream, proxy));
   }
 
   /** Counted with the reports: a proxy that answers without end fills no memory either. */
-  public void applied(Stream stream, Message.Applied what) {
+  public void applied(ProxyStream stream, Message.Acknowledgement what) {
     queue.add(() -> streams.applied(stream, what));
   }
 
   /** A report on a server that no list has named yet is dropped: the proxies' list may be newer. */
-  public void heard(Message.Heard what) {
+  public void heard(Message.LoadReport what) {
     heard(what, -1);
   }
 
   /** {@code origin}: the proxy, or a number below 0 that is the collector's own. */
-  public void heard(Message.Heard what, int origin) {
+  public void heard(Message.LoadReport what, int origin) {
     reports.heard(what, origin);
   }
 
-  public void usage(Message.Usage what) {
+  public void usage(Message.UsageReport what) {
     usage(what, what.proxy());
   }
 
-  public void usage(Message.Usage what, int origin) {
+  public void usage(Message.UsageReport what, int origin) {
     reports.usage(what, origin);
   }
 
   /** Tells a test of each report that has its turn, on the decision thread. */
-  public void hearing(Consumer<Item> listener) {
+  public void hearing(Consumer<QueuedReport> listener) {
     reports.listen(listener);
   }
 
   /** What discovery says, on a watch or as the whole list; older than what is held: passed over. */
-  public void listed(Message.Listing what, boolean begins) {
+  public void listed(EndpointList what, boolean begins) {
     listed(what, begins, () -> true);
   }
 
@@ -272,7 +251,7 @@
    * over after the new one's first: a whole list of theirs would count as a discovery that started
    * anew.
    */
-  public void listed(Message.Listing what, boolean begins, BooleanSupplier counts) {
+  public void listed(EndpointList what, boolean begins, BooleanSupplier counts) {
     event(
         () -> {
           if (!counts.getAsBoolean()) {
@@ -280,12 +259,12 @@
           }
           switch (listState.compare(what, begins, loop.nowUs())) {
             case CURRENT ->
-                list(what.whole() ? Assigner.ListForm.WHOLE : Assigner.ListForm.CHANGES, what);
+                list(what.whole() ? ListUpdateKind.WHOLE : ListUpdateKind.CHANGES, what);
             case OUTDATED ->
                 list(
-                    Assigner.ListForm.CHANGES,
-                    new Message.Listing(listState.generation(), false, List.of()));
-            case RESTARTED -> list(Assigner.ListForm.WHOLE, what);
+                    ListUpdateKind.CHANGES,
+                    new EndpointList(listState.generation(), false, List.of()));
+            case RESTARTED -> list(ListUpdateKind.WHOLE, what);
             case LAGGING -> {
               calls.watch(false, listState.generation());
               tellListFailed();
@@ -296,7 +275,7 @@
 
   private void tellListFailed() {
     listState.setWatching(false);
-    module.listed(loop.nowUs(), Assigner.ListForm.FAILED, List.of());
+    module.listed(loop.nowUs(), ListUpdateKind.FAILED, List.of());
   }
 
   /** A call to discovery, or the watch, ended without what it was for. */
@@ -327,7 +306,7 @@
         });
   }
 
-  public void probed(long server, Assigner.Probe end, long tookUs, float[] load) {
+  public void probed(long server, HealthCheckResult end, long tookUs, float[] load) {
     event(() -> module.probed(loop.nowUs(), server, end, tookUs, load));
   }
 
@@ -335,22 +314,22 @@
     queue.add(() -> module.told(loop.nowUs(), peer, body));
   }
 
-  private void list(Assigner.ListForm form, Message.Listing what) {
-    if (form != Assigner.ListForm.CACHED && tooManyKnown(what)) {
+  private void list(ListUpdateKind form, EndpointList what) {
+    if (form != ListUpdateKind.CACHED && tooManyKnown(what)) {
       calls.watch(false, listState.generation());
       tellListFailed();
       return;
     }
     listState.hold(what.generation());
-    List<Assigner.Entry> entries = new ArrayList<>();
-    for (Message.Instance one : what.instances()) {
+    List<ServerEntry> entries = new ArrayList<>();
+    for (Endpoint one : what.instances()) {
       // That a server is gone which nobody knows says nothing, and would be kept for good.
-      if (one.state() == Assigner.State.GONE && !servers.knows(one.server())) {
+      if (one.state() == Lifecycle.GONE && !servers.knows(one.server())) {
         continue;
       }
       long id = servers.list(one.server(), one.hostPort());
       entries.add(
-          new Assigner.Entry(
+          new ServerEntry(
               id, one.zone(), one.kind(), one.cell(), one.state(), one.weight(), one.startedUs()));
     }
     if (durable != null) {
@@ -363,11 +342,11 @@
    * Guards the heap against lists of changes that are short one by one and name new servers without
    * end, and against whole lists that follow each other faster than the module forgets.
    */
-  private boolean tooManyKnown(Message.Listing what) {
+  private boolean tooManyKnown(EndpointList what) {
     int room = config.lists().known() - servers.names();
     if (what.instances().size() <= room
         || what.instances().stream()
-                .filter(one -> one.state() != Assigner.State.GONE && !servers.knows(one.server()))
+                .filter(one -> one.state() != Lifecycle.GONE && !servers.knows(one.server()))
                 .count()
             <= room) {
       return false;
--- a/src/main/java/pearusher/control/Durable.java
+++ b/src/main/java/pearusher/control/DurablePublisher.java
@@ -10,21 +10,24 @@
 import java.util.TreeSet;
 import java.util.function.LongSupplier;
 import org.tinylog.Logger;
-import pearusher.config.Config;
-import pearusher.policy.Assigner;
-import pearusher.protocol.Message;
-import pearusher.publish.Tables;
-import pearusher.recovery.Doubt;
-import pearusher.recovery.KnownList;
+import pearusher.config.AssignerConfig;
+import pearusher.policy.AdmissionLevel;
+import pearusher.policy.AssignmentPolicy;
+import pearusher.policy.Lifecycle;
+import pearusher.policy.RequestClass;
+import pearusher.protocol.Endpoint;
+import pearusher.protocol.EndpointList;
+import pearusher.publish.PublishedTables;
+import pearusher.recovery.CatchUp;
 import pearusher.recovery.Ledger;
-import pearusher.recovery.Level;
 import pearusher.recovery.ListedServer;
 import pearusher.recovery.Outbox;
-import pearusher.recovery.Rejoin;
-import pearusher.store.Batch;
-import pearusher.store.Committer;
+import pearusher.recovery.RecoveredServerList;
+import pearusher.recovery.RecoveryTrust;
 import pearusher.store.FileDisk;
+import pearusher.store.GroupCommitter;
 import pearusher.store.Store;
+import pearusher.store.WriteBatch;
 
 /**
  * The assigner's memory on disk, where the operators switched it on: it hands the ledger's turns to
@@ -32,21 +35,21 @@
  * of messages runs on the decision thread, which never waits for the disk. It must never decide
  * what a proxy gets: the ledger says what one lacks, the module whether it is bound.
  */
-public final class Durable implements AutoCloseable {
+public final class DurablePublisher implements AutoCloseable {
 
   /** A message on its way to a stream. */
-  private record Post(Exchange.Stream to, byte[] message) {}
+  private record Post(ProxyStream to, byte[] message) {}
 
   private final LongSupplier clock;
-  private final Committer committer;
+  private final GroupCommitter committer;
   private final Outbox<Post> outbox;
   private final Object lock = new Object();
   private final Ledger ledger;
-  private final Config config;
+  private final AssignerConfig config;
   private final List<Post> posts = new ArrayList<>();
 
   /** Of this turn: what joiners lack, until they are bound. */
-  private final Map<Integer, Rejoin> joining = new HashMap<>();
+  private final Map<Integer, CatchUp> joining = new HashMap<>();
 
   private final long aliveUs;
   private boolean givenUp;
@@ -56,16 +59,17 @@
 
   private long lastUs;
 
-  public Durable(Config config, Keeping keeping, Store store, LongSupplier clock) {
+  public DurablePublisher(
+      AssignerConfig config, PersistenceOptions keeping, Store store, LongSupplier clock) {
     this.config = config;
     this.clock = clock;
     Store.Recovered found = store.recovered();
     lastUs = clock.getAsLong();
     owning = found.disowned();
-    Doubt doubt =
+    RecoveryTrust doubt =
         found.state().containsKey(Store.COPIED)
-            ? Doubt.COPIED
-            : found.disowned() ? Doubt.GIVEN_UP : Doubt.NONE;
+            ? RecoveryTrust.COPIED
+            : found.disowned() ? RecoveryTrust.GIVEN_UP : RecoveryTrust.NONE;
     ledger =
         Ledger.of(
             found.state(),
@@ -77,10 +81,10 @@
     outbox = new Outbox<>(post -> post.to().send(post.message()), keeping.patienceUs());
     aliveUs = keeping.aliveUs();
     committer =
-        new Committer(
+        new GroupCommitter(
             store,
             keeping.options(),
-            new Committer.Events() {
+            new GroupCommitter.Events() {
               @Override
               public void failed(IOException why) {
                 giveUp(why.getMessage());
@@ -125,15 +129,15 @@
   }
 
   /** Opens the store that the settings name. */
-  public static Durable open(Config config, Keeping keeping, LongSupplier clock)
-      throws IOException {
+  public static DurablePublisher open(
+      AssignerConfig config, PersistenceOptions keeping, LongSupplier clock) throws IOException {
     FileDisk disk = new FileDisk(keeping.directory());
     disk.make();
-    return new Durable(config, keeping, Store.open(disk, keeping.options()), clock);
+    return new DurablePublisher(config, keeping, Store.open(disk, keeping.options()), clock);
   }
 
   /** What gives numbers in the store their meaning. */
-  private static String names(Config config) {
+  private static String names(AssignerConfig config) {
     StringJoiner out = new StringJoiner(" ");
     out.add(config.name()).add(String.join(",", config.names().classes()));
     String[] zones = new String[config.names().zones().size()];
@@ -144,17 +148,19 @@
   // The start.
 
   /** The list to begin with. */
-  Message.Listing known() {
+  EndpointList known() {
     List<ListedServer> given =
-        config.known().instances().stream().map(Durable::listedServer).toList();
-    KnownList merged = KnownList.merge(new KnownList(config.known().generation(), given), ledger);
-    return new Message.Listing(
+        config.known().instances().stream().map(DurablePublisher::listedServer).toList();
+    RecoveredServerList merged =
+        RecoveredServerList.merge(
+            new RecoveredServerList(config.known().generation(), given), ledger);
+    return new EndpointList(
         merged.generation(),
         true,
         merged.servers().stream()
             .map(
                 s ->
-                    new Message.Instance(
+                    new Endpoint(
                         s.name(),
                         s.hostPort(),
                         s.zone(),
@@ -166,7 +172,7 @@
             .toList());
   }
 
-  private static ListedServer listedServer(Message.Instance one) {
+  private static ListedServer listedServer(Endpoint one) {
     return new ListedServer(
         one.server(),
         one.hostPort(),
@@ -180,11 +186,15 @@
 
   /** Hands the module and the tables what an earlier process had ordered; names become numbers. */
   void restore(
-      long now, Message.Listing known, ServerDirectory servers, Tables tables, Assigner module) {
+      long now,
+      EndpointList known,
+      ServerDirectory servers,
+      PublishedTables tables,
+      AssignmentPolicy module) {
     ledger.begin(
         known.instances().stream()
-            .filter(one -> one.state() != Assigner.State.GONE)
-            .map(Durable::listedServer)
+            .filter(one -> one.state() != Lifecycle.GONE)
+            .map(DurablePublisher::listedServer)
             .toList(),
         now);
     Set<String> out = ledger.out();
@@ -196,11 +206,11 @@
     for (int number : numbers) {
       Map<Long, Double> weights = new HashMap<>();
       ledger.lines(number).forEach((name, weight) -> weights.put(servers.number(name), weight));
-      Map<Integer, Level> levels =
+      Map<Integer, AdmissionLevel> levels =
           ledger.levels(
-              number, config.settings().grades().stream().map(Assigner.Grade::effect).toList());
-      Map<Integer, Message.Level> orders = new HashMap<>();
-      levels.forEach((k, level) -> orders.put(k, new Message.Level(level.level(), level.retry())));
+              number, config.settings().grades().stream().map(RequestClass::effect).toList());
+      Map<Integer, AdmissionLevel> orders = new HashMap<>();
+      levels.forEach((k, level) -> orders.put(k, new AdmissionLevel(level.level(), level.retry())));
       tables.restore(number, weights, orders);
       double[] level = new double[config.names().classes().size()];
       int[] retry = new int[level.length];
@@ -219,8 +229,8 @@
   // Events, on the decision thread.
 
   /** What a joiner lacks; null where its table is to go whole. */
-  Rejoin joined(int proxy, boolean fresh) {
-    Rejoin out = ledger.joined(proxy, fresh);
+  CatchUp joined(int proxy, boolean fresh) {
+    CatchUp out = ledger.joined(proxy, fresh);
     if (out != null) {
       joining.put(proxy, out);
     }
@@ -235,8 +245,9 @@
     ledger.applied(proxy, mark);
   }
 
-  void listed(Message.Listing what) {
-    List<ListedServer> servers = what.instances().stream().map(Durable::listedServer).toList();
+  void listed(EndpointList what) {
+    List<ListedServer> servers =
+        what.instances().stream().map(DurablePublisher::listedServer).toList();
     ledger.listed(what.generation(), what.whole(), servers);
   }
 
@@ -245,8 +256,8 @@
   }
 
   /** A binding: what the proxy lacks if it is bound in the turn in which it joined, else null. */
-  Rejoin bound(int proxy, int number, boolean allClasses) {
-    Rejoin lacks = joining.remove(proxy);
+  CatchUp bound(int proxy, int number, boolean allClasses) {
+    CatchUp lacks = joining.remove(proxy);
     if (!allClasses) {
       ledger.unbind(proxy);
       return null;
@@ -256,7 +267,7 @@
     return whole ? null : lacks;
   }
 
-  void send(int proxy, Exchange.Stream to, byte[] message) {
+  void send(int proxy, ProxyStream to, byte[] message) {
     ledger.sent(proxy);
     posts.add(new Post(to, message));
   }
@@ -278,9 +289,9 @@
         long ticket = outbox.offer(posts, now);
         if (ticket > 0 && owning) {
           owning = false;
-          committer.submitOwning(Batch.of(changes), () -> confirmed(ticket));
+          committer.submitOwning(WriteBatch.of(changes), () -> confirmed(ticket));
         } else if (ticket > 0) {
-          committer.submit(Batch.of(changes), () -> confirmed(ticket));
+          committer.submit(WriteBatch.of(changes), () -> confirmed(ticket));
         }
       }
       posts.clear();
--- a/src/main/java/pearusher/control/ServerListState.java
+++ b/src/main/java/pearusher/control/EndpointListState.java
@@ -1,13 +1,13 @@
 package pearusher.control;
 
 import org.tinylog.Logger;
-import pearusher.protocol.Message;
+import pearusher.protocol.EndpointList;
 
 /**
  * The version of the server list that is held, whether a watch of discovery runs, and what an older
  * list means. Only the decision thread uses it. Its size is constant.
  */
-final class ServerListState {
+final class EndpointListState {
   /** How a list compares with the one held. */
   enum Freshness {
     /** Not older: it counts. */
@@ -33,7 +33,7 @@
   private boolean watching;
 
   /** {@code askWithinUs}: how long an assigner may go without asking discovery. */
-  ServerListState(long askWithinUs) {
+  EndpointListState(long askWithinUs) {
     this.askWithinUs = askWithinUs;
   }
 
@@ -56,7 +56,7 @@
   }
 
   /** Compares a list with the one held; {@code begins}: it is the first line of a watch. */
-  Freshness compare(Message.Listing what, boolean begins, long nowUs) {
+  Freshness compare(EndpointList what, boolean begins, long nowUs) {
     boolean old = what.generation() < generation;
     if (old && what.whole() && begins) {
       return older(what, nowUs);
@@ -71,7 +71,7 @@
    * stays and it is asked again; who says nothing newer for as long as an assigner may go without
    * asking has started anew.
    */
-  private Freshness older(Message.Listing what, long nowUs) {
+  private Freshness older(EndpointList what, long nowUs) {
     olderSinceUs = olderSinceUs < 0 ? nowUs : olderSinceUs;
     if (nowUs - olderSinceUs >= askWithinUs) {
       Logger.warn("discovery began anew: generation {} after {}", what.generation(), generation);
--- a/src/main/java/pearusher/control/EventLoop.java
+++ b/src/main/java/pearusher/control/EventLoop.java
@@ -10,14 +10,14 @@
  * those that come without a tick's pause make one turn, which has one time, runs the timers that
  * are due after the events, and is closed once. Any thread may add an event; all else belongs to
  * the decision thread. The queue grows with the events that no turn has taken yet: reports are
- * bounded by {@link ReportQueue}, other events are not.
+ * bounded by {@link BoundedReportQueue}, other events are not.
  */
 final class EventLoop {
   /** Most ticks of the settings for which a turn waits for more of a burst. */
   private static final int MOST_TICKS = 4;
 
   /** Most events of one turn. */
-  private static final int MOST_EVENTS = ReportQueue.MOST_REPORTS;
+  private static final int MOST_EVENTS = BoundedReportQueue.MOST_REPORTS;
 
   /** What a turn is made of, besides its events. The decision thread calls it. */
   interface Handler {
@@ -97,7 +97,7 @@
   void turn() throws InterruptedException {
     long waitUs = timers.isEmpty() ? Long.MAX_VALUE : timers.nextDueUs() - clock.getAsLong();
     boolean flooded = handler.isFlooded();
-    waitUs = flooded ? Math.min(waitUs, SharedIntake.SERVE_US) : waitUs;
+    waitUs = flooded ? Math.min(waitUs, SynchronizedIntake.SERVE_US) : waitUs;
     Runnable first = waitUs <= 0 ? queue.poll() : queue.poll(waitUs, TimeUnit.MICROSECONDS);
     if (first != null) {
       gather();
--- /dev/null
+++ b/src/main/java/pearusher/control/PeerMessenger.java
@@ -0,0 +1,6 @@
+package pearusher.control;
+
+/** The way to other assigners; peer -1: all. */
+public interface PeerMessenger {
+  void tell(int peer, byte[] body);
+}
--- a/src/main/java/pearusher/control/Keeping.java
+++ b/src/main/java/pearusher/control/PersistenceOptions.java
@@ -1,7 +1,7 @@
 package pearusher.control;
 
 import java.nio.file.Path;
-import pearusher.store.Options;
+import pearusher.store.StoreOptions;
 
 /**
  * What the operators say of an assigner's memory on disk.
@@ -10,5 +10,5 @@
  * @param aliveUs longest time without a word in the store
  * @param trustUs longest silence after which the store is believed in what proxies hold
  */
-public record Keeping(
-    Path directory, Options options, long patienceUs, long aliveUs, long trustUs) {}
+public record PersistenceOptions(
+    Path directory, StoreOptions options, long patienceUs, long aliveUs, long trustUs) {}
--- a/src/main/java/pearusher/control/ReportIntake.java
+++ b/src/main/java/pearusher/control/ReportDispatcher.java
@@ -3,9 +3,9 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import pearusher.intake.Item;
-import pearusher.intake.Sums;
-import pearusher.policy.Assigner;
+import pearusher.intake.QueuedReport;
+import pearusher.intake.ReportTotals;
+import pearusher.policy.AssignmentPolicy;
 import pearusher.protocol.Message;
 
 /**
@@ -13,29 +13,29 @@
  * through the bounded queue. Reports come from any thread and reach the module on the decision
  * thread. It keeps nothing itself; what waits is the intake's or the queue's.
  */
-final class ReportIntake {
+final class ReportDispatcher {
   private final EventLoop loop;
-  private final ReportQueue queue;
+  private final BoundedReportQueue queue;
 
   /**
    * Where reports wait, where the operators switched it on; else null, and they wait in the queue.
    */
-  private final SharedIntake intake;
+  private final SynchronizedIntake intake;
 
   private final long periodUs;
-  private final Supplier<Assigner> module;
+  private final Supplier<AssignmentPolicy> module;
 
   /** A listed server's number by its name; null for one that no list has named yet. */
   private final Function<String, Long> numbers;
 
-  private Consumer<Item> listener = item -> {};
+  private Consumer<QueuedReport> listener = item -> {};
 
-  ReportIntake(
+  ReportDispatcher(
       EventLoop loop,
-      ReportQueue queue,
-      SharedIntake intake,
+      BoundedReportQueue queue,
+      SynchronizedIntake intake,
       long periodUs,
-      Supplier<Assigner> module,
+      Supplier<AssignmentPolicy> module,
       Function<String, Long> numbers) {
     this.loop = loop;
     this.queue = queue;
@@ -51,13 +51,14 @@
    *
    * @param origin the proxy, or a number below 0 that is the collector's own
    */
-  void heard(Message.Heard what, int origin) {
+  void heard(Message.LoadReport what, int origin) {
     if (intake != null) {
       intake.offer(
-          new Item(
+          new QueuedReport(
               origin,
-              new Item.Tries(what.server(), what.zone()),
-              Sums.of(what.tries(), what.failed(), what.meanUs(), what.spanUs(), what.load())),
+              new QueuedReport.ServerAttempts(what.server(), what.zone()),
+              ReportTotals.of(
+                  what.tries(), what.failed(), what.meanUs(), what.spanUs(), what.load())),
           this::wake);
       return;
     }
@@ -81,14 +82,14 @@
   }
 
   /** Requests that came to a proxy; {@code origin} as in {@link #heard}. */
-  void usage(Message.Usage what, int origin) {
+  void usage(Message.UsageReport what, int origin) {
     if (intake != null) {
       // Those that failed may be more than came: there is no mean to be weighted by the good ones.
       intake.offer(
-          new Item(
+          new QueuedReport(
               origin,
-              new Item.Requests(what.proxy(), what.grade()),
-              new Sums(what.tries(), what.failed(), 0, what.spanUs(), 1, new float[0], 0)),
+              new QueuedReport.ProxyRequests(what.proxy(), what.grade()),
+              new ReportTotals(what.tries(), what.failed(), 0, what.spanUs(), 1, new float[0], 0)),
           this::wake);
       return;
     }
@@ -120,38 +121,38 @@
   }
 
   /** Tells a test of each report that has its turn, on the decision thread. */
-  void listen(Consumer<Item> to) {
+  void listen(Consumer<QueuedReport> to) {
     listener = to;
   }
 
   /** A report has its turn. A server that no list has named yet is passed over, as ever. */
-  private void deliver(Item item) {
+  private void deliver(QueuedReport item) {
     listener.accept(item);
-    if (item.about() instanceof Item.Requests requests) {
+    if (item.about() instanceof QueuedReport.ProxyRequests requests) {
       deliver(item, requests);
-    } else if (item.about() instanceof Item.Tries tries) {
+    } else if (item.about() instanceof QueuedReport.ServerAttempts tries) {
       deliver(item, tries);
     }
   }
 
-  private void deliver(Item item, Item.Requests about) {
+  private void deliver(QueuedReport item, QueuedReport.ProxyRequests about) {
     // A rate of long ago says nothing of now, whatever it is counted for.
-    if (item.ageUs() > SharedIntake.OLD_USAGE_PERIODS * periodUs) {
+    if (item.ageUs() > SynchronizedIntake.OLD_USAGE_PERIODS * periodUs) {
       return;
     }
-    Sums sums = item.sums();
+    ReportTotals sums = item.sums();
     module
         .get()
         .usage(
             loop.nowUs(), about.proxy(), about.grade(), sums.tries(), sums.failed(), sums.spanUs());
   }
 
-  private void deliver(Item item, Item.Tries about) {
+  private void deliver(QueuedReport item, QueuedReport.ServerAttempts about) {
     Long server = numbers.apply(about.server());
     if (server == null) {
       return;
     }
-    Sums sums = item.sums();
+    ReportTotals sums = item.sums();
     if (item.ageUs() == 0) {
       module
           .get()
--- a/src/main/java/pearusher/control/StreamMembership.java
+++ b/src/main/java/pearusher/control/StreamMembership.java
@@ -5,10 +5,10 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import org.tinylog.Logger;
-import pearusher.policy.Assigner;
+import pearusher.policy.AssignmentPolicy;
 import pearusher.protocol.Message;
-import pearusher.publish.Tables;
-import pearusher.recovery.Rejoin;
+import pearusher.publish.PublishedTables;
+import pearusher.recovery.CatchUp;
 
 /**
  * Which stream speaks for which proxy: joinings, ends and answers to marks, told to the module, the
@@ -17,26 +17,26 @@
  */
 final class StreamMembership {
   private final EventLoop loop;
-  private final Tables tables;
+  private final PublishedTables tables;
 
   /** What lasts, where the operators switched it on; else null. */
-  private final Durable durable;
+  private final DurablePublisher durable;
 
-  private final Supplier<Assigner> module;
+  private final Supplier<AssignmentPolicy> module;
 
   /** The same map by the numbers of the servers that are still listed. */
   private final Function<Map<String, Boolean>, Map<Long, Boolean>> numbers;
 
-  private final Map<Integer, Exchange.Stream> streams = new HashMap<>();
+  private final Map<Integer, ProxyStream> streams = new HashMap<>();
 
   /** Answers to marks that could not be. */
   private long impossibleAnswers;
 
   StreamMembership(
       EventLoop loop,
-      Tables tables,
-      Durable durable,
-      Supplier<Assigner> module,
+      PublishedTables tables,
+      DurablePublisher durable,
+      Supplier<AssignmentPolicy> module,
       Function<Map<String, Boolean>, Map<Long, Boolean>> numbers) {
     this.loop = loop;
     this.tables = tables;
@@ -46,7 +46,7 @@
   }
 
   /** The stream of a proxy that is joined. */
-  Exchange.Stream stream(int proxy) {
+  ProxyStream stream(int proxy) {
     return streams.get(proxy);
   }
 
@@ -59,8 +59,8 @@
    * right after it joined dials again, and both connections may be read at once. The dead one would
    * take the place of the good one, and its end would unseat the proxy.
    */
-  void joined(Exchange.Stream stream, Message.Joined what) {
-    Exchange.Stream old = streams.get(what.proxy());
+  void joined(ProxyStream stream, Message.ProxyJoin what) {
+    ProxyStream old = streams.get(what.proxy());
     if (old != null && old.taken() > stream.taken()) {
       stream.replaced();
       return;
@@ -72,7 +72,7 @@
     }
     tables.joined(what.proxy());
     module.get().joined(loop.nowUs(), what.proxy(), what.zone(), what.perS(), what.fresh());
-    Rejoin lacks = durable == null ? null : durable.joined(what.proxy(), what.fresh());
+    CatchUp lacks = durable == null ? null : durable.joined(what.proxy(), what.fresh());
     if (lacks != null) {
       tables.announced(what.proxy(), numbers.apply(lacks.announced()));
       module.get().holds(loop.nowUs(), what.proxy(), lacks.table(), lacks.cost());
@@ -80,7 +80,7 @@
   }
 
   /** A stream ended; one whose proxy has joined anew since then unseats nobody. */
-  void ended(Exchange.Stream stream, int proxy) {
+  void ended(ProxyStream stream, int proxy) {
     if (streams.remove(proxy, stream)) {
       tables.left(proxy);
       module.get().left(loop.nowUs(), proxy);
@@ -94,7 +94,7 @@
    * A proxy answers a mark; one that another stream was sent, or that could not be, counts for
    * nothing.
    */
-  void applied(Exchange.Stream stream, Message.Applied what) {
+  void applied(ProxyStream stream, Message.Acknowledgement what) {
     if (streams.get(what.proxy()) != stream) {
       return;
     }
--- a/src/main/java/pearusher/control/SharedIntake.java
+++ b/src/main/java/pearusher/control/SynchronizedIntake.java
@@ -5,13 +5,13 @@
 import java.util.function.Consumer;
 import org.tinylog.Logger;
 import pearusher.intake.Intake;
-import pearusher.intake.Item;
+import pearusher.intake.QueuedReport;
 
 /**
  * The intake behind a lock: streams put reports in on their threads, the decision thread takes them
  * out. It says when a flood begins and ends. It must never hold the lock while the module works.
  */
-public final class SharedIntake {
+public final class SynchronizedIntake {
   /** How long the decision thread sleeps at most while reports of a flood wait, in microseconds. */
   static final long SERVE_US = 20_000;
 
@@ -19,9 +19,9 @@
   static final int OLD_USAGE_PERIODS = 2;
 
   private final Intake intake;
-  private final List<Item> items = new ArrayList<>();
+  private final List<QueuedReport> items = new ArrayList<>();
 
-  public SharedIntake(Intake.Bounds bounds) {
+  public SynchronizedIntake(Intake.Bounds bounds) {
     intake =
         new Intake(
             bounds,
@@ -36,7 +36,7 @@
               private long expired;
 
               @Override
-              public void expired(Item item) {
+              public void expired(QueuedReport item) {
                 if (Long.bitCount(++expired) == 1) {
                   Logger.warn(
                       "reports expired: count={} origin=\"{}\"", expired, name(item.origin()));
@@ -72,7 +72,7 @@
   /**
    * Takes a report; outside of a flood {@code wake} asks for its turn, in the order of the reports.
    */
-  public void offer(Item item, Runnable wake) {
+  public void offer(QueuedReport item, Runnable wake) {
     synchronized (intake) {
       if (intake.offer(item) && !intake.flooded()) {
         wake.run();
@@ -81,16 +81,16 @@
   }
 
   /** The oldest report, outside of a flood. */
-  public void next(long nowUs, Consumer<Item> out) {
+  public void next(long nowUs, Consumer<QueuedReport> out) {
     take(() -> intake.next(nowUs, items::add), out);
   }
 
   /** In a flood: what is due. */
-  public void serve(long nowUs, Consumer<Item> out) {
+  public void serve(long nowUs, Consumer<QueuedReport> out) {
     take(() -> intake.serve(nowUs, items::add), out);
   }
 
-  private void take(Runnable how, Consumer<Item> out) {
+  private void take(Runnable how, Consumer<QueuedReport> out) {
     synchronized (intake) {
       how.run();
     }
--- a/src/main/java/pearusher/discovery/Outbound.java
+++ b/src/main/java/pearusher/discovery/DiscoveryClient.java
@@ -29,22 +29,24 @@
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.Scheduler;
 import org.tinylog.Logger;
-import pearusher.config.Config;
-import pearusher.control.Exchange;
-import pearusher.policy.Assigner;
-import pearusher.protocol.ListTooLongException;
-import pearusher.protocol.ListingReader;
+import pearusher.config.AssignerConfig;
+import pearusher.control.Controller;
+import pearusher.control.OutboundCalls;
+import pearusher.policy.LoadReportSource;
+import pearusher.protocol.EndpointList;
+import pearusher.protocol.EndpointListReader;
+import pearusher.protocol.EndpointListTooLongException;
 import pearusher.protocol.Message;
 import pearusher.sitesettings.SettingsException;
-import pearusher.transport.Ending;
-import pearusher.transport.PlainEndPoint;
+import pearusher.transport.ResetAwareEndPoint;
+import pearusher.transport.TerminationReason;
 
 /**
  * The client side: calls to discovery (a watch, the whole list) and probes of servers, each on a
- * connection of its own. Every call ends exactly once, with one {@link Ending}, and says so to the
- * exchange. It must never call again by itself: when to ask is the module's.
+ * connection of its own. Every call ends exactly once, with one {@link TerminationReason}, and says
+ * so to the exchange. It must never call again by itself: when to ask is the module's.
  */
-public final class Outbound extends SelectorManager implements Exchange.Calls {
+public final class DiscoveryClient extends SelectorManager implements OutboundCalls {
   private static final int MOST_LOAD = 4 << 10;
 
   /** What a call is for. */
@@ -54,8 +56,8 @@
     PROBE
   }
 
-  private volatile Config config;
-  private final Exchange exchange;
+  private volatile AssignerConfig config;
+  private final Controller exchange;
   private final Scheduler scheduler;
 
   /** The watch that counts; an earlier one's end tells nothing. */
@@ -65,7 +67,8 @@
   private final AtomicLong unreadable = new AtomicLong();
   private final AtomicLong tooLong = new AtomicLong();
 
-  public Outbound(Config config, Exchange exchange, Executor executor, Scheduler scheduler) {
+  public DiscoveryClient(
+      AssignerConfig config, Controller exchange, Executor executor, Scheduler scheduler) {
     super(executor, scheduler, 1);
     this.config = config;
     this.exchange = exchange;
@@ -74,7 +77,7 @@
   }
 
   /** Calls from now on go where the new configuration says; those on their way end as they do. */
-  public void reload(Config now) {
+  public void reload(AssignerConfig now) {
     config = now;
     setConnectTimeout(now.timeouts().connectMs());
   }
@@ -85,7 +88,7 @@
     Call next = on ? new Call(Purpose.WATCH, -1, "/catalog/members?follow=1&since=" + since) : null;
     watch = next;
     if (old != null) {
-      old.finish(Ending.DROPPED);
+      old.finish(TerminationReason.DROPPED);
     }
     if (next != null) {
       next.dial(config.discovery());
@@ -99,11 +102,11 @@
 
   @Override
   public void probe(long server, String hostPort) {
-    boolean loads = config.settings().reportFrom() != Assigner.ReportFrom.NOWHERE;
+    boolean loads = config.settings().reportFrom() != LoadReportSource.NOWHERE;
     Call call = new Call(Purpose.PROBE, server, loads ? "/_load" : "/ping");
-    InetSocketAddress address = hostPort == null ? null : Config.address(hostPort);
+    InetSocketAddress address = hostPort == null ? null : AssignerConfig.address(hostPort);
     if (address == null) {
-      call.finish(Ending.UNREACHABLE);
+      call.finish(TerminationReason.UNREACHABLE);
     } else {
       call.dial(address);
     }
@@ -112,7 +115,7 @@
   @Override
   protected EndPoint newEndPoint(
       SelectableChannel channel, ManagedSelector selector, SelectionKey key) {
-    return new PlainEndPoint(channel, selector, key, scheduler);
+    return new ResetAwareEndPoint(channel, selector, key, scheduler);
   }
 
   @Override
@@ -123,7 +126,7 @@
   @Override
   protected void connectionFailed(SelectableChannel channel, Throwable failure, Object call) {
     super.connectionFailed(channel, failure, call);
-    ((Call) call).finish(Ending.ofConnect(failure));
+    ((Call) call).finish(TerminationReason.ofConnect(failure));
   }
 
   /** One request and its answer. */
@@ -137,7 +140,7 @@
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
     /** Reads what discovery answers; null for a probe. */
-    private final ListingReader lists;
+    private final EndpointListReader lists;
 
     private final HttpParser parser = new HttpParser(this);
     private Scheduler.Task limit;
@@ -145,7 +148,7 @@
     private SocketChannel channel;
     private volatile EndPoint endPoint;
     private int status;
-    private Message.Listing list;
+    private EndpointList list;
     private float[] load = new float[0];
     private boolean up;
     private boolean finished;
@@ -154,14 +157,15 @@
       this.purpose = purpose;
       this.server = server;
       this.path = path;
-      lists = purpose == Purpose.PROBE ? null : new ListingReader(config.names(), config.lists());
+      lists =
+          purpose == Purpose.PROBE ? null : new EndpointListReader(config.names(), config.lists());
     }
 
     void dial(InetSocketAddress to) {
       host = to.getAddress().getHostAddress() + ":" + to.getPort();
       limit =
           scheduler.schedule(
-              () -> finish(Ending.SILENT),
+              () -> finish(TerminationReason.SILENT),
               (long) config.timeouts().connectMs() + config.timeouts().answerMs(),
               TimeUnit.MILLISECONDS);
       getExecutor()
@@ -181,10 +185,10 @@
                   if (made.connect(to)) {
                     accept(made, this);
                   } else {
-                    Outbound.this.connect(made, this);
+                    DiscoveryClient.this.connect(made, this);
                   }
                 } catch (IOException e) {
-                  finish(Ending.ofConnect(e));
+                  finish(TerminationReason.ofConnect(e));
                 }
               });
     }
@@ -197,17 +201,19 @@
     /** The call's connection, once it is up. */
     private final class Wire extends AbstractConnection {
       Wire(EndPoint endPoint) {
-        super(endPoint, Outbound.this.getExecutor());
+        super(endPoint, DiscoveryClient.this.getExecutor());
       }
 
       @Override
       public void onOpen() {
         super.onOpen();
         try {
-          getEndPoint().write(Callback.from(() -> {}, e -> finish(Ending.ofFailure(e))), request());
+          getEndPoint()
+              .write(
+                  Callback.from(() -> {}, e -> finish(TerminationReason.ofFailure(e))), request());
           fillInterested();
         } catch (IOException e) {
-          finish(Ending.ofFailure(e));
+          finish(TerminationReason.ofFailure(e));
         }
       }
 
@@ -221,7 +227,7 @@
             if (n < 0) {
               parser.atEOF();
               parser.parseNext(buffer);
-              finish(Ending.CLOSED);
+              finish(TerminationReason.CLOSED);
               return;
             }
             if (n == 0) {
@@ -233,22 +239,22 @@
             }
           }
         } catch (IOException e) {
-          finish(Ending.RESET);
+          finish(TerminationReason.RESET);
         } catch (RuntimeException e) {
-          finish(Ending.GARBAGE);
+          finish(TerminationReason.GARBAGE);
         }
       }
 
       @Override
       protected boolean onReadTimeout(TimeoutException timeout) {
-        finish(Ending.SILENT);
+        finish(TerminationReason.SILENT);
         return false;
       }
 
       @Override
       public void onFillInterestedFailed(Throwable cause) {
         if (!(cause instanceof TimeoutException)) {
-          finish(Ending.ofFailure(cause));
+          finish(TerminationReason.ofFailure(cause));
         }
         super.onFillInterestedFailed(cause);
       }
@@ -256,7 +262,7 @@
       @Override
       public void onClose(Throwable cause) {
         super.onClose(cause);
-        finish(cause == null ? Ending.CLOSED : Ending.ofFailure(cause));
+        finish(cause == null ? TerminationReason.CLOSED : TerminationReason.ofFailure(cause));
       }
     }
 
@@ -279,7 +285,7 @@
     }
 
     /** Ends the call, once: what it brought, or how it failed, goes to the exchange. */
-    void finish(Ending ending) {
+    void finish(TerminationReason ending) {
       synchronized (this) {
         if (finished) {
           return;
@@ -294,7 +300,8 @@
       getExecutor().execute(this::hangUp);
       if (purpose == Purpose.PROBE) {
         exchange.probed(server, ending.probe(), (System.nanoTime() - startNs) / 1000, load);
-      } else if (ending != Ending.DROPPED && (purpose == Purpose.FETCH || watch == this)) {
+      } else if (ending != TerminationReason.DROPPED
+          && (purpose == Purpose.FETCH || watch == this)) {
         if (ending.answered() && list != null) {
           exchange.listed(list, false);
         } else {
@@ -355,7 +362,7 @@
 
     private void load(ByteBuffer part) {
       if (body.size() + part.remaining() > MOST_LOAD) {
-        finish(Ending.TOO_LONG);
+        finish(TerminationReason.TOO_LONG);
         return;
       }
       while (part.hasRemaining()) {
@@ -376,12 +383,12 @@
             line();
           }
         }
-      } catch (ListTooLongException e) {
+      } catch (EndpointListTooLongException e) {
         // The same list comes again at each call: told at 1, 2, 4, 8 ...
         if (Long.bitCount(tooLong.incrementAndGet()) == 1) {
           Logger.warn("discovery: a list of {}", e.getMessage());
         }
-        finish(Ending.TOO_LONG);
+        finish(TerminationReason.TOO_LONG);
       }
     }
 
@@ -404,7 +411,9 @@
         if (!finished) {
           limit =
               scheduler.schedule(
-                  () -> finish(Ending.SILENT), config.timeouts().silentMs(), TimeUnit.MILLISECONDS);
+                  () -> finish(TerminationReason.SILENT),
+                  config.timeouts().silentMs(),
+                  TimeUnit.MILLISECONDS);
         }
       }
     }
@@ -413,7 +422,7 @@
     private void line() {
       lineDue();
       try {
-        Message.Listing told = lists.endOfLine();
+        EndpointList told = lists.endOfLine();
         if (told == null && up) {
           return;
         }
@@ -427,7 +436,7 @@
         }
       } catch (SettingsException e) {
         unreadable("line", e);
-        finish(Ending.GARBAGE);
+        finish(TerminationReason.GARBAGE);
       }
     }
 
@@ -448,7 +457,7 @@
       if (done()) {
         return true;
       }
-      Ending ending = Ending.ofStatus(status);
+      TerminationReason ending = TerminationReason.ofStatus(status);
       if (ending.answered()) {
         try {
           if (purpose == Purpose.FETCH) {
@@ -456,11 +465,11 @@
           } else if (purpose == Purpose.PROBE) {
             load = Message.probeLoad(body.toByteArray(), config.names());
           } else {
-            ending = Ending.CLOSED;
+            ending = TerminationReason.CLOSED;
           }
         } catch (SettingsException e) {
           unreadable("list", e);
-          ending = Ending.GARBAGE;
+          ending = TerminationReason.GARBAGE;
         }
       }
       finish(ending);
@@ -469,12 +478,12 @@
 
     @Override
     public void earlyEOF() {
-      finish(Ending.CLOSED);
+      finish(TerminationReason.CLOSED);
     }
 
     @Override
     public void badMessage(HttpException failure) {
-      finish(Ending.GARBAGE);
+      finish(TerminationReason.GARBAGE);
     }
   }
 }
--- a/src/main/java/pearusher/intake/Intake.java
+++ b/src/main/java/pearusher/intake/Intake.java
@@ -56,7 +56,7 @@
     default void over(long merged, long refused) {}
 
     /** A report was too old to be heard. */
-    default void expired(Item item) {}
+    default void expired(QueuedReport item) {}
   }
 
   private static final long SECOND_US = 1_000_000;
@@ -65,7 +65,7 @@
   private static final int MOST_SOURCES = 100_000;
 
   private static final class Place {
-    final Map<Item.About, Sums> waiting = new LinkedHashMap<>();
+    final Map<QueuedReport.Subject, ReportTotals> waiting = new LinkedHashMap<>();
     long deficit;
   }
 
@@ -73,7 +73,7 @@
   private final Events events;
 
   /** Out of a flood: all that waits, as it came. */
-  private final ArrayDeque<Item> calm = new ArrayDeque<>();
+  private final ArrayDeque<QueuedReport> calm = new ArrayDeque<>();
 
   private final Map<Integer, Place> places = new HashMap<>();
 
@@ -81,9 +81,9 @@
   private final ArrayDeque<Integer> turns = new ArrayDeque<>();
 
   /** Spans that wait in the calm queue, by source: what is behind a report tells its age. */
-  private final Map<Source, Long> behind = new HashMap<>();
+  private final Map<ReportSource, Long> behind = new HashMap<>();
 
-  private final Ages ages;
+  private final ReportAgeEstimator ages;
   private final SplittableRandom random;
   private long thinnedUs = Long.MIN_VALUE;
   private boolean flooded;
@@ -97,15 +97,15 @@
   public Intake(Bounds bounds, Events events) {
     this.bounds = bounds;
     this.events = events;
-    ages = new Ages(MOST_SOURCES);
+    ages = new ReportAgeEstimator(MOST_SOURCES);
     random = new SplittableRandom(bounds.seed());
   }
 
   /** Takes a report; false if its origin has no room for it left, which costs nobody else. */
-  public boolean offer(Item item) {
+  public boolean offer(QueuedReport item) {
     if (!flooded && calm.size() < bounds.calm()) {
       calm.add(item);
-      behind.merge(Source.of(item), item.sums().spanUs(), Long::sum);
+      behind.merge(ReportSource.of(item), item.sums().spanUs(), Long::sum);
       return true;
     }
     if (!flooded) {
@@ -130,9 +130,9 @@
     behind.clear();
   }
 
-  private boolean place(Item item) {
+  private boolean place(QueuedReport item) {
     Place place = places.computeIfAbsent(item.origin(), o -> new Place());
-    Sums old = place.waiting.get(item.about());
+    ReportTotals old = place.waiting.get(item.about());
     if (old != null) {
       place.waiting.put(item.about(), old.plus(item.sums()));
       merged++;
@@ -151,18 +151,18 @@
   }
 
   /** Lets one report through while it is calm; the oldest. */
-  public void next(long nowUs, Consumer<Item> out) {
-    Item item = calm.poll();
+  public void next(long nowUs, Consumer<QueuedReport> out) {
+    QueuedReport item = calm.poll();
     if (item != null) {
-      Long left = behind.merge(Source.of(item), -item.sums().spanUs(), Long::sum);
+      Long left = behind.merge(ReportSource.of(item), -item.sums().spanUs(), Long::sum);
       if (left <= 0) {
-        behind.remove(Source.of(item));
+        behind.remove(ReportSource.of(item));
       }
       hear(item, left, nowUs, out);
     }
   }
 
-  private void hear(Item item, long behindUs, long nowUs, Consumer<Item> out) {
+  private void hear(QueuedReport item, long behindUs, long nowUs, Consumer<QueuedReport> out) {
     long age = ages.age(item, behindUs, nowUs);
     if (age > bounds.oldestUs()) {
       events.expired(item);
@@ -175,7 +175,7 @@
    * In a flood: lets through what the budget has room for, in fair turns, and ends a flood that is
    * over.
    */
-  public void serve(long nowUs, Consumer<Item> out) {
+  public void serve(long nowUs, Consumer<QueuedReport> out) {
     if (!flooded) {
       return;
     }
@@ -195,12 +195,12 @@
       // A quantum of one report: no origin's turn is longer than another's, whatever it sends.
       place.deficit++;
       while (place.deficit >= 1 && tokens >= 1 && !place.waiting.isEmpty()) {
-        Item.About first = place.waiting.keySet().iterator().next();
-        Sums sums = place.waiting.remove(first);
+        QueuedReport.Subject first = place.waiting.keySet().iterator().next();
+        ReportTotals sums = place.waiting.remove(first);
         place.deficit--;
         tokens--;
         waiting--;
-        hear(new Item(origin, first, sums), 0, nowUs, out);
+        hear(new QueuedReport(origin, first, sums), 0, nowUs, out);
       }
       if (place.waiting.isEmpty()) {
         // Who has nothing left saves no turns up.
@@ -213,7 +213,8 @@
   }
 
   /** A report that may be thinned out; {@code mass}: its part of what its origin had. */
-  private record Candidate(Place place, Item.About about, Sums sums, double mass) {}
+  private record Candidate(
+      Place place, QueuedReport.Subject about, ReportTotals sums, double mass) {}
 
   /**
    * Brings what waits down to what a second can hear; who has no more than an even share keeps it
@@ -261,7 +262,7 @@
     long all =
         places.values().stream()
             .flatMap(p -> p.waiting.values().stream())
-            .mapToLong(Sums::tries)
+            .mapToLong(ReportTotals::tries)
             .sum();
     events.sampled(1.0 * waiting / before, Math.sqrt(variance) / Math.max(1, all));
   }
--- a/src/main/java/pearusher/intake/Item.java
+++ b/src/main/java/pearusher/intake/QueuedReport.java
@@ -7,22 +7,22 @@
  * @param about what its sums are of: reports of one origin about the same add up
  * @param ageUs how long ago its span ended, as it is let through
  */
-public record Item(int origin, About about, Sums sums, long ageUs) {
+public record QueuedReport(int origin, Subject about, ReportTotals sums, long ageUs) {
 
   /** A report that came just now. */
-  public Item(int origin, About about, Sums sums) {
+  public QueuedReport(int origin, Subject about, ReportTotals sums) {
     this(origin, about, sums, 0);
   }
 
-  Item aged(long us) {
-    return new Item(origin, about, sums, us);
+  QueuedReport aged(long us) {
+    return new QueuedReport(origin, about, sums, us);
   }
 
   /** What a report's sums are of. */
-  public sealed interface About {}
+  public sealed interface Subject {}
 
   /** Tries of a zone's proxies at a server, by its name. */
-  public record Tries(String server, int zone) implements About {
+  public record ServerAttempts(String server, int zone) implements Subject {
     @Override
     public int hashCode() {
       return 31 * server.hashCode() + zone;
@@ -30,12 +30,12 @@
 
     @Override
     public boolean equals(Object other) {
-      return other instanceof Tries t && t.zone == zone && t.server.equals(server);
+      return other instanceof ServerAttempts t && t.zone == zone && t.server.equals(server);
     }
   }
 
   /** Requests of a class that came to a proxy. */
-  public record Requests(int proxy, int grade) implements About {
+  public record ProxyRequests(int proxy, int grade) implements Subject {
     @Override
     public int hashCode() {
       return 31 * proxy + grade;
@@ -43,7 +43,7 @@
 
     @Override
     public boolean equals(Object other) {
-      return other instanceof Requests r && r.proxy == proxy && r.grade == grade;
+      return other instanceof ProxyRequests r && r.proxy == proxy && r.grade == grade;
     }
   }
 }
--- a/src/main/java/pearusher/intake/Ages.java
+++ b/src/main/java/pearusher/intake/ReportAgeEstimator.java
@@ -15,7 +15,7 @@
  * was reported later is not taken for older than what came before it, but for that single report
  * after a silence, whose age was a guess until the next one came.
  */
-final class Ages {
+final class ReportAgeEstimator {
   /** Share of a report's span that must pass until the next one of it is at its pace. */
   private static final double PACE = 0.5;
 
@@ -36,16 +36,16 @@
     long endBeforeUs = Long.MIN_VALUE;
   }
 
-  private final Map<Source, Seen> seen;
+  private final Map<ReportSource, Seen> seen;
 
   /** {@code most}: sources that are remembered, those heard of longest ago go first. */
-  Ages(int most) {
+  ReportAgeEstimator(int most) {
     seen =
         new LinkedHashMap<>(16, 0.75f, true) {
           private static final long serialVersionUID = 1L;
 
           @Override
-          protected boolean removeEldestEntry(Map.Entry<Source, Seen> eldest) {
+          protected boolean removeEldestEntry(Map.Entry<ReportSource, Seen> eldest) {
             return size() > most;
           }
         };
@@ -57,8 +57,8 @@
    * @param behindUs spans of the reports of the same source that wait behind it
    * @return microseconds, 0 for now
    */
-  long age(Item item, long behindUs, long nowUs) {
-    Seen at = seen.computeIfAbsent(Source.of(item), s -> new Seen());
+  long age(QueuedReport item, long behindUs, long nowUs) {
+    Seen at = seen.computeIfAbsent(ReportSource.of(item), s -> new Seen());
     long span = item.sums().spanUs();
     if (at.endUs != Long.MIN_VALUE && nowUs >= at.lastUs) {
       long passed = nowUs - at.lastUs;
--- a/src/main/java/pearusher/intake/Source.java
+++ b/src/main/java/pearusher/intake/ReportSource.java
@@ -1,9 +1,9 @@
 package pearusher.intake;
 
 /** What reports that follow one another share: who sends them, and what they are of. */
-record Source(int origin, Item.About about) {
-  static Source of(Item item) {
-    return new Source(item.origin(), item.about());
+record ReportSource(int origin, QueuedReport.Subject about) {
+  static ReportSource of(QueuedReport item) {
+    return new ReportSource(item.origin(), item.about());
   }
 
   // Written out here and in Item: a record's own goes by method handles, and this is asked for each
@@ -16,6 +16,6 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof Source s && s.origin == origin && s.about.equals(about);
+    return other instanceof ReportSource s && s.origin == origin && s.about.equals(about);
   }
 }
--- a/src/main/java/pearusher/intake/Sums.java
+++ b/src/main/java/pearusher/intake/ReportTotals.java
@@ -11,17 +11,18 @@
  * @param variance of the tries as an estimate: 0 where nothing was left out. Those of several add
  *     up, since what is drawn for one tells nothing of another
  */
-public record Sums(
+public record ReportTotals(
     long tries, long failed, long goodUs, long spanUs, long lines, float[] load, double variance) {
 
   /** One report as it came; {@code meanUs}: of the good tries. */
-  public static Sums of(long tries, long failed, long meanUs, long spanUs, float[] load) {
-    return new Sums(tries, failed, meanUs * Math.max(0, tries - failed), spanUs, 1, load, 0);
+  public static ReportTotals of(long tries, long failed, long meanUs, long spanUs, float[] load) {
+    return new ReportTotals(
+        tries, failed, meanUs * Math.max(0, tries - failed), spanUs, 1, load, 0);
   }
 
   /** This and what came after it. */
-  public Sums plus(Sums later) {
-    return new Sums(
+  public ReportTotals plus(ReportTotals later) {
+    return new ReportTotals(
         tries + later.tries,
         failed + later.failed,
         goodUs + later.goodUs,
@@ -35,10 +36,10 @@
    * These sums as they stand for more: counts times a factor, rounded up or down by chance so that
    * nothing is added or lost on average; the mean stays.
    */
-  public Sums scaled(double factor, double addedVariance, SplittableRandom random) {
+  public ReportTotals scaled(double factor, double addedVariance, SplittableRandom random) {
     long all = rounded(tries * factor, random);
     long bad = Math.min(all, rounded(failed * factor, random));
-    return new Sums(
+    return new ReportTotals(
         all,
         bad,
         meanUs() * (all - bad),
--- a/src/main/java/pearusher/operatorsettings/Settings.java
+++ b/src/main/java/pearusher/operatorsettings/OperatorSettings.java
@@ -10,58 +10,64 @@
  * The operators' settings as they are in force: what the file says, checked as a whole, and the
  * default for all else. A subsystem whose block is missing is off.
  */
-public final class Settings {
+public final class OperatorSettings {
 
   /** A value and where it comes from: a place in a file, or {@code default}. */
-  public record Value(Key key, String text, String from) {}
+  public record Value(SettingKey key, String text, String from) {}
 
-  private final Map<Key, Value> given = new EnumMap<>(Key.class);
-  private final List<Fault> faults = new ArrayList<>();
+  private final Map<SettingKey, Value> given = new EnumMap<>(SettingKey.class);
+  private final List<SettingsFault> faults = new ArrayList<>();
 
-  private Settings() {}
+  private OperatorSettings() {}
 
   /** With no file at all: everything off. */
-  public static Settings none() {
-    return new Settings();
+  public static OperatorSettings none() {
+    return new OperatorSettings();
   }
 
-  public static Settings read(Path file) throws FaultyException {
-    return check(ConfFile.read(file));
+  public static OperatorSettings read(Path file) throws InvalidSettingsException {
+    return check(SettingsFileParser.read(file));
   }
 
   /** Settings from a text, for programs that have no file. */
-  public static Settings parse(String name, String text) throws FaultyException {
-    return check(ConfFile.parse(name, text));
+  public static OperatorSettings parse(String name, String text) throws InvalidSettingsException {
+    return check(SettingsFileParser.parse(name, text));
   }
 
-  private static Settings check(List<ConfFile.Line> lines) throws FaultyException {
-    Settings out = new Settings();
+  private static OperatorSettings check(List<SettingsFileParser.Line> lines)
+      throws InvalidSettingsException {
+    OperatorSettings out = new OperatorSettings();
     lines.forEach(out::take);
     if (out.faults.isEmpty()) {
       out.together(lines);
     }
     if (!out.faults.isEmpty()) {
-      throw new FaultyException(out.faults);
+      throw new InvalidSettingsException(out.faults);
     }
     return out;
   }
 
-  private void take(ConfFile.Line line) {
+  private void take(SettingsFileParser.Line line) {
     String path = line.block().isEmpty() ? line.word() : line.block() + "." + line.word();
-    if (!Key.blocks().contains(line.block())) {
+    if (!SettingKey.blocks().contains(line.block())) {
       String top = line.block().isEmpty() ? line.word() : line.block();
       faults.add(
           line.fault(
               path,
-              line.block().isEmpty() && Key.blocks().contains(top)
+              line.block().isEmpty() && SettingKey.blocks().contains(top)
                   ? "is a block; write '" + top + " {'"
-                  : "no block '" + top + "' is known" + Key.nearest(top, Key.blocks())));
+                  : "no block '"
+                      + top
+                      + "' is known"
+                      + SettingKey.nearest(top, SettingKey.blocks())));
       return;
     }
-    Key key = Key.of(line.block(), line.word());
+    SettingKey key = SettingKey.of(line.block(), line.word());
     if (key == null) {
       faults.add(
-          line.fault(path, "no such key" + Key.nearest(line.word(), Key.words(line.block()))));
+          line.fault(
+              path,
+              "no such key" + SettingKey.nearest(line.word(), SettingKey.words(line.block()))));
       return;
     }
     if (line.values().size() != 1) {
@@ -89,50 +95,55 @@
   }
 
   /** What each value alone can't show. */
-  private void together(List<ConfFile.Line> lines) {
+  private void together(List<SettingsFileParser.Line> lines) {
     if (lines.isEmpty() || !on("store")) {
       return;
     }
-    if (!given.containsKey(Key.STORE_DIRECTORY)) {
+    if (!given.containsKey(SettingKey.STORE_DIRECTORY)) {
       faults.add(
           lines
               .get(0)
               .fault("store.directory", "is missing; name a directory on a disk that lasts"));
     }
-    if (given.containsKey(Key.STORE_INTERVAL) && !word(Key.STORE_SYNC).equals("interval")) {
+    if (given.containsKey(SettingKey.STORE_INTERVAL)
+        && !word(SettingKey.STORE_SYNC).equals("interval")) {
       fault(
           lines,
-          Key.STORE_INTERVAL,
+          SettingKey.STORE_INTERVAL,
           "says nothing with 'sync "
-              + word(Key.STORE_SYNC)
+              + word(SettingKey.STORE_SYNC)
               + "'; write 'sync interval' or leave it out");
     }
-    if (number(Key.STORE_ALIVE) * 2 > number(Key.STORE_TRUST)) {
+    if (number(SettingKey.STORE_ALIVE) * 2 > number(SettingKey.STORE_TRUST)) {
       fault(
           lines,
-          given.containsKey(Key.STORE_TRUST) ? Key.STORE_TRUST : Key.STORE_ALIVE,
+          given.containsKey(SettingKey.STORE_TRUST)
+              ? SettingKey.STORE_TRUST
+              : SettingKey.STORE_ALIVE,
           "trust ("
-              + text(Key.STORE_TRUST)
+              + text(SettingKey.STORE_TRUST)
               + ") must be at least twice alive ("
-              + text(Key.STORE_ALIVE)
+              + text(SettingKey.STORE_ALIVE)
               + "): a running store would not be believed");
     }
-    if (word(Key.STORE_SYNC).equals("interval")
-        && number(Key.STORE_INTERVAL) * 2 > number(Key.STORE_PATIENCE)) {
+    if (word(SettingKey.STORE_SYNC).equals("interval")
+        && number(SettingKey.STORE_INTERVAL) * 2 > number(SettingKey.STORE_PATIENCE)) {
       fault(
           lines,
-          given.containsKey(Key.STORE_PATIENCE) ? Key.STORE_PATIENCE : Key.STORE_INTERVAL,
+          given.containsKey(SettingKey.STORE_PATIENCE)
+              ? SettingKey.STORE_PATIENCE
+              : SettingKey.STORE_INTERVAL,
           "patience ("
-              + text(Key.STORE_PATIENCE)
+              + text(SettingKey.STORE_PATIENCE)
               + ") must be at least twice interval ("
-              + text(Key.STORE_INTERVAL)
+              + text(SettingKey.STORE_INTERVAL)
               + "): orders would always be given up");
     }
   }
 
-  private void fault(List<ConfFile.Line> lines, Key key, String text) {
+  private void fault(List<SettingsFileParser.Line> lines, SettingKey key, String text) {
     lines.stream()
-        .filter(l -> Key.of(l.block(), l.word()) == key)
+        .filter(l -> SettingKey.of(l.block(), l.word()) == key)
         .findFirst()
         .ifPresent(l -> faults.add(l.fault(key.path(), text)));
   }
@@ -142,24 +153,24 @@
     return given.keySet().stream().anyMatch(k -> k.block().equals(block));
   }
 
-  private String text(Key key) {
+  private String text(SettingKey key) {
     return given.containsKey(key) ? given.get(key).text() : key.usual();
   }
 
   /** A word or path as it is in force. */
-  public String word(Key key) {
+  public String word(SettingKey key) {
     return text(key);
   }
 
   /** Microseconds, bytes or a plain number, as it is in force. */
-  public double number(Key key) {
+  public double number(SettingKey key) {
     return key.number(text(key));
   }
 
   /** Every key of the blocks that are on, or of all, with its value and where that comes from. */
   public List<Value> inForce() {
     List<Value> out = new ArrayList<>();
-    for (Key key : Key.values()) {
+    for (SettingKey key : SettingKey.values()) {
       Value value = given.get(key);
       out.add(
           value != null
--- a/src/main/java/pearusher/operatorsettings/Key.java
+++ b/src/main/java/pearusher/operatorsettings/SettingKey.java
@@ -7,7 +7,7 @@
 /**
  * Every key that a settings file may hold, with its form, limits and default: the one list of them.
  */
-public enum Key {
+public enum SettingKey {
   STORE_DIRECTORY(
       "store",
       "directory",
@@ -164,7 +164,8 @@
   private final double most;
   private final String help;
 
-  Key(String block, String word, Form form, String usual, double least, double most, String help) {
+  SettingKey(
+      String block, String word, Form form, String usual, double least, double most, String help) {
     this.block = block;
     this.word = word;
     this.form = form;
@@ -201,14 +202,17 @@
   }
 
   static List<String> blocks() {
-    return Arrays.stream(values()).map(Key::block).distinct().toList();
+    return Arrays.stream(values()).map(SettingKey::block).distinct().toList();
   }
 
   static List<String> words(String block) {
-    return Arrays.stream(values()).filter(k -> k.block.equals(block)).map(Key::word).toList();
+    return Arrays.stream(values())
+        .filter(k -> k.block.equals(block))
+        .map(SettingKey::word)
+        .toList();
   }
 
-  static Key of(String block, String word) {
+  static SettingKey of(String block, String word) {
     return Arrays.stream(values())
         .filter(k -> k.block.equals(block) && k.word.equals(word))
         .findFirst()
--- a/src/main/java/pearusher/operatorsettings/Fault.java
+++ b/src/main/java/pearusher/operatorsettings/SettingsFault.java
@@ -9,7 +9,7 @@
  * @param key the key in full, as in {@code store.interval}; empty where none could be read
  * @param text what is wrong and what would be right
  */
-public record Fault(String file, int line, int column, String key, String text) {
+public record SettingsFault(String file, int line, int column, String key, String text) {
   @Override
   public String toString() {
     return file
--- a/src/main/java/pearusher/operatorsettings/ConfFile.java
+++ b/src/main/java/pearusher/operatorsettings/SettingsFileParser.java
@@ -26,7 +26,7 @@
  * Reads settings files into lines of block, word and values, following includes. It knows the
  * grammar and no key. Whatever the bytes are, it ends with lines or with faults that have a place.
  */
-final class ConfFile {
+final class SettingsFileParser {
   /**
    * Bounds on what is read: no settings come near them, and a file that was named by mistake may.
    */
@@ -53,41 +53,41 @@
 
   /** A setting with its place; {@code block}: the blocks around it, joined by dots. */
   record Line(String file, int line, int column, String block, String word, List<String> values) {
-    Fault fault(String key, String text) {
-      return new Fault(file, line, column, key, text);
+    SettingsFault fault(String key, String text) {
+      return new SettingsFault(file, line, column, key, text);
     }
   }
 
   private final List<Line> lines = new ArrayList<>();
-  private final List<Fault> faults = new ArrayList<>();
+  private final List<SettingsFault> faults = new ArrayList<>();
   private final Deque<Path> open = new ArrayDeque<>();
   private int files;
 
-  private ConfFile() {}
+  private SettingsFileParser() {}
 
-  static List<Line> read(Path path) throws FaultyException {
-    ConfFile out = new ConfFile();
-    out.file(path, new Fault(path.toString(), 0, 0, "", ""));
+  static List<Line> read(Path path) throws InvalidSettingsException {
+    SettingsFileParser out = new SettingsFileParser();
+    out.file(path, new SettingsFault(path.toString(), 0, 0, "", ""));
     return out.end();
   }
 
   /** The text of one file that has no includes of its own directory. */
-  static List<Line> parse(String name, String text) throws FaultyException {
-    ConfFile out = new ConfFile();
+  static List<Line> parse(String name, String text) throws InvalidSettingsException {
+    SettingsFileParser out = new SettingsFileParser();
     out.open.push(Path.of(name));
     out.text(name, text);
     return out.end();
   }
 
-  private List<Line> end() throws FaultyException {
+  private List<Line> end() throws InvalidSettingsException {
     if (!faults.isEmpty()) {
-      throw new FaultyException(faults.subList(0, Math.min(MOST_FAULTS, faults.size())));
+      throw new InvalidSettingsException(faults.subList(0, Math.min(MOST_FAULTS, faults.size())));
     }
     return lines;
   }
 
   /** Reads a file that {@code from} names. */
-  private void file(Path path, Fault from) {
+  private void file(Path path, SettingsFault from) {
     Path real = path.toAbsolutePath().normalize();
     if (open.contains(real)) {
       add(from, "includes itself: " + path);
@@ -120,8 +120,8 @@
     open.pop();
   }
 
-  private void add(Fault at, String text) {
-    faults.add(new Fault(at.file(), at.line(), at.column(), at.key(), text));
+  private void add(SettingsFault at, String text) {
+    faults.add(new SettingsFault(at.file(), at.line(), at.column(), at.key(), text));
   }
 
   private void text(String name, String text) {
@@ -135,7 +135,7 @@
       // The parser goes down a call a block: a file of braces must not end its stack.
       if (depth > MOST_DEPTH) {
         faults.add(
-            new Fault(
+            new SettingsFault(
                 name,
                 one.getLine(),
                 one.getCharPositionInLine() + 1,
@@ -158,7 +158,7 @@
               String message,
               RecognitionException e) {
             faults.add(
-                new Fault(
+                new SettingsFault(
                     name,
                     line,
                     column + 1,
@@ -208,7 +208,7 @@
           setting.block().line());
       return;
     }
-    List<String> values = setting.value().stream().map(ConfFile::value).toList();
+    List<String> values = setting.value().stream().map(SettingsFileParser::value).toList();
     Line line =
         new Line(
             name,
--- a/src/main/java/pearusher/policy/Tally.java
+++ b/src/main/java/pearusher/policy/AttemptStats.java
@@ -1,7 +1,7 @@
 package pearusher.policy;
 
 /** Tries counted by what they brought; decays with the time it covers. */
-final class Tally {
+final class AttemptStats {
   double good, sumUs, bad;
 
   double tries() {
@@ -14,7 +14,7 @@
     bad *= factor;
   }
 
-  void add(Tally other) {
+  void add(AttemptStats other) {
     good += other.good;
     sumUs += other.sumUs;
     bad += other.bad;
--- a/src/main/java/pearusher/policy/Rules.java
+++ b/src/main/java/pearusher/policy/FaastPolicy.java
@@ -25,7 +25,7 @@
  * server the weight 1/r of its time r = d + p, normalised. {@link #plan} runs once a period; {@link
  * #send} alone orders.
  */
-public final class Rules implements Assigner {
+public final class FaastPolicy implements AssignmentPolicy {
 
   // Tuned values. Each is a ratio of a setting where one fits.
 
@@ -240,8 +240,8 @@
 
   private static final long PASS = 1, WATCH = 2, SEND = 3;
 
-  private final Settings set;
-  private final Orders to;
+  private final PolicySettings set;
+  private final PolicyCommands to;
   private final double aimUs;
   private final Map<Long, Server> servers = new TreeMap<>();
   private final Map<Integer, ProxyState> proxies = new TreeMap<>();
@@ -300,7 +300,7 @@
   private double let = 1, ceiling = 1, quick = 1, pace = 1;
 
   /** What the last period's own reports brought, ill servers aside. */
-  private final Tally period = new Tally();
+  private final AttemptStats period = new AttemptStats();
 
   /**
    * What servers said of how busy they are, of how many answers; capacity that was warm; who was
@@ -308,11 +308,11 @@
    */
   private double busySum, busyN, warmth;
 
-  public Rules(Settings set, Orders to) {
+  public FaastPolicy(PolicySettings set, PolicyCommands to) {
     this.set = set;
     this.to = to;
-    aimUs = set.grades().stream().mapToLong(Grade::aimUs).min().orElse(set.periodUs());
-    full = set.levels() == Levels.RATE ? NO_LIMIT : 1;
+    aimUs = set.grades().stream().mapToLong(RequestClass::aimUs).min().orElse(set.periodUs());
+    full = set.levels() == AdmissionMode.RATE ? NO_LIMIT : 1;
     level = new double[set.grades().size()];
     Arrays.fill(level, full);
     zones = Math.max(1, set.zones());
@@ -326,8 +326,8 @@
   // The list of servers.
 
   @Override
-  public void listed(long now, ListForm form, List<Entry> entries) {
-    if (form == ListForm.FAILED) {
+  public void listed(long now, ListUpdateKind form, List<ServerEntry> entries) {
+    if (form == ListUpdateKind.FAILED) {
       if (watching || !watchAsked) {
         to.log("list lost");
       }
@@ -338,7 +338,7 @@
       to.timer((long) (again * spread * Math.min(ASK_MOST, 1 << Math.min(failures - 1, 9))), WATCH);
       return;
     }
-    if (form != ListForm.CACHED && !watching) {
+    if (form != ListUpdateKind.CACHED && !watching) {
       watching = true;
       failures = 0;
       if (watchAsked) {
@@ -347,11 +347,11 @@
     }
     rescope = true;
     LinkedHashSet<Long> named = new LinkedHashSet<>();
-    for (Entry e : entries) {
+    for (ServerEntry e : entries) {
       named.add(e.server());
       Server s = servers.get(e.server());
       if (s == null) {
-        if (e.state() == State.GONE) {
+        if (e.state() == Lifecycle.GONE) {
           continue;
         }
         s = new Server(e.server(), new SplittableRandom(set.seed() ^ e.server()).nextLong());
@@ -361,8 +361,8 @@
         // and
         // one that we forgot may be shut out still.
         boolean fresh = started && e.startedUs() > startUs && !forgot;
-        doubt(s, fresh ? 0 : form != ListForm.CACHED || e.startedUs() > 0 ? 2 : 1);
-      } else if (e.startedUs() != s.startedUs && e.state() == State.READY) {
+        doubt(s, fresh ? 0 : form != ListUpdateKind.CACHED || e.startedUs() > 0 ? 2 : 1);
+      } else if (e.startedUs() != s.startedUs && e.state() == Lifecycle.READY) {
         s.forget();
         s.listedUs = now;
         restarts = true;
@@ -374,16 +374,16 @@
       state(now, s, e.state());
     }
     servers.values().stream()
-        .filter(s -> form != ListForm.CHANGES && !named.contains(s.id))
-        .forEach(s -> state(now, s, State.GONE));
+        .filter(s -> form != ListUpdateKind.CHANGES && !named.contains(s.id))
+        .forEach(s -> state(now, s, Lifecycle.GONE));
   }
 
   /**
    * A draining or gone server is withdrawn at once; one that is ready again is let in and is cold.
    */
-  private void state(long now, Server s, State state) {
+  private void state(long now, Server s, Lifecycle state) {
     s.state = state;
-    if (s.out != (state != State.READY)) {
+    if (s.out != (state != Lifecycle.READY)) {
       s.out = !s.out;
       s.outUs = now;
       doubt(s, 2);
@@ -401,7 +401,7 @@
   }
 
   private boolean serving(Server s) {
-    return s.state == State.READY;
+    return s.state == Lifecycle.READY;
   }
 
   // Proxies.
@@ -530,7 +530,7 @@
     }
     double old = Math.max(0, spanUs - set.periodUs()) / 2.0 + ageUs;
     double part = Math.pow(0.5, old / (HALF_PERIODS * set.periodUs()));
-    Tally t = s.tallies.fresh(tables.containsKey(zone) ? zone : ZoneTallies.ELSEWHERE);
+    AttemptStats t = s.tallies.fresh(tables.containsKey(zone) ? zone : ZoneAttemptStats.ELSEWHERE);
     long bad = Math.min(failed, tries);
     t.good += part * (tries - bad);
     t.sumUs += part * (tries - bad) * meanUs;
@@ -555,9 +555,12 @@
   }
 
   @Override
-  public void probed(long now, long server, Probe end, long tookUs, float[] load) {
-    int at = servers.containsKey(server) ? set.reportFields().indexOf(Field.UTIL) : -1;
-    if (end == Probe.OK && at >= 0 && at < load.length && serving(servers.get(server))) {
+  public void probed(long now, long server, HealthCheckResult end, long tookUs, float[] load) {
+    int at = servers.containsKey(server) ? set.reportFields().indexOf(LoadMetric.UTIL) : -1;
+    if (end == HealthCheckResult.OK
+        && at >= 0
+        && at < load.length
+        && serving(servers.get(server))) {
       busySum += Math.max(0, Math.min(1, load[at]));
       busyN++;
     }
@@ -660,7 +663,7 @@
    */
   private boolean forgotten(long now, Server s) {
     boolean out =
-        s.state == State.GONE
+        s.state == Lifecycle.GONE
             && now - s.outUs > FORGET * set.limits().graceUs()
             && !withdrawals.contains(s.id)
             && !isSent(s.id);
@@ -827,8 +830,8 @@
     warmth = left;
     boolean may =
         set.probes()
-            && set.reportFrom() != ReportFrom.NOWHERE
-            && set.reportFields().contains(Field.UTIL);
+            && set.reportFrom() != LoadReportSource.NOWHERE
+            && set.reportFields().contains(LoadMetric.UTIL);
     for (int k = 0; may && k * k < warm.size() && k * set.instances() < warm.size(); k++) {
       to.probe(warm.get(Math.floorMod(asks++, warm.size())).id);
     }
@@ -903,7 +906,7 @@
     double speed = 0;
     double warm = 0;
     for (Server s : up) {
-      Tally t = s.tallies.past(z);
+      AttemptStats t = s.tallies.past(z);
       double bad = s.bad();
       double good = s.good() + PRIOR_TRIES;
       double pooled = (s.meanUs * good + bad * largest) / (good + bad);
@@ -971,7 +974,7 @@
     double even = total(own, s -> pull(s, z, 0)) / total(up, s -> pull(s, z, 0));
     double holds = here <= 0 ? 1 : even * all / here;
     double want = even + table.home * (Math.min(HOME_MOST, holds) - even);
-    want = over && set.levels() == Levels.NONE ? HOME_MOST : want;
+    want = over && set.levels() == AdmissionMode.NONE ? HOME_MOST : want;
     double left = total(own, s -> pull(s, z, 0)) * (1 - want) / want;
     double d = 0;
     for (int i = 0; i < 8 && want > even; i++) {
@@ -1043,7 +1046,9 @@
       shed -= cut;
       double share = perS[k] <= 0 ? 1 : 1 - cut / perS[k];
       level[k] =
-          set.levels() == Levels.RATE ? share >= 1 ? NO_LIMIT : rate(k, share * perS[k]) : share;
+          set.levels() == AdmissionMode.RATE
+              ? share >= 1 ? NO_LIMIT : rate(k, share * perS[k])
+              : share;
     }
   }
 
@@ -1078,7 +1083,7 @@
    * tried again soon.
    */
   private void send(long now) {
-    Channel c = set.channel();
+    ChannelSettings c = set.channel();
     waiting = Math.max(0, waiting - (now - waitingUs) / 1e6 * c.linesPerS() * pace);
     slow = Math.max(0, slow - (now - waitingUs) / 1e6 * c.linesPerS() * pace * SLOWEST);
     waitingUs = now;
@@ -1248,7 +1253,7 @@
    * all are bound.
    */
   private void surge(long now) {
-    Channel c = set.channel();
+    ChannelSettings c = set.channel();
     up.removeIf(s -> !serving(s));
     List<Integer> free = oldest(p -> !p.bound && settled && (p.holds || subsets > 0));
     double gone =
@@ -1459,7 +1464,7 @@
    */
   private void admit(int z, ZoneTable table) {
     for (int k = 0; k < level.length && !capped(table.users); k++) {
-      double value = set.levels() == Levels.NONE ? 1 : level[k];
+      double value = set.levels() == AdmissionMode.NONE ? 1 : level[k];
       double last = table.level[k];
       boolean moved =
           Math.abs(value - last) > DEAD_BAND * Math.min(value, last)
--- /dev/null
+++ b/src/main/java/pearusher/policy/Idempotency.java
@@ -0,0 +1,8 @@
+package pearusher.policy;
+
+/** What a repeat of a request of a class may do. */
+public enum Idempotency {
+  SAFE,
+  KEYED,
+  UNSAFE
+}
--- /dev/null
+++ b/src/main/java/pearusher/policy/Lifecycle.java
@@ -0,0 +1,8 @@
+package pearusher.policy;
+
+/** What the list says of a server. */
+public enum Lifecycle {
+  GONE,
+  READY,
+  DRAINING
+}
--- /dev/null
+++ b/src/main/java/pearusher/policy/ListUpdateKind.java
@@ -0,0 +1,9 @@
+package pearusher.policy;
+
+/** What a list of servers is. */
+public enum ListUpdateKind {
+  CHANGES,
+  WHOLE,
+  CACHED,
+  FAILED
+}
--- a/src/main/java/pearusher/policy/Server.java
+++ b/src/main/java/pearusher/policy/Server.java
@@ -11,7 +11,7 @@
 
   int zone;
   double listed = 1;
-  Assigner.State state = Assigner.State.READY;
+  Lifecycle state = Lifecycle.READY;
   long startedUs, listedUs, outUs;
 
   /** Its subset of the fleet, from 1; 0: none yet. */
@@ -35,7 +35,7 @@
    */
   double ready, climb, time, scale, share;
 
-  final ZoneTallies tallies = new ZoneTallies();
+  final ZoneAttemptStats tallies = new ZoneAttemptStats();
 
   /** Whether tables may list it: among those that serve, as of the last choice. */
   boolean scoped;
@@ -52,7 +52,7 @@
   }
 
   /** All zones' evidence as one: how many good answers, failures, or microseconds. */
-  double sum(ToDoubleFunction<Tally> of) {
+  double sum(ToDoubleFunction<AttemptStats> of) {
     return tallies.sumPast(of);
   }
 
--- a/src/main/java/pearusher/policy/ZoneTallies.java
+++ b/src/main/java/pearusher/policy/ZoneAttemptStats.java
@@ -9,17 +9,17 @@
  * server, never with the zones that exist. Tries of zones that are not told apart are kept together
  * under {@link #ELSEWHERE}.
  */
-final class ZoneTallies {
+final class ZoneAttemptStats {
   /** Stands for all zones that are not told apart. */
   static final int ELSEWHERE = -1;
 
-  private static final Tally NONE = new Tally();
+  private static final AttemptStats NONE = new AttemptStats();
 
   /** Ascending, so that sums do not depend on the order in which zones reported. */
   private int[] zones = {};
 
-  private Tally[] past = {};
-  private Tally[] fresh = {};
+  private AttemptStats[] past = {};
+  private AttemptStats[] fresh = {};
 
   /** Whether anything was ever counted, or is still. */
   boolean isEmpty() {
@@ -27,13 +27,13 @@
   }
 
   /** What earlier periods brought for a zone; all zero where it never reported. */
-  Tally past(int zone) {
+  AttemptStats past(int zone) {
     int at = Arrays.binarySearch(zones, zone);
     return at < 0 ? NONE : past[at];
   }
 
   /** Where tries of the period at hand are counted for a zone. */
-  Tally fresh(int zone) {
+  AttemptStats fresh(int zone) {
     int at = Arrays.binarySearch(zones, zone);
     if (at < 0) {
       at = -at - 1;
@@ -52,11 +52,11 @@
     fresh = widen(fresh, at);
   }
 
-  private static Tally[] widen(Tally[] old, int at) {
-    Tally[] wider = new Tally[old.length + 1];
+  private static AttemptStats[] widen(AttemptStats[] old, int at) {
+    AttemptStats[] wider = new AttemptStats[old.length + 1];
     System.arraycopy(old, 0, wider, 0, at);
     System.arraycopy(old, at, wider, at + 1, old.length - at);
-    wider[at] = new Tally();
+    wider[at] = new AttemptStats();
     return wider;
   }
 
@@ -74,7 +74,7 @@
    * told apart, once fewer tries than that are left.
    */
   void releaseFaded(boolean all, double leastTries) {
-    if (all && sumPast(Tally::tries) < leastTries) {
+    if (all && sumPast(AttemptStats::tries) < leastTries) {
       clear();
     } else if (!isEmpty() && zones[0] == ELSEWHERE && past[0].tries() < leastTries) {
       remove(0);
@@ -83,14 +83,14 @@
 
   /** Shrinks all of the past alike. */
   void scalePast(double factor) {
-    for (Tally tally : past) {
+    for (AttemptStats tally : past) {
       tally.scale(factor);
     }
   }
 
   /** Adds what the period at hand has brought so far, zone by zone. */
-  void addFreshTo(Tally sum) {
-    for (Tally tally : fresh) {
+  void addFreshTo(AttemptStats sum) {
+    for (AttemptStats tally : fresh) {
       sum.add(tally);
     }
   }
@@ -99,8 +99,8 @@
   void merge(int zone) {
     int at = Arrays.binarySearch(zones, zone);
     if (at >= 0) {
-      Tally gone = past[at];
-      Tally goneFresh = fresh[at];
+      AttemptStats gone = past[at];
+      AttemptStats goneFresh = fresh[at];
       remove(at);
       fresh(ELSEWHERE).add(goneFresh);
       past[Arrays.binarySearch(zones, ELSEWHERE)].add(gone);
@@ -116,8 +116,8 @@
     fresh = narrow(fresh, at);
   }
 
-  private static Tally[] narrow(Tally[] old, int at) {
-    Tally[] narrower = new Tally[old.length - 1];
+  private static AttemptStats[] narrow(AttemptStats[] old, int at) {
+    AttemptStats[] narrower = new AttemptStats[old.length - 1];
     System.arraycopy(old, 0, narrower, 0, at);
     System.arraycopy(old, at + 1, narrower, at, old.length - at - 1);
     return narrower;
@@ -126,21 +126,21 @@
   /** Forgets everything. */
   void clear() {
     zones = new int[0];
-    past = new Tally[0];
-    fresh = new Tally[0];
+    past = new AttemptStats[0];
+    fresh = new AttemptStats[0];
   }
 
   /** All zones' past as one: how many good answers, failures, or microseconds. */
-  double sumPast(ToDoubleFunction<Tally> of) {
+  double sumPast(ToDoubleFunction<AttemptStats> of) {
     return sum(past, of);
   }
 
   /** The same of the period at hand. */
-  double sumFresh(ToDoubleFunction<Tally> of) {
+  double sumFresh(ToDoubleFunction<AttemptStats> of) {
     return sum(fresh, of);
   }
 
-  private static double sum(Tally[] tallies, ToDoubleFunction<Tally> of) {
+  private static double sum(AttemptStats[] tallies, ToDoubleFunction<AttemptStats> of) {
     return Arrays.stream(tallies).mapToDouble(of).sum();
   }
 
--- a/src/main/java/pearusher/protocol/ListingBuilder.java
+++ b/src/main/java/pearusher/protocol/EndpointListBuilder.java
@@ -8,17 +8,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import pearusher.sitesettings.Paths;
+import pearusher.sitesettings.PathValues;
 import pearusher.sitesettings.SettingsException;
 
 /**
- * Makes a {@link Message.Listing} of the tokens of one JSON object, in discovery's form, and keeps
+ * Makes a {@link EndpointList} of the tokens of one JSON object, in discovery's form, and keeps
  * nothing else of them than the records of the servers and the texts of the entry at hand. Where a
  * field stands twice, the last one counts; null counts as left out, and a list of plain values as
  * their texts joined with commas. Faults of a value are told at the end, so that malformed JSON
  * behind them is told first.
  */
-final class ListingBuilder {
+final class EndpointListBuilder {
   private static final String INSTANCES = "instances";
   private static final Set<String> HEAD_KEYS = Set.of("generation", "reset");
   private static final Set<String> INSTANCE_KEYS =
@@ -44,7 +44,7 @@
   private final String name;
   private final String prefix;
   private final WireNames names;
-  private final ListLimits limits;
+  private final EndpointListLimits limits;
   private final Map<String, String> head = new HashMap<>();
   private final Map<String, String> entry = new HashMap<>();
   private Place place = Place.BEFORE;
@@ -60,10 +60,10 @@
   private boolean plainOnly;
   private boolean plainEmpty;
 
-  private List<Message.Instance> instances = List.of();
+  private List<Endpoint> instances = List.of();
   private SettingsException fault;
   // Of the array of instances at hand: it counts once it ends.
-  private List<Message.Instance> reading;
+  private List<Endpoint> reading;
   private SettingsException readingFault;
   private int position;
   private boolean anyNested;
@@ -72,7 +72,7 @@
    * {@code name}: what the text is, the beginning of each fault; {@code prefix}: where the object
    * stands in it.
    */
-  ListingBuilder(String name, String prefix, WireNames names, ListLimits limits) {
+  EndpointListBuilder(String name, String prefix, WireNames names, EndpointListLimits limits) {
     this.name = name;
     this.prefix = prefix;
     this.names = names;
@@ -157,8 +157,8 @@
     }
     place = Place.INSTANCES;
     try {
-      add(Message.Instance.of(paths(), names));
-    } catch (ListTooLongException e) {
+      add(Endpoint.of(paths(), names));
+    } catch (EndpointListTooLongException e) {
       throw e;
     } catch (SettingsException e) {
       note(e);
@@ -166,12 +166,12 @@
     position++;
   }
 
-  private void add(Message.Instance one) throws ListTooLongException {
+  private void add(Endpoint one) throws EndpointListTooLongException {
     if (one == null) {
       return;
     }
     if (reading.size() >= limits.servers()) {
-      throw new ListTooLongException(limits.overServers());
+      throw new EndpointListTooLongException(limits.overServers());
     }
     reading.add(one);
   }
@@ -181,8 +181,8 @@
     readingFault = readingFault == null ? what : readingFault;
   }
 
-  private Paths paths() {
-    return Paths.of(name + ": the key " + prefix + INSTANCES + "." + position + ".", entry);
+  private PathValues paths() {
+    return PathValues.of(name + ": the key " + prefix + INSTANCES + "." + position + ".", entry);
   }
 
   /** A token of a field or its value, in an object of which some keys are wanted. */
@@ -230,11 +230,11 @@
   }
 
   /** What was read, once the object has ended. */
-  Message.Listing listing() throws SettingsException {
+  EndpointList listing() throws SettingsException {
     if (fault != null) {
       throw fault;
     }
-    Paths at = Paths.of(name + ": the key " + prefix, head);
-    return new Message.Listing(at.whole("generation"), at.flag("reset"), instances);
+    PathValues at = PathValues.of(name + ": the key " + prefix, head);
+    return new EndpointList(at.whole("generation"), at.flag("reset"), instances);
   }
 }
--- a/src/main/java/pearusher/protocol/ListLimits.java
+++ b/src/main/java/pearusher/protocol/EndpointListLimits.java
@@ -8,7 +8,7 @@
  * @param textLength the most characters of one text in a list, whether it is needed or passed over
  * @param heapBytes the heap that both are derived from
  */
-public record ListLimits(int servers, int textLength, long heapBytes) {
+public record EndpointListLimits(int servers, int textLength, long heapBytes) {
   /** The most characters of a server's id. */
   static final int MOST_ID = 255;
 
@@ -29,17 +29,17 @@
   private static final int HEAP_PER_TEXT_CHARACTER = 256;
 
   /** The limits for a heap of that size. */
-  static ListLimits of(long heapBytes) {
+  static EndpointListLimits of(long heapBytes) {
     long servers = heapBytes / PARTS_OF_HEAP / BYTES_PER_SERVER;
     long text = heapBytes / HEAP_PER_TEXT_CHARACTER;
-    return new ListLimits(
+    return new EndpointListLimits(
         (int) Math.min(Integer.MAX_VALUE / 2, servers),
         (int) Math.min(Integer.MAX_VALUE / 2, text),
         heapBytes);
   }
 
   /** The limits for the heap of this process. */
-  public static ListLimits ofThisProcess() {
+  public static EndpointListLimits ofThisProcess() {
     return of(Runtime.getRuntime().maxMemory());
   }
 
--- a/src/main/java/pearusher/protocol/ListingReader.java
+++ b/src/main/java/pearusher/protocol/EndpointListReader.java
@@ -8,7 +8,7 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.ByteBuffer;
-import pearusher.sitesettings.Paths;
+import pearusher.sitesettings.PathValues;
 import pearusher.sitesettings.SettingsException;
 
 /**
@@ -17,7 +17,7 @@
  * serves one answer of discovery, on one thread. What is malformed is told at the end of the
  * object, what is over the limit at once.
  */
-public final class ListingReader {
+public final class EndpointListReader {
   private static final String NAME = "list";
 
   /**
@@ -26,13 +26,13 @@
   private static final int MOST_BYTES_PER_CHARACTER = 6;
 
   private final WireNames names;
-  private final ListLimits limits;
+  private final EndpointListLimits limits;
   private final JsonFactory factory;
 
   /** Null before the first byte of an object. */
   private JsonParser parser;
 
-  private ListingBuilder builder;
+  private EndpointListBuilder builder;
   private SettingsException fault;
 
   /** Bytes since the last token: the parser holds them. */
@@ -41,13 +41,13 @@
   /** Nothing came since the last object but, at most, a carriage return. */
   private boolean empty = true;
 
-  public ListingReader(WireNames names, ListLimits limits) {
+  public EndpointListReader(WireNames names, EndpointListLimits limits) {
     this.names = names;
     this.limits = limits;
     factory = factory(limits);
   }
 
-  private static JsonFactory factory(ListLimits limits) {
+  private static JsonFactory factory(EndpointListLimits limits) {
     // No table of field names: a text with new ones without end would fill it.
     return JsonFactory.builder()
         .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
@@ -58,7 +58,7 @@
   }
 
   /** Takes what the buffer has left. */
-  public void feed(ByteBuffer piece) throws ListTooLongException {
+  public void feed(ByteBuffer piece) throws EndpointListTooLongException {
     if (!piece.hasRemaining()) {
       return;
     }
@@ -67,13 +67,13 @@
     if (fault == null) {
       try {
         parse(piece);
-      } catch (ListTooLongException e) {
+      } catch (EndpointListTooLongException e) {
         reset();
         throw e;
       } catch (SettingsException e) {
         spoilt(e);
       } catch (IOException e) {
-        spoilt(Paths.malformed(NAME, e));
+        spoilt(PathValues.malformed(NAME, e));
       }
     }
     piece.position(piece.limit());
@@ -106,7 +106,7 @@
   private void open() throws IOException {
     if (parser == null) {
       parser = factory.createNonBlockingByteBufferParser();
-      builder = new ListingBuilder(NAME, "", names, limits);
+      builder = new EndpointListBuilder(NAME, "", names, limits);
     }
   }
 
@@ -120,7 +120,7 @@
   }
 
   /** The line ends here: what it held, null where it was empty. The next byte begins another. */
-  public Message.Listing endOfLine() throws SettingsException {
+  public EndpointList endOfLine() throws SettingsException {
     if (empty) {
       reset();
       return null;
@@ -129,7 +129,7 @@
   }
 
   /** The answer ends here: what it held. */
-  public Message.Listing endOfBody() throws SettingsException {
+  public EndpointList endOfBody() throws SettingsException {
     try {
       if (fault == null) {
         open();
@@ -140,11 +140,11 @@
         throw fault;
       }
       if (!builder.done()) {
-        throw ListingBuilder.notAnObject(NAME);
+        throw EndpointListBuilder.notAnObject(NAME);
       }
       return builder.listing();
     } catch (IOException e) {
-      throw Paths.malformed(NAME, e);
+      throw PathValues.malformed(NAME, e);
     } finally {
       reset();
     }
@@ -170,29 +170,29 @@
    * The list that a configuration holds under a key, an empty one where it holds none. The text
    * must be known to be well formed; faults name the document and the key.
    */
-  public static Message.Listing under(
-      String document, String key, InputStream text, WireNames names, ListLimits limits)
+  public static EndpointList under(
+      String document, String key, InputStream text, WireNames names, EndpointListLimits limits)
       throws IOException, SettingsException {
-    ListingBuilder found = null;
+    EndpointListBuilder found = null;
     try (JsonParser in = factory(limits).createParser(text)) {
       in.nextToken();
       while (in.nextToken() == JsonToken.FIELD_NAME) {
         boolean wanted = in.currentName().equals(key);
         if (in.nextToken() == JsonToken.START_OBJECT && wanted) {
-          found = new ListingBuilder(document, key + ".", names, limits);
+          found = new EndpointListBuilder(document, key + ".", names, limits);
           fill(found, in);
         } else {
           in.skipChildren();
         }
       }
-    } catch (ListTooLongException e) {
-      throw new ListTooLongException(
+    } catch (EndpointListTooLongException e) {
+      throw new EndpointListTooLongException(
           document + ": the key " + key + ".instances names " + e.getMessage());
     }
-    return found != null && found.hasGeneration() ? found.listing() : Message.Listing.NONE;
+    return found != null && found.hasGeneration() ? found.listing() : EndpointList.NONE;
   }
 
-  private static void fill(ListingBuilder builder, JsonParser in)
+  private static void fill(EndpointListBuilder builder, JsonParser in)
       throws IOException, SettingsException {
     for (JsonToken token = in.currentToken(); token != null; token = in.nextToken()) {
       builder.token(token, in);
--- a/src/main/java/pearusher/protocol/ListTooLongException.java
+++ b/src/main/java/pearusher/protocol/EndpointListTooLongException.java
@@ -3,10 +3,10 @@
 import pearusher.sitesettings.SettingsException;
 
 /** A list that names more servers than the heap holds; the text names the limit. */
-public final class ListTooLongException extends SettingsException {
+public final class EndpointListTooLongException extends SettingsException {
   private static final long serialVersionUID = 1L;
 
-  ListTooLongException(String text) {
+  EndpointListTooLongException(String text) {
     super(text);
   }
 }
--- a/src/main/java/pearusher/protocol/Message.java
+++ b/src/main/java/pearusher/protocol/Message.java
@@ -8,9 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.StringJoiner;
-import pearusher.policy.Assigner;
-import pearusher.sitesettings.Paths;
-import pearusher.sitesettings.SettingsException;
+import pearusher.policy.PolicySettings;
+import pearusher.policy.RequestClass;
 
 /**
  * The messages of the sockets as small typed records: what proxies and collectors say, discovery's
@@ -21,17 +20,18 @@
 public sealed interface Message {
   record Ping() implements Message {}
 
-  record Collector(int zone) implements Message {}
+  record CollectorHello(int zone) implements Message {}
 
-  record Joined(int proxy, int zone, double perS, boolean fresh) implements Message {}
+  record ProxyJoin(int proxy, int zone, double perS, boolean fresh) implements Message {}
 
-  record Applied(int proxy, int mark, long tookUs) implements Message {}
+  record Acknowledgement(int proxy, int mark, long tookUs) implements Message {}
 
-  record Heard(
+  record LoadReport(
       int zone, String server, long tries, long failed, long meanUs, long spanUs, float[] load)
       implements Message {}
 
-  record Usage(int proxy, int grade, long tries, long failed, long spanUs) implements Message {}
+  record UsageReport(int proxy, int grade, long tries, long failed, long spanUs)
+      implements Message {}
 
   /** A message that can't be used; the text names the value. */
   final class Fault extends Exception {
@@ -57,24 +57,24 @@
    * reports that can be read: a figure that can't be would stay in the module's means for many
    * periods.
    */
-  static Message read(List<String> words, WireNames names, Assigner.Settings settings)
-      throws Fault {
+  static Message read(List<String> words, WireNames names, PolicySettings settings) throws Fault {
     if (words.size() % 2 == 0) {
       throw new Fault("an odd number of fields after '" + brief(words.get(0)) + "'");
     }
     Fields at = new Fields(words, names, settings.proxies());
     return switch (words.get(0)) {
       case "ping" -> new Ping();
-      case "collector" -> new Collector(at.zone());
+      case "collector" -> new CollectorHello(at.zone());
       case "joined" ->
-          new Joined(at.proxy(), at.zone(), at.real("weight", MOST_PER_S), at.flag("fresh"));
+          new ProxyJoin(at.proxy(), at.zone(), at.real("weight", MOST_PER_S), at.flag("fresh"));
       case "applied" ->
-          new Applied(at.proxy(), (int) at.whole("mark", MOST_MARK), at.us("took_ms", MOST_MS));
+          new Acknowledgement(
+              at.proxy(), (int) at.whole("mark", MOST_MARK), at.us("took_ms", MOST_MS));
       case "usage" -> {
         long span = at.span(settings);
         long tries = at.tries(span);
         // Those that failed may have come in the period before: they can be more than came.
-        yield new Usage(at.proxy(), at.grade(), tries, at.whole("failed", MOST_PER_S), span);
+        yield new UsageReport(at.proxy(), at.grade(), tries, at.whole("failed", MOST_PER_S), span);
       }
       case "heard" -> {
         long span = at.span(settings);
@@ -82,8 +82,8 @@
         long failed = at.whole("failed", (double) tries);
         // No client waits longer than the longest of its times, so no good answer took twice that.
         long longest =
-            settings.grades().stream().mapToLong(Assigner.Grade::deadlineUs).max().orElse(0);
-        yield new Heard(
+            settings.grades().stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
+        yield new LoadReport(
             at.zone(),
             at.need("server"),
             tries,
@@ -190,7 +190,7 @@
       return Math.round(real(key, mostMs) * 1000);
     }
 
-    private long span(Assigner.Settings settings) throws Fault {
+    private long span(PolicySettings settings) throws Fault {
       long out = us("span_ms", 1e-3 * MOST_PERIODS * settings.periodUs());
       if (out <= 0) {
         throw new Fault("the value span_ms is out of range: '" + brief(need("span_ms")) + "'");
@@ -251,84 +251,11 @@
     }
   }
 
-  /**
-   * A line of discovery's list; a zone or kind is its position in the settings, address null if
-   * unusable.
-   */
-  record Instance(
-      String server,
-      String hostPort,
-      int zone,
-      int kind,
-      int cell,
-      Assigner.State state,
-      double weight,
-      long startedUs) {
-
-    private static final Map<String, Assigner.State> STATES =
-        Map.of(
-            "in_service",
-            Assigner.State.READY,
-            "terminating",
-            Assigner.State.DRAINING,
-            "terminated",
-            Assigner.State.GONE);
-
-    /** No address and port that can be used is longer. */
-    private static final int MOST_ADDRESS = 64;
-
-    /**
-     * One of its fields; null in a zone that the settings don't have, which is passed over. A
-     * lifecycle that is not known is one that wants nothing new.
-     */
-    static Instance of(Paths at, WireNames names) throws SettingsException {
-      Integer zone = names.zones().get(at.need("zone"));
-      if (zone == null) {
-        return null;
-      }
-      String id = at.need("instanceId");
-      if (id.codePointCount(0, id.length()) > ListLimits.MOST_ID) {
-        throw at.fault(
-            "instanceId",
-            "is longer than " + ListLimits.MOST_ID + " characters: '" + Message.brief(id) + "'");
-      }
-      String hostPort = at.text("hostPort");
-      return new Instance(
-          id,
-          hostPort == null || hostPort.length() > MOST_ADDRESS ? null : hostPort,
-          zone,
-          names.kinds().getOrDefault(at.text("machineType"), names.kinds().size()),
-          (int) at.optional("cell"),
-          STATES.getOrDefault(at.need("lifecycle"), Assigner.State.DRAINING),
-          at.has("weight") ? at.real("weight") : 1,
-          Math.round(at.optional("startedAtMs") * 1000));
-    }
-  }
-
-  /** Discovery's answer: the whole list, or what changed. */
-  record Listing(long generation, boolean whole, List<Instance> instances) {
-    /** What is known where nothing was told. */
-    public static final Listing NONE = new Listing(0, true, List.of());
-  }
-
-  /** A way of trying again and a level, which come as a pair. */
-  record Level(double level, int retry) {}
-
-  /** A part of an update; null or empty where a field is left out. Classes null: all of them. */
-  record Part(
-      List<String> classes,
-      boolean whole,
-      Map<String, Double> lines,
-      Level level,
-      List<String> out,
-      List<String> back,
-      int ticket) {}
-
   /** The bytes of one message to a proxy. */
-  static byte[] write(List<Part> parts) {
+  static byte[] write(List<UpdatePart> parts) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(256);
     for (int k = 0; k < parts.size(); k++) {
-      Part part = parts.get(k);
+      UpdatePart part = parts.get(k);
       List<String> words = new ArrayList<>(List.of("update"));
       if (part.classes() != null) {
         words.addAll(List.of("classes", String.join("+", part.classes())));
@@ -361,7 +288,7 @@
       if (k < parts.size() - 1) {
         words.addAll(List.of("more", "1"));
       }
-      out.writeBytes(Resp.write(words));
+      out.writeBytes(RespCodec.write(words));
     }
     return out.toByteArray();
   }
--- a/src/main/java/pearusher/protocol/Resp.java
+++ b/src/main/java/pearusher/protocol/RespCodec.java
@@ -13,7 +13,7 @@
  * as they come. It must never know what a word means, nor hold more than a message may have,
  * whatever was announced.
  */
-public final class Resp {
+public final class RespCodec {
   /** Most bytes of a message, its headers included. */
   public static final int MOST = 1 << 20;
 
@@ -194,7 +194,7 @@
     }
   }
 
-  private Resp() {}
+  private RespCodec() {}
 
   public static byte[] write(List<String> words) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(256);
--- a/src/main/java/pearusher/protocol/WireNames.java
+++ b/src/main/java/pearusher/protocol/WireNames.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pearusher.sitesettings.Paths;
+import pearusher.sitesettings.PathValues;
 import pearusher.sitesettings.SettingsException;
 
 /** The names that the sockets use for zones, classes, machine types and values of load reports. */
@@ -35,7 +35,7 @@
     return WORDS.getOrDefault(name, name);
   }
 
-  public static WireNames of(Paths settings) throws SettingsException {
+  public static WireNames of(PathValues settings) throws SettingsException {
     List<String> classes = settings.each("grades", "name");
     List<String> load = settings.listed("report.fields").stream().map(WireNames::word).toList();
     return new WireNames(
@@ -46,7 +46,7 @@
         load);
   }
 
-  private static Map<String, Integer> places(Paths at, String key, List<String> names)
+  private static Map<String, Integer> places(PathValues at, String key, List<String> names)
       throws SettingsException {
     Map<String, Integer> out = new HashMap<>();
     for (String name : names) {
--- a/src/main/java/pearusher/publish/GlobalLevels.java
+++ b/src/main/java/pearusher/publish/GlobalAdmissionLevels.java
@@ -1,33 +1,33 @@
 package pearusher.publish;
 
-import pearusher.protocol.Message;
+import pearusher.policy.AdmissionLevel;
 
 /**
  * The levels that were ordered for all tables, by class, and which of them changed this turn. Only
  * the decision thread uses it. It grows with the classes.
  */
-final class GlobalLevels {
-  private final Message.Level[] levels;
+final class GlobalAdmissionLevels {
+  private final AdmissionLevel[] levels;
   private int changed;
 
-  GlobalLevels(int classes) {
-    levels = new Message.Level[classes];
+  GlobalAdmissionLevels(int classes) {
+    levels = new AdmissionLevel[classes];
   }
 
-  void order(int which, Message.Level level) {
+  void order(int which, AdmissionLevel level) {
     set(levels, which, level);
     changed |= which;
   }
 
   /** Sets the level of each class of a set. */
-  static void set(Message.Level[] levels, int which, Message.Level level) {
+  static void set(AdmissionLevel[] levels, int which, AdmissionLevel level) {
     for (int k = 0; k < levels.length; k++) {
       levels[k] = (which >> k & 1) != 0 ? level : levels[k];
     }
   }
 
   /** The level for all of a class; null where none was ordered. */
-  Message.Level get(int grade) {
+  AdmissionLevel get(int grade) {
     return levels[grade];
   }
 
@@ -40,12 +40,12 @@
    * What holds for a class: of a table's level and that for all the lower, with the table's own
    * retry.
    */
-  Message.Level effective(TableState table, int grade) {
-    Message.Level own = table == null ? null : table.levels[grade];
-    Message.Level all = levels[grade];
+  AdmissionLevel effective(PublishedTable table, int grade) {
+    AdmissionLevel own = table == null ? null : table.levels[grade];
+    AdmissionLevel all = levels[grade];
     return own == null
         ? all
-        : all == null ? own : new Message.Level(Math.min(own.level(), all.level()), own.retry());
+        : all == null ? own : new AdmissionLevel(Math.min(own.level(), all.level()), own.retry());
   }
 
   void endTurn() {
--- a/src/main/java/pearusher/publish/ProxyStreamState.java
+++ b/src/main/java/pearusher/publish/ProxyStreamState.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.Map;
 import java.util.TreeMap;
-import pearusher.recovery.Rejoin;
+import pearusher.recovery.CatchUp;
 
 /**
  * What one proxy's stream follows, what it was told of servers that are out or back, and the marks
@@ -37,7 +37,7 @@
   boolean sure;
 
   /** Bound this turn by what it lacks of its table, not by the whole of it. */
-  Rejoin lacks;
+  CatchUp lacks;
 
   /** And which servers it must be told are out (true) or back. */
   Map<Long, Boolean> lacksEjections = Map.of();
@@ -60,7 +60,7 @@
   }
 
   /** Binds all classes to a table that the proxy holds but for what it lacks. */
-  void adopt(Rejoin rejoin, Map<Long, Boolean> ejections) {
+  void adopt(CatchUp rejoin, Map<Long, Boolean> ejections) {
     lacksEjections = ejections;
     Arrays.fill(table, rejoin.table());
     lacks = rejoin;
--- a/src/main/java/pearusher/publish/TableState.java
+++ b/src/main/java/pearusher/publish/PublishedTable.java
@@ -5,18 +5,18 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import pearusher.protocol.Message;
+import pearusher.policy.AdmissionLevel;
 
 /**
  * One table as it is ordered: its lines, its levels, and what of them changed this turn. Only the
  * decision thread uses it. It grows with the servers that the table lists.
  */
-final class TableState {
+final class PublishedTable {
   /** Weights by server. */
   final Map<Long, Double> lines = new TreeMap<>();
 
   /** By class; null where none was ordered. */
-  final Message.Level[] levels;
+  final AdmissionLevel[] levels;
 
   /** Servers whose lines were ordered this turn, also those taken out. */
   final Set<Long> changed = new TreeSet<>();
@@ -27,8 +27,8 @@
   /** It was begun anew this turn. */
   boolean cleared;
 
-  TableState(int classes) {
-    levels = new Message.Level[classes];
+  PublishedTable(int classes) {
+    levels = new AdmissionLevel[classes];
   }
 
   void line(long server, double weight) {
--- a/src/main/java/pearusher/publish/Tables.java
+++ b/src/main/java/pearusher/publish/PublishedTables.java
@@ -5,9 +5,11 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.function.LongFunction;
+import pearusher.policy.AdmissionLevel;
 import pearusher.protocol.Message;
 import pearusher.protocol.RequestClasses;
-import pearusher.recovery.Rejoin;
+import pearusher.protocol.UpdatePart;
+import pearusher.recovery.CatchUp;
 
 /**
  * What is ordered: each table's lines and levels, the levels for all, the withdrawals, who is bound
@@ -16,28 +18,28 @@
  * back or changed here. Only the decision thread uses it. It grows with the tables and their lines,
  * and with the proxies and the servers that each was told of.
  */
-public final class Tables {
+public final class PublishedTables {
   /** The table number that stands for all of them, in levels. */
   public static final int ALL = 65535;
 
   private final RequestClasses classes;
-  private final Map<Integer, TableState> tables = new TreeMap<>();
+  private final Map<Integer, PublishedTable> tables = new TreeMap<>();
   private final Map<Integer, ProxyStreamState> proxies = new TreeMap<>();
-  private final GlobalLevels forAll;
+  private final GlobalAdmissionLevels forAll;
   private final EjectionState ejections = new EjectionState();
   private final UpdateComposer composer;
 
   /** Of this turn; null for none. */
   private UpdateComposer.MarkOrder mark;
 
-  public Tables(List<String> classes, LongFunction<String> names) {
+  public PublishedTables(List<String> classes, LongFunction<String> names) {
     this.classes = new RequestClasses(classes);
-    forAll = new GlobalLevels(classes.size());
+    forAll = new GlobalAdmissionLevels(classes.size());
     composer = new UpdateComposer(this.classes, names, tables, forAll, ejections);
   }
 
   /** A table as an earlier process left it: who is bound gets it, nobody hears of it by itself. */
-  public void restore(int number, Map<Long, Double> lines, Map<Integer, Message.Level> levels) {
+  public void restore(int number, Map<Long, Double> lines, Map<Integer, AdmissionLevel> levels) {
     table(number).lines.putAll(lines);
     levels.forEach((k, level) -> table(number).levels[k] = level);
   }
@@ -53,7 +55,7 @@
   }
 
   /** Binds a proxy that holds the table but for what is named: that alone goes to it. */
-  public void adopt(int proxy, Rejoin lacks, Map<Long, Boolean> ejected) {
+  public void adopt(int proxy, CatchUp lacks, Map<Long, Boolean> ejected) {
     table(lacks.table());
     proxies.get(proxy).adopt(lacks, ejected);
   }
@@ -88,8 +90,8 @@
     proxies.remove(proxy);
   }
 
-  private TableState table(int number) {
-    return tables.computeIfAbsent(number, n -> new TableState(classes.count()));
+  private PublishedTable table(int number) {
+    return tables.computeIfAbsent(number, n -> new PublishedTable(classes.count()));
   }
 
   public void line(int number, long server, double weight) {
@@ -123,14 +125,14 @@
   }
 
   public void admit(int number, int classBits, double level, int retry) {
-    Message.Level to = new Message.Level(level, retry);
+    AdmissionLevel to = new AdmissionLevel(level, retry);
     int which = classes.bits(classBits);
     if (number == ALL) {
       forAll.order(which, to);
       return;
     }
-    TableState table = table(number);
-    GlobalLevels.set(table.levels, which, to);
+    PublishedTable table = table(number);
+    GlobalAdmissionLevels.set(table.levels, which, to);
     table.changedLevels |= which;
   }
 
@@ -145,11 +147,11 @@
         ejections.changed().isEmpty()
             && forAll.changed() == 0
             && mark == null
-            && tables.values().stream().noneMatch(TableState::isTouched);
+            && tables.values().stream().noneMatch(PublishedTable::isTouched);
     proxies.forEach(
         (id, p) -> {
           p.announcedForAll &= ~forAll.changed();
-          List<Message.Part> parts =
+          List<UpdatePart> parts =
               quiet && !p.isBoundAnew() ? List.of() : composer.compose(p, mark);
           if (!parts.isEmpty()) {
             if (parts.stream().anyMatch(part -> part.ticket() >= 0)) {
@@ -162,7 +164,7 @@
     tables
         .entrySet()
         .removeIf(entry -> entry.getValue().isEmptied() && !isFollowed(entry.getKey()));
-    tables.values().forEach(TableState::endTurn);
+    tables.values().forEach(PublishedTable::endTurn);
     ejections.endTurn();
     forAll.endTurn();
     mark = null;
--- a/src/main/java/pearusher/publish/UpdateComposer.java
+++ b/src/main/java/pearusher/publish/UpdateComposer.java
@@ -7,8 +7,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.LongFunction;
-import pearusher.protocol.Message;
+import pearusher.policy.AdmissionLevel;
 import pearusher.protocol.RequestClasses;
+import pearusher.protocol.UpdatePart;
 
 /**
  * Composes the one message that a proxy gets of a turn, from what was ordered and what its stream
@@ -27,15 +28,15 @@
 
   private final RequestClasses classes;
   private final LongFunction<String> names;
-  private final Map<Integer, TableState> tables;
-  private final GlobalLevels forAll;
+  private final Map<Integer, PublishedTable> tables;
+  private final GlobalAdmissionLevels forAll;
   private final EjectionState ejections;
 
   UpdateComposer(
       RequestClasses classes,
       LongFunction<String> names,
-      Map<Integer, TableState> tables,
-      GlobalLevels forAll,
+      Map<Integer, PublishedTable> tables,
+      GlobalAdmissionLevels forAll,
       EjectionState ejections) {
     this.classes = classes;
     this.names = names;
@@ -48,8 +49,8 @@
    * The parts of a proxy's message; none where there is nothing to say. {@code mark}: null for
    * none.
    */
-  List<Message.Part> compose(ProxyStreamState proxy, MarkOrder mark) {
-    List<Message.Part> out = new ArrayList<>();
+  List<UpdatePart> compose(ProxyStreamState proxy, MarkOrder mark) {
+    List<UpdatePart> out = new ArrayList<>();
     needs(proxy).forEach((need, which) -> tableParts(out, proxy, which, need));
     addEjections(out, proxy, mark);
     // Levels for all go along with the next message to who has not heard them.
@@ -62,35 +63,34 @@
   private Map<TableNeed, Integer> needs(ProxyStreamState proxy) {
     Map<TableNeed, Integer> out = new LinkedHashMap<>();
     for (int k = 0; k < classes.count(); k++) {
-      TableState table = bound(proxy, k);
+      PublishedTable table = bound(proxy, k);
       boolean whole = table != null && (proxy.whole[k] || table.cleared);
       out.merge(new TableNeed(proxy.table[k], whole), 1 << k, (a, b) -> a | b);
     }
     return out;
   }
 
-  private TableState bound(ProxyStreamState proxy, int grade) {
+  private PublishedTable bound(ProxyStreamState proxy, int grade) {
     int number = proxy.table[grade];
     return number == ProxyStreamState.UNBOUND ? null : tables.get(number);
   }
 
   /** The lines of one table, and the levels of its classes, for the classes that share them. */
-  private void tableParts(
-      List<Message.Part> out, ProxyStreamState proxy, int which, TableNeed need) {
+  private void tableParts(List<UpdatePart> out, ProxyStreamState proxy, int which, TableNeed need) {
     if (need.number() == ProxyStreamState.UNBOUND) {
       return;
     }
-    TableState table = tables.get(need.number());
+    PublishedTable table = tables.get(need.number());
     boolean whole = need.whole();
-    Map<Message.Level, Integer> levels = levels(proxy, table, which, whole);
+    Map<AdmissionLevel, Integer> levels = levels(proxy, table, which, whole);
     boolean one = levels.size() == 1 && levels.containsValue(which);
-    Message.Level with = one ? levels.keySet().iterator().next() : null;
+    AdmissionLevel with = one ? levels.keySet().iterator().next() : null;
     List<Map<String, Double>> pieces = pieces(lines(proxy, table, whole));
     for (int i = 0; i < pieces.size(); i++) {
       boolean last = i == pieces.size() - 1;
       if ((whole && i == 0) || !pieces.get(i).isEmpty() || with != null) {
         out.add(
-            new Message.Part(
+            new UpdatePart(
                 classes.names(which),
                 whole && i == 0,
                 pieces.get(i),
@@ -105,7 +105,7 @@
     }
   }
 
-  private Map<String, Double> lines(ProxyStreamState proxy, TableState table, boolean whole) {
+  private Map<String, Double> lines(ProxyStreamState proxy, PublishedTable table, boolean whole) {
     Map<String, Double> out = new LinkedHashMap<>();
     if (!whole && proxy.lacks != null) {
       out.putAll(proxy.lacks.lines());
@@ -117,16 +117,16 @@
   }
 
   /** The classes by the level that is due for them. */
-  private Map<Message.Level, Integer> levels(
-      ProxyStreamState proxy, TableState table, int which, boolean whole) {
-    Map<Message.Level, Integer> out = new LinkedHashMap<>();
+  private Map<AdmissionLevel, Integer> levels(
+      ProxyStreamState proxy, PublishedTable table, int which, boolean whole) {
+    Map<AdmissionLevel, Integer> out = new LinkedHashMap<>();
     boolean lacks = !whole && proxy.lacks != null;
     for (int k = 0; k < classes.count(); k++) {
       boolean due =
           whole
               || (lacks && proxy.lacks.levels().containsKey(k))
               || ((table.changedLevels | forAll.changed()) >> k & 1) != 0;
-      Message.Level level = (which >> k & 1) != 0 && due ? forAll.effective(table, k) : null;
+      AdmissionLevel level = (which >> k & 1) != 0 && due ? forAll.effective(table, k) : null;
       if (level != null) {
         out.merge(level, 1 << k, (a, b) -> a | b);
       }
@@ -134,8 +134,8 @@
     return out;
   }
 
-  private Message.Part levelPart(Message.Level level, int which) {
-    return new Message.Part(classes.names(which), false, Map.of(), level, List.of(), List.of(), -1);
+  private UpdatePart levelPart(AdmissionLevel level, int which) {
+    return new UpdatePart(classes.names(which), false, Map.of(), level, List.of(), List.of(), -1);
   }
 
   private static List<Map<String, Double>> pieces(Map<String, Double> lines) {
@@ -151,7 +151,7 @@
   }
 
   /** Ejections, reinstatements and the mark go into the last part. */
-  private void addEjections(List<Message.Part> out, ProxyStreamState proxy, MarkOrder mark) {
+  private void addEjections(List<UpdatePart> out, ProxyStreamState proxy, MarkOrder mark) {
     List<String> shut = new ArrayList<>();
     List<String> back = new ArrayList<>();
     ejections(proxy)
@@ -163,12 +163,12 @@
     boolean said = !shut.isEmpty() || !back.isEmpty();
     boolean marked = mark != null && (mark.toAll() || !out.isEmpty() || said);
     if (marked || said) {
-      Message.Part last =
+      UpdatePart last =
           out.isEmpty()
-              ? new Message.Part(null, false, Map.of(), null, shut, back, -1)
+              ? new UpdatePart(null, false, Map.of(), null, shut, back, -1)
               : out.remove(out.size() - 1);
       out.add(
-          new Message.Part(
+          new UpdatePart(
               last.classes(),
               last.whole(),
               last.lines(),
@@ -207,7 +207,7 @@
               }
             });
     for (int k = 0; k < proxy.table.length; k++) {
-      TableState table = bound(proxy, k);
+      PublishedTable table = bound(proxy, k);
       if (table != null) {
         Set<Long> brought = proxy.whole[k] ? table.lines.keySet() : table.changed;
         brought.stream()
@@ -221,8 +221,8 @@
   }
 
   /** Levels for all, for classes for which the proxy goes by what it brought along. */
-  private void addLevelsForAll(List<Message.Part> out, ProxyStreamState proxy) {
-    Map<Message.Level, Integer> levels = new LinkedHashMap<>();
+  private void addLevelsForAll(List<UpdatePart> out, ProxyStreamState proxy) {
+    Map<AdmissionLevel, Integer> levels = new LinkedHashMap<>();
     for (int k = 0; k < classes.count(); k++) {
       if (proxy.table[k] == ProxyStreamState.UNBOUND
           && forAll.get(k) != null
--- a/src/main/java/pearusher/recovery/Rejoin.java
+++ b/src/main/java/pearusher/recovery/CatchUp.java
@@ -1,6 +1,7 @@
 package pearusher.recovery;
 
 import java.util.Map;
+import pearusher.policy.AdmissionLevel;
 
 /**
  * What a proxy that joins lacks of its table: lines with their weights (0: taken out), levels by
@@ -11,10 +12,10 @@
  * @param announced of which servers it was told before that they are out (true), or back, or may
  *     believe so
  */
-public record Rejoin(
+public record CatchUp(
     int table,
     Map<String, Double> lines,
-    Map<Integer, Level> levels,
+    Map<Integer, AdmissionLevel> levels,
     Map<String, Boolean> ejections,
     Map<String, Boolean> announced) {
 
--- a/src/main/java/pearusher/recovery/MissingOrders.java
+++ b/src/main/java/pearusher/recovery/CatchUpBuilder.java
@@ -3,16 +3,17 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
+import pearusher.policy.AdmissionLevel;
 
 /**
  * Tells what a proxy lacks of its table since the turn for which it has last answered. It keeps
  * nothing.
  */
-final class MissingOrders {
-  private MissingOrders() {}
+final class CatchUpBuilder {
+  private CatchUpBuilder() {}
 
   /** Null where that can't be told, and the proxy must get its table whole. */
-  static Rejoin of(LedgerState state, Values.Proxy known) {
+  static CatchUp of(LedgerState state, LedgerCodec.Proxy known) {
     LedgerTable table = state.table(known.table());
     long from = known.applied();
     if (from < known.whole() || from < table.floor) {
@@ -23,7 +24,7 @@
     Map<String, Boolean> before = new HashMap<>();
     table.lines.forEach(
         (server, line) -> {
-          Values.Ejection ejection = state.ejections.get(server);
+          LedgerCodec.Ejection ejection = state.ejections.get(server);
           if (line.turn() <= from) {
             // With a line went how its server stands.
             if (line.weight() > 0) {
@@ -45,11 +46,11 @@
           }
         });
     before.keySet().removeAll(say.keySet());
-    return new Rejoin(known.table(), lines, levels(table, from), say, before);
+    return new CatchUp(known.table(), lines, levels(table, from), say, before);
   }
 
-  private static Map<Integer, Level> levels(LedgerTable table, long from) {
-    Map<Integer, Level> out = new TreeMap<>();
+  private static Map<Integer, AdmissionLevel> levels(LedgerTable table, long from) {
+    Map<Integer, AdmissionLevel> out = new TreeMap<>();
     table.levels.forEach(
         (grade, at) -> {
           if (at.turn() > from) {
--- a/src/main/java/pearusher/recovery/Ledger.java
+++ b/src/main/java/pearusher/recovery/Ledger.java
@@ -7,7 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import pearusher.policy.Assigner;
+import pearusher.policy.AdmissionLevel;
+import pearusher.policy.Idempotency;
+import pearusher.policy.Lifecycle;
 
 /**
  * What this assigner has ordered, turn by turn, as it is to last: each table's lines and levels,
@@ -16,11 +18,11 @@
  * told without keeping old tables.
  *
  * <p>One thread calls it. The changes of a turn go to the store together: whole or not at all. It
- * grows as {@link LedgerState} and {@link OutstandingMarks} do.
+ * grows as {@link LedgerState} and {@link OutstandingAcks} do.
  */
 public final class Ledger {
   private final LedgerState state = new LedgerState();
-  private final OutstandingMarks marks = new OutstandingMarks();
+  private final OutstandingAcks marks = new OutstandingAcks();
   private final String settings;
 
   /**
@@ -32,7 +34,7 @@
   private long turn;
   private long timeUs;
   private int mark;
-  private Doubt doubt = Doubt.EMPTY;
+  private RecoveryTrust doubt = RecoveryTrust.EMPTY;
 
   /** Of the turn at hand: keys that changed, and whether anything was ordered. */
   private final Set<String> changed = new LinkedHashSet<>();
@@ -50,7 +52,7 @@
   /**
    * The ledger that a store's values make, and how far they are believed.
    *
-   * @param given what the store itself says against it: {@link Doubt#NONE} for nothing
+   * @param given what the store itself says against it: {@link RecoveryTrust#NONE} for nothing
    * @param settings names that give positions their meaning: another text is another ledger
    * @param nowUs Unix time in microseconds
    * @param trustUs longest time since the store's last word
@@ -58,28 +60,28 @@
    */
   public static Ledger of(
       Map<String, byte[]> values,
-      Doubt given,
+      RecoveryTrust given,
       String settings,
       long nowUs,
       long trustUs,
       boolean shared) {
     Ledger out = new Ledger(settings, shared);
-    if (!values.containsKey(Values.META)) {
+    if (!values.containsKey(LedgerCodec.META)) {
       return out;
     }
     long epoch = 0;
     try {
-      Values.Meta meta = Values.read(values.get(Values.META), Values::meta);
+      LedgerCodec.Meta meta = LedgerCodec.read(values.get(LedgerCodec.META), LedgerCodec::meta);
       epoch = meta.epoch();
       out.turn = meta.turn();
       out.timeUs = meta.timeUs();
       out.mark = meta.mark();
-      out.doubt = given != Doubt.NONE ? given : out.doubtOf(meta, nowUs, trustUs);
+      out.doubt = given != RecoveryTrust.NONE ? given : out.doubtOf(meta, nowUs, trustUs);
       for (Map.Entry<String, byte[]> one : values.entrySet()) {
         out.state.load(one.getKey(), one.getValue());
       }
     } catch (IOException | RuntimeException e) {
-      out.doubt = Doubt.UNREADABLE;
+      out.doubt = RecoveryTrust.UNREADABLE;
     }
     out.epoch = epoch + 1;
     if (!out.doubt.tablesHold()) {
@@ -89,29 +91,29 @@
   }
 
   /** What speaks against the store's values, by what they say of themselves. */
-  private Doubt doubtOf(Values.Meta meta, long nowUs, long trustUs) {
+  private RecoveryTrust doubtOf(LedgerCodec.Meta meta, long nowUs, long trustUs) {
     if (!meta.settings().equals(settings)) {
-      return Doubt.SETTINGS;
+      return RecoveryTrust.SETTINGS;
     }
     // A little of the future is two clocks of one machine; more is one that jumped.
     if (meta.timeUs() - nowUs > trustUs / 10) {
-      return Doubt.CLOCK;
+      return RecoveryTrust.CLOCK;
     }
     if (nowUs - meta.timeUs() > trustUs) {
-      return Doubt.SILENT;
+      return RecoveryTrust.SILENT;
     }
-    return shared ? Doubt.SHARED : Doubt.NONE;
+    return shared ? RecoveryTrust.SHARED : RecoveryTrust.NONE;
   }
 
   /** Nothing is taken over but what must only rise: the epoch, the turn and the mark. */
   private void forgetAll(Set<String> keys) {
     state.clear();
-    keys.stream().filter(k -> !k.equals(Values.META)).forEach(changed::add);
+    keys.stream().filter(k -> !k.equals(LedgerCodec.META)).forEach(changed::add);
   }
 
   // What was found, for a start.
 
-  public Doubt doubt() {
+  public RecoveryTrust doubt() {
     return doubt;
   }
 
@@ -146,7 +148,7 @@
   }
 
   /** A table's levels by class. A way to repeat what must never run twice is not taken over. */
-  public Map<Integer, Level> levels(int number, List<Assigner.Effect> effects) {
+  public Map<Integer, AdmissionLevel> levels(int number, List<Idempotency> effects) {
     return state.table(number).levels(effects);
   }
 
@@ -165,17 +167,17 @@
   // Events.
 
   /** What a proxy that joins lacks; null where it must get its table whole. */
-  public Rejoin joined(int proxy, boolean fresh) {
+  public CatchUp joined(int proxy, boolean fresh) {
     marks.forget(proxy);
-    Values.Proxy known = state.proxies.get(proxy);
+    LedgerCodec.Proxy known = state.proxies.get(proxy);
     if (known == null || fresh || shared) {
       // Its own word wins: a fresh one holds nothing, whatever was ordered.
       if (state.proxies.remove(proxy) != null) {
-        changed.add(Values.PROXY + proxy);
+        changed.add(LedgerCodec.PROXY + proxy);
       }
       return null;
     }
-    return MissingOrders.of(state, known);
+    return CatchUpBuilder.of(state, known);
   }
 
   /**
@@ -188,8 +190,7 @@
     list.forEach(
         server -> {
           named.add(server.name());
-          if (server.state() == Assigner.State.READY
-              && state.ejections.containsKey(server.name())) {
+          if (server.state() == Lifecycle.READY && state.ejections.containsKey(server.name())) {
             withdraw(server.name(), false, nowUs);
           }
         });
@@ -213,25 +214,25 @@
       Set<String> missing = new HashSet<>(state.servers.keySet());
       said.forEach(one -> missing.remove(one.name()));
       state.servers.keySet().removeAll(missing);
-      missing.forEach(name -> changed.add(Values.SERVER + name));
+      missing.forEach(name -> changed.add(LedgerCodec.SERVER + name));
     }
     if (listGeneration != state.generation) {
       state.generation = listGeneration;
-      changed.add(Values.LIST);
+      changed.add(LedgerCodec.LIST);
     }
     for (ListedServer one : said) {
       if (!one.equals(state.servers.put(one.name(), one))) {
-        changed.add(Values.SERVER + one.name());
+        changed.add(LedgerCodec.SERVER + one.name());
       }
     }
   }
 
   public void forget(String server) {
     if (state.servers.remove(server) != null) {
-      changed.add(Values.SERVER + server);
+      changed.add(LedgerCodec.SERVER + server);
     }
     if (state.ejections.remove(server) != null) {
-      changed.add(Values.EJECTION + server);
+      changed.add(LedgerCodec.EJECTION + server);
     }
   }
 
@@ -241,11 +242,11 @@
 
   /** A proxy has applied all up to a mark. */
   public void applied(int proxy, int number) {
-    Values.Proxy known = state.proxies.get(proxy);
-    long at = known == null ? OutstandingMarks.NOT_SENT : marks.answer(proxy, number);
-    if (at != OutstandingMarks.NOT_SENT) {
-      state.proxies.put(proxy, new Values.Proxy(known.table(), known.whole(), at));
-      changed.add(Values.PROXY + proxy);
+    LedgerCodec.Proxy known = state.proxies.get(proxy);
+    long at = known == null ? OutstandingAcks.NOT_SENT : marks.answer(proxy, number);
+    if (at != OutstandingAcks.NOT_SENT) {
+      state.proxies.put(proxy, new LedgerCodec.Proxy(known.table(), known.whole(), at));
+      changed.add(LedgerCodec.PROXY + proxy);
     }
   }
 
@@ -254,8 +255,8 @@
   public void line(int number, String server, double weight) {
     LedgerTable table = state.table(number);
     if (weight > 0 || table.lines.containsKey(server)) {
-      table.lines.put(server, new Values.Line(Math.max(0, weight), turn + 1));
-      changed.add(Values.lineKey(number, server));
+      table.lines.put(server, new LedgerCodec.Line(Math.max(0, weight), turn + 1));
+      changed.add(LedgerCodec.lineKey(number, server));
       ordered = true;
     }
   }
@@ -263,7 +264,7 @@
   public void clear(int number) {
     lines(number).keySet().forEach(server -> line(number, server, 0));
     LedgerTable table = state.table(number);
-    table.levels.keySet().forEach(grade -> changed.add(Values.levelKey(number, grade)));
+    table.levels.keySet().forEach(grade -> changed.add(LedgerCodec.levelKey(number, grade)));
     table.levels.clear();
     // That levels are gone can't be told a proxy by its lines: it gets the table whole.
     floor(number, table, turn + 1);
@@ -272,38 +273,38 @@
 
   private void floor(int number, LedgerTable table, long at) {
     table.floor = at;
-    changed.add(Values.floorKey(number));
+    changed.add(LedgerCodec.floorKey(number));
   }
 
   /** A server is out, or back; what was said already is not said again. */
   public void withdraw(String server, boolean out, long nowUs) {
-    Values.Ejection old = state.ejections.get(server);
+    LedgerCodec.Ejection old = state.ejections.get(server);
     if (old != null && old.out() == out) {
       return;
     }
-    state.ejections.put(server, new Values.Ejection(out, turn + 1, nowUs));
-    changed.add(Values.EJECTION + server);
+    state.ejections.put(server, new LedgerCodec.Ejection(out, turn + 1, nowUs));
+    changed.add(LedgerCodec.EJECTION + server);
     ordered = true;
   }
 
   /** A proxy is bound for all classes to one table; {@code whole}: it is sent all of it. */
   public void bind(int proxy, int number, boolean whole) {
-    Values.Proxy known = state.proxies.get(proxy);
+    LedgerCodec.Proxy known = state.proxies.get(proxy);
     state.proxies.put(
-        proxy, whole || known == null ? new Values.Proxy(number, turn + 1, 0) : known);
-    changed.add(Values.PROXY + proxy);
+        proxy, whole || known == null ? new LedgerCodec.Proxy(number, turn + 1, 0) : known);
+    changed.add(LedgerCodec.PROXY + proxy);
     ordered = true;
   }
 
   /** A proxy is bound in another way than this ledger can tell: it always gets its tables whole. */
   public void unbind(int proxy) {
     state.proxies.remove(proxy);
-    changed.add(Values.PROXY + proxy);
+    changed.add(LedgerCodec.PROXY + proxy);
   }
 
-  public void admit(int number, int grade, Level level) {
-    state.table(number).levels.put(grade, new Values.LevelAt(level, turn + 1));
-    changed.add(Values.levelKey(number, grade));
+  public void admit(int number, int grade, AdmissionLevel level) {
+    state.table(number).levels.put(grade, new LedgerCodec.LevelAt(level, turn + 1));
+    changed.add(LedgerCodec.levelKey(number, grade));
     ordered = true;
   }
 
@@ -347,12 +348,14 @@
     prune();
     timeUs = Math.max(timeUs, nowUs);
     Map<String, byte[]> out = new LinkedHashMap<>();
-    changed.remove(Values.META);
+    changed.remove(LedgerCodec.META);
     for (String key : changed) {
       out.put(key, state.value(key));
     }
     changed.clear();
-    out.put(Values.META, Values.of(new Values.Meta(epoch, turn, timeUs, mark, settings)));
+    out.put(
+        LedgerCodec.META,
+        LedgerCodec.of(new LedgerCodec.Meta(epoch, turn, timeUs, mark, settings)));
     return out;
   }
 
@@ -370,14 +373,14 @@
           long answered =
               state.proxies.values().stream()
                   .filter(p -> p.table() == number)
-                  .mapToLong(Values.Proxy::applied)
+                  .mapToLong(LedgerCodec.Proxy::applied)
                   .min()
                   .orElse(turn);
           long upTo = table.pruneTurn(answered);
           if (upTo > answered) {
             floor(number, table, Math.max(table.floor, upTo));
           }
-          table.prune(upTo).forEach(server -> changed.add(Values.lineKey(number, server)));
+          table.prune(upTo).forEach(server -> changed.add(LedgerCodec.lineKey(number, server)));
         });
   }
 }
--- a/src/main/java/pearusher/recovery/Values.java
+++ b/src/main/java/pearusher/recovery/LedgerCodec.java
@@ -6,13 +6,14 @@
 import java.io.DataOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import pearusher.policy.Assigner;
+import pearusher.policy.AdmissionLevel;
+import pearusher.policy.Lifecycle;
 
 /**
  * The store's keys and the bytes of their values, specified in docs/store.md; the one place that
  * knows them.
  */
-final class Values {
+final class LedgerCodec {
   static final String META = "m";
   static final String LIST = "g";
   static final String SERVER = "s/";
@@ -94,7 +95,7 @@
 
   record Line(double weight, long turn) {}
 
-  record LevelAt(Level level, long turn) {}
+  record LevelAt(AdmissionLevel level, long turn) {}
 
   /** A server that is out or back. */
   record Ejection(boolean out, long turn, long timeUs) {}
@@ -111,7 +112,7 @@
     T read(DataInputStream from) throws IOException;
   }
 
-  private Values() {}
+  private LedgerCodec() {}
 
   private static byte[] bytes(Body body) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(32);
@@ -172,7 +173,7 @@
   }
 
   static LevelAt level(DataInputStream from) throws IOException {
-    return new LevelAt(new Level(from.readDouble(), from.readByte()), from.readLong());
+    return new LevelAt(new AdmissionLevel(from.readDouble(), from.readByte()), from.readLong());
   }
 
   static byte[] of(Ejection e) {
@@ -226,7 +227,7 @@
     int kind = from.readInt();
     int cell = from.readInt();
     int state = from.readByte();
-    if (state < 0 || state >= Assigner.State.values().length) {
+    if (state < 0 || state >= Lifecycle.values().length) {
       throw new IOException("no state " + state);
     }
     return new ListedServer(
@@ -235,7 +236,7 @@
         zone,
         kind,
         cell,
-        Assigner.State.values()[state],
+        Lifecycle.values()[state],
         from.readDouble(),
         from.readLong());
   }
--- a/src/main/java/pearusher/recovery/LedgerState.java
+++ b/src/main/java/pearusher/recovery/LedgerState.java
@@ -16,9 +16,9 @@
   final Map<Integer, LedgerTable> tables = new TreeMap<>();
 
   /** Servers that are out or back, by name. */
-  final Map<String, Values.Ejection> ejections = new HashMap<>();
+  final Map<String, LedgerCodec.Ejection> ejections = new HashMap<>();
 
-  final Map<Integer, Values.Proxy> proxies = new HashMap<>();
+  final Map<Integer, LedgerCodec.Proxy> proxies = new HashMap<>();
   final Map<String, ListedServer> servers = new HashMap<>();
   long generation;
 
@@ -36,43 +36,46 @@
 
   /** Takes over a stored value; a key that is not of the state is passed over. */
   void load(String text, byte[] value) throws IOException {
-    Values.Key key = Values.Key.of(text);
+    LedgerCodec.Key key = LedgerCodec.Key.of(text);
     switch (key.kind()) {
-      case LINE -> table(key.table()).lines.put(key.name(), Values.read(value, Values::line));
-      case LEVEL -> table(key.table()).levels.put(key.number(), Values.read(value, Values::level));
-      case FLOOR -> table(key.table()).floor = Values.read(value, DataInputStream::readLong);
+      case LINE ->
+          table(key.table()).lines.put(key.name(), LedgerCodec.read(value, LedgerCodec::line));
+      case LEVEL ->
+          table(key.table()).levels.put(key.number(), LedgerCodec.read(value, LedgerCodec::level));
+      case FLOOR -> table(key.table()).floor = LedgerCodec.read(value, DataInputStream::readLong);
       case OTHER_OF_TABLE -> table(key.table());
-      case EJECTION -> ejections.put(key.name(), Values.read(value, Values::ejection));
-      case PROXY -> proxies.put(key.number(), Values.read(value, Values::proxy));
+      case EJECTION -> ejections.put(key.name(), LedgerCodec.read(value, LedgerCodec::ejection));
+      case PROXY -> proxies.put(key.number(), LedgerCodec.read(value, LedgerCodec::proxy));
       case SERVER ->
-          servers.put(key.name(), Values.read(value, from -> Values.server(key.name(), from)));
-      case LIST -> generation = Values.read(value, DataInputStream::readLong);
+          servers.put(
+              key.name(), LedgerCodec.read(value, from -> LedgerCodec.server(key.name(), from)));
+      case LIST -> generation = LedgerCodec.read(value, DataInputStream::readLong);
       case OTHER -> {}
     }
   }
 
   /** The value to store; null where there is none. */
   byte[] value(String text) {
-    Values.Key key = Values.Key.of(text);
+    LedgerCodec.Key key = LedgerCodec.Key.of(text);
     return switch (key.kind()) {
       case LINE, LEVEL, FLOOR, OTHER_OF_TABLE -> tableValue(key);
-      case EJECTION -> bytes(ejections.get(key.name()), Values::of);
-      case PROXY -> bytes(proxies.get(key.number()), Values::of);
-      case SERVER -> bytes(servers.get(key.name()), Values::of);
-      case LIST -> generation > 0 ? Values.of(generation) : null;
+      case EJECTION -> bytes(ejections.get(key.name()), LedgerCodec::of);
+      case PROXY -> bytes(proxies.get(key.number()), LedgerCodec::of);
+      case SERVER -> bytes(servers.get(key.name()), LedgerCodec::of);
+      case LIST -> generation > 0 ? LedgerCodec.of(generation) : null;
       case OTHER -> null;
     };
   }
 
-  private byte[] tableValue(Values.Key key) {
+  private byte[] tableValue(LedgerCodec.Key key) {
     LedgerTable table = tables.get(key.table());
     if (table == null) {
       return null;
     }
     return switch (key.kind()) {
-      case LINE -> bytes(table.lines.get(key.name()), Values::of);
-      case LEVEL -> bytes(table.levels.get(key.number()), Values::of);
-      case FLOOR -> Values.of(table.floor);
+      case LINE -> bytes(table.lines.get(key.name()), LedgerCodec::of);
+      case LEVEL -> bytes(table.levels.get(key.number()), LedgerCodec::of);
+      case FLOOR -> LedgerCodec.of(table.floor);
       default -> null;
     };
   }
--- a/src/main/java/pearusher/recovery/LedgerTable.java
+++ b/src/main/java/pearusher/recovery/LedgerTable.java
@@ -4,7 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import pearusher.policy.Assigner;
+import pearusher.policy.AdmissionLevel;
+import pearusher.policy.Idempotency;
 
 /**
  * One table of the ledger: its lines, also those taken out as long as proxies may hold them, and
@@ -24,8 +25,8 @@
    */
   private static final int SAFE_RETRY = 1;
 
-  final Map<String, Values.Line> lines = new TreeMap<>();
-  final Map<Integer, Values.LevelAt> levels = new TreeMap<>();
+  final Map<String, LedgerCodec.Line> lines = new TreeMap<>();
+  final Map<Integer, LedgerCodec.LevelAt> levels = new TreeMap<>();
 
   /** What a proxy lacks is known from this turn on only. */
   long floor;
@@ -43,15 +44,15 @@
   }
 
   /** The levels by class. A way to repeat what must never run twice is not taken over. */
-  Map<Integer, Level> levels(List<Assigner.Effect> effects) {
-    Map<Integer, Level> out = new TreeMap<>();
+  Map<Integer, AdmissionLevel> levels(List<Idempotency> effects) {
+    Map<Integer, AdmissionLevel> out = new TreeMap<>();
     levels.forEach(
         (grade, at) -> {
           int retry =
-              effects.get(grade) == Assigner.Effect.UNSAFE
+              effects.get(grade) == Idempotency.UNSAFE
                   ? Math.min(SAFE_RETRY, at.level().retry())
                   : at.level().retry();
-          out.put(grade, new Level(at.level().level(), retry));
+          out.put(grade, new AdmissionLevel(at.level().level(), retry));
         });
     return out;
   }
@@ -69,7 +70,7 @@
     long[] turns =
         lines.values().stream()
             .filter(l -> l.weight() <= 0)
-            .mapToLong(Values.Line::turn)
+            .mapToLong(LedgerCodec.Line::turn)
             .sorted()
             .toArray();
     return Math.max(answeredTurn, turns[turns.length / 2]);
--- a/src/main/java/pearusher/recovery/ListedServer.java
+++ b/src/main/java/pearusher/recovery/ListedServer.java
@@ -1,14 +1,17 @@
 package pearusher.recovery;
 
-import pearusher.policy.Assigner;
+import pearusher.policy.AssignmentPolicy;
+import pearusher.policy.Lifecycle;
 
-/** What the list last said of a server; positions and times as in {@link Assigner.Entry}. */
+/**
+ * What the list last said of a server; positions and times as in {@link AssignmentPolicy.Entry}.
+ */
 public record ListedServer(
     String name,
     String hostPort,
     int zone,
     int kind,
     int cell,
-    Assigner.State state,
+    Lifecycle state,
     double weight,
     long startedUs) {}
--- a/src/main/java/pearusher/recovery/OutstandingMarks.java
+++ b/src/main/java/pearusher/recovery/OutstandingAcks.java
@@ -8,7 +8,7 @@
  * The marks that proxies have not answered yet, with the turns that sent them. It grows with the
  * proxies that are joined and the marks that each owes, up to {@link #MOST_MARKS}.
  */
-final class OutstandingMarks {
+final class OutstandingAcks {
   /** Marks that a proxy may owe. */
   private static final int MOST_MARKS = 1000;
 
