--- a/src/main/java/pearusher/recovery/KnownList.java
+++ b/src/main/java/pearusher/recovery/RecoveredServerList.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pearusher.policy.Assigner;
+import pearusher.policy.Lifecycle;
 
 /**
  * The list of servers that a start begins with, made of the one it was given and the one in the
@@ -12,20 +12,21 @@
  *
  * @param generation from which discovery is asked for changes; 0: for the whole list
  */
-public record KnownList(long generation, List<ListedServer> servers) {
+public record RecoveredServerList(long generation, List<ListedServer> servers) {
 
   /**
    * The newer of two lists. Where the older one says of a server, in the same life of it, that it
    * drains or is gone, that holds: a list's number may have begun anew, and a server is rather
    * missed for a moment than revived. Discovery then is asked for the whole list, which settles it.
    */
-  public static KnownList merge(KnownList given, Ledger ledger) {
+  public static RecoveredServerList merge(RecoveredServerList given, Ledger ledger) {
     if (!ledger.doubt().tablesHold() || ledger.servers().isEmpty()) {
       return given;
     }
-    KnownList stored = new KnownList(ledger.generation(), List.copyOf(ledger.servers().values()));
+    RecoveredServerList stored =
+        new RecoveredServerList(ledger.generation(), List.copyOf(ledger.servers().values()));
     boolean newer = stored.generation() >= given.generation();
-    KnownList base = newer ? stored : given;
+    RecoveredServerList base = newer ? stored : given;
     Map<String, ListedServer> other = new HashMap<>();
     (newer ? given : stored).servers().forEach(s -> other.put(s.name(), s));
     List<ListedServer> out = new ArrayList<>();
@@ -34,7 +35,7 @@
       ListedServer old = other.get(one.name());
       boolean worse =
           old != null
-              && one.state() == Assigner.State.READY
+              && one.state() == Lifecycle.READY
               && old.state() != one.state()
               && old.startedUs() >= one.startedUs();
       settled &= !worse;
@@ -51,6 +52,6 @@
                   one.weight(),
                   one.startedUs()));
     }
-    return new KnownList(settled ? base.generation() : 0, out);
+    return new RecoveredServerList(settled ? base.generation() : 0, out);
   }
 }
--- a/src/main/java/pearusher/recovery/Doubt.java
+++ b/src/main/java/pearusher/recovery/RecoveryTrust.java
@@ -1,7 +1,7 @@
 package pearusher.recovery;
 
 /** Why a start believes less of what it found than all; the text is for the log. */
-public enum Doubt {
+public enum RecoveryTrust {
   NONE("all of it is believed"),
   /** Nothing was there. */
   EMPTY("it is new"),
@@ -22,7 +22,7 @@
 
   private final String text;
 
-  Doubt(String text) {
+  RecoveryTrust(String text) {
     this.text = text;
   }
 
--- a/src/main/java/pearusher/server/Serve.java
+++ b/src/main/java/pearusher/server/AssignerServer.java
@@ -13,59 +13,61 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import org.tinylog.Logger;
-import pearusher.config.Config;
-import pearusher.control.Durable;
-import pearusher.control.Exchange;
-import pearusher.control.SharedIntake;
-import pearusher.discovery.Outbound;
-import pearusher.policy.Assigner;
+import pearusher.config.AssignerConfig;
+import pearusher.control.Controller;
+import pearusher.control.DurablePublisher;
+import pearusher.control.SynchronizedIntake;
+import pearusher.discovery.DiscoveryClient;
+import pearusher.policy.AssignmentPolicy;
+import pearusher.policy.PolicyCommands;
+import pearusher.policy.PolicySettings;
 import pearusher.sitesettings.SettingsException;
-import pearusher.transport.Peers;
-import pearusher.transport.Streams;
+import pearusher.transport.PeerSocket;
+import pearusher.transport.StreamServer;
 
 /**
  * The life of one assigner: it reads the configuration, puts the parts together, starts and stops
  * them, and says how the process ends. It must never do any part's work.
  */
-public final class Serve {
+public final class AssignerServer {
   private static final int THREADS = 8;
 
   /** How often a store is looked at. */
   private static final long LOOK_MS = 100;
 
-  private final Exchange exchange;
+  private final Controller exchange;
   private final QueuedThreadPool threads = new QueuedThreadPool(THREADS, 4);
   private final ScheduledExecutorScheduler scheduler =
       new ScheduledExecutorScheduler("timers", true);
-  private final Streams streams;
-  private final Outbound outbound;
-  private final Peers peers;
+  private final StreamServer streams;
+  private final DiscoveryClient outbound;
+  private final PeerSocket peers;
   private final Thread decisions;
 
-  private final Durable durable;
+  private final DurablePublisher durable;
 
-  Serve(
-      Config config,
-      BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker,
+  AssignerServer(
+      AssignerConfig config,
+      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker,
       LongSupplier clock,
       Consumer<Throwable> failed) {
     this(config, maker, clock, failed, null, null);
   }
 
-  Serve(
-      Config config,
-      BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker,
+  AssignerServer(
+      AssignerConfig config,
+      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker,
       LongSupplier clock,
       Consumer<Throwable> failed,
-      Durable durable,
-      SharedIntake intake) {
+      DurablePublisher durable,
+      SynchronizedIntake intake) {
     this.durable = durable;
     threads.setName("io");
     threads.setDaemon(true);
-    exchange = new Exchange(config, maker, clock, failed, durable, intake);
-    streams = new Streams(config, exchange, threads, scheduler);
-    outbound = new Outbound(config, exchange, threads, scheduler);
-    peers = new Peers(config, exchange, threads);
+    exchange = new Controller(config, maker, clock, failed, durable, intake);
+    streams = new StreamServer(config, exchange, threads, scheduler);
+    outbound = new DiscoveryClient(config, exchange, threads, scheduler);
+    peers = new PeerSocket(config, exchange, threads);
     exchange.connect(outbound, peers);
     decisions = new Thread(exchange::run, "decisions");
     decisions.setDaemon(true);
@@ -94,23 +96,23 @@
     scheduler.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
   }
 
-  Exchange exchange() {
+  Controller exchange() {
     return exchange;
   }
 
-  Peers peers() {
+  PeerSocket peers() {
     return peers;
   }
 
   /** A new configuration for the parts that take it; a watch begins anew where discovery is now. */
-  void reload(Config now) {
+  void reload(AssignerConfig now) {
     streams.reload(now);
     peers.reload(now);
     outbound.reload(now);
     exchange.moved();
   }
 
-  Streams streams() {
+  StreamServer streams() {
     return streams;
   }
 
@@ -129,23 +131,23 @@
   /** The process without settings of the operators': everything that they switch on is off. */
   public static int run(
       Map<String, String> environment,
-      BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker) {
-    return run(environment, maker, Extras.NONE);
+      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker) {
+    return run(environment, maker, OptionalFeatures.NONE);
   }
 
   /** The process: 0 after SIGTERM, 1 where it fails, 2 for a faulty configuration. */
   public static int run(
       Map<String, String> environment,
-      BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker,
-      Extras extras) {
+      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker,
+      OptionalFeatures extras) {
     // Asked for too early, the file is read again once all is there: it may be newer than what was
     // read.
     AtomicBoolean early = new AtomicBoolean();
     AtomicReference<Runnable> reload = new AtomicReference<>(() -> early.set(true));
     onHangUp(() -> reload.get().run());
-    Config config;
+    AssignerConfig config;
     try {
-      config = Config.read(environment);
+      config = AssignerConfig.read(environment);
     } catch (SettingsException e) {
       System.err.println("pearusher: " + e.getMessage());
       return 2;
@@ -163,18 +165,20 @@
           Logger.error(failure, "the module failed, ending with status 1");
           Runtime.getRuntime().halt(1);
         };
-    Durable durable;
+    DurablePublisher durable;
     try {
       durable =
           extras.keeping() == null
               ? null
-              : Durable.open(config, extras.keeping(), Exchange.unixClock());
+              : DurablePublisher.open(config, extras.keeping(), Controller.unixClock());
     } catch (IOException e) {
       Logger.error("can't start on the store: {}", e.getMessage());
       return 1;
     }
-    SharedIntake intake = extras.intake() == null ? null : new SharedIntake(extras.intake());
-    Serve serve = new Serve(config, maker, Exchange.unixClock(), failed, durable, intake);
+    SynchronizedIntake intake =
+        extras.intake() == null ? null : new SynchronizedIntake(extras.intake());
+    AssignerServer serve =
+        new AssignerServer(config, maker, Controller.unixClock(), failed, durable, intake);
     Runtime.getRuntime()
         .addShutdownHook(
             new Thread(
@@ -206,13 +210,13 @@
     return 1;
   }
 
-  private Runnable reloading(Config first, Map<String, String> environment) {
+  private Runnable reloading(AssignerConfig first, Map<String, String> environment) {
     return () -> {
       // Each signal comes on a thread of its own: the last to read must be the last to be taken
       // over.
       synchronized (this) {
         try {
-          Config now = first.reload(environment);
+          AssignerConfig now = first.reload(environment);
           Logger.info("reload: discovery {}", text(now.discovery()));
           reload(now);
         } catch (SettingsException | RuntimeException e) {
@@ -236,7 +240,7 @@
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
       Object taker =
           Proxy.newProxyInstance(
-              Serve.class.getClassLoader(),
+              AssignerServer.class.getClassLoader(),
               new Class<?>[] {handler},
               (self, method, args) -> {
                 if (method.getName().equals("handle")) {
--- a/src/main/java/pearusher/server/Extras.java
+++ b/src/main/java/pearusher/server/OptionalFeatures.java
@@ -1,6 +1,6 @@
 package pearusher.server;
 
-import pearusher.control.Keeping;
+import pearusher.control.PersistenceOptions;
 import pearusher.intake.Intake;
 
 /**
@@ -9,7 +9,7 @@
  * @param keeping a memory on disk
  * @param intake bounds of the reports that wait
  */
-public record Extras(Keeping keeping, Intake.Bounds intake) {
+public record OptionalFeatures(PersistenceOptions keeping, Intake.Bounds intake) {
   /** Everything off. */
-  public static final Extras NONE = new Extras(null, null);
+  public static final OptionalFeatures NONE = new OptionalFeatures(null, null);
 }
--- a/src/main/java/pearusher/server/WarmUp.java
+++ b/src/main/java/pearusher/server/WarmUp.java
@@ -5,11 +5,17 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BiFunction;
 import org.tinylog.Logger;
-import pearusher.config.Config;
-import pearusher.control.Exchange;
-import pearusher.policy.Assigner;
+import pearusher.config.AssignerConfig;
+import pearusher.control.Controller;
+import pearusher.control.OutboundCalls;
+import pearusher.control.ProxyStream;
+import pearusher.policy.AssignmentPolicy;
+import pearusher.policy.PolicyCommands;
+import pearusher.policy.PolicySettings;
+import pearusher.protocol.Endpoint;
+import pearusher.protocol.EndpointList;
 import pearusher.protocol.Message;
-import pearusher.protocol.Resp;
+import pearusher.protocol.RespCodec;
 
 /**
  * Runs the way of an event from bytes to decision to bytes on invented periods, before the first
@@ -34,14 +40,14 @@
   private static final int MOST_ZONES = 8;
 
   /** An exchange to which the outside world is nothing. */
-  private static final class Silent extends Exchange {
+  private static final class Silent extends Controller {
     Silent(
-        Config config,
-        BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker,
+        AssignerConfig config,
+        BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker,
         AtomicLong clock) {
       super(config, maker, clock::get, failure -> {});
       connect(
-          new Calls() {
+          new OutboundCalls() {
             @Override
             public void watch(boolean on, long since) {}
 
@@ -62,12 +68,12 @@
   }
 
   /** A stream whose proxy reads nothing; each message is read back as a proxy would. */
-  private record Nobody() implements Exchange.Stream {
+  private record Nobody() implements ProxyStream {
     @Override
     public void send(byte[] message) {
-      try (Resp.Reader reader = new Resp.Reader(Resp.MOST)) {
+      try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MOST)) {
         reader.next(ByteBuffer.wrap(message));
-      } catch (Resp.Fault e) {
+      } catch (RespCodec.Fault e) {
         throw new IllegalStateException(e);
       }
     }
@@ -78,21 +84,22 @@
 
   private WarmUp() {}
 
-  static void run(Config whole, BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker) {
-    Config config = whole.withFewerKnown(MOST_SERVERS);
+  static void run(
+      AssignerConfig whole, BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker) {
+    AssignerConfig config = whole.withFewerKnown(MOST_SERVERS);
     AtomicLong clock = new AtomicLong(1_000_000_000_000_000L);
-    Exchange exchange = new Silent(config, maker, clock);
+    Controller exchange = new Silent(config, maker, clock);
     long end = System.nanoTime() + MOST_NS;
     int period = 0;
-    try (Resp.Reader reader = new Resp.Reader(Resp.MOST)) {
+    try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MOST)) {
       exchange.begin();
-      exchange.listed(new Message.Listing(config.known().generation(), false, List.of()), true);
+      exchange.listed(new EndpointList(config.known().generation(), false, List.of()), true);
       while (period < PERIODS && System.nanoTime() < end) {
         clock.addAndGet(config.settings().periodUs());
         period(config, exchange, reader, period++);
         exchange.turn();
       }
-    } catch (Resp.Fault | Message.Fault e) {
+    } catch (RespCodec.Fault | Message.Fault e) {
       throw new IllegalStateException(e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -100,21 +107,22 @@
     Logger.debug("warmed up by {} periods", period);
   }
 
-  private static void period(Config config, Exchange exchange, Resp.Reader reader, int period)
-      throws Resp.Fault, Message.Fault {
+  private static void period(
+      AssignerConfig config, Controller exchange, RespCodec.Reader reader, int period)
+      throws RespCodec.Fault, Message.Fault {
     List<String> zones = config.names().zones().keySet().stream().limit(MOST_ZONES).toList();
     for (int p = 0; p < Math.min(MOST_PROXIES, config.settings().proxies()); p++) {
       String zone = zones.get(p % zones.size());
       if (period == 0) {
         exchange.joined(
             new Nobody(),
-            (Message.Joined)
+            (Message.ProxyJoin)
                 read(
                     config, reader, "joined proxy " + p + " zone " + zone + " weight 5.5 fresh 1"));
       }
       for (String grade : config.names().classes()) {
         exchange.usage(
-            (Message.Usage)
+            (Message.UsageReport)
                 read(
                     config,
                     reader,
@@ -127,11 +135,11 @@
                         + " failed 0 span_ms 1000.0"));
       }
     }
-    for (Message.Instance one : config.known().instances()) {
+    for (Endpoint one : config.known().instances()) {
       for (String zone : zones) {
         int ms = 20 + (one.server().hashCode() + period * 7 & 63);
         exchange.heard(
-            (Message.Heard)
+            (Message.LoadReport)
                 read(
                     config,
                     reader,
@@ -148,9 +156,9 @@
     }
   }
 
-  private static Message read(Config config, Resp.Reader reader, String line)
-      throws Resp.Fault, Message.Fault {
-    List<String> words = reader.next(ByteBuffer.wrap(Resp.write(List.of(line.split(" ")))));
+  private static Message read(AssignerConfig config, RespCodec.Reader reader, String line)
+      throws RespCodec.Fault, Message.Fault {
+    List<String> words = reader.next(ByteBuffer.wrap(RespCodec.write(List.of(line.split(" ")))));
     return Message.read(words, config.names(), config.settings());
   }
 }
--- a/src/main/java/pearusher/simulator/Reply.java
+++ b/src/main/java/pearusher/simulator/ReplyWriter.java
@@ -4,10 +4,10 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import pearusher.policy.Assigner;
+import pearusher.policy.PolicyCommands;
 
 /** Builds one reply: the orders of all instances, each led by the instance they belong to. */
-final class Reply implements Assigner.Orders {
+final class ReplyWriter implements PolicyCommands {
   private static final int HEADER = 8;
   private ByteBuffer buf = ByteBuffer.allocate(1 << 14).order(ByteOrder.LITTLE_ENDIAN);
   private int records;
--- a/src/main/java/pearusher/simulator/Loop.java
+++ b/src/main/java/pearusher/simulator/SimulatorLoop.java
@@ -11,40 +11,46 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.BiFunction;
-import pearusher.policy.Assigner;
-import pearusher.sitesettings.Paths;
+import pearusher.policy.AssignmentPolicy;
+import pearusher.policy.HealthCheckResult;
+import pearusher.policy.Lifecycle;
+import pearusher.policy.ListUpdateKind;
+import pearusher.policy.PolicyCommands;
+import pearusher.policy.PolicySettings;
+import pearusher.policy.ServerEntry;
+import pearusher.sitesettings.PathValues;
+import pearusher.sitesettings.PolicySettingsReader;
 import pearusher.sitesettings.SettingsException;
-import pearusher.sitesettings.SettingsReader;
 
 /** Reads batches, hands each instance its events, writes one reply a batch. It decides nothing. */
-public final class Loop {
+public final class SimulatorLoop {
   private static final int HEADER = 16;
-  private static final Map<Integer, Assigner.Probe> ENDS =
+  private static final Map<Integer, HealthCheckResult> ENDS =
       Map.of(
           200,
-          Assigner.Probe.OK,
+          HealthCheckResult.OK,
           502,
-          Assigner.Probe.ERROR,
+          HealthCheckResult.ERROR,
           429,
-          Assigner.Probe.TURNED_AWAY,
+          HealthCheckResult.TURNED_AWAY,
           408,
-          Assigner.Probe.NO_ANSWER,
+          HealthCheckResult.NO_ANSWER,
           521,
-          Assigner.Probe.DOWN,
+          HealthCheckResult.DOWN,
           520,
-          Assigner.Probe.BROKEN);
+          HealthCheckResult.BROKEN);
 
-  private final BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker;
-  private final Map<Integer, Assigner> instances = new TreeMap<>();
-  private final Reply reply = new Reply();
+  private final BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker;
+  private final Map<Integer, AssignmentPolicy> instances = new TreeMap<>();
+  private final ReplyWriter reply = new ReplyWriter();
   private int current = -1;
 
-  public Loop(BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker) {
+  public SimulatorLoop(BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker) {
     this.maker = maker;
   }
 
   /** Runs until the input ends; a frame cut short or not understood ends it with an exception. */
-  public void run(InputStream in, OutputStream out) throws IOException, WireException {
+  public void run(InputStream in, OutputStream out) throws IOException, SimulatorProtocolException {
     long offset = 0;
     while (true) {
       byte[] header = in.readNBytes(HEADER);
@@ -52,7 +58,7 @@
         return;
       }
       if (header.length < HEADER) {
-        throw new WireException(
+        throw new SimulatorProtocolException(
             "truncated header: " + header.length + " bytes of a frame" + " at byte " + offset);
       }
       ByteBuffer head = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
@@ -60,11 +66,12 @@
       long count = head.getInt() & 0xffffffffL;
       long now = head.getLong();
       if (length > Integer.MAX_VALUE - HEADER) {
-        throw new WireException("frame at byte " + offset + ": length " + length + " is too large");
+        throw new SimulatorProtocolException(
+            "frame at byte " + offset + ": length " + length + " is too large");
       }
       byte[] body = in.readNBytes((int) length);
       if (body.length < length) {
-        throw new WireException(
+        throw new SimulatorProtocolException(
             "truncated frame at byte "
                 + offset
                 + ": "
@@ -76,8 +83,8 @@
       byte[] answer;
       try {
         answer = batch(now, count, body);
-      } catch (WireException e) {
-        throw new WireException("frame at byte " + offset + ": " + e.getMessage());
+      } catch (SimulatorProtocolException e) {
+        throw new SimulatorProtocolException("frame at byte " + offset + ": " + e.getMessage());
       }
       out.write(answer);
       out.flush();
@@ -85,10 +92,10 @@
     }
   }
 
-  private byte[] batch(long now, long count, byte[] body) throws WireException {
+  private byte[] batch(long now, long count, byte[] body) throws SimulatorProtocolException {
     reply.clear();
     TreeSet<Integer> touched = new TreeSet<>();
-    Fields in = new Fields(body);
+    RecordReader in = new RecordReader(body);
     current = -1;
     for (long k = 0; k < count; k++) {
       if (in.ended()) {
@@ -116,8 +123,8 @@
     return reply.frame();
   }
 
-  private void deliver(int id, java.util.function.Consumer<Assigner> what) {
-    Assigner to = instances.get(id);
+  private void deliver(int id, java.util.function.Consumer<AssignmentPolicy> what) {
+    AssignmentPolicy to = instances.get(id);
     if (to == null) {
       return;
     }
@@ -130,16 +137,16 @@
     }
   }
 
-  private void event(long now, int code, Fields in) throws WireException {
+  private void event(long now, int code, RecordReader in) throws SimulatorProtocolException {
     int id = current;
     switch (code) {
       case 1 -> {
         long seed = in.u64();
-        Assigner.Settings settings;
+        PolicySettings settings;
         try {
-          settings = SettingsReader.read(seed, Paths.lines(in.text()));
+          settings = PolicySettingsReader.read(seed, PathValues.lines(in.text()));
         } catch (SettingsException e) {
-          throw new WireException(e.getMessage());
+          throw new SimulatorProtocolException(e.getMessage());
         }
         try {
           instances.put(id, maker.apply(settings, reply));
@@ -149,9 +156,9 @@
         }
       }
       case 2 -> {
-        Assigner.ListForm form = form(in);
+        ListUpdateKind form = form(in);
         in.u32();
-        List<Assigner.Entry> entries = entries(in);
+        List<ServerEntry> entries = entries(in);
         deliver(id, a -> a.listed(now, form, entries));
       }
       case 3 -> {
@@ -160,7 +167,7 @@
       }
       case 4 -> {
         long server = in.task();
-        Assigner.Probe end = ENDS.getOrDefault(in.u16(), Assigner.Probe.OTHER);
+        HealthCheckResult end = ENDS.getOrDefault(in.u16(), HealthCheckResult.OTHER);
         long took = in.u32();
         float[] load = in.load();
         deliver(id, a -> a.probed(now, server, end, took, load));
@@ -229,23 +236,20 @@
     }
   }
 
-  private static Assigner.ListForm form(Fields in) throws WireException {
+  private static ListUpdateKind form(RecordReader in) throws SimulatorProtocolException {
     int form = in.u8();
     if (form > 3) {
       throw in.fault("unknown list form " + form);
     }
-    return new Assigner.ListForm[] {
-          Assigner.ListForm.CHANGES,
-          Assigner.ListForm.WHOLE,
-          Assigner.ListForm.CACHED,
-          Assigner.ListForm.FAILED
+    return new ListUpdateKind[] {
+          ListUpdateKind.CHANGES, ListUpdateKind.WHOLE, ListUpdateKind.CACHED, ListUpdateKind.FAILED
         }
         [form];
   }
 
-  private static List<Assigner.Entry> entries(Fields in) throws WireException {
+  private static List<ServerEntry> entries(RecordReader in) throws SimulatorProtocolException {
     long n = in.u32();
-    List<Assigner.Entry> out = new ArrayList<>();
+    List<ServerEntry> out = new ArrayList<>();
     for (long k = 0; k < n; k++) {
       long server = in.task();
       int zone = in.u8();
@@ -258,14 +262,12 @@
       float weight = in.f32();
       long started = in.u64();
       out.add(
-          new Assigner.Entry(
+          new ServerEntry(
               server,
               zone,
               kind,
               cell,
-              state == 1
-                  ? Assigner.State.READY
-                  : state == 2 ? Assigner.State.DRAINING : Assigner.State.GONE,
+              state == 1 ? Lifecycle.READY : state == 2 ? Lifecycle.DRAINING : Lifecycle.GONE,
               weight,
               started));
     }
--- a/src/main/java/pearusher/sitesettings/Paths.java
+++ b/src/main/java/pearusher/sitesettings/PathValues.java
@@ -21,15 +21,15 @@
  * .count and its items under .0, .1 and so on. It knows no key's meaning; every fault names the
  * path.
  */
-public final class Paths {
+public final class PathValues {
   private final String what;
   private final Map<String, String> values;
 
-  private Paths(String what) {
+  private PathValues(String what) {
     this(what, new HashMap<>());
   }
 
-  private Paths(String what, Map<String, String> values) {
+  private PathValues(String what, Map<String, String> values) {
     this.what = what;
     this.values = values;
   }
@@ -37,13 +37,13 @@
   /**
    * Values that were read elsewhere, not copied; {@code what} stands before the path in each fault.
    */
-  public static Paths of(String what, Map<String, String> values) {
-    return new Paths(what, values);
+  public static PathValues of(String what, Map<String, String> values) {
+    return new PathValues(what, values);
   }
 
   /** The simulator's form. */
-  public static Paths lines(String text) {
-    Paths out = new Paths("settings: the key ");
+  public static PathValues lines(String text) {
+    PathValues out = new PathValues("settings: the key ");
     for (String line : text.split("\n")) {
       int eq = line.indexOf('=');
       if (eq > 0) {
@@ -54,7 +54,7 @@
   }
 
   /** The configuration's form; faults begin with what the text is. */
-  public static Paths json(String name, byte[] text) throws SettingsException {
+  public static PathValues json(String name, byte[] text) throws SettingsException {
     try {
       return json(name, new ByteArrayInputStream(text), "");
     } catch (IOException e) {
@@ -65,9 +65,9 @@
   /**
    * The same of a stream, without what stands under one key, which is checked for its form only.
    */
-  public static Paths json(String name, InputStream text, String without)
+  public static PathValues json(String name, InputStream text, String without)
       throws SettingsException, IOException {
-    Paths out = new Paths(name + ": the key ");
+    PathValues out = new PathValues(name + ": the key ");
     try (JsonParser in = new JsonFactory().createParser(text)) {
       if (in.nextToken() != JsonToken.START_OBJECT) {
         throw new SettingsException(name + ": not a JSON object");
@@ -128,8 +128,8 @@
   }
 
   /** The same values below a prefix, without it; faults name the whole path. */
-  public Paths below(String prefix) {
-    Paths out = new Paths(what + prefix);
+  public PathValues below(String prefix) {
+    PathValues out = new PathValues(what + prefix);
     values.forEach(
         (key, value) -> {
           if (key.startsWith(prefix)) {
--- a/src/main/java/pearusher/sitesettings/SettingsReader.java
+++ b/src/main/java/pearusher/sitesettings/PolicySettingsReader.java
@@ -3,42 +3,53 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import pearusher.policy.Assigner;
+import pearusher.policy.AdmissionMode;
+import pearusher.policy.ChannelSettings;
+import pearusher.policy.Costs;
+import pearusher.policy.Idempotency;
+import pearusher.policy.LoadMetric;
+import pearusher.policy.LoadReportSource;
+import pearusher.policy.PickMethod;
+import pearusher.policy.PolicySettings;
+import pearusher.policy.RequestClass;
+import pearusher.policy.ScoreWeights;
+import pearusher.policy.ServiceLimits;
+import pearusher.policy.SiteTraits;
 
 /**
  * Turns settings into what the module is told at its start. It is the one reader of them, for the
  * simulator's wire and the sockets alike, and knows no other part of a configuration; unknown keys
  * are passed over.
  */
-public final class SettingsReader {
-  private static final Map<String, Assigner.Field> FIELDS =
+public final class PolicySettingsReader {
+  private static final Map<String, LoadMetric> FIELDS =
       Map.of(
           "outstanding",
-          Assigner.Field.INFLIGHT,
+          LoadMetric.INFLIGHT,
           "backlog",
-          Assigner.Field.QUEUE,
+          LoadMetric.QUEUE,
           "utilization",
-          Assigner.Field.UTIL,
+          LoadMetric.UTIL,
           "recent_ms",
-          Assigner.Field.LATENCY_MS,
+          LoadMetric.LATENCY_MS,
           "throughput",
-          Assigner.Field.PER_S,
+          LoadMetric.PER_S,
           "errors_per_s",
-          Assigner.Field.ERRORS_PER_S);
+          LoadMetric.ERRORS_PER_S);
 
-  private final Paths at;
+  private final PathValues at;
 
-  private SettingsReader(Paths at) {
+  private PolicySettingsReader(PathValues at) {
     this.at = at;
   }
 
-  public static Assigner.Settings read(long seed, Paths at) throws SettingsException {
-    return new SettingsReader(at).read(seed);
+  public static PolicySettings read(long seed, PathValues at) throws SettingsException {
+    return new PolicySettingsReader(at).read(seed);
   }
 
-  private Assigner.Settings read(long seed) throws SettingsException {
-    Assigner.Channel channel =
-        new Assigner.Channel(
+  private PolicySettings read(long seed) throws SettingsException {
+    ChannelSettings channel =
+        new ChannelSettings(
             at.real("familyInfo.channelRate"),
             at.real("familyInfo.fixedCost"),
             at.real("familyInfo.mostWaiting"),
@@ -46,8 +57,8 @@
             at.whole("familyInfo.messagesOverUs"),
             at.whole("familyInfo.transitUs"),
             at.whole("familyInfo.pushDelayMaxUs"));
-    Assigner.Limits limits =
-        new Assigner.Limits(
+    ServiceLimits limits =
+        new ServiceLimits(
             at.whole("familyInfo.emptyForUs"),
             at.whole("rules.drainGraceUs"),
             at.real("rules.coldFrom"),
@@ -56,8 +67,8 @@
             at.whole("rules.fallUs"),
             (long) at.optional("rules.askWithinUs"),
             at.on("rules.softRemoval", "true"));
-    Assigner.Prices prices =
-        new Assigner.Prices(
+    Costs prices =
+        new Costs(
             at.real("fees.crossZone"),
             at.real("fees.probe"),
             at.real("familyInfo.costPerLine"),
@@ -69,8 +80,8 @@
             at.optional("fees.discovery"),
             at.optional("familyInfo.handoverFee"),
             at.optional("fees.moves"));
-    Assigner.Goal goal =
-        new Assigner.Goal(
+    ScoreWeights goal =
+        new ScoreWeights(
             at.optional("goal.whole"),
             at.optional("goal.worstWindow"),
             at.optional("goal.worstClass"),
@@ -78,12 +89,12 @@
             at.optional("goal.nines"),
             at.optional("goal.ninesFull"),
             at.on("countedBy", "work"));
-    Assigner.Pick pick =
+    PickMethod pick =
         at.on("familyInfo.pick", "rotate")
-            ? Assigner.Pick.ROTATE
-            : at.on("familyInfo.pick", "p2c") ? Assigner.Pick.TWO : Assigner.Pick.RANDOM;
-    Assigner.Site site =
-        new Assigner.Site(
+            ? PickMethod.ROTATE
+            : at.on("familyInfo.pick", "p2c") ? PickMethod.TWO : PickMethod.RANDOM;
+    SiteTraits site =
+        new SiteTraits(
             pick,
             (int) at.optional("familyInfo.bootstrap"),
             at.optional("familyInfo.connsLeast"),
@@ -97,7 +108,7 @@
             (long) at.optional("familyInfo.parkUs"),
             (long) at.optional("familyInfo.tenureUs"),
             (long) at.optional("familyInfo.settleUs"));
-    return new Assigner.Settings(
+    return new PolicySettings(
         seed,
         at.list("azs").size(),
         grades(),
@@ -112,11 +123,11 @@
             "familyInfo.throttleBy",
             Map.of(
                 "fraction",
-                Assigner.Levels.SHARE,
+                AdmissionMode.SHARE,
                 "per_second",
-                Assigner.Levels.RATE,
+                AdmissionMode.RATE,
                 "off",
-                Assigner.Levels.NONE)),
+                AdmissionMode.NONE)),
         (int) at.whole("familyInfo.baseMode"),
         at.real("familyInfo.perTry"),
         at.whole("familyInfo.reportEveryUs"),
@@ -130,11 +141,11 @@
             "report.source",
             Map.of(
                 "inline",
-                Assigner.ReportFrom.ANSWERS,
+                LoadReportSource.ANSWERS,
                 "on_probe",
-                Assigner.ReportFrom.PROBES,
+                LoadReportSource.PROBES,
                 "off",
-                Assigner.ReportFrom.NOWHERE)),
+                LoadReportSource.NOWHERE)),
         fields(),
         !"off".equals(at.need("weightKind")),
         at.whole("tickUs"),
@@ -142,15 +153,15 @@
         site);
   }
 
-  private List<Assigner.Grade> grades() throws SettingsException {
-    List<Assigner.Grade> out = new ArrayList<>();
+  private List<RequestClass> grades() throws SettingsException {
+    List<RequestClass> out = new ArrayList<>();
     long count = at.whole("grades.count");
     List<String> writes = at.list("familyInfo.writeClasses");
     List<String> own = at.list("familyInfo.classOwnZone");
     for (int k = 0; k < count; k++) {
       String path = "grades." + k + ".";
       out.add(
-          new Assigner.Grade(
+          new RequestClass(
               at.whole(path + "promiseUs"),
               at.whole(path + "deadlineUs"),
               at.real(path + "worth"),
@@ -159,11 +170,11 @@
                   path + "repeat",
                   Map.of(
                       "retryable",
-                      Assigner.Effect.SAFE,
+                      Idempotency.SAFE,
                       "dedup",
-                      Assigner.Effect.KEYED,
+                      Idempotency.KEYED,
                       "fragile",
-                      Assigner.Effect.UNSAFE)),
+                      Idempotency.UNSAFE)),
               "all".equals(at.need(path + "group")),
               at.whole(path + "windowUs"),
               k < writes.size() && "true".equals(writes.get(k)),
@@ -173,10 +184,10 @@
     return List.copyOf(out);
   }
 
-  private List<Assigner.Field> fields() {
-    List<Assigner.Field> out = new ArrayList<>();
+  private List<LoadMetric> fields() {
+    List<LoadMetric> out = new ArrayList<>();
     for (String name : at.listed("report.fields")) {
-      out.add(FIELDS.getOrDefault(name, Assigner.Field.OTHER));
+      out.add(FIELDS.getOrDefault(name, LoadMetric.OTHER));
     }
     return List.copyOf(out);
   }
--- a/src/main/java/pearusher/store/Committer.java
+++ b/src/main/java/pearusher/store/GroupCommitter.java
@@ -12,7 +12,7 @@
  * Compactions run on a second thread, one at a time. After the first failure it takes nothing more
  * and says so once.
  */
-public final class Committer implements AutoCloseable {
+public final class GroupCommitter implements AutoCloseable {
 
   /** What happens now and then, for the log. */
   public interface Events {
@@ -28,17 +28,17 @@
     void notCompacted(IOException why);
   }
 
-  private record Entry(Batch batch, Runnable done) {}
+  private record Entry(WriteBatch batch, Runnable done) {}
 
   private final Store store;
-  private final Options options;
+  private final StoreOptions options;
   private final Events events;
   private final LinkedBlockingQueue<Entry> queue = new LinkedBlockingQueue<>();
   private final AtomicBoolean compacting = new AtomicBoolean();
   private final Thread thread = new Thread(this::run, "store");
   private volatile boolean stopped;
 
-  public Committer(Store store, Options options, Events events) {
+  public GroupCommitter(Store store, StoreOptions options, Events events) {
     this.store = store;
     this.options = options;
     this.events = events;
@@ -50,7 +50,7 @@
   }
 
   /** The next batch makes a store that was left behind whole again. */
-  public void submitOwning(Batch batch, Runnable done) {
+  public void submitOwning(WriteBatch batch, Runnable done) {
     submit(
         batch,
         () -> {
@@ -66,7 +66,7 @@
   /**
    * Hands over a batch without waiting; {@code done} runs on the store's thread once it is durable.
    */
-  public void submit(Batch batch, Runnable done) {
+  public void submit(WriteBatch batch, Runnable done) {
     if (!stopped) {
       queue.add(new Entry(batch, done));
     }
@@ -101,7 +101,7 @@
         if (first == null) {
           continue;
         }
-        if (options.policy() == Options.Policy.INTERVAL && !stopped) {
+        if (options.policy() == StoreOptions.Policy.INTERVAL && !stopped) {
           TimeUnit.MICROSECONDS.sleep(options.intervalUs());
         }
         group.add(first);
@@ -109,7 +109,7 @@
         for (Entry one : group) {
           store.append(one.batch());
         }
-        if (options.policy() == Options.Policy.NONE) {
+        if (options.policy() == StoreOptions.Policy.NONE) {
           store.write();
         } else {
           store.sync();
--- a/src/main/java/pearusher/store/Inspection.java
+++ b/src/main/java/pearusher/store/Inspection.java
@@ -18,19 +18,19 @@
    * @throws StoreException if there is no store, or one of a newer program
    */
   public static Inspection of(Disk disk) throws IOException {
-    Chain.Found found = Chain.readWhileOpen(disk);
+    SegmentedLog.Found found = SegmentedLog.readWhileOpen(disk);
     if (found.store() == 0 && found.damage().isEmpty()) {
       throw new StoreException(StoreException.Reason.ABSENT, "no store in " + disk.place());
     }
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("store", String.format("%016x", found.store()));
-    out.put("format", Frame.FORMAT);
+    out.put("format", LogRecord.FORMAT);
     out.put("sequence", found.sequence());
     out.put("confirmed", found.confirmed());
     out.put("keys", found.state().size());
     out.put("checkpoints", found.checkpoints().size());
     out.put("logs", found.logs().size());
-    out.put("log_bytes", found.logs().stream().mapToLong(Chain.Part::bytes).sum());
+    out.put("log_bytes", found.logs().stream().mapToLong(SegmentedLog.Part::bytes).sum());
     out.put("log_batches", found.batches());
     out.put("closed", found.closed() ? "in order" : "no: in use, or killed");
     out.put("cut_bytes", found.cutBytes());
--- a/src/main/java/pearusher/store/Frame.java
+++ b/src/main/java/pearusher/store/LogRecord.java
@@ -13,7 +13,7 @@
  *
  * @param confirmed the highest sequence known to be synced when this frame was written
  */
-record Frame(byte type, long sequence, long confirmed, byte[] payload) {
+record LogRecord(byte type, long sequence, long confirmed, byte[] payload) {
   static final byte BATCH = 1;
   static final byte ENTRY = 2;
   static final byte END = 3;
@@ -76,7 +76,7 @@
   /**
    * The next frame of a stream of which {@code left} bytes are left; null where none can be read.
    */
-  static Frame read(InputStream in, long left) throws IOException {
+  static LogRecord read(InputStream in, long left) throws IOException {
     byte[] head = in.readNBytes(HEAD);
     if (head.length < HEAD) {
       return null;
@@ -90,11 +90,11 @@
     if (payload.length < length || at.getInt(HEAD - 4) != crc(head, 0, HEAD - 4, payload)) {
       return null;
     }
-    return new Frame(at.get(), at.getLong(), at.getLong(), payload);
+    return new LogRecord(at.get(), at.getLong(), at.getLong(), payload);
   }
 
   /** The frame that stands at a place of some bytes, or null. */
-  static Frame at(byte[] bytes, int from, long least) {
+  static LogRecord at(byte[] bytes, int from, long least) {
     if (from + HEAD > bytes.length) {
       return null;
     }
@@ -115,7 +115,7 @@
     byte[] payload = new byte[length];
     in.get(payload);
     return crc == crc(bytes, from, HEAD - 4, payload)
-        ? new Frame(type, sequence, confirmed, payload)
+        ? new LogRecord(type, sequence, confirmed, payload)
         : null;
   }
 }
--- a/src/main/java/pearusher/store/Chain.java
+++ b/src/main/java/pearusher/store/SegmentedLog.java
@@ -21,7 +21,7 @@
  * frame are the end, unless a whole frame after them says that they had been confirmed. A gap
  * between logs is damage always.
  */
-final class Chain {
+final class SegmentedLog {
   private static final String LOGS = "log-";
   private static final String CHECKPOINTS = "checkpoint-";
   static final String UNFINISHED = ".tmp";
@@ -64,7 +64,7 @@
   private boolean closed;
   private long batches;
 
-  private Chain(Disk disk) {
+  private SegmentedLog(Disk disk) {
     this.disk = disk;
   }
 
@@ -94,7 +94,7 @@
 
   /** Reads the logs with a serial below a limit, and the checkpoints they follow. */
   static Found read(Disk disk, long below) throws IOException {
-    return new Chain(disk).read(below);
+    return new SegmentedLog(disk).read(below);
   }
 
   private Found read(long below) throws IOException {
@@ -113,9 +113,9 @@
       long checkpoint = number(name, CHECKPOINTS);
       long serial = number(name, LOGS);
       if (checkpoint >= 0) {
-        checkpoints.add(part(name, checkpoint, Frame.CHECKPOINT));
+        checkpoints.add(part(name, checkpoint, LogRecord.CHECKPOINT));
       } else if (serial >= 0 && serial < below) {
-        logs.add(part(name, serial, Frame.LOG));
+        logs.add(part(name, serial, LogRecord.LOG));
       }
     }
     checkpoints.sort(Comparator.comparingLong(Part::number).reversed());
@@ -142,13 +142,13 @@
   private Part part(String name, long number, int kind) throws IOException {
     byte[] head;
     try (InputStream in = disk.open(name)) {
-      head = in.readNBytes(Frame.PREAMBLE);
+      head = in.readNBytes(LogRecord.PREAMBLE);
     }
-    Frame.Preamble says = Frame.Preamble.decode(head);
+    LogRecord.Preamble says = LogRecord.Preamble.decode(head);
     if (says == null) {
       return new Part(name, number, -1, disk.size(name));
     }
-    if (says.format() > Frame.FORMAT) {
+    if (says.format() > LogRecord.FORMAT) {
       throw new StoreException(
           StoreException.Reason.NEWER,
           "store "
@@ -158,7 +158,7 @@
               + " has format "
               + says.format()
               + ", this program knows up to "
-              + Frame.FORMAT
+              + LogRecord.FORMAT
               + "; start the newer program");
     }
     if (says.kind() != kind) {
@@ -217,22 +217,22 @@
   }
 
   private String load(Part one) throws IOException {
-    long left = one.bytes() - Frame.PREAMBLE;
+    long left = one.bytes() - LogRecord.PREAMBLE;
     long entries = 0;
     try (InputStream in = new BufferedInputStream(disk.open(one.name()), 1 << 16)) {
-      in.skipNBytes(Frame.PREAMBLE);
+      in.skipNBytes(LogRecord.PREAMBLE);
       while (true) {
-        Frame frame = Frame.read(in, left);
+        LogRecord frame = LogRecord.read(in, left);
         if (frame == null) {
           return "the entry at byte " + (one.bytes() - left) + " can't be read";
         }
         left -= frame.bytes();
-        if (frame.type() == Frame.END) {
+        if (frame.type() == LogRecord.END) {
           return ByteBuffer.wrap(frame.payload()).getLong() == entries && left == 0
               ? null
               : "it ends after " + entries + " entries with " + left + " bytes left";
         }
-        Batch batch = Batch.decode(frame.payload());
+        WriteBatch batch = WriteBatch.decode(frame.payload());
         entries += batch.changes().size();
         batch.applyTo(state);
       }
@@ -252,7 +252,7 @@
       if (one.first() > sequence + 1) {
         damaged(
             one.name(),
-            Frame.PREAMBLE,
+            LogRecord.PREAMBLE,
             "the records "
                 + (sequence + 1)
                 + " to "
@@ -268,26 +268,26 @@
 
   /** Applies a log's records below a sequence; false where what follows can't be used. */
   private boolean follow(Part log, long upTo) throws IOException {
-    long left = log.bytes() - Frame.PREAMBLE;
+    long left = log.bytes() - LogRecord.PREAMBLE;
     long next = log.first();
     closed = false;
     try (InputStream in = new BufferedInputStream(disk.open(log.name()), 1 << 16)) {
-      in.skipNBytes(Frame.PREAMBLE);
+      in.skipNBytes(LogRecord.PREAMBLE);
       while (next < upTo && left > 0) {
-        Frame frame = Frame.read(in, left);
+        LogRecord frame = LogRecord.read(in, left);
         if (frame == null
             || frame.sequence() != next
-            || (frame.type() != Frame.BATCH && frame.type() != Frame.CLOSE)) {
+            || (frame.type() != LogRecord.BATCH && frame.type() != LogRecord.CLOSE)) {
           return ended(log, log.bytes() - left, next, upTo);
         }
         left -= frame.bytes();
         confirmed = Math.max(confirmed, Math.min(frame.confirmed(), next));
-        closed = frame.type() == Frame.CLOSE;
+        closed = frame.type() == LogRecord.CLOSE;
         if (closed) {
           continue;
         }
         if (next > sequence) {
-          Batch.decode(frame.payload()).applyTo(state);
+          WriteBatch.decode(frame.payload()).applyTo(state);
           sequence = next;
           batches++;
         }
@@ -335,15 +335,16 @@
     long frames = 0;
     long known = -1;
     for (int at = 0; at < rest.length; ) {
-      Frame frame = Frame.at(rest, at, next);
+      LogRecord frame = LogRecord.at(rest, at, next);
       if (frame == null) {
         at++;
         continue;
       }
-      frames += frame.type() == Frame.BATCH ? 1 : 0;
+      frames += frame.type() == LogRecord.BATCH ? 1 : 0;
       // An orderly end confirms all before it.
       known =
-          Math.max(known, frame.type() == Frame.CLOSE ? frame.sequence() - 1 : frame.confirmed());
+          Math.max(
+              known, frame.type() == LogRecord.CLOSE ? frame.sequence() - 1 : frame.confirmed());
       at += frame.bytes();
     }
     return new Evidence(frames, known);
--- a/src/main/java/pearusher/store/Store.java
+++ b/src/main/java/pearusher/store/Store.java
@@ -50,7 +50,7 @@
   public record Sealed(long serial, long sequence) {}
 
   private final Disk disk;
-  private final Options options;
+  private final StoreOptions options;
   private final Closeable lock;
   private final long id;
   private Disk.Out log;
@@ -66,7 +66,7 @@
   private volatile long checkpointBytes;
   private Recovered recovered;
 
-  private Store(Disk disk, Options options, Closeable lock, Chain.Found found) {
+  private Store(Disk disk, StoreOptions options, Closeable lock, SegmentedLog.Found found) {
     this.disk = disk;
     this.options = options;
     this.lock = lock;
@@ -78,7 +78,7 @@
    *
    * @throws StoreException naming why not; nothing was changed then
    */
-  public static Store open(Disk disk, Options options) throws IOException {
+  public static Store open(Disk disk, StoreOptions options) throws IOException {
     Closeable lock;
     try {
       lock = disk.lock();
@@ -95,8 +95,8 @@
           e);
     }
     try {
-      Chain.Found found = Chain.read(disk, Long.MAX_VALUE);
-      if (!found.damage().isEmpty() && options.damage() == Options.Damage.REFUSE) {
+      SegmentedLog.Found found = SegmentedLog.read(disk, Long.MAX_VALUE);
+      if (!found.damage().isEmpty() && options.damage() == StoreOptions.Damage.REFUSE) {
         throw new StoreException(
             StoreException.Reason.DAMAGED,
             "store "
@@ -117,9 +117,9 @@
 
   // Not shared yet.
   @SuppressWarnings("NonAtomicVolatileUpdate")
-  private void begin(Chain.Found found) throws IOException {
+  private void begin(SegmentedLog.Found found) throws IOException {
     for (String name : disk.list()) {
-      if (name.endsWith(Chain.UNFINISHED)) {
+      if (name.endsWith(SegmentedLog.UNFINISHED)) {
         disk.delete(name);
       }
     }
@@ -129,13 +129,13 @@
     }
     next = found.sequence() + 1;
     confirmed = found.sequence();
-    for (Chain.Part one : found.logs()) {
+    for (SegmentedLog.Part one : found.logs()) {
       serial = Math.max(serial, one.number() + 1);
       logBytes += one.bytes();
     }
     for (String name : disk.list()) {
       // A log without a preamble is not in the chain, its serial is taken all the same.
-      serial = Math.max(serial, Chain.serial(name) + 1);
+      serial = Math.max(serial, SegmentedLog.serial(name) + 1);
     }
     checkpointBytes = found.checkpoints().isEmpty() ? 0 : found.checkpoints().get(0).bytes();
     recovered =
@@ -150,7 +150,7 @@
     // After a kill, what was read may stand in the page cache only. The new log states that it is
     // there,
     // so it must be: else a power cut now would look like damage to the next start.
-    for (Chain.Part one : found.logs()) {
+    for (SegmentedLog.Part one : found.logs()) {
       disk.sync(one.name());
     }
     beginLog();
@@ -165,20 +165,22 @@
 
   /** A new log, whose name and preamble are durable before anything is written to it. */
   private void beginLog() throws IOException {
-    log = disk.create(Chain.log(serial++));
-    log.write(ByteBuffer.wrap(new Frame.Preamble(Frame.FORMAT, Frame.LOG, id, next).encode()));
+    log = disk.create(SegmentedLog.log(serial++));
+    log.write(
+        ByteBuffer.wrap(
+            new LogRecord.Preamble(LogRecord.FORMAT, LogRecord.LOG, id, next).encode()));
     log.sync();
     disk.syncDirectory();
   }
 
   /** Adds a batch to the group at hand and gives its sequence; nothing is written yet. */
-  public long append(Batch batch) throws IOException {
+  public long append(WriteBatch batch) throws IOException {
     check();
-    put(new Frame(Frame.BATCH, next, confirmed, batch.encode()));
+    put(new LogRecord(LogRecord.BATCH, next, confirmed, batch.encode()));
     return next++;
   }
 
-  private void put(Frame frame) {
+  private void put(LogRecord frame) {
     if (buffer.remaining() < frame.bytes()) {
       ByteBuffer larger =
           ByteBuffer.allocate(Math.max(buffer.capacity() * 2, buffer.position() + frame.bytes()));
@@ -272,7 +274,7 @@
    * leaves the store as it was and costs no append; the space kept back is given up for it first.
    */
   public void compact(Sealed sealed) throws IOException {
-    Chain.Found found = Chain.read(disk, sealed.serial());
+    SegmentedLog.Found found = SegmentedLog.read(disk, sealed.serial());
     if (!found.damage().isEmpty() || found.sequence() != sealed.sequence()) {
       throw new StoreException(
           StoreException.Reason.DAMAGED,
@@ -285,23 +287,23 @@
               + " is the last that can be read "
               + found.damage());
     }
-    String name = Chain.checkpoint(found.sequence());
+    String name = SegmentedLog.checkpoint(found.sequence());
     try {
       checkpointBytes = writeCheckpoint(disk, name, id, found.sequence(), found.state());
     } catch (IOException full) {
       // Disk full: the reserve is as long as a checkpoint, so the space for one is there.
-      disk.delete(name + Chain.UNFINISHED);
+      disk.delete(name + SegmentedLog.UNFINISHED);
       disk.delete(RESERVE);
       disk.syncDirectory();
       checkpointBytes = writeCheckpoint(disk, name, id, found.sequence(), found.state());
     }
-    for (Chain.Part old : found.checkpoints()) {
+    for (SegmentedLog.Part old : found.checkpoints()) {
       if (!old.name().equals(name)) {
         disk.delete(old.name());
       }
     }
     for (String old : disk.list()) {
-      if (Chain.serial(old) >= 0 && Chain.serial(old) < sealed.serial()) {
+      if (SegmentedLog.serial(old) >= 0 && SegmentedLog.serial(old) < sealed.serial()) {
         disk.delete(old);
       }
     }
@@ -317,36 +319,40 @@
       Disk disk, String name, long id, long sequence, Map<String, byte[]> state)
       throws IOException {
     long bytes;
-    try (Disk.Out out = disk.create(name + Chain.UNFINISHED)) {
+    try (Disk.Out out = disk.create(name + SegmentedLog.UNFINISHED)) {
       out.write(
           ByteBuffer.wrap(
-              new Frame.Preamble(Frame.FORMAT, Frame.CHECKPOINT, id, sequence).encode()));
-      Batch batch = new Batch();
+              new LogRecord.Preamble(LogRecord.FORMAT, LogRecord.CHECKPOINT, id, sequence)
+                  .encode()));
+      WriteBatch batch = new WriteBatch();
       long size = 0;
       long index = 0;
       for (Map.Entry<String, byte[]> one : state.entrySet()) {
         batch.put(one.getKey(), one.getValue());
         size += one.getKey().length() + one.getValue().length;
         if (size >= ENTRY_BYTES) {
-          write(out, new Frame(Frame.ENTRY, index++, sequence, batch.encode()));
-          batch = new Batch();
+          write(out, new LogRecord(LogRecord.ENTRY, index++, sequence, batch.encode()));
+          batch = new WriteBatch();
           size = 0;
         }
       }
-      write(out, new Frame(Frame.ENTRY, index++, sequence, batch.encode()));
+      write(out, new LogRecord(LogRecord.ENTRY, index++, sequence, batch.encode()));
       write(
           out,
-          new Frame(
-              Frame.END, index, sequence, ByteBuffer.allocate(8).putLong(state.size()).array()));
+          new LogRecord(
+              LogRecord.END,
+              index,
+              sequence,
+              ByteBuffer.allocate(8).putLong(state.size()).array()));
       out.sync();
       bytes = out.size();
     }
-    disk.rename(name + Chain.UNFINISHED, name);
+    disk.rename(name + SegmentedLog.UNFINISHED, name);
     disk.syncDirectory();
     return bytes;
   }
 
-  private static void write(Disk.Out out, Frame frame) throws IOException {
+  private static void write(Disk.Out out, LogRecord frame) throws IOException {
     ByteBuffer bytes = ByteBuffer.allocate(frame.bytes());
     frame.encode(bytes);
     out.write(bytes.flip());
@@ -362,14 +368,14 @@
     if (there && disk.size(RESERVE) >= want) {
       return;
     }
-    try (Disk.Out out = disk.create(RESERVE + Chain.UNFINISHED)) {
+    try (Disk.Out out = disk.create(RESERVE + SegmentedLog.UNFINISHED)) {
       for (long left = want; left > 0; left -= BLOCK) {
         out.write(ByteBuffer.allocate(BLOCK));
       }
       out.sync();
-      disk.rename(RESERVE + Chain.UNFINISHED, RESERVE);
+      disk.rename(RESERVE + SegmentedLog.UNFINISHED, RESERVE);
     } catch (IOException full) {
-      disk.delete(RESERVE + Chain.UNFINISHED);
+      disk.delete(RESERVE + SegmentedLog.UNFINISHED);
     }
   }
 
@@ -404,7 +410,7 @@
    * @return the last sequence of the copy
    */
   public static long copy(Disk from, Disk into) throws IOException {
-    Chain.Found found = Chain.readWhileOpen(from);
+    SegmentedLog.Found found = SegmentedLog.readWhileOpen(from);
     if (found.store() == 0) {
       throw new StoreException(StoreException.Reason.ABSENT, "no store in " + from.place());
     }
@@ -422,7 +428,7 @@
     found.state().put(COPIED, ByteBuffer.allocate(8).putLong(found.sequence()).array());
     writeCheckpoint(
         into,
-        Chain.checkpoint(found.sequence()),
+        SegmentedLog.checkpoint(found.sequence()),
         new SecureRandom().nextLong() | 1,
         found.sequence(),
         found.state());
@@ -435,7 +441,7 @@
     try {
       if (failure == null && log != null) {
         sync();
-        put(new Frame(Frame.CLOSE, next, confirmed, new byte[0]));
+        put(new LogRecord(LogRecord.CLOSE, next, confirmed, new byte[0]));
         write();
         log.sync();
       }
--- a/src/main/java/pearusher/store/Options.java
+++ b/src/main/java/pearusher/store/StoreOptions.java
@@ -11,7 +11,7 @@
  * @param compactTimes and least multiple of the last checkpoint's length
  * @param damage what a start does about bytes that were confirmed once and can't be read
  */
-public record Options(
+public record StoreOptions(
     Policy policy,
     long intervalUs,
     long segmentBytes,
@@ -39,6 +39,6 @@
   }
 
   /** Values in force where nothing else is said. */
-  public static final Options USUAL =
-      new Options(Policy.EACH, 20_000, 8 << 20, 1 << 20, 2, Damage.REFUSE);
+  public static final StoreOptions USUAL =
+      new StoreOptions(Policy.EACH, 20_000, 8 << 20, 1 << 20, 2, Damage.REFUSE);
 }
--- a/src/main/java/pearusher/store/Batch.java
+++ b/src/main/java/pearusher/store/WriteBatch.java
@@ -12,23 +12,23 @@
 /**
  * Changes that take effect together: keys with their new values, null for a key that is deleted.
  */
-public final class Batch {
+public final class WriteBatch {
   private final Map<String, byte[]> changes = new LinkedHashMap<>();
 
   /** Changes by key, null for one that is deleted; the map and its values are not copied. */
-  public static Batch of(Map<String, byte[]> changes) {
-    Batch out = new Batch();
+  public static WriteBatch of(Map<String, byte[]> changes) {
+    WriteBatch out = new WriteBatch();
     out.changes.putAll(changes);
     return out;
   }
 
   /** Sets a key; the value is not copied. */
-  public Batch put(String key, byte[] value) {
+  public WriteBatch put(String key, byte[] value) {
     changes.put(key, value);
     return this;
   }
 
-  public Batch delete(String key) {
+  public WriteBatch delete(String key) {
     changes.put(key, null);
     return this;
   }
@@ -74,8 +74,8 @@
   }
 
   /** Reads what {@link #encode} wrote; no length is believed beyond the bytes that are there. */
-  static Batch decode(byte[] payload) throws IOException {
-    Batch out = new Batch();
+  static WriteBatch decode(byte[] payload) throws IOException {
+    WriteBatch out = new WriteBatch();
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(payload))) {
       int count = in.readInt();
       for (int k = 0; k < count; k++) {
--- a/src/main/java/pearusher/transport/ConnectionRegistry.java
+++ b/src/main/java/pearusher/transport/ConnectionRegistry.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import pearusher.config.Config;
+import pearusher.config.Timeouts;
 
 /**
  * What the connections of the listening socket share: how many there are, which of them have not
@@ -159,7 +159,7 @@
   }
 
   /** Connections whose time to say what they are, or for the rest of a message, is over. */
-  synchronized List<StreamConnection> overdue(Config.Timeouts timeouts) {
+  synchronized List<StreamConnection> overdue(Timeouts timeouts) {
     List<StreamConnection> out = new ArrayList<>();
     long nowNs = System.nanoTime();
     int limitMs = timeouts.strangerMs();
--- a/src/main/java/pearusher/transport/Peers.java
+++ b/src/main/java/pearusher/transport/PeerSocket.java
@@ -7,23 +7,24 @@
 import java.nio.channels.DatagramChannel;
 import java.util.concurrent.Executor;
 import org.tinylog.Logger;
-import pearusher.config.Config;
-import pearusher.control.Exchange;
+import pearusher.config.AssignerConfig;
+import pearusher.control.Controller;
+import pearusher.control.PeerMessenger;
 
 /**
  * Datagrams between assigners. It passes on what comes from an address in the list and sends what
  * the module gives it, 256 bytes at most either way; anything else is dropped and counted. It must
  * never answer by itself nor open another way between assigners.
  */
-public final class Peers implements Exchange.Mail, AutoCloseable {
+public final class PeerSocket implements PeerMessenger, AutoCloseable {
   static final int MOST = 256;
-  private volatile Config config;
-  private final Exchange exchange;
+  private volatile AssignerConfig config;
+  private final Controller exchange;
   private final Executor executor;
   private DatagramChannel channel;
   private volatile long dropped;
 
-  public Peers(Config config, Exchange exchange, Executor executor) {
+  public PeerSocket(AssignerConfig config, Controller exchange, Executor executor) {
     this.config = config;
     this.exchange = exchange;
     this.executor = executor;
@@ -40,7 +41,7 @@
     }
   }
 
-  public void reload(Config now) {
+  public void reload(AssignerConfig now) {
     config = now;
   }
 
--- a/src/main/java/pearusher/transport/PlainEndPoint.java
+++ b/src/main/java/pearusher/transport/ResetAwareEndPoint.java
@@ -14,8 +14,8 @@
  * Jetty's end point, but a reset is told as a failure: its own reads a reset and an orderly close
  * alike, as the end of the input. Both sides use it; it must never do more than read.
  */
-public final class PlainEndPoint extends SocketChannelEndPoint {
-  public PlainEndPoint(
+public final class ResetAwareEndPoint extends SocketChannelEndPoint {
+  public ResetAwareEndPoint(
       SelectableChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler) {
     super((SocketChannel) channel, selector, key, scheduler);
   }
--- a/src/main/java/pearusher/transport/StreamConnection.java
+++ b/src/main/java/pearusher/transport/StreamConnection.java
@@ -9,10 +9,11 @@
 import org.eclipse.jetty.io.AbstractConnection;
 import org.eclipse.jetty.io.EndPoint;
 import org.tinylog.Logger;
-import pearusher.config.Config;
-import pearusher.control.Exchange;
+import pearusher.config.AssignerConfig;
+import pearusher.control.Controller;
+import pearusher.control.ProxyStream;
 import pearusher.protocol.Message;
-import pearusher.protocol.Resp;
+import pearusher.protocol.RespCodec;
 
 /**
  * One connection of the listening socket. Who has not said what it is counts as unidentified:
@@ -21,7 +22,7 @@
  * it. One thread at a time reads; any may send or end it. It grows with what it has read of a
  * message and with what waits to be sent, both bounded.
  */
-public final class StreamConnection extends AbstractConnection implements Exchange.Stream {
+public final class StreamConnection extends AbstractConnection implements ProxyStream {
   /** Bytes that an unidentified connection's message may have: a joining needs a hundred. */
   private static final int MOST_UNIDENTIFIED = 8 << 10;
 
@@ -30,16 +31,16 @@
 
   /** What all connections of a socket have in common. */
   record Shared(
-      Exchange exchange,
+      Controller exchange,
       ConnectionRegistry registry,
       RejectionLog log,
-      Supplier<Config> config,
+      Supplier<AssignerConfig> config,
       BooleanSupplier stopping,
       ThreadLocal<ByteBuffer> buffers) {}
 
   private final Shared shared;
   private final ConnectionRegistry registry;
-  private final Resp.Reader reader = new Resp.Reader(MOST_UNIDENTIFIED);
+  private final RespCodec.Reader reader = new RespCodec.Reader(MOST_UNIDENTIFIED);
   private final SendQueue unsent;
   private volatile boolean collector;
 
@@ -49,7 +50,7 @@
   /** Its place among all that were taken; connections are made by several threads, in any order. */
   private final long taken;
 
-  private Ending ending;
+  private TerminationReason ending;
 
   /** Set once it has joined; below 0: it is no proxy's. */
   volatile int proxy = -1;
@@ -75,7 +76,7 @@
     this.taken = taken;
     this.origin = origin;
     registry = shared.registry();
-    unsent = new SendQueue(endPoint, cause -> end(Ending.ofFailure(cause), null));
+    unsent = new SendQueue(endPoint, cause -> end(TerminationReason.ofFailure(cause), null));
   }
 
   @Override
@@ -94,7 +95,7 @@
         buffer.clear().flip();
         int n = getEndPoint().fill(buffer);
         if (n < 0) {
-          end(Ending.CLOSED, null);
+          end(TerminationReason.CLOSED, null);
           return;
         }
         if (n == 0) {
@@ -105,26 +106,26 @@
       }
       registry.read(this, any);
       fillInterested();
-    } catch (Resp.Fault e) {
-      end(Ending.ofFault(e.kind()), e.getMessage());
+    } catch (RespCodec.Fault e) {
+      end(TerminationReason.ofFault(e.kind()), e.getMessage());
     } catch (Message.Fault e) {
-      end(Ending.GARBAGE, e.getMessage());
+      end(TerminationReason.GARBAGE, e.getMessage());
     } catch (IOException e) {
-      end(Ending.RESET, null);
+      end(TerminationReason.RESET, null);
     } catch (RuntimeException e) {
       Logger.error(e, "a fault of our own while reading");
-      end(Ending.GARBAGE, "it could not be read");
+      end(TerminationReason.GARBAGE, "it could not be read");
     }
   }
 
   /** Takes the messages that are whole now; whether there were any. */
-  private boolean messages(ByteBuffer buffer) throws Resp.Fault, Message.Fault {
+  private boolean messages(ByteBuffer buffer) throws RespCodec.Fault, Message.Fault {
     boolean any = false;
     List<String> words;
     while ((words = reader.next(buffer)) != null) {
       any = true;
       try {
-        Config config = shared.config().get();
+        AssignerConfig config = shared.config().get();
         message(Message.read(words, config.names(), config.settings()));
       } catch (Message.Fault e) {
         if (!identified) {
@@ -137,27 +138,27 @@
   }
 
   private void message(Message message) throws Message.Fault {
-    Exchange exchange = shared.exchange();
+    Controller exchange = shared.exchange();
     if (message instanceof Message.Ping) {
       if (registry.pinged(this)) {
         pong();
       }
-    } else if (!identified && message instanceof Message.Collector) {
+    } else if (!identified && message instanceof Message.CollectorHello) {
       collector = true;
       identify(() -> {});
-    } else if (!identified && message instanceof Message.Joined joined) {
+    } else if (!identified && message instanceof Message.ProxyJoin joined) {
       identify(
           () -> {
             proxy = joined.proxy();
             exchange.joined(this, joined);
           });
-    } else if (message instanceof Message.Applied applied
+    } else if (message instanceof Message.Acknowledgement applied
         && identified
         && proxy == applied.proxy()) {
       exchange.applied(this, applied);
-    } else if (message instanceof Message.Heard heard && collector) {
+    } else if (message instanceof Message.LoadReport heard && collector) {
       exchange.heard(heard, origin);
-    } else if (message instanceof Message.Usage usage
+    } else if (message instanceof Message.UsageReport usage
         && (collector || (identified && proxy == usage.proxy()))) {
       exchange.usage(usage, collector ? origin : usage.proxy());
     } else {
@@ -170,7 +171,7 @@
         this,
         () -> {
           identified = true;
-          reader.most(Resp.MOST);
+          reader.most(RespCodec.MOST);
           how.run();
         });
   }
@@ -184,7 +185,7 @@
   void pong() {
     int due = registry.takePings(this);
     for (int k = 0; k < due; k++) {
-      send(Resp.write(List.of("pong")));
+      send(RespCodec.write(List.of("pong")));
     }
   }
 
@@ -193,7 +194,9 @@
     if (unsent.add(message)) {
       getExecutor().execute(unsent::iterate);
     } else {
-      getExecutor().execute(() -> end(Ending.UNREAD, SendQueue.MOST_UNREAD + " bytes wait for it"));
+      getExecutor()
+          .execute(
+              () -> end(TerminationReason.UNREAD, SendQueue.MOST_UNREAD + " bytes wait for it"));
     }
   }
 
@@ -210,7 +213,7 @@
 
   @Override
   public void onFillInterestedFailed(Throwable cause) {
-    end(Ending.ofFailure(cause), null);
+    end(TerminationReason.ofFailure(cause), null);
     super.onFillInterestedFailed(cause);
   }
 
@@ -219,12 +222,12 @@
    */
   public void evict() {
     if (registry.evict(this)) {
-      end(Ending.EVICTED, null);
+      end(TerminationReason.EVICTED, null);
     }
   }
 
   /** The one way in which a connection ends, whoever ends it; the first cause counts. */
-  void end(Ending how, String why) {
+  void end(TerminationReason how, String why) {
     synchronized (this) {
       if (ending != null) {
         return;
@@ -235,7 +238,7 @@
       shared.log().refused(who(), how + ": " + why);
     } else if (why != null) {
       Logger.warn("connection of {} ended: {}: {}", who(), how, why);
-    } else if (proxy >= 0 && how != Ending.CLOSED && how != Ending.DROPPED) {
+    } else if (proxy >= 0 && how != TerminationReason.CLOSED && how != TerminationReason.DROPPED) {
       Logger.info("connection of {} ended: {}", who(), how);
     }
     getEndPoint().close();
@@ -250,8 +253,8 @@
     super.onClose(cause);
     end(
         shared.stopping().getAsBoolean()
-            ? Ending.DROPPED
-            : cause == null ? Ending.CLOSED : Ending.ofFailure(cause),
+            ? TerminationReason.DROPPED
+            : cause == null ? TerminationReason.CLOSED : TerminationReason.ofFailure(cause),
         null);
     unsent.clear();
     reader.close();
--- a/src/main/java/pearusher/transport/Streams.java
+++ b/src/main/java/pearusher/transport/StreamServer.java
@@ -16,8 +16,9 @@
 import org.eclipse.jetty.io.ManagedSelector;
 import org.eclipse.jetty.io.SelectorManager;
 import org.eclipse.jetty.util.thread.Scheduler;
-import pearusher.config.Config;
-import pearusher.control.Exchange;
+import pearusher.config.AssignerConfig;
+import pearusher.config.Timeouts;
+import pearusher.control.Controller;
 
 /**
  * The server side: the listening socket, which connections it takes ({@link AcceptPolicy}) and how
@@ -27,11 +28,11 @@
  * stream of a proxy that is merely quiet or said something spoilt, nor know the module or
  * discovery.
  */
-public final class Streams extends SelectorManager {
+public final class StreamServer extends SelectorManager {
   /** The time of unidentified connections is looked at so many times while it runs. */
   private static final int LOOKS = 16;
 
-  private volatile Config config;
+  private volatile AssignerConfig config;
   private final Scheduler scheduler;
   private final ConnectionRegistry registry = new ConnectionRegistry();
   private final RejectionLog log = new RejectionLog(registry);
@@ -45,7 +46,8 @@
 
   private volatile boolean stopping;
 
-  public Streams(Config config, Exchange exchange, Executor executor, Scheduler scheduler) {
+  public StreamServer(
+      AssignerConfig config, Controller exchange, Executor executor, Scheduler scheduler) {
     super(executor, scheduler, 1);
     this.config = config;
     this.scheduler = scheduler;
@@ -82,7 +84,7 @@
   }
 
   /** Time limits and descriptors of a new configuration; those who are connected stay. */
-  public void reload(Config now) {
+  public void reload(AssignerConfig now) {
     config = now;
   }
 
@@ -93,8 +95,8 @@
 
   /** Ends the connections whose time is over, again and again. */
   private void closeOverdue() {
-    Config.Timeouts timeouts = config.timeouts();
-    registry.overdue(timeouts).forEach(one -> one.end(Ending.SILENT, null));
+    Timeouts timeouts = config.timeouts();
+    registry.overdue(timeouts).forEach(one -> one.end(TerminationReason.SILENT, null));
     if (!stopping) {
       scheduler.schedule(
           () -> getExecutor().execute(this::closeOverdue),
@@ -162,7 +164,7 @@
   @Override
   protected EndPoint newEndPoint(
       SelectableChannel channel, ManagedSelector selector, SelectionKey key) {
-    return new PlainEndPoint(channel, selector, key, scheduler);
+    return new ResetAwareEndPoint(channel, selector, key, scheduler);
   }
 
   @Override
--- a/src/main/java/pearusher/transport/Ending.java
+++ b/src/main/java/pearusher/transport/TerminationReason.java
@@ -4,49 +4,49 @@
 import java.net.ConnectException;
 import java.net.SocketTimeoutException;
 import java.util.concurrent.TimeoutException;
-import pearusher.policy.Assigner;
-import pearusher.protocol.Resp;
+import pearusher.policy.HealthCheckResult;
+import pearusher.protocol.RespCodec;
 
 /**
  * Every way in which a connection can end, on either side, and what it means to the module: for a
  * probe by {@link #probe}, for discovery by {@link #answered}; a proxy's stream has been left in
  * every case. This is the one place of that mapping. It must never tell when to try again.
  */
-public enum Ending {
+public enum TerminationReason {
   /** An answer of status 200, whole. */
-  ANSWERED(Assigner.Probe.OK),
+  ANSWERED(HealthCheckResult.OK),
   /** Status 503: draining, too busy or out of service for now. */
-  UNAVAILABLE(Assigner.Probe.TURNED_AWAY),
+  UNAVAILABLE(HealthCheckResult.TURNED_AWAY),
   /** Any other status. */
-  ERROR_STATUS(Assigner.Probe.ERROR),
+  ERROR_STATUS(HealthCheckResult.ERROR),
   /** The connection was refused: the process is down. */
-  REFUSED(Assigner.Probe.DOWN),
+  REFUSED(HealthCheckResult.DOWN),
   /** The connection never came up, or nobody knows the way. */
-  UNREACHABLE(Assigner.Probe.DOWN),
+  UNREACHABLE(HealthCheckResult.DOWN),
   /** Connected, and nothing more came within the time-out. */
-  SILENT(Assigner.Probe.NO_ANSWER),
+  SILENT(HealthCheckResult.NO_ANSWER),
   /** The other end closed in order: the normal end of a stream, or an answer that broke off. */
-  CLOSED(Assigner.Probe.BROKEN),
+  CLOSED(HealthCheckResult.BROKEN),
   /** The other end reset. */
-  RESET(Assigner.Probe.BROKEN),
+  RESET(HealthCheckResult.BROKEN),
   /** What came can't be read; this side closed. */
-  GARBAGE(Assigner.Probe.BROKEN),
+  GARBAGE(HealthCheckResult.BROKEN),
   /** More came than is allowed; this side closed. */
-  TOO_LONG(Assigner.Probe.BROKEN),
+  TOO_LONG(HealthCheckResult.BROKEN),
   /** The other end left too much unread; this side closed. */
-  UNREAD(Assigner.Probe.OTHER),
+  UNREAD(HealthCheckResult.OTHER),
   /** An unidentified connection that said nothing, closed for its descriptor. */
-  EVICTED(Assigner.Probe.OTHER),
+  EVICTED(HealthCheckResult.OTHER),
   /** This side wanted it no more. */
-  DROPPED(Assigner.Probe.OTHER);
+  DROPPED(HealthCheckResult.OTHER);
 
-  private final Assigner.Probe probe;
+  private final HealthCheckResult probe;
 
-  Ending(Assigner.Probe probe) {
+  TerminationReason(HealthCheckResult probe) {
     this.probe = probe;
   }
 
-  public Assigner.Probe probe() {
+  public HealthCheckResult probe() {
     return probe;
   }
 
@@ -54,12 +54,12 @@
     return this == ANSWERED;
   }
 
-  public static Ending ofStatus(int status) {
+  public static TerminationReason ofStatus(int status) {
     return status == 200 ? ANSWERED : status == 503 ? UNAVAILABLE : ERROR_STATUS;
   }
 
   /** What is wrong with the bytes that came. */
-  static Ending ofFault(Resp.Fault.Kind kind) {
+  static TerminationReason ofFault(RespCodec.Fault.Kind kind) {
     return switch (kind) {
       case MALFORMED -> GARBAGE;
       case TOO_LONG -> TOO_LONG;
@@ -67,13 +67,13 @@
   }
 
   /** What failed while connecting. */
-  public static Ending ofConnect(Throwable failure) {
+  public static TerminationReason ofConnect(Throwable failure) {
     boolean late = String.valueOf(failure.getMessage()).contains("timed out");
     return failure instanceof ConnectException && !late ? REFUSED : UNREACHABLE;
   }
 
   /** What failed on a connection that was up. */
-  public static Ending ofFailure(Throwable failure) {
+  public static TerminationReason ofFailure(Throwable failure) {
     return failure instanceof TimeoutException || failure instanceof SocketTimeoutException
         ? SILENT
         : failure instanceof IOException ? RESET : CLOSED;
--- a/src/test/java/pearusher/capacity/FleetModelTest.java
+++ b/src/test/java/pearusher/capacity/FleetModelTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import pearusher.server.WireSizes;
+import pearusher.server.MessageSizes;
 
 class FleetModelTest {
   private final FleetModel fleet = new FleetModel(FleetModel.Skew.ASSUMED);
@@ -68,7 +68,7 @@
   @ParameterizedTest
   @EnumSource(TierMap.class)
   void aReportLineNeedsATryAndAPair(TierMap map) throws Exception {
-    WireSizes sizes = WireSizes.measure();
+    MessageSizes sizes = MessageSizes.measure();
     for (TierMap.Tier tier : map.tiers(fleet)) {
       AssignerLoad load = AssignerLoad.of(tier, sizes);
       assertTrue(load.heardLines() <= load.requests() * AssignerLoad.TRIES_PER_REQUEST + 1e-9);
--- a/src/test/java/pearusher/cli/CliTest.java
+++ b/src/test/java/pearusher/cli/CliTest.java
@@ -11,10 +11,10 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pearusher.store.Batch;
 import pearusher.store.FileDisk;
-import pearusher.store.Options;
 import pearusher.store.Store;
+import pearusher.store.StoreOptions;
+import pearusher.store.WriteBatch;
 import picocli.CommandLine;
 
 /** Commands, their output and their exit status. */
@@ -26,7 +26,7 @@
   private int run(String... args) {
     out.getBuffer().setLength(0);
     err.getBuffer().setLength(0);
-    CommandLine line = Cli.line();
+    CommandLine line = CommandLineRunner.line();
     line.setOut(new PrintWriter(out));
     line.setErr(new PrintWriter(err));
     return line.execute(args);
@@ -36,12 +36,12 @@
     Path at = dir.resolve("store");
     FileDisk disk = new FileDisk(at);
     disk.make();
-    try (Store store = Store.open(disk, Options.USUAL)) {
+    try (Store store = Store.open(disk, StoreOptions.USUAL)) {
       store.append(
-          new Batch()
+          new WriteBatch()
               .put("b", "two".getBytes(StandardCharsets.UTF_8))
               .put("a", "one".getBytes(StandardCharsets.UTF_8)));
-      store.append(new Batch().put("c", new byte[] {0, 1}));
+      store.append(new WriteBatch().put("c", new byte[] {0, 1}));
     }
     return at;
   }
@@ -121,7 +121,7 @@
     Path at = store();
     assertEquals(1, run("store", "inspect", dir.resolve("none").toString()));
     assertEquals(1, err.toString().lines().count(), err.toString());
-    try (Store held = Store.open(new FileDisk(at), Options.USUAL)) {
+    try (Store held = Store.open(new FileDisk(at), StoreOptions.USUAL)) {
       assertEquals(1, run("store", "compact", at.toString()));
       assertTrue(err.toString().contains("is in use by another process"), err.toString());
       // Looking and copying need no lock.
--- a/src/test/java/pearusher/cli/CommandOutputTest.java
+++ b/src/test/java/pearusher/cli/CommandOutputTest.java
@@ -29,7 +29,7 @@
   private int run(String... args) {
     out.getBuffer().setLength(0);
     err.getBuffer().setLength(0);
-    CommandLine line = Cli.line();
+    CommandLine line = CommandLineRunner.line();
     line.setColorScheme(CommandLine.Help.defaultColorScheme(CommandLine.Help.Ansi.OFF));
     line.setOut(new PrintWriter(out));
     line.setErr(new PrintWriter(err));
--- a/src/test/java/pearusher/cli/CommandRun.java
+++ b/src/test/java/pearusher/cli/CommandRun.java
@@ -16,7 +16,7 @@
   public static String output(int expectedStatus, String... arguments) {
     StringWriter output = new StringWriter();
     StringWriter errors = new StringWriter();
-    CommandLine line = Cli.line();
+    CommandLine line = CommandLineRunner.line();
     line.setOut(new PrintWriter(output));
     line.setErr(new PrintWriter(errors));
     int status = line.execute(arguments);
--- a/src/test/java/pearusher/config/ConfigTest.java
+++ b/src/test/java/pearusher/config/AssignerConfigTest.java
@@ -18,37 +18,39 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import pearusher.policy.Assigner;
-import pearusher.protocol.ListLimits;
-import pearusher.protocol.Message;
-import pearusher.server.Example;
-import pearusher.server.Stand;
-import pearusher.sitesettings.Paths;
+import pearusher.policy.Idempotency;
+import pearusher.policy.Lifecycle;
+import pearusher.protocol.Endpoint;
+import pearusher.protocol.EndpointList;
+import pearusher.protocol.EndpointListLimits;
+import pearusher.server.ExampleConfig;
+import pearusher.server.TestPeers;
+import pearusher.sitesettings.PathValues;
+import pearusher.sitesettings.PolicySettingsReader;
 import pearusher.sitesettings.SettingsException;
-import pearusher.sitesettings.SettingsReader;
 
-class ConfigTest {
+class AssignerConfigTest {
   @TempDir Path dir;
 
-  private String fault(Example example) {
+  private String fault(ExampleConfig example) {
     return assertThrows(SettingsException.class, () -> example.read(dir)).getMessage();
   }
 
   @Test
   void theExampleIsRead() throws Exception {
-    Config c = new Example().read(dir);
+    AssignerConfig c = new ExampleConfig().read(dir);
     assertEquals("n0", c.name());
     assertEquals(1024, c.sockets());
     assertEquals(0x8c1f30d27a5be964L, c.settings().seed());
     assertEquals(List.of("lookup", "order"), c.names().classes());
     assertEquals(Map.of("north", 0, "south", 1), c.names().zones());
     assertEquals(List.of("util", "inflight"), c.names().load());
-    assertEquals(Assigner.Effect.UNSAFE, c.settings().grades().get(1).effect());
+    assertEquals(Idempotency.UNSAFE, c.settings().grades().get(1).effect());
     assertTrue(c.settings().grades().get(1).writes());
     assertEquals(5900, c.settings().channel().backlog());
     assertEquals(41, c.known().generation());
     assertEquals(
-        new Message.Instance("s-0badcafe", "127.0.0.1:9002", 1, 0, 1, Assigner.State.READY, 1, 0),
+        new Endpoint("s-0badcafe", "127.0.0.1:9002", 1, 0, 1, Lifecycle.READY, 1, 0),
         c.known().instances().get(1));
   }
 
@@ -56,8 +58,8 @@
   @Test
   void jsonAndLinesAgree() throws Exception {
     StringBuilder lines = new StringBuilder();
-    Paths json =
-        Paths.json(
+    PathValues json =
+        PathValues.json(
             "list",
             "{\"a\":{\"b\":[1,2],\"c\":[{\"d\":true},{\"d\":false}],\"e\":[],\"f\":null}}"
                 .getBytes(StandardCharsets.UTF_8));
@@ -66,16 +68,16 @@
     }
     assertEquals("a.b=1,2\na.c.count=2\na.c.0.d=true\na.c.1.d=false\na.e=\n", lines.toString());
     assertTrue(!json.has("a.f") && !json.has("a.b.count"));
-    Paths given = Paths.lines(lines.toString());
+    PathValues given = PathValues.lines(lines.toString());
     assertEquals(List.of("1", "2"), given.list("a.b"));
     assertEquals(List.of(), given.list("a.e"));
   }
 
   @Test
   void unknownKeysArePassedOver() throws Exception {
-    Config plain = new Example().read(dir);
-    Config more =
-        new Example()
+    AssignerConfig plain = new ExampleConfig().read(dir);
+    AssignerConfig more =
+        new ExampleConfig()
             .with("\"seed\"", "\"later\": {\"x\": [1, {\"y\": null}]}, \"seed\"")
             .with("\"zonal\": false", "\"zonal\": false, \"neu\": 3")
             .read(dir);
@@ -84,34 +86,35 @@
 
   @Test
   void whatMayBeLeftOutHasDefaults() throws Exception {
-    Config c =
-        new Example()
+    AssignerConfig c =
+        new ExampleConfig()
             .with("\"timeouts\"", "\"unused\"")
             .with("\"known\"", "\"unknown\"")
             .with("\"limits\"", "\"unlimited\"")
             .read(dir);
-    assertEquals(new Config.Timeouts(1000, 3000, 5000, 2000), c.timeouts());
+    assertEquals(new Timeouts(1000, 3000, 5000, 2000), c.timeouts());
     assertEquals(1024, c.sockets());
     assertEquals(List.of(), c.known().instances());
-    assertNull(new Example().with("\"peers\": true", "\"peers\": false").read(dir).peerListen());
+    assertNull(
+        new ExampleConfig().with("\"peers\": true", "\"peers\": false").read(dir).peerListen());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"EDGE_NAME", "EDGE_LISTEN", "EDGE_DISCOVERY", "EDGE_CONFIG"})
   void aMissingVariableIsNamed(String variable) throws Exception {
-    Map<String, String> environment = new HashMap<>(new Example().write(dir));
+    Map<String, String> environment = new HashMap<>(new ExampleConfig().write(dir));
     environment.remove(variable);
     assertEquals(
         "the variable " + variable + " is missing",
-        assertThrows(SettingsException.class, () -> Config.read(environment)).getMessage());
+        assertThrows(SettingsException.class, () -> AssignerConfig.read(environment)).getMessage());
   }
 
   @Test
   void anUnreadableFileIsNamed() throws Exception {
-    Map<String, String> environment = new Example().write(dir);
+    Map<String, String> environment = new ExampleConfig().write(dir);
     Files.delete(Path.of(environment.get("EDGE_CONFIG")));
     assertTrue(
-        assertThrows(SettingsException.class, () -> Config.read(environment))
+        assertThrows(SettingsException.class, () -> AssignerConfig.read(environment))
             .getMessage()
             .startsWith("EDGE_CONFIG: "));
   }
@@ -119,10 +122,10 @@
   @ParameterizedTest
   @ValueSource(strings = {"", "[]", "{", "{\"a\":1}}", "{\"a\" 1}", "nonsense"})
   void malformedJsonIsSaid(String text) throws Exception {
-    Map<String, String> environment = new Example().write(dir);
+    Map<String, String> environment = new ExampleConfig().write(dir);
     Files.writeString(Path.of(environment.get("EDGE_CONFIG")), text);
     assertTrue(
-        assertThrows(SettingsException.class, () -> Config.read(environment))
+        assertThrows(SettingsException.class, () -> AssignerConfig.read(environment))
             .getMessage()
             .startsWith("configuration: "));
   }
@@ -153,7 +156,7 @@
         "\"lifecycle\": \"in_service\"|\"life\": \"in_service\"|known.instances.0.lifecycle"
       })
   void aFaultyKeyIsNamed(String old, String now, String key) throws Exception {
-    Example example = new Example().with(old, now == null ? "" : now);
+    ExampleConfig example = new ExampleConfig().with(old, now == null ? "" : now);
     String said = fault(example);
     assertTrue(said.startsWith("configuration: the key " + key + " "), said);
   }
@@ -166,10 +169,10 @@
   })
   void aContradictionBetweenVariableAndFileIsSaid(String variable, String key, String value)
       throws Exception {
-    Map<String, String> environment = new HashMap<>(new Example().write(dir));
+    Map<String, String> environment = new HashMap<>(new ExampleConfig().write(dir));
     environment.put(variable, value);
     String said =
-        assertThrows(SettingsException.class, () -> Config.read(environment)).getMessage();
+        assertThrows(SettingsException.class, () -> AssignerConfig.read(environment)).getMessage();
     assertTrue(
         said.startsWith("configuration: the key " + key + " is '") && said.contains(variable),
         said);
@@ -186,26 +189,28 @@
         "300.0.0.1:80"
       })
   void onlyAddressesWithAPortAreAddresses(String text) {
-    assertNull(Config.address(text));
+    assertNull(AssignerConfig.address(text));
   }
 
   @Test
   void theAdapterReadsTheSameSettings() throws Exception {
-    Paths all = Paths.json("configuration", new Example().json().getBytes(StandardCharsets.UTF_8));
+    PathValues all =
+        PathValues.json(
+            "configuration", new ExampleConfig().json().getBytes(StandardCharsets.UTF_8));
     assertEquals(
-        new Example().read(dir).settings(),
-        SettingsReader.read(0x8c1f30d27a5be964L, all.below("settings.")));
+        new ExampleConfig().read(dir).settings(),
+        PolicySettingsReader.read(0x8c1f30d27a5be964L, all.below("settings.")));
   }
 
   /** The list stands before the settings that it is read by or behind them, or twice. */
   @Test
   void theKnownListIsReadWhereverItStands() throws Exception {
-    Config first = new Example().read(dir);
-    String json = new Example().json();
+    AssignerConfig first = new ExampleConfig().read(dir);
+    String json = new ExampleConfig().json();
     int from = json.indexOf("  \"known\"");
     String known = json.substring(from, json.indexOf("  \"settings\""));
-    Example moved =
-        new Example().with(known, "").with("\"zonal\": false\n    }", "\"zonal\": false}");
+    ExampleConfig moved =
+        new ExampleConfig().with(known, "").with("\"zonal\": false\n    }", "\"zonal\": false}");
     String behind =
         "\"drainGraceUs\": 3000000, \"fallUs\": 2000000,\n              "
             + "\"overloadFactor\": 2.5, \"rampTimeUs\": 17000000}\n  }";
@@ -215,33 +220,34 @@
             + ","
             + known.strip().replaceFirst(",$", ""));
     assertEquals(first.known(), moved.read(dir).known());
-    Example twice = new Example().with(known, "\"known\": {\"generation\": 1}," + known);
+    ExampleConfig twice =
+        new ExampleConfig().with(known, "\"known\": {\"generation\": 1}," + known);
     assertEquals(first.known(), twice.read(dir).known());
     for (String none :
         List.of("null", "[]", "[{\"generation\": 1}]", "7", "{}", "{\"reset\": 7}")) {
       assertEquals(
-          Message.Listing.NONE,
-          new Example().with(known, "\"known\": " + none + ",").read(dir).known(),
+          EndpointList.NONE,
+          new ExampleConfig().with(known, "\"known\": " + none + ",").read(dir).known(),
           none);
     }
   }
 
   @Test
   void aKnownListOverTheLimitNamesItsKey() throws Exception {
-    ListLimits one = new ListLimits(1, 1000, 40 << 20);
+    EndpointListLimits one = new EndpointListLimits(1, 1000, 40 << 20);
     assertEquals(
         "configuration: the key known.instances names over 1 servers: the heap of 40 MB holds "
             + "no more",
-        fault(new Example().lists(one)));
+        fault(new ExampleConfig().lists(one)));
     assertEquals(
         2,
-        new Example()
-            .lists(new ListLimits(2, 1000, 40 << 20))
+        new ExampleConfig()
+            .lists(new EndpointListLimits(2, 1000, 40 << 20))
             .read(dir)
             .known()
             .instances()
             .size());
-    String said = fault(new Example().with("s-5be2a07c", "x".repeat(256)));
+    String said = fault(new ExampleConfig().with("s-5be2a07c", "x".repeat(256)));
     assertTrue(
         said.startsWith(
             "configuration: the key known.instances.0.instanceId is longer than 255 "
@@ -256,7 +262,7 @@
     for (int k = 0; k < 9100; k++) {
       servers
           .append(
-              Stand.instance(
+              TestPeers.instance(
                   "s-" + k,
                   "10.1." + (k >> 8) + "." + (k & 255) + ":8080",
                   "north",
@@ -265,11 +271,11 @@
           .append(",");
     }
     Map<String, String> environment =
-        new Example().with("\"instances\": [", "\"instances\": [" + servers).write(dir);
+        new ExampleConfig().with("\"instances\": [", "\"instances\": [" + servers).write(dir);
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-    Config.read(environment);
+    AssignerConfig.read(environment);
     long before = threads.getThreadAllocatedBytes(Thread.currentThread().getId());
-    assertEquals(9102, Config.read(environment).known().instances().size());
+    assertEquals(9102, AssignerConfig.read(environment).known().instances().size());
     long bytes = threads.getThreadAllocatedBytes(Thread.currentThread().getId()) - before;
     assertTrue(bytes < 2000L * 9102, bytes / 9102 + " bytes a server were allocated");
   }
@@ -279,15 +285,15 @@
    */
   @Test
   void aReloadTakesOverAddressesAndLimitsOnly() throws Exception {
-    Config first = new Example().read(dir);
-    Map<String, String> environment = new HashMap<>(new Example().write(dir));
-    new Example()
+    AssignerConfig first = new ExampleConfig().read(dir);
+    Map<String, String> environment = new HashMap<>(new ExampleConfig().write(dir));
+    new ExampleConfig()
         .discovery("127.0.0.1:77")
         .with("\"sockets\": 1024", "\"sockets\": 256")
         .with("\"stranger_ms\": 2000", "\"stranger_ms\": 1500")
         .with("\"tickUs\": 5000", "\"tickUs\": 6000")
         .write(dir);
-    Config now = first.reload(environment);
+    AssignerConfig now = first.reload(environment);
     assertEquals(77, now.discovery().getPort());
     assertEquals(256, now.sockets());
     assertEquals(1500, now.timeouts().strangerMs());
@@ -308,8 +314,8 @@
         "}|]|malformed JSON"
       })
   void aFaultyReloadNamesTheKey(String old, String now, String said) throws Exception {
-    Config first = new Example().read(dir);
-    Map<String, String> environment = new Example().with(old, now).write(dir);
+    AssignerConfig first = new ExampleConfig().read(dir);
+    Map<String, String> environment = new ExampleConfig().with(old, now).write(dir);
     String got =
         assertThrows(SettingsException.class, () -> first.reload(environment)).getMessage();
     assertTrue(got.contains(said), got);
--- a/src/test/java/pearusher/config/ListLimitTest.java
+++ b/src/test/java/pearusher/config/EndpointListLimitsTest.java
@@ -8,30 +8,30 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import pearusher.policy.Assigner;
-import pearusher.protocol.ListLimits;
-import pearusher.server.Loopback;
-import pearusher.server.Stand;
+import pearusher.policy.PolicyCommands;
+import pearusher.protocol.EndpointListLimits;
+import pearusher.server.LoopbackFixture;
+import pearusher.server.TestPeers;
 
 /**
  * Lists over a limit, on sockets: refused with one line, as a failed call, and the last good list
  * stays.
  */
-class ListLimitTest extends Loopback {
+class EndpointListLimitsTest extends LoopbackFixture {
   private static final String REFUSED =
       "WARN discovery: a list of over 4 servers: the heap of 40 MB holds " + "no more";
 
   @BeforeEach
   void limits() {
-    example.lists(new ListLimits(4, 1000, 40 << 20));
+    example.lists(new EndpointListLimits(4, 1000, 40 << 20));
   }
 
   private static String list(int generation, boolean whole, int from, int to) {
-    return Stand.listing(
+    return TestPeers.listing(
         generation,
         whole,
         IntStream.range(from, to)
-            .mapToObj(k -> Stand.instance("s-" + k, "127.0.0.1:9", "north", "in_service", 0))
+            .mapToObj(k -> TestPeers.instance("s-" + k, "127.0.0.1:9", "north", "in_service", 0))
             .toArray(String[]::new));
   }
 
@@ -45,7 +45,7 @@
 
   @Test
   void aWatchWithAListOverTheLimitHasFailed() throws Exception {
-    Stand.Request watch = watch();
+    TestPeers.Request watch = watch();
     module.hear("listed CACHED");
     watch.beginWatch();
     watch.line(list(43, true, 0, 4));
@@ -71,14 +71,14 @@
   void aFetchedListOverTheLimitHasFailed() throws Exception {
     start();
     module.hear("listed CACHED");
-    module.order(Assigner.Orders::fetch);
+    module.order(PolicyCommands::fetch);
     discovery.next().answer(200, list(45, true, 0, 5));
     module.hear("listed FAILED []");
     assertEquals(0, logged(REFUSED, 1));
     logged("WARN discovery lost: FETCH ended: TOO_LONG");
     assertFalse(
         log.toString(StandardCharsets.UTF_8).contains("can't be read"), "one line tells it");
-    module.order(Assigner.Orders::fetch);
+    module.order(PolicyCommands::fetch);
     discovery.next().answer(200, list(45, true, 0, 4));
     module.hear("listed WHOLE");
     assertEquals(List.of(), module.told);
@@ -88,7 +88,7 @@
   void anIdThatIsTooLongIsNamed() throws Exception {
     start();
     module.hear("listed CACHED");
-    module.order(Assigner.Orders::fetch);
+    module.order(PolicyCommands::fetch);
     discovery.next().answer(200, list(45, true, 0, 1).replace("s-0", "x".repeat(256)));
     module.hear("listed FAILED []");
     logged(
@@ -99,7 +99,7 @@
   /** Changes that are short one by one must not make more known than the heap holds. */
   @Test
   void changesThatNameNewServersWithoutEndAreRefused() throws Exception {
-    Stand.Request watch = watch();
+    TestPeers.Request watch = watch();
     module.hear("listed CACHED");
     watch.beginWatch();
     for (int k = 0; k < 4; k++) {
@@ -127,16 +127,16 @@
    */
   @Test
   void ofAServerThatIsListedTwiceTheLastCounts() throws Exception {
-    try (Stand.Http task = new Stand.Http()) {
-      Stand.Request watch = watch();
+    try (TestPeers.HttpStub task = new TestPeers.HttpStub()) {
+      TestPeers.Request watch = watch();
       module.hear("listed CACHED");
       watch.beginWatch();
       watch.line(
-          Stand.listing(
+          TestPeers.listing(
               43,
               true,
-              Stand.instance("s-0badcafe", "127.0.0.1:1", "north", "terminating", 0),
-              Stand.instance("s-0badcafe", task.address(), "south", "in_service", 0)));
+              TestPeers.instance("s-0badcafe", "127.0.0.1:1", "north", "terminating", 0),
+              TestPeers.instance("s-0badcafe", task.address(), "south", "in_service", 0)));
       module.hear(
           "listed WHOLE [Entry[server=1, zone=0, kind=0, cell=0, state=DRAINING, weight=1.0, "
               + "startedUs=0], Entry[server=1, zone=1, kind=0, cell=0, state=READY, weight=1.0, "
--- a/src/test/java/pearusher/control/GrowthTest.java
+++ b/src/test/java/pearusher/control/BoundedStateTest.java
@@ -13,27 +13,29 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pearusher.config.Config;
-import pearusher.policy.Assigner;
-import pearusher.policy.Rules;
+import pearusher.config.AssignerConfig;
+import pearusher.policy.FaastPolicy;
+import pearusher.policy.Lifecycle;
+import pearusher.protocol.Endpoint;
+import pearusher.protocol.EndpointList;
 import pearusher.protocol.Message;
-import pearusher.protocol.Resp;
-import pearusher.server.Example;
-import pearusher.server.Stand;
+import pearusher.protocol.RespCodec;
+import pearusher.server.ExampleConfig;
+import pearusher.server.TestPeers;
 
 /**
  * Servers and proxies come and go by thousands through the exchange and the real module: counted,
  * not timed.
  */
-class GrowthTest {
+class BoundedStateTest {
   private static final int SERVERS = 6;
   private static final int PROXIES = 8;
 
   @TempDir Path dir;
   private final AtomicLong clock = new AtomicLong(1_000_000_000_000_000L);
   private final Map<Integer, Holder> streams = new HashMap<>();
-  private Exchange exchange;
-  private Config config;
+  private Controller exchange;
+  private AssignerConfig config;
   private long generation = 41;
 
   /**
@@ -45,18 +47,18 @@
   private double fullest;
 
   /** A proxy that keeps what it holds over its streams, and answers marks. */
-  private final class Holder implements Exchange.Stream {
+  private final class Holder implements ProxyStream {
     private final int proxy;
-    private final Stand.Held held;
+    private final TestPeers.AppliedUpdates held;
 
-    Holder(int proxy, Stand.Held held) {
+    Holder(int proxy, TestPeers.AppliedUpdates held) {
       this.proxy = proxy;
       this.held = held;
     }
 
     @Override
     public void send(byte[] message) {
-      try (Resp.Reader reader = new Resp.Reader(Resp.MOST)) {
+      try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MOST)) {
         ByteBuffer from = ByteBuffer.wrap(message);
         queued += config.settings().channel().head();
         for (List<String> words = reader.next(from); words != null; words = reader.next(from)) {
@@ -71,12 +73,12 @@
           }
         }
         fullest = Math.max(fullest, queued);
-      } catch (Resp.Fault e) {
+      } catch (RespCodec.Fault e) {
         throw new IllegalStateException(e);
       }
       if (!held.tickets.isEmpty()) {
         exchange.applied(
-            this, new Message.Applied(proxy, held.tickets.get(held.tickets.size() - 1), 0));
+            this, new Message.Acknowledgement(proxy, held.tickets.get(held.tickets.size() - 1), 0));
         held.tickets.clear();
       }
     }
@@ -86,18 +88,18 @@
   }
 
   private void start() throws Exception {
-    start(new Example());
+    start(new ExampleConfig());
   }
 
-  private void start(Example example) throws Exception {
+  private void start(ExampleConfig example) throws Exception {
     config = example.read(dir);
     exchange =
-        new Exchange(config, Rules::new, clock::get, failure -> {}) {
+        new Controller(config, FaastPolicy::new, clock::get, failure -> {}) {
           @Override
           public void pause() {}
         };
     exchange.connect(
-        new Exchange.Calls() {
+        new OutboundCalls() {
           @Override
           public void watch(boolean on, long since) {}
 
@@ -111,18 +113,18 @@
     exchange.begin();
   }
 
-  private Message.Instance instance(String name, int k, Assigner.State state) {
-    return new Message.Instance(name, "127.0.0.1:1", k % 2, 0, k, state, 1, clock.get());
+  private Endpoint instance(String name, int k, Lifecycle state) {
+    return new Endpoint(name, "127.0.0.1:1", k % 2, 0, k, state, 1, clock.get());
   }
 
-  private void change(Message.Instance... what) {
-    exchange.listed(new Message.Listing(++generation, false, List.of(what)), false);
+  private void change(Endpoint... what) {
+    exchange.listed(new EndpointList(++generation, false, List.of(what)), false);
   }
 
-  private void join(int proxy, Stand.Held held, boolean fresh) {
+  private void join(int proxy, TestPeers.AppliedUpdates held, boolean fresh) {
     Holder now = new Holder(proxy, held);
     Holder old = streams.put(proxy, now);
-    exchange.joined(now, new Message.Joined(proxy, proxy % 2, 2.5, fresh));
+    exchange.joined(now, new Message.ProxyJoin(proxy, proxy % 2, 2.5, fresh));
     if (old != null) {
       exchange.ended(old, proxy);
     }
@@ -141,11 +143,11 @@
     }
     for (String name : names) {
       for (int zone = 0; zone < 2; zone++) {
-        exchange.heard(new Message.Heard(zone, name, 20, 0, 100_000, 1_000_000, new float[0]));
+        exchange.heard(new Message.LoadReport(zone, name, 20, 0, 100_000, 1_000_000, new float[0]));
       }
     }
     for (int proxy : streams.keySet()) {
-      exchange.usage(new Message.Usage(proxy, 0, 15, 0, 1_000_000));
+      exchange.usage(new Message.UsageReport(proxy, 0, 15, 0, 1_000_000));
     }
     // Timers fall due between the periods' reports too.
     for (int k = 0; k < 4; k++) {
@@ -162,31 +164,29 @@
     List<String> names = new ArrayList<>();
     for (int k = 0; k < SERVERS; k++) {
       names.add("s-first-" + k);
-      change(instance(names.get(k), k, Assigner.State.READY));
+      change(instance(names.get(k), k, Lifecycle.READY));
     }
-    Map<Integer, Stand.Held> held = new HashMap<>();
+    Map<Integer, TestPeers.AppliedUpdates> held = new HashMap<>();
     for (int p = 0; p < PROXIES; p++) {
-      held.put(p, new Stand.Held(config.names().classes()));
+      held.put(p, new TestPeers.AppliedUpdates(config.names().classes()));
       join(p, held.get(p), true);
     }
     List<Integer> early = null;
     for (int round = 0; round < 1200; round++) {
       int k = round % SERVERS;
       String next = "s-" + round;
-      change(
-          instance(names.get(k), k, Assigner.State.DRAINING),
-          instance(next, k, Assigner.State.READY));
+      change(instance(names.get(k), k, Lifecycle.DRAINING), instance(next, k, Lifecycle.READY));
       period(names);
       change(
-          instance(names.get(k), k, Assigner.State.GONE),
-          instance("s-never-" + round, k, Assigner.State.GONE));
+          instance(names.get(k), k, Lifecycle.GONE),
+          instance("s-never-" + round, k, Lifecycle.GONE));
       names.set(k, next);
       join(round % PROXIES, held.get(round % PROXIES), false);
       period(names);
       early = round == 200 ? exchange.sizes() : early;
     }
     names.addAll(List.of("s-5be2a07c", "s-0badcafe"));
-    for (Stand.Held one : held.values()) {
+    for (TestPeers.AppliedUpdates one : held.values()) {
       assertEquals(List.of(), one.faults);
       assertTrue(
           !one.open("lookup").isEmpty() && names.containsAll(one.open("lookup").keySet()),
@@ -202,7 +202,7 @@
     }
     // With its servers and proxies goes all the rest.
     for (String name : names.subList(0, SERVERS)) {
-      change(instance(name, 0, Assigner.State.GONE));
+      change(instance(name, 0, Lifecycle.GONE));
     }
     streams.forEach((proxy, stream) -> exchange.ended(stream, proxy));
     streams.clear();
@@ -221,20 +221,20 @@
   @Test
   void aServerThatWasForgottenComesBack() throws Exception {
     start();
-    Stand.Held held = new Stand.Held(config.names().classes());
+    TestPeers.AppliedUpdates held = new TestPeers.AppliedUpdates(config.names().classes());
     join(3, held, true);
-    change(instance("s-again", 1, Assigner.State.READY));
+    change(instance("s-again", 1, Lifecycle.READY));
     for (int k = 0; k < 30; k++) {
       period(List.of("s-5be2a07c", "s-0badcafe", "s-again"));
     }
     assertTrue(held.open("order").containsKey("s-again"), held.shown());
-    change(instance("s-again", 1, Assigner.State.GONE));
+    change(instance("s-again", 1, Lifecycle.GONE));
     for (int k = 0; k < 120; k++) {
       period(List.of("s-5be2a07c", "s-0badcafe"));
     }
     assertTrue(held.out.contains("s-again"), held.shown());
     assertEquals(2, exchange.sizes().get(0), "it is forgotten");
-    change(instance("s-again", 1, Assigner.State.READY));
+    change(instance("s-again", 1, Lifecycle.READY));
     for (int k = 0; k < 30; k++) {
       period(List.of("s-5be2a07c", "s-0badcafe", "s-again"));
     }
@@ -251,32 +251,32 @@
   void theQueueStaysShortByTheWiresOwnCount() throws Exception {
     int many = 150;
     start(
-        new Example()
+        new ExampleConfig()
             .with("\"proxyCount\": 8", "\"proxyCount\": " + many)
             .with("\"reportsPerS\": 150.0", "\"reportsPerS\": 2000.0"));
     List<String> names = new ArrayList<>();
     for (int k = 0; k < 30; k++) {
       names.add("s-first-" + k);
-      change(instance(names.get(k), k, Assigner.State.READY));
+      change(instance(names.get(k), k, Lifecycle.READY));
     }
-    List<Stand.Held> held = new ArrayList<>();
+    List<TestPeers.AppliedUpdates> held = new ArrayList<>();
     for (int p = 0; p < many; p++) {
-      held.add(new Stand.Held(config.names().classes()));
+      held.add(new TestPeers.AppliedUpdates(config.names().classes()));
       join(p, held.get(p), true);
     }
     Random random = new Random(7);
     for (int round = 0; round < 90; round++) {
       if (round % 6 == 3) {
         for (int k = round % 30; k < round % 30 + 6; k++) {
-          change(instance(names.get(k % 30), k, Assigner.State.DRAINING));
+          change(instance(names.get(k % 30), k, Lifecycle.DRAINING));
           names.set(k % 30, "s-" + round + "-" + k);
-          change(instance(names.get(k % 30), k, Assigner.State.READY));
+          change(instance(names.get(k % 30), k, Lifecycle.READY));
         }
       }
       for (int k = 0; k < 25 && round % 4 == 0; k++) {
         int p = random.nextInt(many);
         boolean fresh = round % 8 == 0;
-        held.set(p, fresh ? new Stand.Held(config.names().classes()) : held.get(p));
+        held.set(p, fresh ? new TestPeers.AppliedUpdates(config.names().classes()) : held.get(p));
         join(p, held.get(p), fresh);
       }
       period(names);
--- a/src/test/java/pearusher/control/DurableOrdersTest.java
+++ b/src/test/java/pearusher/control/DurablePublisherTest.java
@@ -17,24 +17,26 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pearusher.config.Config;
-import pearusher.policy.Assigner;
-import pearusher.policy.Rules;
+import pearusher.config.AssignerConfig;
+import pearusher.policy.FaastPolicy;
+import pearusher.policy.Lifecycle;
+import pearusher.protocol.Endpoint;
+import pearusher.protocol.EndpointList;
 import pearusher.protocol.Message;
-import pearusher.protocol.Resp;
-import pearusher.server.Example;
-import pearusher.server.Stand;
-import pearusher.store.Options;
+import pearusher.protocol.RespCodec;
+import pearusher.server.ExampleConfig;
+import pearusher.server.TestPeers;
 import pearusher.store.SimDisk;
 import pearusher.store.Store;
 import pearusher.store.StoreException;
+import pearusher.store.StoreOptions;
 
 /**
  * The exchange, the real module and the store over power cuts: proxies keep what they were told,
  * servers drain and come back, and a checker reads every order. Time is the test's; each turn ends
  * once the disk is done with it, or the power went.
  */
-class DurableOrdersTest {
+class DurablePublisherTest {
   private static final int PROXIES = 6;
   private static final int SERVERS = 7;
 
@@ -44,22 +46,22 @@
   /** Half seconds after which an answer counts as heard of, see the slack of the checker. */
   private static final int STEPS_PAST_SLACK = 8;
 
-  private static final Options EACH =
-      new Options(Options.Policy.EACH, 0, 4000, 2000, 2, Options.Damage.REFUSE);
+  private static final StoreOptions EACH =
+      new StoreOptions(StoreOptions.Policy.EACH, 0, 4000, 2000, 2, StoreOptions.Damage.REFUSE);
 
   @TempDir Path dir;
   private final AtomicLong clock = new AtomicLong(1_000_000_000_000_000L);
-  private Config config;
-  private OrderCheck check;
+  private AssignerConfig config;
+  private UpdateChecker check;
   private SimDisk disk;
-  private Exchange exchange;
-  private Durable durable;
+  private Controller exchange;
+  private DurablePublisher durable;
   private final Map<Integer, Holder> streams = new HashMap<>();
-  private final Map<String, Message.Instance> list = new HashMap<>();
+  private final Map<String, Endpoint> list = new HashMap<>();
   private long generation = 100;
   private long killed;
 
-  private final class Holder implements Exchange.Stream {
+  private final class Holder implements ProxyStream {
     private final int proxy;
     private boolean open = true;
 
@@ -72,12 +74,12 @@
       if (!open) {
         return;
       }
-      try (Resp.Reader reader = new Resp.Reader(Resp.MOST)) {
+      try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MOST)) {
         ByteBuffer from = ByteBuffer.wrap(message);
         for (List<String> words = reader.next(from); words != null; words = reader.next(from)) {
           check.part(proxy, words, clock.get());
         }
-      } catch (Resp.Fault e) {
+      } catch (RespCodec.Fault e) {
         throw new IllegalStateException(e);
       }
     }
@@ -88,33 +90,33 @@
 
   @BeforeEach
   void world() throws Exception {
-    config = new Example().read(dir);
-    check = new OrderCheck(config.names().classes(), Set.of("order"), 2_500_000);
+    config = new ExampleConfig().read(dir);
+    check = new UpdateChecker(config.names().classes(), Set.of("order"), 2_500_000);
     for (int k = 0; k < SERVERS; k++) {
-      list.put("s" + k, instance("s" + k, Assigner.State.READY, 0));
+      list.put("s" + k, instance("s" + k, Lifecycle.READY, 0));
     }
   }
 
-  private Message.Instance instance(String name, Assigner.State state, long started) {
+  private Endpoint instance(String name, Lifecycle state, long started) {
     int k = Integer.parseInt(name.substring(1));
-    return new Message.Instance(name, "127.0.0.1:1", k % 2, 0, k, state, 1, started);
+    return new Endpoint(name, "127.0.0.1:1", k % 2, 0, k, state, 1, started);
   }
 
   private void start() throws Exception {
-    Keeping keeping = new Keeping(dir, EACH, 30_000_000, 5_000_000, 600_000_000);
-    durable = new Durable(config, keeping, Store.open(disk, EACH), clock::get);
+    PersistenceOptions keeping =
+        new PersistenceOptions(dir, EACH, 30_000_000, 5_000_000, 600_000_000);
+    durable = new DurablePublisher(config, keeping, Store.open(disk, EACH), clock::get);
     exchange =
-        new Exchange(config, Rules::new, clock::get, failure -> {}, durable, null) {
+        new Controller(config, FaastPolicy::new, clock::get, failure -> {}, durable, null) {
           @Override
           public void pause() {}
         };
     exchange.connect(
-        new Exchange.Calls() {
+        new OutboundCalls() {
           @Override
           public void watch(boolean on, long since) {
             // Discovery answers at once with the whole list.
-            exchange.listed(
-                new Message.Listing(generation, true, List.copyOf(list.values())), true);
+            exchange.listed(new EndpointList(generation, true, List.copyOf(list.values())), true);
           }
 
           @Override
@@ -149,7 +151,7 @@
     Holder now = new Holder(proxy);
     streams.put(proxy, now);
     check.joined(proxy, fresh, killed);
-    exchange.joined(now, new Message.Joined(proxy, proxy % 2, 2.5, fresh));
+    exchange.joined(now, new Message.ProxyJoin(proxy, proxy % 2, 2.5, fresh));
   }
 
   /** A stream breaks and its proxy dials again: what was on its way to the old one is lost. */
@@ -164,15 +166,15 @@
   }
 
   private void change(String name) {
-    boolean ready = list.get(name).state() == Assigner.State.READY;
-    Message.Instance now =
+    boolean ready = list.get(name).state() == Lifecycle.READY;
+    Endpoint now =
         instance(
             name,
-            ready ? Assigner.State.DRAINING : Assigner.State.READY,
+            ready ? Lifecycle.DRAINING : Lifecycle.READY,
             ready ? list.get(name).startedUs() : clock.get());
     list.put(name, now);
     check.listed(name, ready, clock.get());
-    exchange.listed(new Message.Listing(++generation, false, List.of(now)), false);
+    exchange.listed(new EndpointList(++generation, false, List.of(now)), false);
   }
 
   /** Half a second of an ordinary day; false once the power went. */
@@ -184,7 +186,7 @@
     for (String name : list.keySet()) {
       for (int zone = 0; zone < 2; zone++) {
         exchange.heard(
-            new Message.Heard(
+            new Message.LoadReport(
                 zone,
                 name,
                 20,
@@ -195,9 +197,10 @@
       }
     }
     for (int proxy : streams.keySet()) {
-      exchange.usage(new Message.Usage(proxy, 0, 15, 0, 1_000_000));
+      exchange.usage(new Message.UsageReport(proxy, 0, 15, 0, 1_000_000));
       if (check.unanswered(proxy) && random.nextInt(4) > 0) {
-        exchange.applied(streams.get(proxy), new Message.Applied(proxy, check.mark(proxy), 0));
+        exchange.applied(
+            streams.get(proxy), new Message.Acknowledgement(proxy, check.mark(proxy), 0));
         check.answered(proxy, clock.get());
       }
     }
@@ -271,8 +274,8 @@
         if (!mine.equals(whole)) {
           check.faults.add("proxy " + proxy + " " + grade + " holds " + mine + ", not " + whole);
         }
-        Stand.Holding held = check.held(proxy).by.get(grade);
-        Stand.Holding all = check.held(PROXIES + proxy % 2).by.get(grade);
+        TestPeers.AppliedTable held = check.held(proxy).by.get(grade);
+        TestPeers.AppliedTable all = check.held(PROXIES + proxy % 2).by.get(grade);
         if (!String.valueOf(held.level).equals(String.valueOf(all.level))) {
           check.faults.add(
               "proxy " + proxy + " " + grade + " level " + held.level + ", not " + all.level);
@@ -301,7 +304,8 @@
       clock.addAndGet(500_000);
       for (int proxy : streams.keySet()) {
         if (check.unanswered(proxy)) {
-          exchange.applied(streams.get(proxy), new Message.Applied(proxy, check.mark(proxy), 0));
+          exchange.applied(
+              streams.get(proxy), new Message.Acknowledgement(proxy, check.mark(proxy), 0));
           check.answered(proxy, clock.get());
         }
       }
@@ -506,7 +510,7 @@
           step(random);
         }
         durable.end();
-        Stand.until(
+        TestPeers.until(
             one.getValue(), () -> log.toString(StandardCharsets.UTF_8).contains(one.getValue()));
       }
       assertTrue(
--- a/src/test/java/pearusher/control/Scripted.java
+++ b/src/test/java/pearusher/control/ScriptedPolicy.java
@@ -8,26 +8,29 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import pearusher.policy.Assigner;
-import pearusher.server.Stand;
+import pearusher.policy.AssignmentPolicy;
+import pearusher.policy.PolicyCommands;
+import pearusher.policy.PolicySettings;
+import pearusher.server.TestPeers;
 
 /**
  * A module that writes down what it is told and orders what a test asks for, at the end of a turn.
  */
-public final class Scripted implements BiFunction<Assigner.Settings, Assigner.Orders, Assigner> {
+public final class ScriptedPolicy
+    implements BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> {
   public final List<String> told = new CopyOnWriteArrayList<>();
-  private final LinkedBlockingQueue<Consumer<Assigner.Orders>> asked = new LinkedBlockingQueue<>();
-  private volatile Exchange exchange;
+  private final LinkedBlockingQueue<Consumer<PolicyCommands>> asked = new LinkedBlockingQueue<>();
+  private volatile Controller exchange;
 
   @Override
-  public Assigner apply(Assigner.Settings settings, Assigner.Orders orders) {
-    return (Assigner)
+  public AssignmentPolicy apply(PolicySettings settings, PolicyCommands orders) {
+    return (AssignmentPolicy)
         Proxy.newProxyInstance(
-            Scripted.class.getClassLoader(),
-            new Class<?>[] {Assigner.class},
+            ScriptedPolicy.class.getClassLoader(),
+            new Class<?>[] {AssignmentPolicy.class},
             (self, method, args) -> {
               if (method.getName().equals("close")) {
-                for (Consumer<Assigner.Orders> a = asked.poll(); a != null; a = asked.poll()) {
+                for (Consumer<PolicyCommands> a = asked.poll(); a != null; a = asked.poll()) {
                   a.accept(orders);
                 }
                 return null;
@@ -49,19 +52,19 @@
             });
   }
 
-  public void on(Exchange what) {
+  public void on(Controller what) {
     exchange = what;
   }
 
   /** Gives orders in a turn of their own. */
-  public void order(Consumer<Assigner.Orders> what) {
+  public void order(Consumer<PolicyCommands> what) {
     asked.add(what);
     exchange.event(() -> {});
   }
 
   /** Waits until the module was told this, and forgets all up to then. */
   public void hear(String start) throws InterruptedException {
-    Stand.until(start + " in " + told, () -> told.stream().anyMatch(t -> t.startsWith(start)));
+    TestPeers.until(start + " in " + told, () -> told.stream().anyMatch(t -> t.startsWith(start)));
     while (!told.remove(0).startsWith(start)) {
       // What came before is dropped.
     }
--- a/src/test/java/pearusher/control/StoredDataSite.java
+++ b/src/test/java/pearusher/control/StoredDataSite.java
@@ -14,14 +14,19 @@
 import java.util.TreeMap;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
-import pearusher.config.Config;
-import pearusher.policy.Assigner;
+import pearusher.config.AssignerConfig;
+import pearusher.policy.AssignmentPolicy;
+import pearusher.policy.ListUpdateKind;
+import pearusher.policy.PolicyCommands;
+import pearusher.policy.ServerEntry;
+import pearusher.protocol.Endpoint;
+import pearusher.protocol.EndpointList;
 import pearusher.protocol.Message;
-import pearusher.protocol.Resp;
-import pearusher.server.Example;
+import pearusher.protocol.RespCodec;
+import pearusher.server.ExampleConfig;
 import pearusher.store.FileDisk;
-import pearusher.store.Options;
 import pearusher.store.Store;
+import pearusher.store.StoreOptions;
 
 /**
  * An exchange on a store directory, with a fixed clock and a module that gives exactly the orders
@@ -29,8 +34,8 @@
  */
 final class StoredDataSite implements AutoCloseable {
   /** Small segments, so that a short scenario has several; no compaction by itself. */
-  static final Options OPTIONS =
-      new Options(Options.Policy.EACH, 0, 1500, 1 << 30, 2, Options.Damage.REFUSE);
+  static final StoreOptions OPTIONS =
+      new StoreOptions(StoreOptions.Policy.EACH, 0, 1500, 1 << 30, 2, StoreOptions.Damage.REFUSE);
 
   static final long TRUST_US = 600_000_000;
 
@@ -44,20 +49,20 @@
   /**
    * Binds each proxy that joins, and gives the orders that it is asked for at the end of a turn.
    */
-  private static final class OrderedModule implements Assigner {
-    private final Orders orders;
-    private final Queue<Consumer<Orders>> asked = new ArrayDeque<>();
+  private static final class OrderedModule implements AssignmentPolicy {
+    private final PolicyCommands orders;
+    private final Queue<Consumer<PolicyCommands>> asked = new ArrayDeque<>();
     private final Map<Long, Integer> cells = new HashMap<>();
     private final Map<Integer, Integer> joining = new TreeMap<>();
     private final List<String> restored = new ArrayList<>();
     private int lastMark;
 
-    OrderedModule(Orders orders) {
+    OrderedModule(PolicyCommands orders) {
       this.orders = orders;
     }
 
     @Override
-    public void listed(long now, ListForm form, List<Entry> entries) {
+    public void listed(long now, ListUpdateKind form, List<ServerEntry> entries) {
       entries.forEach(entry -> cells.put(entry.server(), entry.cell()));
     }
 
@@ -98,7 +103,7 @@
       }
       joining.clear();
       // A mark among these takes the place of the one above.
-      for (Consumer<Orders> one = asked.poll(); one != null; one = asked.poll()) {
+      for (Consumer<PolicyCommands> one = asked.poll(); one != null; one = asked.poll()) {
         one.accept(orders);
       }
     }
@@ -137,7 +142,7 @@
   }
 
   /** A proxy's stream, which keeps what it is sent. */
-  private static final class KeptStream implements Exchange.Stream {
+  private static final class KeptStream implements ProxyStream {
     private final List<byte[]> messages = new ArrayList<>();
 
     @Override
@@ -156,8 +161,8 @@
   }
 
   private final AtomicLong clock;
-  private final Durable durable;
-  private final Exchange exchange;
+  private final DurablePublisher durable;
+  private final Controller exchange;
   private OrderedModule module;
   private final Map<Integer, KeptStream> streams = new TreeMap<>();
 
@@ -168,13 +173,14 @@
    */
   StoredDataSite(Path store, Path work, long nowUs) throws Exception {
     clock = new AtomicLong(nowUs);
-    Config config = new Example().read(work);
+    AssignerConfig config = new ExampleConfig().read(work);
     FileDisk disk = new FileDisk(store);
     disk.make();
-    Keeping keeping = new Keeping(store, OPTIONS, PATIENCE_US, ALIVE_US, TRUST_US);
-    durable = new Durable(config, keeping, Store.open(disk, OPTIONS), clock::get);
+    PersistenceOptions keeping =
+        new PersistenceOptions(store, OPTIONS, PATIENCE_US, ALIVE_US, TRUST_US);
+    durable = new DurablePublisher(config, keeping, Store.open(disk, OPTIONS), clock::get);
     exchange =
-        new Exchange(
+        new Controller(
             config,
             (settings, orders) -> {
               module = new OrderedModule(orders);
@@ -188,7 +194,7 @@
           public void pause() {}
         };
     exchange.connect(
-        new Exchange.Calls() {
+        new OutboundCalls() {
           @Override
           public void watch(boolean on, long since) {}
 
@@ -222,12 +228,12 @@
     }
   }
 
-  void list(long generation, boolean whole, List<Message.Instance> servers) {
-    exchange.listed(new Message.Listing(generation, whole, servers), false);
+  void list(long generation, boolean whole, List<Endpoint> servers) {
+    exchange.listed(new EndpointList(generation, whole, servers), false);
   }
 
   /** Orders for the end of the next turn. */
-  void ask(Consumer<Assigner.Orders> orders) {
+  void ask(Consumer<PolicyCommands> orders) {
     module.asked.add(orders);
   }
 
@@ -239,11 +245,11 @@
   void join(int proxy, int zone, boolean fresh) {
     KeptStream stream = new KeptStream();
     streams.put(proxy, stream);
-    exchange.joined(stream, new Message.Joined(proxy, zone, REQUESTS_PER_S, fresh));
+    exchange.joined(stream, new Message.ProxyJoin(proxy, zone, REQUESTS_PER_S, fresh));
   }
 
   void answer(int proxy, int mark) {
-    exchange.applied(streams.get(proxy), new Message.Applied(proxy, mark, 0));
+    exchange.applied(streams.get(proxy), new Message.Acknowledgement(proxy, mark, 0));
   }
 
   /** The tables that the module was told at the start, a line each. */
@@ -252,7 +258,7 @@
   }
 
   /** What a proxy was sent since the last call: the bytes as text. */
-  List<String> sent(int proxy) throws Resp.Fault {
+  List<String> sent(int proxy) throws RespCodec.Fault {
     List<String> out = new ArrayList<>();
     for (byte[] message : streams.get(proxy).take()) {
       out.add("proxy " + proxy + ": " + shown(message));
@@ -266,7 +272,7 @@
    * the servers of an unordered map, which differ from process to process: there the servers are
    * sorted.
    */
-  private static String shown(byte[] message) throws Resp.Fault {
+  private static String shown(byte[] message) throws RespCodec.Fault {
     String text = new String(message, StandardCharsets.UTF_8).replace("\r\n", "|");
     if (!text.contains("|whole|")) {
       return String.join(
@@ -276,7 +282,7 @@
               .toList());
     }
     List<String> parts = new ArrayList<>();
-    try (Resp.Reader reader = new Resp.Reader(Resp.MOST)) {
+    try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MOST)) {
       ByteBuffer from = ByteBuffer.wrap(message);
       for (List<String> words = reader.next(from); words != null; words = reader.next(from)) {
         parts.add(String.join(" ", words.stream().map(StoredDataSite::sorted).toList()));
--- a/src/test/java/pearusher/control/StoredDataWriter.java
+++ b/src/test/java/pearusher/control/StoredDataWriter.java
@@ -8,14 +8,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 import pearusher.cli.CommandRun;
-import pearusher.policy.Assigner;
-import pearusher.protocol.Message;
-import pearusher.protocol.Resp;
-import pearusher.recovery.Doubt;
+import pearusher.policy.AdmissionLevel;
+import pearusher.policy.Idempotency;
+import pearusher.policy.Lifecycle;
+import pearusher.protocol.Endpoint;
+import pearusher.protocol.RespCodec;
+import pearusher.recovery.CatchUp;
 import pearusher.recovery.Ledger;
-import pearusher.recovery.Level;
 import pearusher.recovery.ListedServer;
-import pearusher.recovery.Rejoin;
+import pearusher.recovery.RecoveryTrust;
 import pearusher.store.FileDisk;
 import pearusher.store.Inspection;
 
@@ -82,8 +83,8 @@
     Files.write(expected.resolve("start-of-copy.txt"), start(backup, work, READ_US));
   }
 
-  private static Message.Instance server(int number, Assigner.State state) {
-    return new Message.Instance(
+  private static Endpoint server(int number, Lifecycle state) {
+    return new Endpoint(
         "s" + number,
         number == 5 ? null : "127.0.0.1:" + (9000 + number),
         number % 2,
@@ -94,10 +95,10 @@
         number < 4 ? 0 : START_US - number * 1_000_000L);
   }
 
-  private static List<Message.Instance> servers() {
-    List<Message.Instance> out = new ArrayList<>();
+  private static List<Endpoint> servers() {
+    List<Endpoint> out = new ArrayList<>();
     for (int k = 0; k < SERVERS; k++) {
-      out.add(server(k, k == 6 ? Assigner.State.DRAINING : Assigner.State.READY));
+      out.add(server(k, k == 6 ? Lifecycle.DRAINING : Lifecycle.READY));
     }
     return out;
   }
@@ -184,8 +185,7 @@
         site.turn(STEP_US);
         now += STEP_US;
       }
-      site.list(
-          101, false, List.of(server(1, Assigner.State.DRAINING), server(7, Assigner.State.GONE)));
+      site.list(101, false, List.of(server(1, Lifecycle.DRAINING), server(7, Lifecycle.GONE)));
       site.turn(STEP_US);
       now += STEP_US;
       site.ask(
@@ -208,7 +208,7 @@
     Ledger ledger =
         Ledger.of(
             Inspection.of(new FileDisk(store)).state(),
-            Doubt.NONE,
+            RecoveryTrust.NONE,
             NAMES,
             READ_US,
             StoredDataSite.TRUST_US,
@@ -227,13 +227,13 @@
             + ledger.generation());
     new TreeMap<>(ledger.servers()).values().forEach(server -> out.add(shown(server)));
     out.add("out " + ledger.out().stream().sorted().toList());
-    List<Assigner.Effect> effects = List.of(Assigner.Effect.SAFE, Assigner.Effect.UNSAFE);
+    List<Idempotency> effects = List.of(Idempotency.SAFE, Idempotency.UNSAFE);
     ledger.tables().stream()
         .sorted()
         .forEach(
             number -> {
               out.add("table " + number + " lines " + new TreeMap<>(ledger.lines(number)));
-              Map<Integer, Level> levels = ledger.levels(number, effects);
+              Map<Integer, AdmissionLevel> levels = ledger.levels(number, effects);
               for (int grade : List.of(LOOKUP, ORDER)) {
                 out.add("table " + number + " class " + grade + " " + shown(levels.get(grade)));
               }
@@ -263,11 +263,11 @@
         + server.startedUs();
   }
 
-  private static String shown(Level level) {
+  private static String shown(AdmissionLevel level) {
     return level == null ? "no level" : "level " + level.level() + " retry " + level.retry();
   }
 
-  private static String shown(Rejoin lacks) {
+  private static String shown(CatchUp lacks) {
     if (lacks == null) {
       return "the whole table";
     }
@@ -322,7 +322,7 @@
     return out;
   }
 
-  private static List<String> sent(StoredDataSite site) throws Resp.Fault {
+  private static List<String> sent(StoredDataSite site) throws RespCodec.Fault {
     List<String> out = new ArrayList<>();
     for (int proxy = 0; proxy < PROXIES; proxy++) {
       out.addAll(site.sent(proxy));
--- a/src/test/java/pearusher/control/OrderCheck.java
+++ b/src/test/java/pearusher/control/UpdateChecker.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import pearusher.server.Stand;
+import pearusher.server.TestPeers;
 
 /**
  * Reads the orders that proxies receive over the lives of an assigner, and says what no order may
@@ -14,9 +14,9 @@
  * rise, for a server that drains, or a repeat of a class that must never run twice. It knows the
  * protocol and nothing of the store.
  */
-public final class OrderCheck {
+public final class UpdateChecker {
   private static final class Seen {
-    final Stand.Held held;
+    final TestPeers.AppliedUpdates held;
 
     /**
      * Lines by class and server, levels by class, that the proxy has answered for, and when it did.
@@ -34,7 +34,7 @@
 
     List<List<String>> message = new ArrayList<>();
 
-    Seen(Stand.Held held) {
+    Seen(TestPeers.AppliedUpdates held) {
       this.held = held;
     }
   }
@@ -56,14 +56,15 @@
    * {@code slack}: how long an answer or a word of the list may be on its way, in the caller's
    * time.
    */
-  public OrderCheck(List<String> classes, Set<String> fragile, long slack) {
+  public UpdateChecker(List<String> classes, Set<String> fragile, long slack) {
     this.classes = classes;
     this.fragile = fragile;
     this.slack = slack;
   }
 
-  public Stand.Held held(int proxy) {
-    return proxies.computeIfAbsent(proxy, p -> new Seen(new Stand.Held(classes))).held;
+  public TestPeers.AppliedUpdates held(int proxy) {
+    return proxies.computeIfAbsent(proxy, p -> new Seen(new TestPeers.AppliedUpdates(classes)))
+        .held;
   }
 
   private Seen seen(int proxy) {
--- a/src/test/java/pearusher/intake/IntakeTest.java
+++ b/src/test/java/pearusher/intake/IntakeTest.java
@@ -20,7 +20,7 @@
   private static final long HOUR = 3_600_000_000L;
   private static final float[] NONE = new float[0];
   private final List<String> log = new ArrayList<>();
-  private final List<Item> out = new ArrayList<>();
+  private final List<QueuedReport> out = new ArrayList<>();
   private final Intake intake =
       new Intake(
           new Intake.Bounds(1000, 100, 50, 2_000_000, HOUR, false, 1),
@@ -31,7 +31,7 @@
             }
 
             @Override
-            public void expired(Item item) {
+            public void expired(QueuedReport item) {
               log.add("expired");
             }
 
@@ -46,16 +46,18 @@
             }
           });
 
-  private static Item item(int origin, String server, long tries) {
-    return new Item(
-        origin, new Item.Tries(server, 0), Sums.of(tries, tries / 3, 40_000, 1_000_000, NONE));
+  private static QueuedReport item(int origin, String server, long tries) {
+    return new QueuedReport(
+        origin,
+        new QueuedReport.ServerAttempts(server, 0),
+        ReportTotals.of(tries, tries / 3, 40_000, 1_000_000, NONE));
   }
 
-  private static Sums sums(List<Integer> of) {
-    return Sums.of(of.get(0), Math.min(of.get(0), of.get(1)), of.get(2), of.get(3), NONE);
+  private static ReportTotals sums(List<Integer> of) {
+    return ReportTotals.of(of.get(0), Math.min(of.get(0), of.get(1)), of.get(2), of.get(3), NONE);
   }
 
-  private static String shown(Sums s) {
+  private static String shown(ReportTotals s) {
     return s.tries()
         + " "
         + s.failed()
@@ -72,10 +74,10 @@
   @Property(seed = "18", tries = 500)
   void mergingIsAssociativeAndLosesNothing(
       @ForAll @Size(12) List<@IntRange(max = 600_000) Integer> of) {
-    Sums a = sums(of.subList(0, 4));
-    Sums b = sums(of.subList(4, 8));
-    Sums c = sums(of.subList(8, 12));
-    Sums all = a.plus(b).plus(c);
+    ReportTotals a = sums(of.subList(0, 4));
+    ReportTotals b = sums(of.subList(4, 8));
+    ReportTotals c = sums(of.subList(8, 12));
+    ReportTotals all = a.plus(b).plus(c);
     assertEquals(shown(all), shown(a.plus(b.plus(c))));
     assertEquals(a.tries() + b.tries() + c.tries(), all.tries());
     assertEquals(a.failed() + b.failed() + c.failed(), all.failed());
@@ -87,7 +89,7 @@
 
   @Test
   void belowTheLimitEachReportGoesAsItCame() {
-    List<Item> sent = new ArrayList<>();
+    List<QueuedReport> sent = new ArrayList<>();
     for (int k = 0; k < 100; k++) {
       sent.add(item(k % 3, "s" + k % 5, k));
       assertTrue(intake.offer(sent.get(k)));
@@ -95,7 +97,9 @@
     for (int k = 0; k < 100; k++) {
       intake.next(0, out::add);
     }
-    assertEquals(sent.stream().map(Item::sums).toList(), out.stream().map(Item::sums).toList());
+    assertEquals(
+        sent.stream().map(QueuedReport::sums).toList(),
+        out.stream().map(QueuedReport::sums).toList());
     assertEquals(List.of(), log);
     assertEquals(0, intake.waiting());
   }
@@ -260,10 +264,10 @@
           truth[0] += tries;
           truth[1] += failed;
           one.offer(
-              new Item(
+              new QueuedReport(
                   k % 50,
-                  new Item.Tries("s" + k, second),
-                  Sums.of(tries, failed, 40_000, 1_000_000, NONE)));
+                  new QueuedReport.ServerAttempts("s" + k, second),
+                  ReportTotals.of(tries, failed, 40_000, 1_000_000, NONE)));
         }
         for (int part = 0; part < 10; part++) {
           one.serve(
@@ -319,7 +323,7 @@
   private Intake.Events quiet() {
     return new Intake.Events() {
       @Override
-      public void expired(Item item) {
+      public void expired(QueuedReport item) {
         expired++;
       }
     };
@@ -362,7 +366,7 @@
   @Property(seed = "20", tries = 300)
   void agesNeverRunBackwards(
       @ForAll @Size(max = 60) List<@IntRange(min = -3000, max = 5000) Integer> steps) {
-    Ages ages = new Ages(10);
+    ReportAgeEstimator ages = new ReportAgeEstimator(10);
     long now = 1_000_000_000;
     long end = Long.MIN_VALUE;
     long top = now;
--- a/src/test/java/pearusher/operatorsettings/SettingsTest.java
+++ b/src/test/java/pearusher/operatorsettings/OperatorSettingsTest.java
@@ -24,15 +24,16 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Good and broken files as a table of cases; places and words of each fault. */
-class SettingsTest {
+class OperatorSettingsTest {
   private static String fault(String text) {
-    return assertThrows(FaultyException.class, () -> Settings.parse("f", text)).getMessage();
+    return assertThrows(InvalidSettingsException.class, () -> OperatorSettings.parse("f", text))
+        .getMessage();
   }
 
   /** Each case: a file, and after an arrow its first fault. */
   static Stream<Arguments> broken() throws IOException {
     String all;
-    try (InputStream in = SettingsTest.class.getResourceAsStream("broken.txt")) {
+    try (InputStream in = OperatorSettingsTest.class.getResourceAsStream("broken.txt")) {
       all = new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
     return Stream.of(all.split("----\n"))
@@ -53,11 +54,11 @@
   // The values in force are listed in the order of the keys.
   @SuppressWarnings("EnumOrdinal")
   @Test
-  void goodFiles() throws FaultyException {
-    assertFalse(Settings.parse("f", "").on("store"));
-    assertFalse(Settings.parse("f", "# nothing\n\n  # else\r\n").on("store"));
-    Settings all =
-        Settings.parse(
+  void goodFiles() throws InvalidSettingsException {
+    assertFalse(OperatorSettings.parse("f", "").on("store"));
+    assertFalse(OperatorSettings.parse("f", "# nothing\n\n  # else\r\n").on("store"));
+    OperatorSettings all =
+        OperatorSettings.parse(
             "f",
             "store { # on\n"
                 + "  directory \"/a b/\\\"c\\\\d\"\n"
@@ -69,17 +70,17 @@
                 + "  damage stop\n"
                 + "}");
     assertTrue(all.on("store"));
-    assertEquals("/a b/\"c\\d", all.word(Key.STORE_DIRECTORY));
-    assertEquals(5_000, all.number(Key.STORE_INTERVAL));
-    assertEquals(2_500_000, all.number(Key.STORE_PATIENCE));
-    assertEquals(65_536, all.number(Key.STORE_SEGMENT));
-    assertEquals(1.5, all.number(Key.STORE_COMPACT_TIMES));
-    assertEquals(600_000_000, all.number(Key.STORE_TRUST));
-    List<Settings.Value> force = all.inForce();
-    assertEquals(Key.values().length, force.size());
-    assertEquals("f:3:3", force.get(Key.STORE_SYNC.ordinal()).from());
-    assertEquals("default", force.get(Key.STORE_TRUST.ordinal()).from());
-    assertEquals("10min", force.get(Key.STORE_TRUST.ordinal()).text());
+    assertEquals("/a b/\"c\\d", all.word(SettingKey.STORE_DIRECTORY));
+    assertEquals(5_000, all.number(SettingKey.STORE_INTERVAL));
+    assertEquals(2_500_000, all.number(SettingKey.STORE_PATIENCE));
+    assertEquals(65_536, all.number(SettingKey.STORE_SEGMENT));
+    assertEquals(1.5, all.number(SettingKey.STORE_COMPACT_TIMES));
+    assertEquals(600_000_000, all.number(SettingKey.STORE_TRUST));
+    List<OperatorSettings.Value> force = all.inForce();
+    assertEquals(SettingKey.values().length, force.size());
+    assertEquals("f:3:3", force.get(SettingKey.STORE_SYNC.ordinal()).from());
+    assertEquals("default", force.get(SettingKey.STORE_TRUST.ordinal()).from());
+    assertEquals("10min", force.get(SettingKey.STORE_TRUST.ordinal()).text());
   }
 
   /**
@@ -87,7 +88,7 @@
    */
   @Test
   void theDefaultsAreGood() {
-    for (Key key : Key.values()) {
+    for (SettingKey key : SettingKey.values()) {
       assertTrue(key.usual() == null || !Double.isNaN(key.number(key.usual())), key.path());
       assertFalse(key.help().isBlank());
     }
@@ -97,7 +98,7 @@
   @Test
   void thePageListsEveryKey() throws IOException {
     String page = Files.readString(Path.of("docs", "configuration.md"));
-    for (Key key : Key.values()) {
+    for (SettingKey key : SettingKey.values()) {
       assertTrue(
           page.matches(
               "(?s).*\\| `"
@@ -116,31 +117,33 @@
     Path sub = Files.createDirectory(dir.resolve("sub"));
     Files.writeString(sub.resolve("store.conf"), "include more.conf\n");
     Path more = Files.writeString(sub.resolve("more.conf"), "store {\n  directory /d\n}\n");
-    Settings read = Settings.read(main);
+    OperatorSettings read = OperatorSettings.read(main);
     assertEquals(more + ":2:3", read.inForce().get(0).from());
     Files.writeString(more, "store {\n  directory /d\n  sync x\n}\n");
     assertTrue(
-        assertThrows(FaultyException.class, () -> Settings.read(main))
+        assertThrows(InvalidSettingsException.class, () -> OperatorSettings.read(main))
             .getMessage()
             .startsWith(more + ":3:3: store.sync: "));
     Files.writeString(more, "include ../main.conf\n");
     assertEquals(
         more + ":1:1: include: includes itself: " + sub.resolve("../main.conf"),
-        assertThrows(FaultyException.class, () -> Settings.read(main)).getMessage());
+        assertThrows(InvalidSettingsException.class, () -> OperatorSettings.read(main))
+            .getMessage());
     Files.writeString(more, "include none.conf\n");
     assertEquals(
         more
             + ":1:1: include: "
             + sub.resolve("none.conf")
             + " can't be read; name a file that is there and may be read",
-        assertThrows(FaultyException.class, () -> Settings.read(main)).getMessage());
+        assertThrows(InvalidSettingsException.class, () -> OperatorSettings.read(main))
+            .getMessage());
     Files.write(more, new byte[] {(byte) 0xff, (byte) 0xfe, 0});
     assertTrue(
-        assertThrows(FaultyException.class, () -> Settings.read(main))
+        assertThrows(InvalidSettingsException.class, () -> OperatorSettings.read(main))
             .getMessage()
             .contains("is not UTF-8 text"));
     assertTrue(
-        assertThrows(FaultyException.class, () -> Settings.read(dir.resolve("no")))
+        assertThrows(InvalidSettingsException.class, () -> OperatorSettings.read(dir.resolve("no")))
             .getMessage()
             .startsWith(dir.resolve("no") + ": "));
   }
@@ -183,10 +186,10 @@
   @Property(seed = "41", tries = 3000)
   void anyTextEndsWithSettingsOrPlaces(@ForAll("texts") String text) {
     try {
-      Settings.parse("f", text);
-    } catch (FaultyException e) {
+      OperatorSettings.parse("f", text);
+    } catch (InvalidSettingsException e) {
       assertFalse(e.faults().isEmpty());
-      for (Fault one : e.faults()) {
+      for (SettingsFault one : e.faults()) {
         assertTrue(one.line() >= 1 && one.column() >= 1 && !one.text().isBlank(), one.toString());
       }
     }
--- a/src/test/java/pearusher/policy/TrueChannel.java
+++ b/src/test/java/pearusher/policy/ChannelModel.java
@@ -13,10 +13,10 @@
  * and lines wait in one queue that drains at its true pace, whatever the settings state; who got
  * one answers its mark.
  */
-final class TrueChannel {
+final class ChannelModel {
   private record Sent(int proxy, int mark, long ordered) {}
 
-  private final Play p;
+  private final PolicyFixture p;
   private final double linesPerS;
   private final long lateUs;
   private final ArrayDeque<Sent> queue = new ArrayDeque<>();
@@ -27,7 +27,7 @@
   private double waiting;
   double most;
 
-  TrueChannel(Play p, double linesPerS, long lateUs) {
+  ChannelModel(PolicyFixture p, double linesPerS, long lateUs) {
     this.p = p;
     this.linesPerS = linesPerS;
     this.lateUs = lateUs;
@@ -82,7 +82,7 @@
    * Lines of each proxy's message that the orders since the last call become: its head and mark, a
    * whole table after a bind, with words for these servers, else what changed for it.
    */
-  static Map<Integer, Integer> written(Play p, Set<Long> doubted) {
+  static Map<Integer, Integer> written(PolicyFixture p, Set<Long> doubted) {
     Map<Integer, Set<String>> changed = new TreeMap<>();
     Set<Integer> whole = new TreeSet<>();
     Set<String> out = new TreeSet<>();
--- a/src/test/java/pearusher/policy/RulesTest.java
+++ b/src/test/java/pearusher/policy/FaastPolicyTest.java
@@ -13,32 +13,33 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class RulesTest {
+class FaastPolicyTest {
 
-  private static Play play(int servers, int proxies) {
-    return new Play(Fleet.settings()).start(Fleet.servers(servers, 2), proxies);
+  private static PolicyFixture play(int servers, int proxies) {
+    return new PolicyFixture(RecordingCommands.settings())
+        .start(RecordingCommands.servers(servers, 2), proxies);
   }
 
   /** All servers fail this share of tries and answer the others in this time, as a jam shows. */
-  private static void jam(Play p, double failed, double meanMs) {
+  private static void jam(PolicyFixture p, double failed, double meanMs) {
     for (long id = 1; id <= 8; id++) {
       p.fails.put(id, failed);
       p.meanMs.put(id, meanMs);
     }
   }
 
-  private static void calm(Play p) {
+  private static void calm(PolicyFixture p) {
     p.fails.clear();
     p.meanMs.clear();
   }
 
-  private static double sum(Play p, int table) {
+  private static double sum(PolicyFixture p, int table) {
     return p.fleet.tables.get(table).values().stream().mapToDouble(w -> w).sum();
   }
 
   @Test
   void freshTablesListAllServersEvenlyAndSumToOne() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     for (int z = 0; z < 2; z++) {
       assertEquals(8, p.fleet.tables.get(z).size());
       assertEquals(1, sum(p, z), 1e-6);
@@ -49,18 +50,18 @@
 
   @Test
   void freshTablesFollowListedWeights() {
-    Play p = new Play(Fleet.settings());
+    PolicyFixture p = new PolicyFixture(RecordingCommands.settings());
     p.start(
         List.of(
-            new Assigner.Entry(1, 0, 0, 0, Assigner.State.READY, 2, 0),
-            new Assigner.Entry(2, 0, 0, 0, Assigner.State.READY, 1, 0)),
+            new ServerEntry(1, 0, 0, 0, Lifecycle.READY, 2, 0),
+            new ServerEntry(2, 0, 0, 0, Lifecycle.READY, 1, 0)),
         2);
     assertTrue(p.fleet.share(0, 1) > 1.5 * p.fleet.share(0, 2));
   }
 
   @Test
   void weightsAreInverseToTime() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     p.triesPerZone = 2000;
     p.meanMs.put(1L, 100.0);
     p.meanMs.put(2L, 400.0);
@@ -74,7 +75,7 @@
 
   @Test
   void linesInsideTheDeadBandStayAndAWeightMovesBoundedInOnePeriod() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     p.periods(6);
     int before = p.fleet.orders.size();
     p.meanMs.put(1L, 204.0);
@@ -91,7 +92,7 @@
 
   @Test
   void aServerThatFailsFastIsCutAndComesBackWhenWell() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     p.periods(5);
     p.meanMs.put(1L, 50.0);
     p.fails.put(1L, 0.9);
@@ -109,7 +110,7 @@
 
   @Test
   void whenAllFailAlikeNobodyIsCut() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     for (long id = 1; id <= 8; id++) {
       p.fails.put(id, 0.5);
     }
@@ -121,7 +122,7 @@
 
   @Test
   void aServerThatAnswersNothingLosesItsWeight() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     p.periods(5);
     p.fails.put(1L, 1.0);
     p.periods(6);
@@ -130,12 +131,12 @@
 
   @Test
   void weightsStayWhenNothingIsHeard() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     p.meanMs.put(1L, 100.0);
     p.periods(10);
     double before = p.fleet.share(0, 1);
     for (int i = 0; i < 10; i++) {
-      p.step(2 * Fleet.S);
+      p.step(2 * RecordingCommands.S);
       p.rules.timer(p.now, 1);
       p.rules.close(p.now);
     }
@@ -144,40 +145,41 @@
 
   @Test
   void drainingAndGoneServersAreWithdrawnAtOnceAheadOfLines() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     p.periods(2);
     p.step(10_000);
     int before = p.fleet.orders.size();
     p.list(
-        Assigner.ListForm.CHANGES,
+        ListUpdateKind.CHANGES,
         List.of(
-            Fleet.state(1, 1, Assigner.State.DRAINING), Fleet.state(2, 0, Assigner.State.GONE)));
+            RecordingCommands.state(1, 1, Lifecycle.DRAINING),
+            RecordingCommands.state(2, 0, Lifecycle.GONE)));
     List<String> said = p.fleet.orders.subList(before, p.fleet.orders.size());
     assertEquals("withdraw 1 true", said.get(0));
     assertEquals("withdraw 2 true", said.get(1));
     p.periods(2);
     assertFalse(p.fleet.tables.get(0).containsKey(1L));
-    p.list(Assigner.ListForm.CHANGES, List.of(Fleet.ready(1, 1, p.now)));
+    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(1, 1, p.now)));
     assertFalse(p.fleet.withdrawn.contains(1L));
   }
 
   @Test
   void aServerMissingFromAWholeListIsGone() {
-    Play p = play(8, 4);
-    p.list(Assigner.ListForm.WHOLE, Fleet.servers(7, 2));
+    PolicyFixture p = play(8, 4);
+    p.list(ListUpdateKind.WHOLE, RecordingCommands.servers(7, 2));
     assertTrue(p.fleet.withdrawn.contains(8L));
-    p.list(Assigner.ListForm.FAILED, List.of());
+    p.list(ListUpdateKind.FAILED, List.of());
     assertEquals(1, p.fleet.withdrawn.size());
-    p.list(Assigner.ListForm.WHOLE, List.of());
+    p.list(ListUpdateKind.WHOLE, List.of());
     assertEquals(8, p.fleet.withdrawn.size());
   }
 
   @Test
   void aNewServerStartsAtATenthAndClimbs() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     p.periods(4);
     p.step(10_000);
-    p.list(Assigner.ListForm.CHANGES, List.of(Fleet.ready(9, 1, p.now)));
+    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(9, 1, p.now)));
     p.period();
     double first = p.fleet.share(0, 9) / p.fleet.share(0, 3);
     assertTrue(first > 0.05 && first < 0.25, "first share " + first);
@@ -194,23 +196,23 @@
 
   @Test
   void aRestartIsCutInTheReplyToTheList() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     p.periods(4);
     p.step(300_000);
-    p.list(Assigner.ListForm.CHANGES, List.of(Fleet.ready(1, 1, p.now)));
+    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(1, 1, p.now)));
     assertTrue(p.fleet.share(0, 1) < 0.04, "a restarted server keeps " + p.fleet.share(0, 1));
     assertTrue(p.fleet.share(1, 1) < 0.04, "a restarted server keeps " + p.fleet.share(1, 1));
   }
 
   @Test
   void aServerThatComesBackIsLetInWithItsColdLines() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     p.periods(4);
     p.step(300_000);
-    p.list(Assigner.ListForm.CHANGES, List.of(Fleet.state(1, 1, Assigner.State.GONE)));
+    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.state(1, 1, Lifecycle.GONE)));
     p.step(300_000);
     int before = p.fleet.orders.size();
-    p.list(Assigner.ListForm.CHANGES, List.of(Fleet.ready(1, 1, p.now)));
+    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(1, 1, p.now)));
     List<String> said = p.fleet.orders.subList(before, p.fleet.orders.size());
     int let = said.indexOf("withdraw 1 false");
     assertTrue(let >= 0);
@@ -223,20 +225,25 @@
 
   @Test
   void aZoneThatGoesAndComesBackKeepsTheQueueShortAndTheDrains() {
-    Play p = new Play(Fleet.settings()).start(Fleet.servers(100, 2), 60);
+    PolicyFixture p =
+        new PolicyFixture(RecordingCommands.settings())
+            .start(RecordingCommands.servers(100, 2), 60);
     p.periods(6);
     double waiting = 0;
-    TrueChannel channel = new TrueChannel(p, 3000, 200_000);
+    ChannelModel channel = new ChannelModel(p, 3000, 200_000);
     long gone = p.now;
     for (int i = 0; i < 30; i++) {
       p.step(100_000);
       channel.answer();
-      List<Assigner.Entry> news = new ArrayList<>();
+      List<ServerEntry> news = new ArrayList<>();
       for (long id = 2; (i == 0 || i == 9) && id <= 100; id += 2) {
-        news.add(i == 0 ? Fleet.state(id, 0, Assigner.State.GONE) : Fleet.ready(id, 0, p.now));
+        news.add(
+            i == 0
+                ? RecordingCommands.state(id, 0, Lifecycle.GONE)
+                : RecordingCommands.ready(id, 0, p.now));
       }
       int marks = p.fleet.marks;
-      p.rules.listed(p.now, Assigner.ListForm.CHANGES, news);
+      p.rules.listed(p.now, ListUpdateKind.CHANGES, news);
       p.rules.timer(p.now, 3);
       p.rules.close(p.now);
       channel.put();
@@ -257,20 +264,22 @@
 
   @Test
   void withdrawalsThatFindNoRoomGoTogetherNotOneMessageEach() {
-    Play p = new Play(Fleet.settings()).start(Fleet.servers(160, 2), 70);
+    PolicyFixture p =
+        new PolicyFixture(RecordingCommands.settings())
+            .start(RecordingCommands.servers(160, 2), 70);
     p.periods(8);
     double waiting = 0;
-    TrueChannel channel = new TrueChannel(p, 3000, 200_000);
+    ChannelModel channel = new ChannelModel(p, 3000, 200_000);
     int messages = 0;
     for (int i = 0; i < 40 && p.fleet.withdrawn.size() < 80; i++) {
       p.step(100_000);
       channel.answer();
-      List<Assigner.Entry> news = new ArrayList<>();
+      List<ServerEntry> news = new ArrayList<>();
       for (long id = 1; i == 0 && id <= 80; id++) {
-        news.add(Fleet.state(id, (int) (id % 2), Assigner.State.GONE));
+        news.add(RecordingCommands.state(id, (int) (id % 2), Lifecycle.GONE));
       }
       int marks = p.fleet.marks;
-      p.rules.listed(p.now, Assigner.ListForm.CHANGES, news);
+      p.rules.listed(p.now, ListUpdateKind.CHANGES, news);
       p.rules.timer(p.now, 3);
       p.rules.close(p.now);
       channel.put();
@@ -287,7 +296,7 @@
    * Lines in a channel of the stated pace, by this test's own count; the rule is the backlog of
    * 4500.
    */
-  private static double queue(Play p, double waiting, int marks, long us, double pace) {
+  private static double queue(PolicyFixture p, double waiting, int marks, long us, double pace) {
     int heads = p.fleet.marks == marks ? 0 : 11 * p.fleet.joined.size();
     double now = waiting + p.fleet.linesThisReply + heads;
     assertTrue(now <= 4500, "lines waiting " + now);
@@ -296,13 +305,13 @@
 
   @Test
   void hundredsOfServersAndProxiesThatJoinAtOnceFitTheQueueAndAllAreBound() {
-    Play p = new Play(Fleet.settings());
-    p.rules.listed(p.now, Assigner.ListForm.CACHED, Fleet.servers(300, 2));
+    PolicyFixture p = new PolicyFixture(RecordingCommands.settings());
+    p.rules.listed(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(300, 2));
     for (int proxy = 0; proxy < 300; proxy++) {
       p.join(proxy, true);
     }
     double waiting = 0;
-    TrueChannel channel = new TrueChannel(p, 3000, 200_000);
+    ChannelModel channel = new ChannelModel(p, 3000, 200_000);
     for (int i = 0; i < 600 && p.fleet.bound.size() < 300; i++) {
       int bound = p.fleet.bound.size();
       p.step(100_000);
@@ -325,8 +334,8 @@
    */
   @Test
   void bindsOfProxiesThatHoldTablesLeaveRoomForWhatIsBack() {
-    Play p = new Play(Fleet.settings());
-    p.rules.listed(p.now, Assigner.ListForm.CACHED, Fleet.servers(100, 2));
+    PolicyFixture p = new PolicyFixture(RecordingCommands.settings());
+    p.rules.listed(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(100, 2));
     for (int proxy = 0; proxy < 100; proxy++) {
       p.join(proxy, false);
     }
@@ -354,22 +363,28 @@
    */
   @Test
   void aSurgeThatHoldsOldTablesIsBoundWithinTheGraceThoughWholeTablesDoNotFit() {
-    Assigner.Settings set =
-        Fleet.settings(
-            Assigner.Levels.SHARE, List.of(Fleet.grade(Assigner.Effect.SAFE, 1)), 2, 0, 0, 0, 140);
-    Play p = new Play(set).start(Fleet.servers(100, 2), 20);
+    PolicySettings set =
+        RecordingCommands.settings(
+            AdmissionMode.SHARE,
+            List.of(RecordingCommands.grade(Idempotency.SAFE, 1)),
+            2,
+            0,
+            0,
+            0,
+            140);
+    PolicyFixture p = new PolicyFixture(set).start(RecordingCommands.servers(100, 2), 20);
     p.periods(8);
     for (int proxy = 20; proxy < 140; proxy++) {
       p.join(proxy, false);
     }
     p.fleet.orders.clear();
-    List<Assigner.Entry> draining = new ArrayList<>();
+    List<ServerEntry> draining = new ArrayList<>();
     for (long id = 1; id <= 20; id++) {
-      draining.add(Fleet.state(id, (int) (id % 2), Assigner.State.DRAINING));
+      draining.add(RecordingCommands.state(id, (int) (id % 2), Lifecycle.DRAINING));
     }
     p.step(0);
-    p.rules.listed(p.now, Assigner.ListForm.CHANGES, draining);
-    TrueChannel channel = new TrueChannel(p, 3000, 200_000);
+    p.rules.listed(p.now, ListUpdateKind.CHANGES, draining);
+    ChannelModel channel = new ChannelModel(p, 3000, 200_000);
     int[] late = {0};
     for (int i = 0; i < 19; i++) {
       p.step(100_000);
@@ -380,8 +395,8 @@
       assertTrue(channel.waiting() <= 4500, "lines waiting " + channel.waiting());
       late[0] = p.fleet.bound.size();
       // What enters now arrives behind what waits, half a second on the way at most.
-      double arrives = channel.waiting() / 3000 * Fleet.S + 500_000;
-      if (p.now - 108 * Fleet.S + arrives > 2 * Fleet.S + 300_000) {
+      double arrives = channel.waiting() / 3000 * RecordingCommands.S + 500_000;
+      if (p.now - 108 * RecordingCommands.S + arrives > 2 * RecordingCommands.S + 300_000) {
         break;
       }
     }
@@ -406,13 +421,19 @@
   @ParameterizedTest
   @CsvSource({"20, 1350", "100, 1050", "140, 450"})
   void whatCanWaitLeavesRoomForAllProxiesOfTheTier(int tier, double room) {
-    Assigner.Settings set =
-        Fleet.settings(
-            Assigner.Levels.SHARE, List.of(Fleet.grade(Assigner.Effect.SAFE, 1)), 2, 0, 0, 0, tier);
-    Play p = new Play(set).start(Fleet.servers(100, 2), 20);
+    PolicySettings set =
+        RecordingCommands.settings(
+            AdmissionMode.SHARE,
+            List.of(RecordingCommands.grade(Idempotency.SAFE, 1)),
+            2,
+            0,
+            0,
+            0,
+            tier);
+    PolicyFixture p = new PolicyFixture(set).start(RecordingCommands.servers(100, 2), 20);
     p.triesPerZone = 20_000;
     p.periods(8);
-    TrueChannel channel = new TrueChannel(p, 3000, 200_000);
+    ChannelModel channel = new ChannelModel(p, 3000, 200_000);
     double longest = 0;
     for (int i = 0; i < 200; i++) {
       p.step(20_000);
@@ -439,19 +460,25 @@
    */
   @Test
   void aZoneComesBackManyServersAtOnceInALargeTierToo() {
-    Assigner.Settings set =
-        Fleet.settings(
-            Assigner.Levels.SHARE, List.of(Fleet.grade(Assigner.Effect.SAFE, 1)), 2, 0, 0, 0, 140);
-    Play p = new Play(set).start(Fleet.servers(100, 2), 20);
+    PolicySettings set =
+        RecordingCommands.settings(
+            AdmissionMode.SHARE,
+            List.of(RecordingCommands.grade(Idempotency.SAFE, 1)),
+            2,
+            0,
+            0,
+            0,
+            140);
+    PolicyFixture p = new PolicyFixture(set).start(RecordingCommands.servers(100, 2), 20);
     p.periods(8);
-    for (Assigner.State state : List.of(Assigner.State.DRAINING, Assigner.State.READY)) {
-      List<Assigner.Entry> zone = new ArrayList<>();
+    for (Lifecycle state : List.of(Lifecycle.DRAINING, Lifecycle.READY)) {
+      List<ServerEntry> zone = new ArrayList<>();
       for (long id = 2; id <= 80; id += 2) {
-        zone.add(Fleet.state(id, 0, state));
+        zone.add(RecordingCommands.state(id, 0, state));
       }
-      p.step(5 * Fleet.S);
+      p.step(5 * RecordingCommands.S);
       p.fleet.orders.clear();
-      p.list(Assigner.ListForm.CHANGES, zone);
+      p.list(ListUpdateKind.CHANGES, zone);
     }
     long back =
         p.fleet.orders.stream()
@@ -468,24 +495,24 @@
   @Test
   void manyWithdrawalsBeforeTheFirstPassesDoNotHoldUpTheBinds() {
     for (boolean before : new boolean[] {true, false}) {
-      Assigner.Settings set =
-          Fleet.settings(
-              Assigner.Levels.SHARE,
-              List.of(Fleet.grade(Assigner.Effect.SAFE, 1)),
+      PolicySettings set =
+          RecordingCommands.settings(
+              AdmissionMode.SHARE,
+              List.of(RecordingCommands.grade(Idempotency.SAFE, 1)),
               2,
               0,
               0,
               0,
               120);
-      Play p = new Play(set);
-      p.rules.listed(p.now, Assigner.ListForm.CACHED, Fleet.servers(100, 2));
+      PolicyFixture p = new PolicyFixture(set);
+      p.rules.listed(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(100, 2));
       p.rules.close(p.now);
-      List<Assigner.Entry> draining = new ArrayList<>();
+      List<ServerEntry> draining = new ArrayList<>();
       for (long id = 1; id <= 60; id++) {
-        draining.add(Fleet.state(id, (int) (id % 2), Assigner.State.DRAINING));
+        draining.add(RecordingCommands.state(id, (int) (id % 2), Lifecycle.DRAINING));
       }
-      p.list(Assigner.ListForm.CHANGES, before ? draining : List.of());
-      TrueChannel channel = new TrueChannel(p, 3000, 200_000);
+      p.list(ListUpdateKind.CHANGES, before ? draining : List.of());
+      ChannelModel channel = new ChannelModel(p, 3000, 200_000);
       long joined = p.now;
       for (int proxy = 0; proxy < 60; proxy++) {
         p.join(proxy, false);
@@ -493,7 +520,7 @@
       double arrives = 0;
       for (int i = 0; i < 15 && p.fleet.bound.size() < 60; i++) {
         channel.answer();
-        p.rules.listed(p.now, Assigner.ListForm.CHANGES, before || i != 2 ? List.of() : draining);
+        p.rules.listed(p.now, ListUpdateKind.CHANGES, before || i != 2 ? List.of() : draining);
         p.rules.timer(p.now, 3);
         p.rules.close(p.now);
         channel.put();
@@ -511,26 +538,26 @@
    */
   @Test
   void onlyServersThatMayHaveBeenOutAreDoubted() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     assertFalse(
         p.fleet.doubted.values().contains(true), "known since long ago: only where not sure");
-    p.step(Fleet.S);
+    p.step(RecordingCommands.S);
     p.list(
-        Assigner.ListForm.CHANGES,
+        ListUpdateKind.CHANGES,
         List.of(
-            Fleet.ready(100, 0, p.now),
-            Fleet.ready(101, 0, 0),
-            Fleet.ready(1, 1, p.now),
-            Fleet.state(2, 0, Assigner.State.DRAINING)));
+            RecordingCommands.ready(100, 0, p.now),
+            RecordingCommands.ready(101, 0, 0),
+            RecordingCommands.ready(1, 1, p.now),
+            RecordingCommands.state(2, 0, Lifecycle.DRAINING)));
     assertFalse(p.fleet.doubted.containsKey(100L), "started since we run");
     for (long id : List.of(101L, 1L, 2L)) {
       assertTrue(p.fleet.doubted.get(id), id + ": started before, anew or drains");
     }
-    p.list(Assigner.ListForm.CHANGES, List.of(Fleet.state(100, 0, Assigner.State.GONE)));
+    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.state(100, 0, Lifecycle.GONE)));
     assertTrue(p.fleet.doubted.get(100L));
     p.periods(70);
     assertTrue(p.fleet.forgotten.contains(100L));
-    p.list(Assigner.ListForm.CHANGES, List.of(Fleet.ready(102, 0, p.now)));
+    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(102, 0, p.now)));
     assertTrue(p.fleet.doubted.get(102L), "its id may be one that was forgotten");
   }
 
@@ -542,29 +569,29 @@
   @Test
   void aChannelMuchSlowerThanStatedNeverHoldsMoreThanMayWait() {
     for (double pace : new double[] {3000, 1500, 900}) {
-      Assigner.Settings set =
-          Fleet.settings(
-              Assigner.Levels.SHARE,
-              List.of(Fleet.grade(Assigner.Effect.SAFE, 1)),
+      PolicySettings set =
+          RecordingCommands.settings(
+              AdmissionMode.SHARE,
+              List.of(RecordingCommands.grade(Idempotency.SAFE, 1)),
               2,
               0,
               0,
               0,
               200);
-      Play p = new Play(set).start(Fleet.servers(120, 2), 40);
+      PolicyFixture p = new PolicyFixture(set).start(RecordingCommands.servers(120, 2), 40);
       p.periods(8);
-      TrueChannel channel = new TrueChannel(p, pace, 400_000);
+      ChannelModel channel = new ChannelModel(p, pace, 400_000);
       for (int i = 0; i < 100; i++) {
         p.step(100_000);
         channel.answer();
         for (int proxy = 40 + 4 * i; i < 40 && proxy < 44 + 4 * i; proxy++) {
           p.join(proxy, false);
         }
-        List<Assigner.Entry> drains = new ArrayList<>();
+        List<ServerEntry> drains = new ArrayList<>();
         for (long id = 1 + 4L * i; i < 15 && id <= 4 * i + 4; id++) {
-          drains.add(Fleet.state(id, (int) (id % 2), Assigner.State.DRAINING));
+          drains.add(RecordingCommands.state(id, (int) (id % 2), Lifecycle.DRAINING));
         }
-        p.rules.listed(p.now, Assigner.ListForm.CHANGES, drains);
+        p.rules.listed(p.now, ListUpdateKind.CHANGES, drains);
         p.rules.timer(p.now, 3);
         p.rules.close(p.now);
         channel.put();
@@ -591,24 +618,30 @@
     "600, 80, 6"
   })
   void whoIsToGoToASubsetIsCountedWhileItFollowsItsZonesTable(double pace, int holders, int at) {
-    Assigner.Settings set =
-        Fleet.settings(
-            Assigner.Levels.SHARE, List.of(Fleet.grade(Assigner.Effect.SAFE, 1)), 2, 0, 0, 0, 200);
-    Play p = new Play(set).start(Fleet.servers(120, 2), holders);
+    PolicySettings set =
+        RecordingCommands.settings(
+            AdmissionMode.SHARE,
+            List.of(RecordingCommands.grade(Idempotency.SAFE, 1)),
+            2,
+            0,
+            0,
+            0,
+            200);
+    PolicyFixture p = new PolicyFixture(set).start(RecordingCommands.servers(120, 2), holders);
     p.periods(8);
-    TrueChannel channel = new TrueChannel(p, pace, 400_000);
+    ChannelModel channel = new ChannelModel(p, pace, 400_000);
     for (int i = 0; i < 200; i++) {
       p.step(100_000);
       channel.answer();
       for (int k = 0; k < 3 && i < 40 && p.fleet.joined.size() < 200; k++) {
         p.join(p.fleet.joined.size(), false);
       }
-      List<Assigner.Entry> drains = new ArrayList<>();
+      List<ServerEntry> drains = new ArrayList<>();
       for (long id = 1; (i == at || i == at + 8) && id <= 40; id++) {
         long which = i == at ? id : id + 40;
-        drains.add(Fleet.state(which, (int) (which % 2), Assigner.State.DRAINING));
+        drains.add(RecordingCommands.state(which, (int) (which % 2), Lifecycle.DRAINING));
       }
-      p.rules.listed(p.now, Assigner.ListForm.CHANGES, drains);
+      p.rules.listed(p.now, ListUpdateKind.CHANGES, drains);
       p.rules.timer(p.now, 3);
       p.rules.close(p.now);
       channel.put();
@@ -625,7 +658,7 @@
 
   @Test
   void aProxyThatMovesToAndFroIsBoundEachTimeAndStaysInTheQueuesRoom() {
-    Play p = play(40, 12);
+    PolicyFixture p = play(40, 12);
     p.periods(4);
     double waiting = 0;
     for (int i = 0; i < 60; i++) {
@@ -642,7 +675,7 @@
 
   @Test
   void aServerThatFailsAndReturnsUntoldIsCutAndComesBackBounded() {
-    Play p = play(40, 12);
+    PolicyFixture p = play(40, 12);
     p.triesPerZone = 400;
     p.periods(6);
     double even = p.fleet.share(0, 1);
@@ -667,7 +700,8 @@
     double[] each = new double[2];
     for (int k = 0; k < 2; k++) {
       int n = k == 0 ? 50 : 200;
-      Play p = new Play(Fleet.settings()).start(Fleet.servers(n, 2), 8);
+      PolicyFixture p =
+          new PolicyFixture(RecordingCommands.settings()).start(RecordingCommands.servers(n, 2), 8);
       p.triesPerZone = 10 * n;
       p.periods(5);
       int before = p.fleet.orders.size();
@@ -686,13 +720,13 @@
 
   @Test
   void inAJamNoColdServerIsListed() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     p.periods(4);
     for (long id = 1; id <= 8; id++) {
       p.fails.put(id, 0.6);
     }
     p.periods(2);
-    p.list(Assigner.ListForm.CHANGES, List.of(Fleet.ready(9, 1, p.now)));
+    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(9, 1, p.now)));
     p.periods(3);
     assertFalse(p.fleet.tables.get(0).containsKey(9L), "proxies that avoid the rest crowd onto it");
     p.periods(9);
@@ -702,10 +736,10 @@
   @Test
   void whileReportsAreFarBehindNoColdServerIsListed() {
     for (long lag : new long[] {0, 5}) {
-      Play p = play(8, 4);
-      p.step(lag * Fleet.S);
+      PolicyFixture p = play(8, 4);
+      p.step(lag * RecordingCommands.S);
       p.periods(4);
-      p.list(Assigner.ListForm.CHANGES, List.of(Fleet.ready(9, 1, p.now)));
+      p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(9, 1, p.now)));
       p.periods(3);
       assertEquals(
           lag == 0, p.fleet.tables.get(0).containsKey(9L), "reports behind by " + lag + " s");
@@ -718,12 +752,12 @@
    */
   @Test
   void passesThatComeEarlyLeaveNoTimersBehind() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     TreeMap<Long, Integer> due = new TreeMap<>();
     int seen = 0;
     int part = 0;
     for (int i = 0; i < 400; i++) {
-      p.step(Fleet.S / 10);
+      p.step(RecordingCommands.S / 10);
       for (; seen < p.fleet.orders.size(); seen++) {
         String[] words = p.fleet.orders.get(seen).split(" ");
         if (words[0].equals("timer") && words[2].equals("1")) {
@@ -739,7 +773,8 @@
       // The reports of a period come in two halves, the second three tenths after the first.
       if (i % 9 == 0 || i % 9 == 3) {
         for (long id = 1L + part++ % 2; id <= 8; id += 2) {
-          p.rules.heard(p.now, id, 0, 9, 0, Fleet.S, 200_000, Fleet.NO_LOAD);
+          p.rules.heard(
+              p.now, id, 0, 9, 0, RecordingCommands.S, 200_000, RecordingCommands.NO_LOAD);
         }
       }
       p.rules.close(p.now);
@@ -750,16 +785,17 @@
   /** A server long gone is forgotten, not before; the tables and withdrawals name it no more. */
   @Test
   void aServerLongGoneIsForgotten() {
-    Play p = play(8, 4).periods(3);
+    PolicyFixture p = play(8, 4).periods(3);
     p.list(
-        Assigner.ListForm.CHANGES,
+        ListUpdateKind.CHANGES,
         List.of(
-            Fleet.state(3, 1, Assigner.State.GONE), Fleet.state(4, 0, Assigner.State.DRAINING)));
+            RecordingCommands.state(3, 1, Lifecycle.GONE),
+            RecordingCommands.state(4, 0, Lifecycle.DRAINING)));
     p.periods(50);
     assertEquals(List.of(), p.fleet.forgotten);
     p.periods(15);
     assertEquals(List.of(3L), p.fleet.forgotten, "one that drains may be told of again");
-    p.list(Assigner.ListForm.CHANGES, List.of(Fleet.ready(3, 1, 0)));
+    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(3, 1, 0)));
     p.periods(2);
     assertTrue(p.fleet.tables.get(1).containsKey(3L));
   }
@@ -771,15 +807,22 @@
    */
   @Test
   void slowServersWhoseLinesComeTogetherAreNoOverload() {
-    Play p = play(40, 300);
+    PolicyFixture p = play(40, 300);
     for (int i = 0; i < 40; i++) {
-      p.step(Fleet.S);
+      p.step(RecordingCommands.S);
       for (long id = 1L + i % 4; id <= 40; id += 4) {
         p.rules.heard(
-            p.now, id, 0, 9, 0, 4 * Fleet.S, i % 4 == 3 ? 800_000 : 150_000, Fleet.NO_LOAD);
+            p.now,
+            id,
+            0,
+            9,
+            0,
+            4 * RecordingCommands.S,
+            i % 4 == 3 ? 800_000 : 150_000,
+            RecordingCommands.NO_LOAD);
       }
       for (int proxy = i % 4; proxy < 300; proxy += 4) {
-        p.rules.usage(p.now, proxy, 0, 30, 0, 4 * Fleet.S);
+        p.rules.usage(p.now, proxy, 0, 30, 0, 4 * RecordingCommands.S);
       }
       p.rules.close(p.now);
       p.fleet.joined.forEach(proxy -> p.rules.applied(p.now, proxy, p.fleet.marks, 200_000));
@@ -793,7 +836,7 @@
    */
   @Test
   void weightsGoAlongWithLevels() {
-    Play p = play(8, 90).periods(3);
+    PolicyFixture p = play(8, 90).periods(3);
     int both = 0;
     for (int i = 0; i < 12; i++) {
       jam(p, i % 2 == 0 ? 0.2 : 0.6, 700 + 40 * i);
@@ -808,7 +851,7 @@
 
   @Test
   void repeatsOnlyAfterProofAndNoneInAJam() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     p.periods(3);
     assertTrue(p.fleet.retries.values().stream().allMatch(r -> r <= 1));
     jam(p, 0.6, 500);
@@ -824,7 +867,7 @@
 
   @Test
   void levelsFallOnTheClassOfLeastWorthFirstAndRiseAgain() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     p.periods(3);
     jam(p, 0.4, 500);
     p.periods(2);
@@ -837,7 +880,7 @@
 
   @Test
   void failuresWithoutSlowAnswersRefuseNothing() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     p.periods(3);
     jam(p, 0.4, 200);
     p.periods(6);
@@ -847,27 +890,31 @@
 
   @Test
   void ratesLimitTheLargeProxiesAndNoLevelsMeansNone() {
-    List<Assigner.Grade> grades =
-        List.of(Fleet.grade(Assigner.Effect.SAFE, 1), Fleet.grade(Assigner.Effect.SAFE, 2));
-    for (Assigner.Levels kind : List.of(Assigner.Levels.RATE, Assigner.Levels.NONE)) {
-      Play p = new Play(Fleet.settings(kind, grades, 2, 0, 0)).start(Fleet.servers(8, 2), 4);
+    List<RequestClass> grades =
+        List.of(
+            RecordingCommands.grade(Idempotency.SAFE, 1),
+            RecordingCommands.grade(Idempotency.SAFE, 2));
+    for (AdmissionMode kind : List.of(AdmissionMode.RATE, AdmissionMode.NONE)) {
+      PolicyFixture p =
+          new PolicyFixture(RecordingCommands.settings(kind, grades, 2, 0, 0))
+              .start(RecordingCommands.servers(8, 2), 4);
       p.periods(3);
       jam(p, 0.4, 500);
       p.periods(3);
       double level = p.fleet.levels.get(1);
-      assertTrue(kind == Assigner.Levels.RATE ? level < 10 : level == 1, kind + " " + level);
+      assertTrue(kind == AdmissionMode.RATE ? level < 10 : level == 1, kind + " " + level);
     }
   }
 
   /** Periods in which every server that is asked says so. */
-  private static void busy(Play p, int periods, double util) {
+  private static void busy(PolicyFixture p, int periods, double util) {
     for (int i = 0; i < periods; i++) {
       for (String order : List.copyOf(p.fleet.orders)) {
         if (order.startsWith("probe ")) {
           p.rules.probed(
               p.now,
               Long.parseLong(order.substring(6)),
-              Assigner.Probe.OK,
+              HealthCheckResult.OK,
               2000,
               new float[] {(float) util});
         }
@@ -880,7 +927,7 @@
   /** On operators' days reports told of a jam four seconds late, and of its end as late again. */
   @Test
   void levelsFollowWhatServersSayOfHowBusyTheyAre() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     busy(p, 6, 0.5);
     assertTrue(p.fleet.levels.values().stream().allMatch(l -> l >= 1), "" + p.fleet.levels);
     busy(p, 3, 0.97);
@@ -892,13 +939,13 @@
 
   @Test
   void theLoadOfServersThatLeaveCountsToThoseThatStayBeforeTheySaySo() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     busy(p, 6, 0.5);
-    List<Assigner.Entry> drains = new ArrayList<>();
+    List<ServerEntry> drains = new ArrayList<>();
     for (long id = 1; id <= 5; id++) {
-      drains.add(Fleet.state(id, (int) (id % 2), Assigner.State.DRAINING));
+      drains.add(RecordingCommands.state(id, (int) (id % 2), Lifecycle.DRAINING));
     }
-    p.list(Assigner.ListForm.CHANGES, drains);
+    p.list(ListUpdateKind.CHANGES, drains);
     busy(p, 1, 0.5);
     assertTrue(
         p.fleet.levels.getOrDefault(1, 1.0) < 1, "half of 8 servers' time is more than 3 have");
@@ -906,7 +953,7 @@
 
   @Test
   void slowAnswersOfServersThatAreNotBusyCutNoLevel() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     busy(p, 6, 0.5);
     jam(p, 0.4, 900);
     busy(p, 4, 0.4);
@@ -917,7 +964,7 @@
   /** A jam is heard of bit by bit; a first small cut held off the next until it could show. */
   @Test
   void aCutIsDeepenedByWhatIsHeardBeforeItCanShow() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     p.periods(6);
     jam(p, 0.15, 650);
     p.periods(1);
@@ -930,15 +977,15 @@
 
   @Test
   void proxiesThatHoldTablesAreBoundOnceTheFleetWasHeard() {
-    Play p = new Play(Fleet.settings());
-    p.rules.listed(p.now, Assigner.ListForm.CACHED, Fleet.servers(8, 2));
+    PolicyFixture p = new PolicyFixture(RecordingCommands.settings());
+    p.rules.listed(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(8, 2));
     p.join(0, false);
     p.join(1, true);
     p.rules.close(p.now);
     assertFalse(p.fleet.bound.containsKey(0));
     assertTrue(p.fleet.bound.containsKey(1));
     p.step(10_000);
-    p.list(Assigner.ListForm.CHANGES, List.of(Fleet.state(1, 1, Assigner.State.GONE)));
+    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.state(1, 1, Lifecycle.GONE)));
     p.step(700_000);
     p.rules.timer(p.now, 3);
     p.rules.close(p.now);
@@ -962,19 +1009,19 @@
   /** After a restart a part of a turn's lines has come: what they miss was not refused. */
   @Test
   void noLevelIsReadOffAPartOfATurnAfterARestart() {
-    Play p = new Play(Fleet.settings());
-    p.rules.listed(p.now, Assigner.ListForm.CACHED, Fleet.servers(30, 2));
+    PolicyFixture p = new PolicyFixture(RecordingCommands.settings());
+    p.rules.listed(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(30, 2));
     for (int proxy = 0; proxy < 160; proxy++) {
       p.join(proxy, false);
     }
     p.rules.close(p.now);
     for (int i = 0; i < 4; i++) {
-      p.step(Fleet.S);
+      p.step(RecordingCommands.S);
       for (long id = 1L + i % 3; id <= 30; id += 3) {
-        p.rules.heard(p.now, id, 0, 16, 0, Fleet.S, 200_000, Fleet.NO_LOAD);
+        p.rules.heard(p.now, id, 0, 16, 0, RecordingCommands.S, 200_000, RecordingCommands.NO_LOAD);
       }
       for (int proxy = 0; proxy < 160; proxy++) {
-        p.rules.usage(p.now, proxy, 0, 3, 0, Fleet.S);
+        p.rules.usage(p.now, proxy, 0, 3, 0, RecordingCommands.S);
       }
       p.rules.close(p.now);
     }
@@ -985,8 +1032,8 @@
 
   @Test
   void levelsBelongToTablesAndAreReadOffAfterARestart() {
-    Play p = new Play(Fleet.settings());
-    p.rules.listed(p.now, Assigner.ListForm.CACHED, Fleet.servers(8, 2));
+    PolicyFixture p = new PolicyFixture(RecordingCommands.settings());
+    p.rules.listed(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(8, 2));
     for (int proxy = 0; proxy < 4; proxy++) {
       p.join(proxy, false);
     }
@@ -994,7 +1041,7 @@
     p.triesPerZone = 0;
     for (int i = 0; i < 3; i++) {
       for (long id = 1; id <= 8; id++) {
-        p.rules.heard(p.now, id, 0, 5, 0, Fleet.S, 200_000, Fleet.NO_LOAD);
+        p.rules.heard(p.now, id, 0, 5, 0, RecordingCommands.S, 200_000, RecordingCommands.NO_LOAD);
       }
       p.period();
     }
@@ -1005,9 +1052,10 @@
 
   @Test
   void whereMessagesAreCappedCalmLinesWaitAndWithdrawalsDoNot() {
-    List<Assigner.Grade> one = List.of(Fleet.grade(Assigner.Effect.SAFE, 1));
-    Play p = new Play(Fleet.settings(Assigner.Levels.SHARE, one, 2, 0, 0, 6));
-    p.start(Fleet.servers(8, 2), 4);
+    List<RequestClass> one = List.of(RecordingCommands.grade(Idempotency.SAFE, 1));
+    PolicyFixture p =
+        new PolicyFixture(RecordingCommands.settings(AdmissionMode.SHARE, one, 2, 0, 0, 6));
+    p.start(RecordingCommands.servers(8, 2), 4);
     int marks = 0;
     for (int i = 0; i < 9; i++) {
       p.meanMs.put(1L, i % 2 == 0 ? 50.0 : 800.0);
@@ -1017,14 +1065,14 @@
     }
     assertTrue(marks <= 3, "calm messages in ten seconds: " + marks);
     p.step(1000);
-    p.list(Assigner.ListForm.CHANGES, List.of(Fleet.state(2, 0, Assigner.State.GONE)));
+    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.state(2, 0, Lifecycle.GONE)));
     assertTrue(p.fleet.withdrawn.contains(2L));
     assertEquals(marks + 1, p.fleet.marks);
   }
 
   @Test
   void aServerThatDiesLosesItsWeightThoughItsPastWasGood() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     p.periods(15);
     p.fails.put(1L, 1.0);
     p.periods(6);
@@ -1034,11 +1082,11 @@
 
   @Test
   void listedSizesStayAFactorOfTheWeight() {
-    Play p = new Play(Fleet.settings());
+    PolicyFixture p = new PolicyFixture(RecordingCommands.settings());
     p.start(
         List.of(
-            new Assigner.Entry(1, 0, 0, 0, Assigner.State.READY, 3, 0),
-            new Assigner.Entry(2, 0, 0, 0, Assigner.State.READY, 2, 0)),
+            new ServerEntry(1, 0, 0, 0, Lifecycle.READY, 3, 0),
+            new ServerEntry(2, 0, 0, 0, Lifecycle.READY, 2, 0)),
         2);
     p.periods(20);
     assertEquals(1.5, p.fleet.share(0, 1) / p.fleet.share(0, 2), 0.1);
@@ -1050,7 +1098,7 @@
 
   @Test
   void levelsAreNotCutAgainWhileAJamIsClearing() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     p.periods(3);
     jam(p, 0.5, 700);
     p.periods(2);
@@ -1065,11 +1113,11 @@
   @Test
   void aFallOfGoodTriesKeepsColdServersOutBeforeItIsDeep() {
     for (double failed : new double[] {0.02, 0.1}) {
-      Play p = play(8, 4);
+      PolicyFixture p = play(8, 4);
       p.periods(4);
       jam(p, failed, 200);
       p.step(10_000);
-      p.rules.listed(p.now, Assigner.ListForm.CHANGES, List.of(Fleet.ready(9, 1, p.now)));
+      p.rules.listed(p.now, ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(9, 1, p.now)));
       p.period();
       assertEquals(failed < 0.05, p.fleet.tables.get(0).containsKey(9L), "fell by " + failed);
     }
@@ -1077,9 +1125,10 @@
 
   @Test
   void theHomePullStartsByProxiesAndLeavesWhatAZoneCannotHold() {
-    List<Assigner.Grade> one = List.of(Fleet.grade(Assigner.Effect.SAFE, 1));
-    Play p = new Play(Fleet.settings(Assigner.Levels.SHARE, one, 2, 0.08, 0));
-    p.rules.listed(p.now, Assigner.ListForm.CACHED, Fleet.servers(40, 2));
+    List<RequestClass> one = List.of(RecordingCommands.grade(Idempotency.SAFE, 1));
+    PolicyFixture p =
+        new PolicyFixture(RecordingCommands.settings(AdmissionMode.SHARE, one, 2, 0.08, 0));
+    p.rules.listed(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(40, 2));
     for (int proxy = 0; proxy < 40; proxy++) {
       p.fleet.joined.add(proxy);
       p.rules.joined(p.now, proxy, proxy % 4 == 0 ? 1 : 0, 10, true);
@@ -1097,17 +1146,19 @@
 
   @Test
   void manyJoinersAfterABreakAreTakenOffWhatDrainsWithinTheGraceOfTheirJoining() {
-    Play p = new Play(Fleet.settings()).start(Fleet.servers(120, 2), 60);
+    PolicyFixture p =
+        new PolicyFixture(RecordingCommands.settings())
+            .start(RecordingCommands.servers(120, 2), 60);
     p.periods(6);
     p.step(300_000);
-    p.list(Assigner.ListForm.CHANGES, List.of(Fleet.state(1, 1, Assigner.State.DRAINING)));
+    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.state(1, 1, Lifecycle.DRAINING)));
     for (int proxy = 0; proxy < 60; proxy++) {
       p.rules.left(p.now, proxy);
     }
     p.fleet.bound.clear();
     p.fleet.orders.clear();
     Map<Integer, Long> joined = new TreeMap<>();
-    TrueChannel channel = new TrueChannel(p, 3000, 200_000);
+    ChannelModel channel = new ChannelModel(p, 3000, 200_000);
     for (int i = 0; i < 40; i++) {
       p.step(100_000);
       channel.answer();
@@ -1124,7 +1175,7 @@
         assertFalse(p.fleet.tables.get(table).containsKey(1L) && !p.fleet.withdrawn.contains(1L));
       }
       channel.put();
-      double arrives = p.now + channel.waiting() / 3000 * Fleet.S + 500_000;
+      double arrives = p.now + channel.waiting() / 3000 * RecordingCommands.S + 500_000;
       binds.forEach(
           bind ->
               assertTrue(
@@ -1142,22 +1193,23 @@
    */
   @Test
   void idleAndSilentProxiesDoNotCountAsLate() {
-    Play p = play(8, 24);
+    PolicyFixture p = play(8, 24);
     for (int i = 0; i < 60; i++) {
-      p.step(Fleet.S);
+      p.step(RecordingCommands.S);
       for (long id = 1; id <= 8; id++) {
-        p.rules.heard(p.now, id, 0, 20, 0, Fleet.S, 200_000, Fleet.NO_LOAD);
+        p.rules.heard(p.now, id, 0, 20, 0, RecordingCommands.S, 200_000, RecordingCommands.NO_LOAD);
       }
       for (int proxy = 0; proxy < 24; proxy++) {
         // A third silent from the first on, a third idle most of the time, a third losing some.
         if ((proxy % 3 == 1 && i % 9 == proxy % 9) || (proxy % 3 == 2 && (i + proxy) % 5 > 0)) {
-          p.rules.usage(p.now, proxy, 0, 1, 0, Fleet.S);
+          p.rules.usage(p.now, proxy, 0, 1, 0, RecordingCommands.S);
         }
       }
       p.rules.close(p.now);
       p.fleet.joined.forEach(proxy -> p.rules.applied(p.now, proxy, p.fleet.marks, 200_000));
       if (i == 54) {
-        p.rules.listed(p.now, Assigner.ListForm.CHANGES, List.of(Fleet.ready(999, 1, p.now)));
+        p.rules.listed(
+            p.now, ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(999, 1, p.now)));
       }
     }
     assertTrue(
@@ -1166,19 +1218,21 @@
 
   @Test
   void anIntakeTooSmallForAllLinesDoesNotCountAsLate() {
-    Play p = play(100, 40);
+    PolicyFixture p = play(100, 40);
     for (int i = 0; i < 12; i++) {
-      p.step(Fleet.S);
+      p.step(RecordingCommands.S);
       for (long id = 1L + i % 3; id <= 100; id += 3) {
-        p.rules.heard(p.now, id, 0, 9, 0, 3 * Fleet.S, 200_000, Fleet.NO_LOAD);
+        p.rules.heard(
+            p.now, id, 0, 9, 0, 3 * RecordingCommands.S, 200_000, RecordingCommands.NO_LOAD);
       }
       for (int proxy = i % 3; proxy < 40; proxy += 3) {
-        p.rules.usage(p.now, proxy, 0, 30, 0, 3 * Fleet.S);
+        p.rules.usage(p.now, proxy, 0, 30, 0, 3 * RecordingCommands.S);
       }
       p.rules.close(p.now);
       p.fleet.joined.forEach(proxy -> p.rules.applied(p.now, proxy, p.fleet.marks, 200_000));
       if (i == 6) {
-        p.rules.listed(p.now, Assigner.ListForm.CHANGES, List.of(Fleet.ready(999, 1, p.now)));
+        p.rules.listed(
+            p.now, ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(999, 1, p.now)));
       }
     }
     assertTrue(p.fleet.tables.get(0).containsKey(999L), "listed though lines come in turns");
@@ -1186,9 +1240,10 @@
 
   @Test
   void theOwnZoneTakesMoreWhileItDoesWellAndLessWhenItDoesWorse() {
-    List<Assigner.Grade> one = List.of(Fleet.grade(Assigner.Effect.SAFE, 1));
-    Play p = new Play(Fleet.settings(Assigner.Levels.SHARE, one, 2, 0.08, 0));
-    p.start(Fleet.servers(8, 2), 4);
+    List<RequestClass> one = List.of(RecordingCommands.grade(Idempotency.SAFE, 1));
+    PolicyFixture p =
+        new PolicyFixture(RecordingCommands.settings(AdmissionMode.SHARE, one, 2, 0.08, 0));
+    p.start(RecordingCommands.servers(8, 2), 4);
     p.periods(40);
     double home = 0;
     for (long id = 2; id <= 8; id += 2) {
@@ -1209,17 +1264,17 @@
 
   @Test
   void aFailedWatchIsRenewedAndTheListLossIsLoggedOnce() {
-    Play p = play(8, 4);
+    PolicyFixture p = play(8, 4);
     assertTrue(p.fleet.orders.contains("watch true"));
-    p.list(Assigner.ListForm.WHOLE, Fleet.servers(8, 2));
+    p.list(ListUpdateKind.WHOLE, RecordingCommands.servers(8, 2));
     p.fleet.orders.clear();
-    p.list(Assigner.ListForm.FAILED, List.of());
+    p.list(ListUpdateKind.FAILED, List.of());
     assertTrue(p.fleet.timers.containsKey(2L));
     p.rules.timer(p.now, 2);
     assertTrue(p.fleet.orders.contains("watch true"));
-    p.list(Assigner.ListForm.FAILED, List.of());
+    p.list(ListUpdateKind.FAILED, List.of());
     assertEquals(1, p.fleet.logs.stream().filter("list lost"::equals).count());
-    p.list(Assigner.ListForm.WHOLE, Fleet.servers(8, 2));
+    p.list(ListUpdateKind.WHOLE, RecordingCommands.servers(8, 2));
     assertTrue(p.fleet.logs.contains("list back"));
   }
 
@@ -1231,16 +1286,18 @@
   void delaysOfAskingAgainGrowToABoundAndAreSpreadBySeed() {
     List<List<Long>> delays = new ArrayList<>();
     for (long seed : new long[] {0x8c1f30d27a5be964L, 0x1c1f30d27a5be965L}) {
-      Assigner.Settings set = Fleet.settings();
-      Play p = new Play(Fleet.seeded(set, seed)).start(Fleet.servers(8, 2), 4);
-      p.list(Assigner.ListForm.WHOLE, Fleet.servers(8, 2));
+      PolicySettings set = RecordingCommands.settings();
+      PolicyFixture p =
+          new PolicyFixture(RecordingCommands.seeded(set, seed))
+              .start(RecordingCommands.servers(8, 2), 4);
+      p.list(ListUpdateKind.WHOLE, RecordingCommands.servers(8, 2));
       List<Long> own = new ArrayList<>();
       for (int k = 0; k < 40; k++) {
-        p.list(Assigner.ListForm.FAILED, List.of());
+        p.list(ListUpdateKind.FAILED, List.of());
         own.add(p.fleet.timers.get(2L));
       }
-      p.list(Assigner.ListForm.WHOLE, Fleet.servers(8, 2));
-      p.list(Assigner.ListForm.FAILED, List.of());
+      p.list(ListUpdateKind.WHOLE, RecordingCommands.servers(8, 2));
+      p.list(ListUpdateKind.FAILED, List.of());
       assertEquals(own.get(0), p.fleet.timers.get(2L), "begins anew once the list is back");
       assertTrue(own.get(0) >= 375_000 && own.get(0) <= 625_000, "the first " + own);
       assertTrue(
@@ -1255,14 +1312,14 @@
   @Test
   void theAnswerOfAServerThatLeftTellsNothing() {
     for (boolean left : new boolean[] {true, false}) {
-      Play p = play(8, 8);
+      PolicyFixture p = play(8, 8);
       p.periods(8);
       if (left) {
-        p.list(Assigner.ListForm.CHANGES, List.of(Fleet.state(1, 1, Assigner.State.DRAINING)));
+        p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.state(1, 1, Lifecycle.DRAINING)));
       }
       for (int k = 0; k < 5; k++) {
         for (int probe = 0; probe < 4; probe++) {
-          p.rules.probed(p.now, left ? 1 : 2, Assigner.Probe.OK, 3000, new float[] {1});
+          p.rules.probed(p.now, left ? 1 : 2, HealthCheckResult.OK, 3000, new float[] {1});
         }
         p.period();
       }
@@ -1272,9 +1329,10 @@
 
   @Test
   void slicesAreNotServedButSaidSo() {
-    List<Assigner.Grade> one = List.of(Fleet.grade(Assigner.Effect.SAFE, 1));
-    Play p = new Play(Fleet.settings(Assigner.Levels.SHARE, one, 2, 0, 16));
-    p.start(Fleet.servers(8, 2), 4);
+    List<RequestClass> one = List.of(RecordingCommands.grade(Idempotency.SAFE, 1));
+    PolicyFixture p =
+        new PolicyFixture(RecordingCommands.settings(AdmissionMode.SHARE, one, 2, 0, 16));
+    p.start(RecordingCommands.servers(8, 2), 4);
     p.rules.sliceGiven(p.now, 1, true);
     p.periods(3);
     assertTrue(p.fleet.bound.isEmpty());
@@ -1283,21 +1341,21 @@
 
   @Test
   void oddEventsChangeNothing() {
-    Play p = play(4, 2);
+    PolicyFixture p = play(4, 2);
     p.periods(3);
     int before = p.fleet.orders.size();
-    p.rules.heard(p.now, 99, 0, 5, 0, Fleet.S, 1000, Fleet.NO_LOAD);
-    p.rules.heard(p.now, 1, 9, 5, 0, Fleet.S, 1000, Fleet.NO_LOAD);
-    p.rules.heard(p.now, 1, 0, 0, 0, 0, 0, Fleet.NO_LOAD);
-    p.rules.usage(p.now, 99, 0, 5, 0, Fleet.S);
-    p.rules.usage(p.now, 0, 9, 5, 0, Fleet.S);
+    p.rules.heard(p.now, 99, 0, 5, 0, RecordingCommands.S, 1000, RecordingCommands.NO_LOAD);
+    p.rules.heard(p.now, 1, 9, 5, 0, RecordingCommands.S, 1000, RecordingCommands.NO_LOAD);
+    p.rules.heard(p.now, 1, 0, 0, 0, 0, 0, RecordingCommands.NO_LOAD);
+    p.rules.usage(p.now, 99, 0, 5, 0, RecordingCommands.S);
+    p.rules.usage(p.now, 0, 9, 5, 0, RecordingCommands.S);
     p.rules.usage(p.now, 0, 0, 5, 0, 0);
-    p.rules.probed(p.now, 99, Assigner.Probe.DOWN, 0, Fleet.NO_LOAD);
+    p.rules.probed(p.now, 99, HealthCheckResult.DOWN, 0, RecordingCommands.NO_LOAD);
     p.rules.applied(p.now, 99, 1, 0);
     p.rules.left(p.now, 99);
     p.rules.timer(p.now, 77);
     p.rules.listed(
-        p.now, Assigner.ListForm.CHANGES, List.of(Fleet.state(50, 0, Assigner.State.GONE)));
+        p.now, ListUpdateKind.CHANGES, List.of(RecordingCommands.state(50, 0, Lifecycle.GONE)));
     p.rules.close(p.now);
     assertEquals(before, p.fleet.orders.size());
     p.join(0, true);
@@ -1306,26 +1364,26 @@
   }
 
   /** One seeded history: deploys, failures, joins, breaks and stalls; the rules hold all along. */
-  private static Play history(long seed, boolean check) {
+  private static PolicyFixture history(long seed, boolean check) {
     Random random = new Random(seed);
-    Play p = play(6 + random.nextInt(10), 2 + random.nextInt(8));
+    PolicyFixture p = play(6 + random.nextInt(10), 2 + random.nextInt(8));
     List<Long> alive = new ArrayList<>(p.fleet.tables.get(0).keySet());
     java.util.Map<Long, Long> started = new java.util.TreeMap<>();
     long next = 100;
     double waiting = 0;
     for (int i = 0; i < 60; i++) {
       p.step(10_000);
-      List<Assigner.Entry> changes = new ArrayList<>();
+      List<ServerEntry> changes = new ArrayList<>();
       if (random.nextInt(4) == 0 && alive.size() > 2) {
         long id = alive.remove(random.nextInt(alive.size()));
         changes.add(
-            Fleet.state(
-                id, 0, random.nextBoolean() ? Assigner.State.GONE : Assigner.State.DRAINING));
+            RecordingCommands.state(
+                id, 0, random.nextBoolean() ? Lifecycle.GONE : Lifecycle.DRAINING));
       }
       if (random.nextInt(4) == 0) {
         alive.add(++next);
         started.put(next, p.now);
-        changes.add(Fleet.ready(next, (int) (next % 2), p.now));
+        changes.add(RecordingCommands.ready(next, (int) (next % 2), p.now));
       }
       if (random.nextInt(5) == 0) {
         p.fails.put(alive.get(random.nextInt(alive.size())), random.nextDouble());
@@ -1339,12 +1397,12 @@
         p.fleet.joined.remove(proxy);
         p.fleet.bound.remove(proxy);
       }
-      p.list(Assigner.ListForm.CHANGES, changes);
+      p.list(ListUpdateKind.CHANGES, changes);
       int lines = p.fleet.linesThisReply + 11 * p.fleet.joined.size();
       if (check) {
-        for (Assigner.Entry e : changes) {
+        for (ServerEntry e : changes) {
           assertEquals(
-              e.state() != Assigner.State.READY,
+              e.state() != Lifecycle.READY,
               p.fleet.withdrawn.contains(e.server()),
               "withdrawn at once, seed " + seed);
         }
@@ -1362,20 +1420,20 @@
           assertTrue(usable > 0, "bare, seed " + seed);
           long warmOnes =
               alive.stream()
-                  .filter(id -> started.getOrDefault(id, 0L) + 10 * Fleet.S <= p.now)
+                  .filter(id -> started.getOrDefault(id, 0L) + 10 * RecordingCommands.S <= p.now)
                   .count();
           for (long id : alive) {
             if (2 * warmOnes >= alive.size()
                 && started.containsKey(id)
                 && p.fleet.tables.get(z).containsKey(id)) {
-              double age = (p.now - started.get(id)) / (10.0 * Fleet.S);
+              double age = (p.now - started.get(id)) / (10.0 * RecordingCommands.S);
               double ready = Math.min(1, 0.1 + 0.9 * age);
               double even = 1.0 / p.fleet.tables.get(z).size();
               assertTrue(
                   p.fleet.share(z, id) < 4 * even * ready + 0.05,
                   "cold server's share " + p.fleet.share(z, id) + ", seed " + seed);
             }
-            boolean warm = started.getOrDefault(id, 0L) + 10 * Fleet.S <= p.now;
+            boolean warm = started.getOrDefault(id, 0L) + 10 * RecordingCommands.S <= p.now;
             assertTrue(!warm || p.fleet.tables.get(z).containsKey(id), "all warm listed " + seed);
           }
         }
@@ -1401,7 +1459,7 @@
 
   @Test
   void aSlowChannelHoldsBackWhatCanWait() {
-    Play p = play(12, 8);
+    PolicyFixture p = play(12, 8);
     p.periods(2);
     double sent = 0;
     Random random = new Random(3);
@@ -1409,11 +1467,18 @@
       for (long id = 1; id <= 12; id++) {
         p.meanMs.put(id, 50.0 + 400 * random.nextDouble());
       }
-      p.step(Fleet.S);
+      p.step(RecordingCommands.S);
       for (int z = 0; z < 2; z++) {
         for (long id = 1; id <= 12; id++) {
           p.rules.heard(
-              p.now, id, z, 50, 0, Fleet.S, Math.round(1000 * p.meanMs.get(id)), Fleet.NO_LOAD);
+              p.now,
+              id,
+              z,
+              50,
+              0,
+              RecordingCommands.S,
+              Math.round(1000 * p.meanMs.get(id)),
+              RecordingCommands.NO_LOAD);
         }
       }
       int marks = p.fleet.marks;
@@ -1422,7 +1487,7 @@
         sent += p.fleet.linesThisReply + 11 * p.fleet.joined.size();
       }
       for (int proxy : p.fleet.joined) {
-        p.rules.applied(p.now, proxy, p.fleet.marks, 20 * Fleet.S);
+        p.rules.applied(p.now, proxy, p.fleet.marks, 20 * RecordingCommands.S);
       }
     }
     assertTrue(sent < 60 * 160, "lines sent into a channel that takes 20 s: " + sent);
