--- a/src/test/java/pearusher/server/CrossingTest.java
+++ b/src/test/java/pearusher/server/RaceTest.java
@@ -16,24 +16,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import pearusher.policy.Assigner;
+import pearusher.policy.PolicyCommands;
 import pearusher.transport.StreamConnection;
-import pearusher.transport.Streams;
+import pearusher.transport.StreamServer;
 
 /**
  * The instants in which something is still owed: two events meet, in the order that the test
  * forces. The decision thread is held in a turn, a stand-in holds bytes back or resets, and each
  * order is tested.
  */
-class CrossingTest extends Loopback {
+class RaceTest extends LoopbackFixture {
   private static final String OLD =
-      Stand.listing(
-          30, true, Stand.instance("s-5be2a07c", "127.0.0.1:9", "north", "in_service", 0));
+      TestPeers.listing(
+          30, true, TestPeers.instance("s-5be2a07c", "127.0.0.1:9", "north", "in_service", 0));
 
   /**
    * Holds the decision thread in a turn, which goes on with these orders once the latch is down.
    */
-  private CountDownLatch hold(Consumer<Assigner.Orders> then) throws Exception {
+  private CountDownLatch hold(Consumer<PolicyCommands> then) throws Exception {
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch may = new CountDownLatch(1);
     module.order(
@@ -51,7 +51,7 @@
   }
 
   private void waiting(int events) throws InterruptedException {
-    Stand.until(events + " events wait", () -> running.get(0).exchange().waiting() >= events);
+    TestPeers.until(events + " events wait", () -> running.get(0).exchange().waiting() >= events);
   }
 
   // Discovery.
@@ -63,34 +63,34 @@
   @ParameterizedTest
   @ValueSource(strings = {"line", "end"})
   void whatAMovedWatchStillSaysCountsForNothing(String what) throws Exception {
-    Stand.Request old = watch();
+    TestPeers.Request old = watch();
     module.hear("listed CACHED");
     old.beginWatch();
     CountDownLatch may = hold(o -> o.watch(true));
     if (what.equals("line")) {
       old.line(
-          Stand.listing(
-              50, true, Stand.instance("s-old", "127.0.0.1:9", "north", "in_service", 0)));
+          TestPeers.listing(
+              50, true, TestPeers.instance("s-old", "127.0.0.1:9", "north", "in_service", 0)));
     } else {
       old.reset();
     }
     waiting(1);
     may.countDown();
-    Stand.Request next = discovery.next();
+    TestPeers.Request next = discovery.next();
     assertEquals("/catalog/members?follow=1&since=41", next.path());
     next.beginWatch();
-    next.line(Stand.listing(42, false));
-    Stand.until("the new one's line", () -> module.told.contains("listed CHANGES []"));
+    next.line(TestPeers.listing(42, false));
+    TestPeers.until("the new one's line", () -> module.told.contains("listed CHANGES []"));
     assertEquals(List.of("listed CHANGES []"), module.told);
   }
 
   /** The other order: what came before the move counts, and the new watch goes on from there. */
   @Test
   void whatAWatchSaidBeforeItMovedCounts() throws Exception {
-    Stand.Request old = watch();
+    TestPeers.Request old = watch();
     module.hear("listed CACHED");
     old.beginWatch();
-    old.line(Stand.listing(43, false));
+    old.line(TestPeers.listing(43, false));
     module.hear("listed CHANGES []");
     module.order(o -> o.watch(true));
     assertEquals("/catalog/members?follow=1&since=43", discovery.next().path());
@@ -101,13 +101,13 @@
   @Test
   void aWatchThatTricklesIsSilent() throws Exception {
     example.with("\"silent_ms\": 5000", "\"silent_ms\": 300");
-    Stand.Request watch = watch();
+    TestPeers.Request watch = watch();
     module.hear("listed CACHED");
     watch.beginWatch();
-    watch.line(Stand.listing(42, false));
+    watch.line(TestPeers.listing(42, false));
     module.hear("listed CHANGES []");
     watch.write("100000\r\n");
-    Stand.until(
+    TestPeers.until(
         "the loss",
         () -> {
           try {
@@ -124,10 +124,10 @@
   /** A line that breaks off is no line; what stood whole before it counts. */
   @Test
   void aLineThatBreaksOffIsNone() throws Exception {
-    Stand.Request watch = watch();
+    TestPeers.Request watch = watch();
     module.hear("listed CACHED");
     watch.beginWatch();
-    String whole = Stand.listing(43, false) + "\n" + Stand.listing(44, true);
+    String whole = TestPeers.listing(43, false) + "\n" + TestPeers.listing(44, true);
     watch.write(Integer.toHexString(whole.length() + 1) + "\r\n" + whole);
     watch.reset();
     module.hear("listed CHANGES []");
@@ -143,14 +143,14 @@
   @Test
   void anOlderWholeListIsPassedOverUntilNothingNewerComesForLong() throws Exception {
     example.with("\"askWithinUs\": 10000000", "\"askWithinUs\": 400000");
-    Stand.Request watch = watch();
+    TestPeers.Request watch = watch();
     module.hear("listed CACHED");
     long first = System.nanoTime();
     int asked = 0;
     while (module.told.stream().noneMatch(t -> t.startsWith("listed WHOLE"))) {
       watch.beginWatch();
       watch.line(OLD);
-      Stand.until("an answer", () -> !module.told.isEmpty());
+      TestPeers.until("an answer", () -> !module.told.isEmpty());
       if (module.told.remove("listed FAILED []")) {
         asked++;
         module.order(o -> o.watch(true));
@@ -173,20 +173,20 @@
   /** A fetch that was answered before what the watch has told since must not undo it. */
   @Test
   void aFetchOlderThanWhatTheWatchToldCountsForNothing() throws Exception {
-    Stand.Request watch = watch();
+    TestPeers.Request watch = watch();
     module.hear("listed CACHED");
-    module.order(Assigner.Orders::fetch);
-    Stand.Request fetch = discovery.next();
+    module.order(PolicyCommands::fetch);
+    TestPeers.Request fetch = discovery.next();
     watch.beginWatch();
     watch.line(
-        Stand.listing(
-            43, false, Stand.instance("s-0badcafe", "127.0.0.1:9", "south", "terminating", 0)));
+        TestPeers.listing(
+            43, false, TestPeers.instance("s-0badcafe", "127.0.0.1:9", "south", "terminating", 0)));
     module.hear("listed CHANGES [Entry[server=1");
     fetch.answer(
         200,
-        Stand.listing(
-            42, true, Stand.instance("s-0badcafe", "127.0.0.1:9", "south", "in_service", 0)));
-    Stand.until("the fetch", () -> !module.told.isEmpty());
+        TestPeers.listing(
+            42, true, TestPeers.instance("s-0badcafe", "127.0.0.1:9", "south", "in_service", 0)));
+    TestPeers.until("the fetch", () -> !module.told.isEmpty());
     assertEquals(List.of("listed CHANGES []"), module.told);
   }
 
@@ -195,9 +195,9 @@
   void aListShorterThanItSaidFails() throws Exception {
     start();
     module.hear("listed CACHED");
-    module.order(Assigner.Orders::fetch);
-    Stand.Request call = discovery.next();
-    String body = Stand.listing(45, true);
+    module.order(PolicyCommands::fetch);
+    TestPeers.Request call = discovery.next();
+    String body = TestPeers.listing(45, true);
     call.write("HTTP/1.1 200 OK\r\nContent-Length: " + (body.length() + 1) + "\r\n\r\n" + body);
     call.socket().close();
     module.hear("listed FAILED []");
@@ -215,19 +215,19 @@
     example
         .with("\"answer_ms\": 3000", "\"answer_ms\": 200")
         .with("\"connect_ms\": 1000", "\"connect_ms\": 100");
-    try (Stand.Http task = new Stand.Http()) {
+    try (TestPeers.HttpStub task = new TestPeers.HttpStub()) {
       example.with("127.0.0.1:9001", task.address());
       start();
       module.hear("listed CACHED");
       module.order(o -> o.probe(0));
-      Stand.Request call = task.next();
+      TestPeers.Request call = task.next();
       module.hear("probed 0 NO_ANSWER");
       try {
         call.answer(200, "TEXT util=0.61");
       } catch (IOException closed) {
         assertNotNull(closed.getMessage());
       }
-      Stand.until(
+      TestPeers.until(
           "its end",
           () -> {
             try {
@@ -251,10 +251,10 @@
   void aJoiningThatIsReadLateDoesNotUnseatTheNewerStream(boolean reset) throws Exception {
     example.with("\"stranger_ms\": 2000", "\"stranger_ms\": 600000");
     start();
-    Stand.Caller first = new Stand.Caller(at).reading();
+    TestPeers.RespClient first = new TestPeers.RespClient(at).reading();
     first.send("ping");
-    Stand.until("it is taken", () -> first.came.size() == 1);
-    Stand.ProxyStream second = proxy(3);
+    TestPeers.until("it is taken", () -> first.came.size() == 1);
+    TestPeers.ProxyClient second = proxy(3);
     first.send("joined proxy 3 zone north weight 9 fresh 1");
     first.send("usage proxy 3 class lookup tries 5 failed 0 span_ms 1000");
     module.hear("usage 3 0 5");
@@ -264,7 +264,7 @@
       first.close();
     }
     module.order(o -> o.mark(7, true));
-    Stand.until("the mark", () -> second.held.tickets.contains(7));
+    TestPeers.until("the mark", () -> second.held.tickets.contains(7));
     assertEquals(List.of(), module.told, "neither joined nor left");
     second.close();
     module.hear("left 3");
@@ -275,8 +275,8 @@
   @ValueSource(booleans = {true, false})
   void wholeMessagesBeforeTheEndCount(boolean reset) throws Exception {
     start();
-    Stand.ProxyStream one = proxy(3);
-    byte[] last = Stand.say("usage proxy 3 class lookup tries 5 failed 0 span_ms 1000");
+    TestPeers.ProxyClient one = proxy(3);
+    byte[] last = TestPeers.say("usage proxy 3 class lookup tries 5 failed 0 span_ms 1000");
     byte[] both = Arrays.copyOf(last, last.length + 20);
     System.arraycopy(last, 0, both, last.length, 20);
     one.send(both);
@@ -300,19 +300,19 @@
         .with("\"silent_ms\": 5000", "\"silent_ms\": 50")
         .with("\"stranger_ms\": 2000", "\"stranger_ms\": 300");
     start();
-    Stand.ProxyStream quiet = proxy(5);
-    Stand.Caller one = collector ? new Stand.Caller(at).reading() : proxy(3);
+    TestPeers.ProxyClient quiet = proxy(5);
+    TestPeers.RespClient one = collector ? new TestPeers.RespClient(at).reading() : proxy(3);
     if (collector) {
       one.send("collector zone north");
     }
-    byte[] message = Stand.say("usage proxy 5 class lookup tries 5 failed 0 span_ms 1000");
+    byte[] message = TestPeers.say("usage proxy 5 class lookup tries 5 failed 0 span_ms 1000");
     one.send(Arrays.copyOf(message, 30));
     one.send(Arrays.copyOfRange(message, 30, message.length));
     if (collector) {
       module.hear("usage 5 0 5");
     }
     one.send(Arrays.copyOf(message, 30));
-    Stand.until("its end", () -> one.ended);
+    TestPeers.until("its end", () -> one.ended);
     quiet.send(message);
     module.hear("usage 5 0 5");
     assertFalse(quiet.ended);
@@ -325,8 +325,8 @@
   @ValueSource(booleans = {true, false})
   void anEndInTheTurnOfAnOrderBreaksNothing(boolean joinsAnew) throws Exception {
     start();
-    Stand.ProxyStream one = proxy(3);
-    Stand.ProxyStream other = proxy(5);
+    TestPeers.ProxyClient one = proxy(3);
+    TestPeers.ProxyClient other = proxy(5);
     CountDownLatch may =
         hold(
             o -> {
@@ -337,7 +337,7 @@
             });
     one.reset();
     waiting(1);
-    Stand.ProxyStream anew = joinsAnew ? proxyLater(3) : null;
+    TestPeers.ProxyClient anew = joinsAnew ? proxyLater(3) : null;
     may.countDown();
     module.hear("left 3");
     if (joinsAnew) {
@@ -347,13 +347,13 @@
       assertEquals(0, anew.came.size(), "what was ordered for the earlier stream");
       assertFalse(anew.ended);
     }
-    Stand.until("the others' table", () -> other.held.tickets.contains(9));
+    TestPeers.until("the others' table", () -> other.held.tickets.contains(9));
     assertEquals(List.of(), module.told);
   }
 
-  private Stand.ProxyStream proxyLater(int number) throws Exception {
+  private TestPeers.ProxyClient proxyLater(int number) throws Exception {
     int before = running.get(0).exchange().waiting();
-    Stand.ProxyStream out = proxy(number, new Stand.Held(CLASSES), false);
+    TestPeers.ProxyClient out = proxy(number, new TestPeers.AppliedUpdates(CLASSES), false);
     waiting(before + 1);
     return out;
   }
@@ -366,23 +366,23 @@
     example
         .with("\"sockets\": 1024", "\"sockets\": 128")
         .with("\"stranger_ms\": 2000", "\"stranger_ms\": 600000");
-    Streams streams = start().streams();
-    List<Stand.Caller> strangers = new ArrayList<>();
+    StreamServer streams = start().streams();
+    List<TestPeers.RespClient> strangers = new ArrayList<>();
     for (int k = 0; k < streams.most(); k++) {
-      strangers.add(new Stand.Caller(at).reading());
+      strangers.add(new TestPeers.RespClient(at).reading());
     }
-    Stand.until("all are taken", () -> streams.connections() == streams.most());
-    Stand.Caller newcomer = new Stand.Caller(at).reading();
+    TestPeers.until("all are taken", () -> streams.connections() == streams.most());
+    TestPeers.RespClient newcomer = new TestPeers.RespClient(at).reading();
     newcomer.send("ping");
-    Stand.until("its pong", () -> newcomer.came.size() == 1);
-    Stand.until("the longest connected is gone", () -> strangers.get(0).ended);
+    TestPeers.until("its pong", () -> newcomer.came.size() == 1);
+    TestPeers.until("the longest connected is gone", () -> strangers.get(0).ended);
     strangers.remove(0);
-    for (Stand.Caller one : strangers) {
+    for (TestPeers.RespClient one : strangers) {
       one.send("ping");
     }
-    Stand.until(
+    TestPeers.until(
         "all others have theirs", () -> strangers.stream().allMatch(s -> s.came.size() == 1));
-    for (Stand.Caller one : strangers) {
+    for (TestPeers.RespClient one : strangers) {
       one.close();
     }
     newcomer.close();
@@ -395,11 +395,12 @@
   @ParameterizedTest
   @CsvSource({"true", "false"})
   void aJoiningCrossesAnEviction(boolean joinsFirst) throws Exception {
-    Streams streams = start().streams();
+    StreamServer streams = start().streams();
     module.hear("listed CACHED");
-    Stand.ProxyStream one = new Stand.ProxyStream(at, new Stand.Held(CLASSES));
+    TestPeers.ProxyClient one =
+        new TestPeers.ProxyClient(at, new TestPeers.AppliedUpdates(CLASSES));
     List<StreamConnection> chosen = new ArrayList<>();
-    Stand.until(
+    TestPeers.until(
         "it is chosen",
         () -> {
           StreamConnection out = streams.takeEvictionCandidate();
@@ -407,7 +408,7 @@
         });
     if (!joinsFirst) {
       chosen.get(0).evict();
-      Stand.until("its end", () -> one.ended);
+      TestPeers.until("its end", () -> one.ended);
       assertEquals(List.of(), module.told);
       return;
     }
@@ -415,7 +416,7 @@
     module.hear("joined 3");
     chosen.get(0).evict();
     module.order(o -> o.mark(7, true));
-    Stand.until("the mark", () -> one.held.tickets.contains(7));
+    TestPeers.until("the mark", () -> one.held.tickets.contains(7));
     assertFalse(one.ended);
     assertEquals(List.of(), module.told);
   }
--- a/src/test/java/pearusher/server/ParityTest.java
+++ b/src/test/java/pearusher/server/SimulatorParityTest.java
@@ -21,20 +21,21 @@
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pearusher.config.Config;
-import pearusher.control.Exchange;
-import pearusher.discovery.Outbound;
-import pearusher.policy.Rules;
-import pearusher.simulator.Loop;
-import pearusher.simulator.Wire;
-import pearusher.transport.Streams;
+import pearusher.config.AssignerConfig;
+import pearusher.control.Controller;
+import pearusher.control.OutboundCalls;
+import pearusher.discovery.DiscoveryClient;
+import pearusher.policy.FaastPolicy;
+import pearusher.simulator.BatchWriter;
+import pearusher.simulator.SimulatorLoop;
+import pearusher.transport.StreamServer;
 
 /**
  * One recorded sequence played through the adapter's wire and through sockets: at every proxy the
  * same tables, levels and withdrawals must result. The wire's orders are applied as WIRE says, the
  * sockets' as PROTOCOL says.
  */
-class ParityTest {
+class SimulatorParityTest {
   private static final List<String> CLASSES = List.of("lookup", "order");
   private static final List<String> ZONES = List.of("north", "south");
   private static final long START = 1_800_000_000_000_000L;
@@ -50,7 +51,7 @@
   }
 
   private static String f32(double v) {
-    return Wire.u32(Float.floatToIntBits((float) v) & 0xffffffffL);
+    return BatchWriter.u32(Float.floatToIntBits((float) v) & 0xffffffffL);
   }
 
   /** Server k's address: they sort as the servers were first named. */
@@ -60,7 +61,7 @@
 
   /** Proxies as the simulator has them, behind the adapter. */
   private static final class Simulated {
-    final Loop loop = new Loop(Rules::new);
+    final SimulatorLoop loop = new SimulatorLoop(FaastPolicy::new);
     final Map<Integer, Map<Integer, Float>> lines = new TreeMap<>();
     final Map<Integer, String[]> levels = new TreeMap<>();
     final TreeSet<Integer> withdrawn = new TreeSet<>();
@@ -71,10 +72,10 @@
       List<String> all = new ArrayList<>(List.of("0f0300"));
       all.addAll(records);
       while (!alarms.isEmpty() && alarms.firstKey() <= now) {
-        alarms.pollFirstEntry().getValue().forEach(token -> all.add("03" + Wire.u64(token)));
+        alarms.pollFirstEntry().getValue().forEach(token -> all.add("03" + BatchWriter.u64(token)));
       }
       ByteArrayOutputStream out = new ByteArrayOutputStream();
-      loop.run(new ByteArrayInputStream(Wire.frame(now, all.toArray(new String[0]))), out);
+      loop.run(new ByteArrayInputStream(BatchWriter.frame(now, all.toArray(new String[0]))), out);
       ByteBuffer in = ByteBuffer.wrap(out.toByteArray()).order(ByteOrder.LITTLE_ENDIAN).position(8);
       while (in.hasRemaining()) {
         action(now, in);
@@ -154,10 +155,10 @@
     }
   }
 
-  private static String shown(Stand.Held held) {
+  private static String shown(TestPeers.AppliedUpdates held) {
     List<String> out = new ArrayList<>();
     for (String c : CLASSES) {
-      Stand.Holding at = held.by.get(c);
+      TestPeers.AppliedTable at = held.by.get(c);
       out.add(held.open(c) + " " + (at.level == null ? "null" : at.level + " " + at.retry));
     }
     return String.join("; ", out);
@@ -168,16 +169,16 @@
 
   private final Simulated simulated = new Simulated();
   private final AtomicLong clock = new AtomicLong(START);
-  private final Map<Integer, Stand.ProxyStream> streams = new TreeMap<>();
-  private final Map<Integer, Stand.Held> held = new TreeMap<>();
+  private final Map<Integer, TestPeers.ProxyClient> streams = new TreeMap<>();
+  private final Map<Integer, TestPeers.AppliedUpdates> held = new TreeMap<>();
   private final List<String> records = new ArrayList<>();
-  private Exchange exchange;
+  private Controller exchange;
   private int queued;
 
-  private void both(Stand.Caller through, String line, String record) throws Exception {
+  private void both(TestPeers.RespClient through, String line, String record) throws Exception {
     through.send(line);
     queued++;
-    Stand.until(line, () -> exchange.waiting() == queued);
+    TestPeers.until(line, () -> exchange.waiting() == queued);
     records.add(record);
   }
 
@@ -188,11 +189,11 @@
         + "0000"
         + u8(state)
         + f32(1)
-        + Wire.u64(startedUs);
+        + BatchWriter.u64(startedUs);
   }
 
   private String instance(int server, int state, long startedUs) {
-    return Stand.instance(
+    return TestPeers.instance(
         "s" + server,
         "127.0.0.1:" + (9000 + server),
         ZONES.get(server % 2),
@@ -201,8 +202,8 @@
   }
 
   private void join(int proxy, boolean fresh) throws Exception {
-    held.putIfAbsent(proxy, new Stand.Held(CLASSES));
-    Stand.ProxyStream stream = new Stand.ProxyStream(address, held.get(proxy));
+    held.putIfAbsent(proxy, new TestPeers.AppliedUpdates(CLASSES));
+    TestPeers.ProxyClient stream = new TestPeers.ProxyClient(address, held.get(proxy));
     streams.put(proxy, stream);
     both(
         stream,
@@ -222,7 +223,7 @@
   private void leave(int proxy) throws Exception {
     streams.remove(proxy).close();
     queued++;
-    Stand.until("the end of " + proxy, () -> exchange.waiting() == queued);
+    TestPeers.until("the end of " + proxy, () -> exchange.waiting() == queued);
     records.add("08" + u16(proxy));
     simulated.bound.remove(proxy);
   }
@@ -233,8 +234,8 @@
     ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("timers", true);
     threads.start();
     scheduler.start();
-    Stand.Http discovery = new Stand.Http();
-    Example example = new Example().discovery(discovery.address());
+    TestPeers.HttpStub discovery = new TestPeers.HttpStub();
+    ExampleConfig example = new ExampleConfig().discovery(discovery.address());
     String json = example.json();
     int known = json.indexOf("\"known\"");
     int settings = json.indexOf("\"settings\"");
@@ -246,14 +247,14 @@
     }
     example.with(
         json.substring(known, settings),
-        "\"known\": " + Stand.listing(41, true, first.toArray(new String[0])) + ",\n  ");
-    Config config = example.read(dir);
-    exchange = new Exchange(config, Rules::new, clock::get, failure -> {});
-    Streams server = new Streams(config, exchange, threads, scheduler);
-    Outbound outbound = new Outbound(config, exchange, threads, scheduler);
+        "\"known\": " + TestPeers.listing(41, true, first.toArray(new String[0])) + ",\n  ");
+    AssignerConfig config = example.read(dir);
+    exchange = new Controller(config, FaastPolicy::new, clock::get, failure -> {});
+    StreamServer server = new StreamServer(config, exchange, threads, scheduler);
+    DiscoveryClient outbound = new DiscoveryClient(config, exchange, threads, scheduler);
     // Probes are left out: their answers come at times of their own.
     exchange.connect(
-        new Exchange.Calls() {
+        new OutboundCalls() {
           @Override
           public void watch(boolean on, long since) {
             outbound.watch(on, since);
@@ -274,11 +275,11 @@
     simulated.batch(
         START,
         List.of(
-            "01" + Wire.u64(config.settings().seed()) + text(example.json()),
-            "0202" + Wire.u32(41) + Wire.u32(6) + entries));
-    Stand.Request watch = discovery.next();
+            "01" + BatchWriter.u64(config.settings().seed()) + text(example.json()),
+            "0202" + BatchWriter.u32(41) + BatchWriter.u32(6) + entries));
+    TestPeers.Request watch = discovery.next();
     watch.beginWatch();
-    Stand.Caller collector = new Stand.Caller(address).reading();
+    TestPeers.RespClient collector = new TestPeers.RespClient(address).reading();
     collector.send("collector zone north");
     int compared = 0;
     for (int step = 1; step <= 120; step++) {
@@ -289,11 +290,11 @@
       world(step, now, watch, collector);
       exchange.turn();
       simulated.batch(now, records);
-      for (Map.Entry<Integer, Stand.ProxyStream> e : streams.entrySet()) {
+      for (Map.Entry<Integer, TestPeers.ProxyClient> e : streams.entrySet()) {
         String wanted = simulated.shown(e.getKey());
-        Stand.Held at = held.get(e.getKey());
+        TestPeers.AppliedUpdates at = held.get(e.getKey());
         if (!wanted.equals("unbound")) {
-          Stand.until(
+          TestPeers.until(
               "step " + step + ", proxy " + e.getKey() + ": " + wanted + " but " + shown(at),
               () -> shown(at).equals(wanted));
           compared++;
@@ -311,7 +312,7 @@
     threads.stop();
   }
 
-  private void world(int step, long now, Stand.Request watch, Stand.Caller collector)
+  private void world(int step, long now, TestPeers.Request watch, TestPeers.RespClient collector)
       throws Exception {
     if (step == 1) {
       list(watch, 42);
@@ -351,12 +352,12 @@
                   + ms
                   + " span_ms 1000.0",
               "0a"
-                  + Wire.u32(tries)
-                  + Wire.u32(failed)
-                  + Wire.u32(1_000_000)
+                  + BatchWriter.u32(tries)
+                  + BatchWriter.u32(failed)
+                  + BatchWriter.u32(1_000_000)
                   + u8(z)
                   + task(k)
-                  + Wire.u32(ms * 1000L)
+                  + BatchWriter.u32(ms * 1000L)
                   + "00");
         }
       }
@@ -373,20 +374,25 @@
               + " tries "
               + requests
               + " failed 0 span_ms 500.0",
-          "0b" + u16(p) + u8(grade) + Wire.u32(requests) + Wire.u32(0) + Wire.u32(500_000));
+          "0b"
+              + u16(p)
+              + u8(grade)
+              + BatchWriter.u32(requests)
+              + BatchWriter.u32(0)
+              + BatchWriter.u32(500_000));
       List<Integer> tickets = held.get(p).tickets;
       if (step % 3 == 0 && !tickets.isEmpty()) {
         int mark = tickets.get(tickets.size() - 1);
         both(
             streams.get(p),
             "applied proxy " + p + " mark " + mark + " took_ms 310.5",
-            "09" + Wire.u32(310_500) + Wire.u32(mark) + u16(p));
+            "09" + BatchWriter.u32(310_500) + BatchWriter.u32(mark) + u16(p));
       }
     }
     assertTrue(queued > 0 && now > 0);
   }
 
-  private void list(Stand.Request watch, int generation, int[]... changes) throws Exception {
+  private void list(TestPeers.Request watch, int generation, int[]... changes) throws Exception {
     StringBuilder entries = new StringBuilder();
     List<String> instances = new ArrayList<>();
     for (int[] change : changes) {
@@ -394,10 +400,10 @@
       instances.add(instance(change[0], change[1], started));
       entries.append(entry(change[0], change[1], started));
     }
-    watch.line(Stand.listing(generation, false, instances.toArray(new String[0])));
+    watch.line(TestPeers.listing(generation, false, instances.toArray(new String[0])));
     queued++;
-    Stand.until("the list", () -> exchange.waiting() == queued);
-    records.add("0200" + Wire.u32(generation) + Wire.u32(changes.length) + entries);
+    TestPeers.until("the list", () -> exchange.waiting() == queued);
+    records.add("0200" + BatchWriter.u32(generation) + BatchWriter.u32(changes.length) + entries);
   }
 
   /**
@@ -432,6 +438,6 @@
     joined.forEach(
         (key, values) -> out.append('\n').append(key).append('=').append(String.join(",", values)));
     byte[] raw = out.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
-    return Wire.u32(raw.length) + HexFormat.of().formatHex(raw);
+    return BatchWriter.u32(raw.length) + HexFormat.of().formatHex(raw);
   }
 }
--- a/src/test/java/pearusher/server/Stand.java
+++ b/src/test/java/pearusher/server/TestPeers.java
@@ -21,9 +21,9 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.BooleanSupplier;
-import pearusher.protocol.ListLimits;
-import pearusher.protocol.ListingReader;
-import pearusher.protocol.Message;
+import pearusher.protocol.EndpointList;
+import pearusher.protocol.EndpointListLimits;
+import pearusher.protocol.EndpointListReader;
 import pearusher.protocol.WireNames;
 import pearusher.sitesettings.SettingsException;
 
@@ -31,8 +31,8 @@
  * Small stand-ins for the outside systems, written from the protocol's page, and waits on
  * conditions.
  */
-public final class Stand {
-  private Stand() {}
+public final class TestPeers {
+  private TestPeers() {}
 
   /** Waits until it holds; a test that hangs here has failed. */
   public static void until(String what, BooleanSupplier holds) throws InterruptedException {
@@ -62,16 +62,16 @@
   }
 
   /** A connection that says what it is told to and notes what comes. */
-  static class Caller implements AutoCloseable {
+  static class RespClient implements AutoCloseable {
     final Socket socket = new Socket();
     final List<List<String>> came = new CopyOnWriteArrayList<>();
     volatile boolean ended;
 
-    Caller(InetSocketAddress to) throws IOException {
+    RespClient(InetSocketAddress to) throws IOException {
       socket.connect(to, 5000);
     }
 
-    Caller reading() {
+    RespClient reading() {
       Thread reader =
           new Thread(
               () -> {
@@ -142,7 +142,7 @@
   }
 
   /** What a proxy holds for one class. */
-  public static final class Holding {
+  public static final class AppliedTable {
     public Map<String, Float> lines = new TreeMap<>();
     public Float level;
     public Integer retry;
@@ -154,8 +154,8 @@
   }
 
   /** A proxy that applies updates as the page says; what it holds outlasts its streams. */
-  public static final class Held {
-    public final Map<String, Holding> by = new TreeMap<>();
+  public static final class AppliedUpdates {
+    public final Map<String, AppliedTable> by = new TreeMap<>();
     public final Set<String> out = new TreeSet<>();
     public final List<Integer> tickets = new CopyOnWriteArrayList<>();
     public final List<String> faults = new CopyOnWriteArrayList<>();
@@ -166,8 +166,8 @@
     int lines;
     private int parts;
 
-    public Held(List<String> classes) {
-      classes.forEach(c -> by.put(c, new Holding()));
+    public AppliedUpdates(List<String> classes) {
+      classes.forEach(c -> by.put(c, new AppliedTable()));
     }
 
     public synchronized String shown() {
@@ -190,7 +190,7 @@
               ? List.of(at.get("classes").split("\\+"))
               : List.copyOf(by.keySet());
       for (String c : which) {
-        Holding holding = by.get(c);
+        AppliedTable holding = by.get(c);
         if (holding == null) {
           faults.add("class " + c);
           continue;
@@ -248,10 +248,10 @@
   }
 
   /** A proxy's stream. */
-  static final class ProxyStream extends Caller {
-    final Held held;
+  static final class ProxyClient extends RespClient {
+    final AppliedUpdates held;
 
-    ProxyStream(InetSocketAddress to, Held held) throws IOException {
+    ProxyClient(InetSocketAddress to, AppliedUpdates held) throws IOException {
       super(to);
       this.held = held;
       reading();
@@ -293,12 +293,12 @@
   }
 
   /** Discovery or a server: it takes calls and leaves the answers to the test. */
-  public static final class Http implements AutoCloseable {
+  public static final class HttpStub implements AutoCloseable {
     private final ServerSocket server;
     final LinkedBlockingQueue<Request> calls = new LinkedBlockingQueue<>();
     final List<Socket> open = new CopyOnWriteArrayList<>();
 
-    public Http() throws IOException {
+    public HttpStub() throws IOException {
       server = new ServerSocket(0, 50, java.net.InetAddress.getLoopbackAddress());
       Thread taker =
           new Thread(
@@ -375,8 +375,8 @@
   }
 
   /** A whole text as the reader of lists takes it. */
-  public static Message.Listing read(String text, WireNames names) throws SettingsException {
-    ListingReader reader = new ListingReader(names, ListLimits.ofThisProcess());
+  public static EndpointList read(String text, WireNames names) throws SettingsException {
+    EndpointListReader reader = new EndpointListReader(names, EndpointListLimits.ofThisProcess());
     reader.feed(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
     return reader.endOfBody();
   }
--- a/src/test/java/pearusher/server/RecordedSite.java
+++ b/src/test/java/pearusher/server/TranscriptSite.java
@@ -9,9 +9,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import pearusher.config.Config;
-import pearusher.control.Exchange;
-import pearusher.policy.Rules;
+import pearusher.config.AssignerConfig;
+import pearusher.control.Controller;
+import pearusher.control.OutboundCalls;
+import pearusher.control.ProxyStream;
+import pearusher.policy.FaastPolicy;
 import pearusher.protocol.Message;
 import pearusher.sitesettings.SettingsException;
 
@@ -20,7 +22,7 @@
  * at once, and each proxy's stream keeps the bytes that it gets. The same calls give the same
  * bytes.
  */
-final class RecordedSite {
+final class TranscriptSite {
   private static final Pattern MARK =
       Pattern.compile("\\r\\nticket\\r\\n\\$\\d+\\r\\n(\\d+)\\r\\n");
   private static final long START_US = 1_800_000_000_000_000L;
@@ -36,12 +38,12 @@
   record Listed(int zone, String lifecycle, long startedMs) {}
 
   /** A proxy's connection. */
-  private final class ProxyStream implements Exchange.Stream {
+  private final class RecordingStream implements ProxyStream {
     private final int proxy;
     private boolean open = true;
     private int unanswered = -1;
 
-    ProxyStream(int proxy) {
+    RecordingStream(int proxy) {
       this.proxy = proxy;
     }
 
@@ -68,23 +70,23 @@
   final List<Sent> sent = new ArrayList<>();
   private final List<String> zones;
   private final AtomicLong clock = new AtomicLong(START_US);
-  private final Config config;
-  private final Exchange exchange;
-  private final Map<Integer, ProxyStream> streams = new TreeMap<>();
+  private final AssignerConfig config;
+  private final Controller exchange;
+  private final Map<Integer, RecordingStream> streams = new TreeMap<>();
   private long generation = 100;
   private int turn;
   private Throwable failure;
 
-  RecordedSite(Config config, List<String> zones) {
+  TranscriptSite(AssignerConfig config, List<String> zones) {
     this.config = config;
     this.zones = zones;
     exchange =
-        new Exchange(config, Rules::new, clock::get, thrown -> failure = thrown) {
+        new Controller(config, FaastPolicy::new, clock::get, thrown -> failure = thrown) {
           @Override
           public void pause() {}
         };
     exchange.connect(
-        new Exchange.Calls() {
+        new OutboundCalls() {
           @Override
           public void watch(boolean on, long since) {
             if (on) {
@@ -137,7 +139,7 @@
             .map(
                 name -> {
                   Listed one = servers.get(name);
-                  return Stand.instance(
+                  return TestPeers.instance(
                       name,
                       "127.0.0.1:9000",
                       zones.get(one.zone()),
@@ -147,14 +149,14 @@
             .toArray(String[]::new);
     try {
       exchange.listed(
-          Stand.read(Stand.listing(generation, whole, instances), config.names()), begins);
+          TestPeers.read(TestPeers.listing(generation, whole, instances), config.names()), begins);
     } catch (SettingsException e) {
       throw new IllegalStateException(e);
     }
   }
 
   void join(int proxy, boolean fresh) throws Message.Fault {
-    ProxyStream stream = new ProxyStream(proxy);
+    RecordingStream stream = new RecordingStream(proxy);
     streams.put(proxy, stream);
     say(
         stream,
@@ -169,14 +171,14 @@
   }
 
   void leave(int proxy) {
-    ProxyStream stream = streams.remove(proxy);
+    RecordingStream stream = streams.remove(proxy);
     stream.open = false;
     exchange.ended(stream, proxy);
   }
 
   /** Every joined proxy answers the last mark that it got. */
   void answerMarks() throws Message.Fault {
-    for (ProxyStream stream : streams.values()) {
+    for (RecordingStream stream : streams.values()) {
       if (stream.unanswered >= 0) {
         say(
             stream,
@@ -195,15 +197,15 @@
     say(null, line);
   }
 
-  private void say(ProxyStream stream, String line) throws Message.Fault {
+  private void say(RecordingStream stream, String line) throws Message.Fault {
     Message message = Message.read(List.of(line.split(" ")), config.names(), config.settings());
-    if (message instanceof Message.Joined joined) {
+    if (message instanceof Message.ProxyJoin joined) {
       exchange.joined(stream, joined);
-    } else if (message instanceof Message.Applied applied) {
+    } else if (message instanceof Message.Acknowledgement applied) {
       exchange.applied(stream, applied);
-    } else if (message instanceof Message.Heard heard) {
+    } else if (message instanceof Message.LoadReport heard) {
       exchange.heard(heard);
-    } else if (message instanceof Message.Usage usage) {
+    } else if (message instanceof Message.UsageReport usage) {
       exchange.usage(usage);
     } else {
       throw new IllegalArgumentException(line);
--- a/src/test/java/pearusher/server/UpdateTranscriptTest.java
+++ b/src/test/java/pearusher/server/UpdateTranscriptTest.java
@@ -34,8 +34,8 @@
   @TempDir Path dir;
 
   /** The example with three classes and the zones and proxies of a size. */
-  private static Example example(Size size) throws Exception {
-    return new Example()
+  private static ExampleConfig example(Size size) throws Exception {
+    return new ExampleConfig()
         .with(
             "\"azs\": [\"north\", \"south\"]",
             "\"azs\": [\"" + String.join("\", \"", size.zones()) + "\"]")
@@ -55,8 +55,8 @@
     return name.equals("small-site") ? SMALL : LONG;
   }
 
-  private static Example scenario(String name) throws Exception {
-    Example example = example(size(name));
+  private static ExampleConfig scenario(String name) throws Exception {
+    ExampleConfig example = example(size(name));
     return switch (name) {
       case "requests-a-second" -> example;
       case "shares", "small-site" ->
@@ -83,10 +83,11 @@
     };
   }
 
-  private RecordedSite play(Example example, Size size, long seed) throws Exception {
-    RecordedSite site = new RecordedSite(example.read(dir), size.zones());
+  private TranscriptSite play(ExampleConfig example, Size size, long seed) throws Exception {
+    TranscriptSite site = new TranscriptSite(example.read(dir), size.zones());
     for (int k = 0; k < size.servers(); k++) {
-      site.servers.put("s" + k, new RecordedSite.Listed(k % size.zones().size(), "in_service", 0));
+      site.servers.put(
+          "s" + k, new TranscriptSite.Listed(k % size.zones().size(), "in_service", 0));
     }
     site.begin();
     Random random = new Random(seed);
@@ -106,14 +107,14 @@
   }
 
   /** Drains, ends, returns and a new server, at shares of the run's length. */
-  private static void changeServers(RecordedSite site, Size size, int turn) {
+  private static void changeServers(TranscriptSite site, Size size, int turn) {
     int percent = percent(size, turn);
     if (percent == 25) {
       site.change("s1", "terminating");
     } else if (percent == 40) {
       site.change("s1", "terminated");
     } else if (percent == 50) {
-      site.servers.put("s" + size.servers(), new RecordedSite.Listed(0, "in_service", 0));
+      site.servers.put("s" + size.servers(), new TranscriptSite.Listed(0, "in_service", 0));
       site.change("s" + size.servers(), "in_service");
     } else if (percent == 55) {
       site.change("s2", "terminating");
@@ -123,7 +124,7 @@
   }
 
   /** Leavings, joinings with and without a table, and a stream that takes the place of another. */
-  private static void changeProxies(RecordedSite site, Size size, int turn) throws Exception {
+  private static void changeProxies(TranscriptSite site, Size size, int turn) throws Exception {
     int percent = percent(size, turn);
     if (percent == 45) {
       site.leave(0);
@@ -149,7 +150,7 @@
   }
 
   /** What collectors say: server s0 fails for a while, and later all are slow and fail by turns. */
-  private static void report(RecordedSite site, Size size, int turn, Random random)
+  private static void report(TranscriptSite site, Size size, int turn, Random random)
       throws Exception {
     boolean overload = turn * 100 > 58 * size.turns() && turn * 100 < 72 * size.turns();
     boolean faulty = turn * 100 > 15 * size.turns() && turn * 100 < 24 * size.turns();
@@ -191,7 +192,7 @@
     }
   }
 
-  private static int count(RecordedSite site, String word) {
+  private static int count(TranscriptSite site, String word) {
     return (int)
         site.sent.stream().filter(sent -> sent.text().contains("\r\n" + word + "\r\n")).count();
   }
@@ -207,7 +208,7 @@
         "small-site"
       })
   void aLongRunSendsTheRecordedBytes(String name) throws Exception {
-    RecordedSite site = play(scenario(name), size(name), 20_261_203);
+    TranscriptSite site = play(scenario(name), size(name), 20_261_203);
     Map<String, String> facts = new TreeMap<>();
     byte[] transcript = site.transcript();
     facts.put("messages", Integer.toString(site.sent.size()));
@@ -228,13 +229,13 @@
 
   @Test
   void aShortRunSendsTheRecordedBytesInFull() throws Exception {
-    RecordedSite site =
+    TranscriptSite site =
         play(
             example(SHORT).with("\"throttleBy\": \"per_second\"", "\"throttleBy\": \"fraction\""),
             SHORT,
             7);
     StringBuilder out = new StringBuilder();
-    for (RecordedSite.Sent sent : site.sent) {
+    for (TranscriptSite.Sent sent : site.sent) {
       out.append("== turn ")
           .append(sent.turn())
           .append(", proxy ")
--- a/src/test/java/pearusher/simulator/Wire.java
+++ b/src/test/java/pearusher/simulator/BatchWriter.java
@@ -5,7 +5,7 @@
 import java.util.HexFormat;
 
 /** Bytes written by hand: hex records put into frames. */
-public final class Wire {
+public final class BatchWriter {
   static final String SETTINGS =
       String.join(
           "\n",
@@ -69,7 +69,7 @@
           "zone=0",
           "some.newKey=whatever");
 
-  private Wire() {}
+  private BatchWriter() {}
 
   public static byte[] hex(String text) {
     return HexFormat.of().parseHex(text.replaceAll("\\s", ""));
--- a/src/test/java/pearusher/simulator/CodecTest.java
+++ b/src/test/java/pearusher/simulator/SimulatorLoopTest.java
@@ -14,28 +14,35 @@
 import java.util.List;
 import java.util.function.BiFunction;
 import org.junit.jupiter.api.Test;
-import pearusher.policy.Assigner;
-import pearusher.policy.Rules;
-import pearusher.sitesettings.Paths;
+import pearusher.policy.AdmissionMode;
+import pearusher.policy.AssignmentPolicy;
+import pearusher.policy.FaastPolicy;
+import pearusher.policy.Idempotency;
+import pearusher.policy.LoadMetric;
+import pearusher.policy.LoadReportSource;
+import pearusher.policy.PickMethod;
+import pearusher.policy.PolicyCommands;
+import pearusher.policy.PolicySettings;
+import pearusher.sitesettings.PathValues;
+import pearusher.sitesettings.PolicySettingsReader;
 import pearusher.sitesettings.SettingsException;
-import pearusher.sitesettings.SettingsReader;
 
-class CodecTest {
+class SimulatorLoopTest {
   private static final long A = 0x0a124a071b5bL;
   private static final long B = 0x0a9011f21b84L;
 
   private final List<String> heard = new ArrayList<>();
 
-  private static Assigner.Settings settings(String text) throws SettingsException {
-    return SettingsReader.read(7, Paths.lines(text));
+  private static PolicySettings settings(String text) throws SettingsException {
+    return PolicySettingsReader.read(7, PathValues.lines(text));
   }
 
   /** An assigner that writes down what it is told and orders nothing. */
-  private Assigner recorder() {
-    return (Assigner)
+  private AssignmentPolicy recorder() {
+    return (AssignmentPolicy)
         Proxy.newProxyInstance(
-            CodecTest.class.getClassLoader(),
-            new Class<?>[] {Assigner.class},
+            SimulatorLoopTest.class.getClassLoader(),
+            new Class<?>[] {AssignmentPolicy.class},
             (self, method, args) -> {
               List<String> words = new ArrayList<>(List.of(method.getName()));
               for (Object arg : args) {
@@ -50,30 +57,31 @@
   }
 
   private static byte[] run(
-      BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker, InputStream in)
+      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker, InputStream in)
       throws Exception {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    new Loop(maker).run(in, out);
+    new SimulatorLoop(maker).run(in, out);
     return out.toByteArray();
   }
 
   private static byte[] run(
-      BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker, byte[] in) throws Exception {
+      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker, byte[] in)
+      throws Exception {
     return run(maker, new ByteArrayInputStream(in));
   }
 
   private List<String> events(String... records) throws Exception {
     String[] all = new String[records.length + 2];
     all[0] = "0f0300";
-    all[1] = Wire.hello(Wire.SETTINGS);
+    all[1] = BatchWriter.hello(BatchWriter.SETTINGS);
     System.arraycopy(records, 0, all, 2, records.length);
-    run((s, o) -> recorder(), Wire.frame(5, all));
+    run((s, o) -> recorder(), BatchWriter.frame(5, all));
     return heard.stream().filter(h -> !h.startsWith("close")).toList();
   }
 
   @Test
   void anEmptyBatchGetsAnEmptyReply() throws Exception {
-    byte[] in = Wire.hex("00000000 00000000 5a5c800000000000");
+    byte[] in = BatchWriter.hex("00000000 00000000 5a5c800000000000");
     assertArrayEquals(new byte[8], run((s, o) -> recorder(), in));
     assertArrayEquals(new byte[0], run((s, o) -> recorder(), new byte[0]));
   }
@@ -82,7 +90,7 @@
   void everyEventIsDecoded() throws Exception {
     List<String> got =
         events(
-            Wire.list(),
+            BatchWriter.list(),
             "03 4d00000000000000",
             "04 0a124a07 5b1b 9801 10270000 01 0000003f",
             "05 0200 0200 6869",
@@ -167,36 +175,38 @@
               o.log("two servers known");
               return recorder();
             },
-            Wire.frame(5, "0f0300", Wire.hello(Wire.SETTINGS)));
+            BatchWriter.frame(5, "0f0300", BatchWriter.hello(BatchWriter.SETTINGS)));
     byte[] body =
-        Wire.hex(
+        BatchWriter.hex(
             "48 0300 4e 7500 0a9011f2 841b 0000403f 46 01 0000003f 7500 0200"
                 + "4d 20a10700 4d00000000000000 4a 7500 42 0a124a07 5b1b 01 45 2900 7500 0000"
                 + "43 09000000 01 44 01 47 4b 0a124a07 5b1b 49 ffffffff 0200 6869"
                 + "41 1100 74776f2073657276657273206b6e6f776e");
-    assertArrayEquals(Wire.join(Wire.hex(Wire.u32(body.length) + Wire.u32(13)), body), got);
+    assertArrayEquals(
+        BatchWriter.join(BatchWriter.hex(BatchWriter.u32(body.length) + BatchWriter.u32(13)), body),
+        got);
   }
 
   @Test
   void settingsReachTheModuleInItsOwnTerms() throws Exception {
-    Assigner.Settings s = settings(Wire.SETTINGS);
+    PolicySettings s = settings(BatchWriter.SETTINGS);
     assertEquals(2, s.zones());
     assertEquals(2, s.grades().size());
-    assertEquals(Assigner.Effect.UNSAFE, s.grades().get(1).effect());
+    assertEquals(Idempotency.UNSAFE, s.grades().get(1).effect());
     assertEquals(750_000, s.grades().get(1).aimUs());
     assertTrue(s.grades().get(1).writes() && s.grades().get(1).ownZone());
-    assertEquals(Assigner.Levels.RATE, s.levels());
-    assertEquals(Assigner.ReportFrom.PROBES, s.reportFrom());
-    assertEquals(List.of(Assigner.Field.UTIL, Assigner.Field.INFLIGHT), s.reportFields());
+    assertEquals(AdmissionMode.RATE, s.levels());
+    assertEquals(LoadReportSource.PROBES, s.reportFrom());
+    assertEquals(List.of(LoadMetric.UTIL, LoadMetric.INFLIGHT), s.reportFields());
     assertEquals(5900, s.channel().backlog());
     assertEquals(17_000_000, s.limits().rampUs());
-    Assigner.Settings more =
+    PolicySettings more =
         settings(
-            Wire.SETTINGS
+            BatchWriter.SETTINGS
                 + "\nfamilyInfo.pick=p2c\ngoal.whole=0.55"
                 + "\nfamilyInfo.connsLeast=172.0\nfamilyInfo.zonal=true"
                 + "\nfees.handshake=0.04\ncountedBy=work");
-    assertEquals(Assigner.Pick.TWO, more.site().pick());
+    assertEquals(PickMethod.TWO, more.site().pick());
     assertEquals(0.55, more.goal().whole());
     assertTrue(more.site().ownZoneJoins() && more.goal().byWork());
     assertEquals(172, more.site().connsLeast());
@@ -205,7 +215,7 @@
 
   @Test
   void aMissingOrUnreadableKeyIsNamed() {
-    for (String line : Wire.SETTINGS.split("\n")) {
+    for (String line : BatchWriter.SETTINGS.split("\n")) {
       String key = line.substring(0, line.indexOf('='));
       boolean optional =
           key.endsWith(".name")
@@ -213,7 +223,7 @@
               || key.equals("report.fields")
               || key.equals("some.newKey")
               || key.equals("rules.askWithinUs");
-      String without = Wire.SETTINGS.replace(line + "\n", "").replace("\n" + line, "");
+      String without = BatchWriter.SETTINGS.replace(line + "\n", "").replace("\n" + line, "");
       if (!optional) {
         SettingsException e = assertThrows(SettingsException.class, () -> settings(without), key);
         assertTrue(e.getMessage().contains(key), e.getMessage());
@@ -222,7 +232,7 @@
     SettingsException e =
         assertThrows(
             SettingsException.class,
-            () -> settings(Wire.SETTINGS.replace("transitUs=294000", "transitUs=soon")));
+            () -> settings(BatchWriter.SETTINGS.replace("transitUs=294000", "transitUs=soon")));
     assertTrue(e.getMessage().contains("familyInfo.transitUs"), e.getMessage());
   }
 
@@ -250,65 +260,74 @@
   }
 
   private static byte[] shortDay(String settings) {
-    return Wire.join(
-        Wire.frame(1_000_000, "0f0300", Wire.hello(settings), Wire.list()),
-        Wire.frame(1_005_000, "0f0300", "07 2900 01 0000d040 01"),
-        Wire.frame(
+    return BatchWriter.join(
+        BatchWriter.frame(1_000_000, "0f0300", BatchWriter.hello(settings), BatchWriter.list()),
+        BatchWriter.frame(1_005_000, "0f0300", "07 2900 01 0000d040 01"),
+        BatchWriter.frame(
             2_005_000,
             "0f0300",
             "0a 0e000000 01000000 40420f00 00 0a124a07 5b1b 7abc0000 01 52b81e3f"),
-        Wire.frame(3_005_000, "0f0300", "03 0100000000000000"));
+        BatchWriter.frame(3_005_000, "0f0300", "03 0100000000000000"));
   }
 
   @Test
   void framesSplitAtEveryByteReadTheSame() throws Exception {
-    byte[] day = shortDay(Wire.SETTINGS);
-    byte[] whole = run(Rules::new, day);
+    byte[] day = shortDay(BatchWriter.SETTINGS);
+    byte[] whole = run(FaastPolicy::new, day);
     assertTrue(whole.length > 100);
     for (int cut = 1; cut < day.length; cut++) {
-      assertArrayEquals(whole, run(Rules::new, cutAt(day, cut)), "cut at " + cut);
+      assertArrayEquals(whole, run(FaastPolicy::new, cutAt(day, cut)), "cut at " + cut);
     }
   }
 
   @Test
   void renamingEveryZoneClassAndKindChangesNoAction() throws Exception {
     String renamed =
-        Wire.SETTINGS
+        BatchWriter.SETTINGS
             .replace("vannes", "x1")
             .replace("lorient", "x2")
             .replace("day-view", "x3")
             .replace("fill-visit", "x4")
             .replace("three-core,four-core", "x5,x6");
-    assertArrayEquals(run(Rules::new, shortDay(Wire.SETTINGS)), run(Rules::new, shortDay(renamed)));
+    assertArrayEquals(
+        run(FaastPolicy::new, shortDay(BatchWriter.SETTINGS)),
+        run(FaastPolicy::new, shortDay(renamed)));
   }
 
   @Test
   void badInputIsNamedWithItsPlace() {
-    byte[] good = shortDay(Wire.SETTINGS);
+    byte[] good = shortDay(BatchWriter.SETTINGS);
     for (int cut : new int[] {5, 20, good.length - 3}) {
-      WireException e =
-          assertThrows(WireException.class, () -> run(Rules::new, Arrays.copyOf(good, cut)));
+      SimulatorProtocolException e =
+          assertThrows(
+              SimulatorProtocolException.class,
+              () -> run(FaastPolicy::new, Arrays.copyOf(good, cut)));
       assertTrue(e.getMessage().contains("truncated"), e.getMessage());
     }
-    WireException unknown =
-        assertThrows(WireException.class, () -> run(Rules::new, Wire.frame(1, "0f0300", "63")));
+    SimulatorProtocolException unknown =
+        assertThrows(
+            SimulatorProtocolException.class,
+            () -> run(FaastPolicy::new, BatchWriter.frame(1, "0f0300", "63")));
     assertTrue(
         unknown.getMessage().contains("code 99") && unknown.getMessage().contains("byte 3"),
         unknown.getMessage());
-    byte[] more = Wire.frame(1, "0f0300", "03 4d00000000000000");
+    byte[] more = BatchWriter.frame(1, "0f0300", "03 4d00000000000000");
     more[4] = 3;
     assertTrue(
-        assertThrows(WireException.class, () -> run(Rules::new, more))
+        assertThrows(SimulatorProtocolException.class, () -> run(FaastPolicy::new, more))
             .getMessage()
             .contains("length doesn't add up"));
     more[4] = 1;
     assertTrue(
-        assertThrows(WireException.class, () -> run(Rules::new, more))
+        assertThrows(SimulatorProtocolException.class, () -> run(FaastPolicy::new, more))
             .getMessage()
             .contains("length doesn't add up"));
     assertThrows(
-        WireException.class, () -> run(Rules::new, Wire.frame(1, "0f0300", "02 07 00000000")));
-    assertThrows(WireException.class, () -> run(Rules::new, Wire.frame(1, "08 2900")));
+        SimulatorProtocolException.class,
+        () -> run(FaastPolicy::new, BatchWriter.frame(1, "0f0300", "02 07 00000000")));
+    assertThrows(
+        SimulatorProtocolException.class,
+        () -> run(FaastPolicy::new, BatchWriter.frame(1, "08 2900")));
   }
 
   @Test
@@ -318,7 +337,7 @@
             (s, o) -> {
               throw new IllegalStateException("no way");
             },
-            Wire.frame(5, "0f0300", Wire.hello(Wire.SETTINGS)));
+            BatchWriter.frame(5, "0f0300", BatchWriter.hello(BatchWriter.SETTINGS)));
     assertEquals(76, got[8 + 3]);
     assertTrue(new String(got, java.nio.charset.StandardCharsets.UTF_8).contains("no way"));
   }
--- a/src/test/java/pearusher/simulator/ProcessTest.java
+++ b/src/test/java/pearusher/simulator/SimulatorProcessTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The real adapter process, and what the module's text must keep. */
-class ProcessTest {
+class SimulatorProcessTest {
   /** Lines of a decision module that are not blank. */
   private static final int MAX_MODULE_LINES = 1_389;
 
@@ -57,16 +57,20 @@
 
   @Test
   void endOfInputBetweenFramesExitsZero() throws Exception {
-    End end = run(Wire.frame(1, "0f0300", Wire.hello(Wire.SETTINGS), Wire.list()), "adapter");
+    End end =
+        run(
+            BatchWriter.frame(
+                1, "0f0300", BatchWriter.hello(BatchWriter.SETTINGS), BatchWriter.list()),
+            "adapter");
     assertEquals(0, end.status(), end.err());
     assertTrue(end.out().length > 8);
   }
 
   @Test
   void aTruncatedFrameExitsOneAndWritesNoHalfReply() throws Exception {
-    byte[] good = Wire.frame(1);
-    byte[] bad = Wire.frame(2, "0f0300", "03 4d00000000000000");
-    End end = run(Wire.join(good, Arrays.copyOf(bad, bad.length - 2)), "adapter");
+    byte[] good = BatchWriter.frame(1);
+    byte[] bad = BatchWriter.frame(2, "0f0300", "03 4d00000000000000");
+    End end = run(BatchWriter.join(good, Arrays.copyOf(bad, bad.length - 2)), "adapter");
     assertEquals(1, end.status());
     assertEquals(8, end.out().length);
     assertTrue(end.err().contains("truncated frame at byte 16"), end.err());
@@ -74,12 +78,13 @@
 
   @Test
   void anUnknownCodeAndAMissingKeyExitOne() throws Exception {
-    End code = run(Wire.frame(2, "0f0300", "63"), "adapter");
+    End code = run(BatchWriter.frame(2, "0f0300", "63"), "adapter");
     assertEquals(1, code.status());
     assertTrue(code.err().contains("unknown record code 99"), code.err());
     End key =
         run(
-            Wire.frame(2, "0f0300", Wire.hello(Wire.SETTINGS.replace("tickUs=5000", ""))),
+            BatchWriter.frame(
+                2, "0f0300", BatchWriter.hello(BatchWriter.SETTINGS.replace("tickUs=5000", ""))),
             "adapter");
     assertEquals(1, key.status());
     assertTrue(key.err().contains("tickUs"), key.err());
--- a/src/test/java/pearusher/simulator/WireEvents.java
+++ b/src/test/java/pearusher/simulator/WireEvents.java
@@ -26,7 +26,7 @@
   }
 
   static String f32(double value) {
-    return Wire.u32(Float.floatToIntBits((float) value));
+    return BatchWriter.u32(Float.floatToIntBits((float) value));
   }
 
   private static String load(double... values) {
@@ -44,19 +44,23 @@
         + u16(2)
         + u8(state)
         + f32(weight)
-        + Wire.u64(startedUs);
+        + BatchWriter.u64(startedUs);
   }
 
   static String list(int form, String... entries) {
-    return "02" + u8(form) + Wire.u32(41) + Wire.u32(entries.length) + String.join("", entries);
+    return "02"
+        + u8(form)
+        + BatchWriter.u32(41)
+        + BatchWriter.u32(entries.length)
+        + String.join("", entries);
   }
 
   static String timer(long token) {
-    return "03" + Wire.u64(token);
+    return "03" + BatchWriter.u64(token);
   }
 
   static String probed(int number, int status, long tookUs, double... load) {
-    return "04" + server(number) + u16(status) + Wire.u32(tookUs) + load(load);
+    return "04" + server(number) + u16(status) + BatchWriter.u32(tookUs) + load(load);
   }
 
   static String told(int peer, String body) {
@@ -76,17 +80,17 @@
   }
 
   static String applied(int proxy, long mark, long tookUs) {
-    return "09" + Wire.u32(tookUs) + Wire.u32(mark) + u16(proxy);
+    return "09" + BatchWriter.u32(tookUs) + BatchWriter.u32(mark) + u16(proxy);
   }
 
   static String heard(int number, int zone, long tries, long failed, long meanUs, double... load) {
     return "0a"
-        + Wire.u32(tries)
-        + Wire.u32(failed)
-        + Wire.u32(1_000_000)
+        + BatchWriter.u32(tries)
+        + BatchWriter.u32(failed)
+        + BatchWriter.u32(1_000_000)
         + u8(zone)
         + server(number)
-        + Wire.u32(meanUs)
+        + BatchWriter.u32(meanUs)
         + load(load);
   }
 
@@ -94,18 +98,18 @@
     return "0b"
         + u16(proxy)
         + u8(grade)
-        + Wire.u32(requests)
-        + Wire.u32(failed)
-        + Wire.u32(1_000_000);
+        + BatchWriter.u32(requests)
+        + BatchWriter.u32(failed)
+        + BatchWriter.u32(1_000_000);
   }
 
   static String sliceUsage(int slice, int grade, long requests, long failed) {
     return "0c"
-        + Wire.u32(requests)
-        + Wire.u32(failed)
+        + BatchWriter.u32(requests)
+        + BatchWriter.u32(failed)
         + u8(grade)
         + u16(slice)
-        + Wire.u32(1_000_000);
+        + BatchWriter.u32(1_000_000);
   }
 
   static String sliceGiven(int slice, boolean given) {
--- a/src/test/java/pearusher/simulator/WireTranscriptTest.java
+++ b/src/test/java/pearusher/simulator/WireTranscriptTest.java
@@ -22,8 +22,11 @@
 import java.util.function.BiFunction;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import pearusher.policy.Assigner;
-import pearusher.policy.Rules;
+import pearusher.policy.AdmissionMode;
+import pearusher.policy.AssignmentPolicy;
+import pearusher.policy.FaastPolicy;
+import pearusher.policy.PolicyCommands;
+import pearusher.policy.PolicySettings;
 
 /**
  * Characterization of the simulator's wire: batches of binary events must give exactly the recorded
@@ -45,19 +48,19 @@
   private static final int PROXIES = 8;
   private static final int[] PROBE_STATUSES = {200, 200, 200, 502, 429, 408, 521, 520, 777};
 
-  private static final String RATE = Wire.SETTINGS;
+  private static final String RATE = BatchWriter.SETTINGS;
   private static final String SHARE =
-      Wire.SETTINGS
+      BatchWriter.SETTINGS
           .replace("throttleBy=per_second", "throttleBy=fraction")
           .replace("discovery=on_request", "discovery=pushed")
           .replace("azs=vannes,lorient", "azs=a,b,c")
           .replace("messagesMost=0", "messagesMost=6")
           .replace("fees.crossZone=0.06", "fees.crossZone=0");
   private static final String NO_LEVELS =
-      Wire.SETTINGS
+      BatchWriter.SETTINGS
           .replace("throttleBy=per_second", "throttleBy=off")
           .replace("report.fields=utilization,outstanding", "report.fields=outstanding");
-  private static final String SLICES = Wire.SETTINGS.replace("shards=0", "shards=4");
+  private static final String SLICES = BatchWriter.SETTINGS.replace("shards=0", "shards=4");
 
   private static Map<String, String> recorded() throws IOException {
     Map<String, String> lines = new TreeMap<>();
@@ -75,10 +78,10 @@
   }
 
   private static byte[] answers(
-      BiFunction<Assigner.Settings, Assigner.Orders, Assigner> maker, byte[]... frames)
-      throws IOException, WireException {
+      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker, byte[]... frames)
+      throws IOException, SimulatorProtocolException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    new Loop(maker).run(new ByteArrayInputStream(Wire.join(frames)), out);
+    new SimulatorLoop(maker).run(new ByteArrayInputStream(BatchWriter.join(frames)), out);
     return out.toByteArray();
   }
 
@@ -105,7 +108,7 @@
         new ArrayList<>(
             List.of(
                 WireEvents.instance(instance),
-                Wire.hello(settings),
+                BatchWriter.hello(settings),
                 list(WireEvents.CACHED, 1, servers, zones, WireEvents.READY, 0)));
     for (int proxy = 0; proxy < proxies; proxy++) {
       records.add(WireEvents.joined(proxy, proxy % zones, 6.5, proxy % 3 > 0));
@@ -114,7 +117,7 @@
   }
 
   private static byte[] frame(long nowUs, List<String> records) {
-    return Wire.frame(nowUs, records.toArray(new String[0]));
+    return BatchWriter.frame(nowUs, records.toArray(new String[0]));
   }
 
   @Test
@@ -125,9 +128,9 @@
         "two-instances",
         hex(
             answers(
-                Rules::new,
+                FaastPolicy::new,
                 frame(START_US, first),
-                Wire.frame(
+                BatchWriter.frame(
                     START_US + SECOND,
                     WireEvents.instance(2),
                     WireEvents.timer(1),
@@ -151,10 +154,10 @@
         "slices",
         hex(
             answers(
-                Rules::new,
+                FaastPolicy::new,
                 frame(START_US, first),
                 frame(START_US + 5, List.of()),
-                Wire.frame(
+                BatchWriter.frame(
                     START_US + SECOND,
                     WireEvents.instance(4),
                     WireEvents.stopped(),
@@ -169,7 +172,7 @@
                 seed ->
                     () ->
                         assertRecorded(
-                            "minute-" + seed, digest(answers(Rules::new, minute(seed))))));
+                            "minute-" + seed, digest(answers(FaastPolicy::new, minute(seed))))));
   }
 
   /** A minute of events for three instances, with records of every code. */
@@ -198,7 +201,7 @@
       frames.add(frame(nowUs + 100_000, timers(1, 2, 300)));
     }
     frames.add(
-        Wire.frame(
+        BatchWriter.frame(
             START_US + 61 * SECOND,
             WireEvents.instance(2),
             WireEvents.stopped(),
@@ -284,13 +287,13 @@
   }
 
   /** The first instance's decisions fail at one time; each event has its time as first argument. */
-  private static Assigner failing(Assigner.Settings settings, Assigner.Orders orders) {
-    Rules rules = new Rules(settings, orders);
-    boolean fails = settings.levels() == Assigner.Levels.RATE;
-    return (Assigner)
+  private static AssignmentPolicy failing(PolicySettings settings, PolicyCommands orders) {
+    FaastPolicy rules = new FaastPolicy(settings, orders);
+    boolean fails = settings.levels() == AdmissionMode.RATE;
+    return (AssignmentPolicy)
         Proxy.newProxyInstance(
             WireTranscriptTest.class.getClassLoader(),
-            new Class<?>[] {Assigner.class},
+            new Class<?>[] {AssignmentPolicy.class},
             (self, method, arguments) -> {
               if (fails && arguments[0].equals(FAULT_US)) {
                 throw withoutTrace();
@@ -308,10 +311,10 @@
   /** What a faulty input answers: bytes of the batches before it, and the text of the fault. */
   private static String fault(byte[] input) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    WireException fault =
+    SimulatorProtocolException fault =
         assertThrows(
-            WireException.class,
-            () -> new Loop(Rules::new).run(new ByteArrayInputStream(input), out));
+            SimulatorProtocolException.class,
+            () -> new SimulatorLoop(FaastPolicy::new).run(new ByteArrayInputStream(input), out));
     return hex(out.toByteArray()) + "; " + fault.getMessage();
   }
 
@@ -322,35 +325,42 @@
 
   @Test
   void aFaultyInputEndsWithTheRecordedText() throws IOException {
-    byte[] good = Wire.frame(START_US, WireEvents.instance(1), WireEvents.timer(1));
+    byte[] good = BatchWriter.frame(START_US, WireEvents.instance(1), WireEvents.timer(1));
     Map<String, byte[]> inputs = new TreeMap<>();
-    inputs.put("short-header", Wire.join(good, Wire.hex("0100 0000")));
-    inputs.put("short-frame", Wire.join(good, Wire.hex("09000000 01000000 0000000000000000 0f01")));
-    inputs.put("long-frame", Wire.hex("ffffffff 01000000 0000000000000000"));
-    inputs.put("unknown-code", Wire.join(good, Wire.frame(1, WireEvents.instance(1), "10")));
-    inputs.put("code-zero", Wire.frame(1, WireEvents.instance(1), "00"));
-    inputs.put("no-instance", Wire.join(good, Wire.frame(1, WireEvents.timer(1))));
+    inputs.put("short-header", BatchWriter.join(good, BatchWriter.hex("0100 0000")));
+    inputs.put(
+        "short-frame",
+        BatchWriter.join(good, BatchWriter.hex("09000000 01000000 0000000000000000 0f01")));
+    inputs.put("long-frame", BatchWriter.hex("ffffffff 01000000 0000000000000000"));
+    inputs.put(
+        "unknown-code", BatchWriter.join(good, BatchWriter.frame(1, WireEvents.instance(1), "10")));
+    inputs.put("code-zero", BatchWriter.frame(1, WireEvents.instance(1), "00"));
+    inputs.put("no-instance", BatchWriter.join(good, BatchWriter.frame(1, WireEvents.timer(1))));
     inputs.put("too-few-records", announced(3, good.clone()));
     inputs.put("too-many-records", announced(1, good.clone()));
-    inputs.put("list-form", Wire.frame(1, WireEvents.instance(1), "0204" + Wire.u64(0)));
+    inputs.put(
+        "list-form", BatchWriter.frame(1, WireEvents.instance(1), "0204" + BatchWriter.u64(0)));
     inputs.put(
         "server-state",
-        Wire.frame(1, WireEvents.instance(1), list(WireEvents.WHOLE, 1, 1, 2, 3, 0)));
-    inputs.put("short-record", Wire.frame(1, WireEvents.instance(1), "0301"));
+        BatchWriter.frame(1, WireEvents.instance(1), list(WireEvents.WHOLE, 1, 1, 2, 3, 0)));
+    inputs.put("short-record", BatchWriter.frame(1, WireEvents.instance(1), "0301"));
     inputs.put(
         "short-load",
-        Wire.frame(
+        BatchWriter.frame(
             1, WireEvents.instance(1), "04" + WireEvents.server(1) + "c800 00000000 02 00000000"));
-    inputs.put("short-instance", Wire.frame(1, "0f01"));
+    inputs.put("short-instance", BatchWriter.frame(1, "0f01"));
+    inputs.put(
+        "short-text",
+        BatchWriter.frame(1, WireEvents.instance(1), "01" + BatchWriter.u64(7) + "ff000000 61"));
     inputs.put(
-        "short-text", Wire.frame(1, WireEvents.instance(1), "01" + Wire.u64(7) + "ff000000 61"));
-    inputs.put("no-settings", Wire.frame(1, WireEvents.instance(1), Wire.hello("azs=vannes")));
+        "no-settings",
+        BatchWriter.frame(1, WireEvents.instance(1), BatchWriter.hello("azs=vannes")));
     inputs.put(
         "settings-value",
-        Wire.frame(
+        BatchWriter.frame(
             1,
             WireEvents.instance(1),
-            Wire.hello(Wire.SETTINGS.replace("transitUs=294000", "transitUs=soon"))));
+            BatchWriter.hello(BatchWriter.SETTINGS.replace("transitUs=294000", "transitUs=soon"))));
     assertAll(
         inputs.entrySet().stream()
             .map(
--- a/src/test/java/pearusher/store/PowerCutTest.java
+++ b/src/test/java/pearusher/store/PowerCutTest.java
@@ -15,8 +15,8 @@
  * The power goes before each call of the file layer; what was not synced survives in any subset.
  */
 class PowerCutTest {
-  private static final Options SMALL =
-      new Options(Options.Policy.EACH, 0, 200, 1, 2, Options.Damage.REFUSE);
+  private static final StoreOptions SMALL =
+      new StoreOptions(StoreOptions.Policy.EACH, 0, 200, 1, 2, StoreOptions.Damage.REFUSE);
 
   /** A workload cut at a call, found again, and on; what was wrong, or null. */
   private static String cut(long seed, int call, long subset, int rounds, SimDisk.Lie... lies)
--- a/src/test/java/pearusher/store/StoreTest.java
+++ b/src/test/java/pearusher/store/StoreTest.java
@@ -17,10 +17,10 @@
 
 /** What the store promises, apart from power cuts: those are in PowerCutTest. */
 class StoreTest {
-  private static final Options SMALL =
-      new Options(Options.Policy.EACH, 0, 300, 1, 2, Options.Damage.REFUSE);
-  private static final Options STOPPING =
-      new Options(Options.Policy.EACH, 0, 300, 1, 2, Options.Damage.STOP);
+  private static final StoreOptions SMALL =
+      new StoreOptions(StoreOptions.Policy.EACH, 0, 300, 1, 2, StoreOptions.Damage.REFUSE);
+  private static final StoreOptions STOPPING =
+      new StoreOptions(StoreOptions.Policy.EACH, 0, 300, 1, 2, StoreOptions.Damage.STOP);
 
   private static StoreException refused(Disk disk) {
     return assertThrows(StoreException.class, () -> Store.open(disk, SMALL).close());
@@ -34,7 +34,9 @@
   private static SimDisk sample(Workload work, boolean close) throws IOException {
     SimDisk disk = new SimDisk();
     Store store =
-        Store.open(disk, new Options(Options.Policy.EACH, 0, 900, 1, 2, Options.Damage.REFUSE));
+        Store.open(
+            disk,
+            new StoreOptions(StoreOptions.Policy.EACH, 0, 900, 1, 2, StoreOptions.Damage.REFUSE));
     work.run(store, 24, true);
     work.run(store, 24, false);
     work.sync(store);
@@ -135,11 +137,11 @@
     String log =
         disk.list().stream().filter(n -> n.startsWith("log-")).reduce((a, b) -> b).orElseThrow();
     byte[] bytes = disk.bytes(log);
-    int from = Frame.PREAMBLE;
-    Frame frame = Frame.at(bytes, from, 1);
+    int from = LogRecord.PREAMBLE;
+    LogRecord frame = LogRecord.at(bytes, from, 1);
     while (frame.payload().length == 0 || frame.payload()[frame.payload().length - 1] != 'x') {
       from += frame.bytes();
-      frame = Frame.at(bytes, from, 1);
+      frame = LogRecord.at(bytes, from, 1);
     }
     // The last byte of a value; then the checksum that belongs to it.
     frame.payload()[frame.payload().length - 1] = 'y';
@@ -165,10 +167,10 @@
     SimDisk disk = sample(work, true);
     String log = disk.list().stream().filter(n -> n.startsWith("log-")).findFirst().orElseThrow();
     byte[] bytes = disk.bytes(log);
-    bytes[Frame.PREAMBLE + Frame.HEAD + 3] ^= 1;
+    bytes[LogRecord.PREAMBLE + LogRecord.HEAD + 3] ^= 1;
     SimDisk hurt = disk.with(log, bytes);
     assertTrue(
-        refused(hurt).getMessage().contains(log + " at byte " + Frame.PREAMBLE + ": record "),
+        refused(hurt).getMessage().contains(log + " at byte " + LogRecord.PREAMBLE + ": record "),
         refused(hurt).getMessage());
     work.confirmed = 0;
     int last;
@@ -201,7 +203,7 @@
     StoreException first = assertThrows(StoreException.class, store::sync);
     assertEquals(StoreException.Reason.FAILED, first.reason());
     assertTrue(first.getMessage().contains("input/output error in sync"), first.getMessage());
-    assertThrows(StoreException.class, () -> store.append(new Batch()));
+    assertThrows(StoreException.class, () -> store.append(new WriteBatch()));
     assertThrows(StoreException.class, store::sync);
     int before = disk.calls;
     store.close();
@@ -232,7 +234,7 @@
     store.close();
     long full = disk.size();
     // Not one byte more than it takes now, and the new log's preamble.
-    disk.room = full + 2 * Frame.PREAMBLE;
+    disk.room = full + 2 * LogRecord.PREAMBLE;
     Store again = Store.open(disk, SMALL);
     assertNull(work.check(again.recovered()));
     again.compact(again.seal());
@@ -274,7 +276,7 @@
   void theDirectoryIsTakenOnce(@TempDir Path dir) throws IOException {
     FileDisk disk = new FileDisk(dir);
     try (Store store = Store.open(disk, SMALL)) {
-      store.append(new Batch().put("a", bytes("1")));
+      store.append(new WriteBatch().put("a", bytes("1")));
       assertEquals(1, store.sync());
       StoreException second = refused(new FileDisk(dir));
       assertEquals(StoreException.Reason.LOCKED, second.reason());
@@ -289,7 +291,8 @@
   @Test
   void aNewerFormatAMissingAndAnEmptyDirectory(@TempDir Path dir) throws IOException {
     Files.write(
-        dir.resolve(Chain.log(7)), new Frame.Preamble(Frame.FORMAT + 1, Frame.LOG, 5, 1).encode());
+        dir.resolve(SegmentedLog.log(7)),
+        new LogRecord.Preamble(LogRecord.FORMAT + 1, LogRecord.LOG, 5, 1).encode());
     StoreException newer = refused(new FileDisk(dir));
     assertEquals(StoreException.Reason.NEWER, newer.reason());
     assertTrue(
@@ -312,7 +315,11 @@
     String log = disk.list().stream().filter(n -> n.startsWith("log-")).findFirst().orElseThrow();
     byte[] bytes = disk.bytes(log);
     System.arraycopy(
-        new Frame.Preamble(Frame.FORMAT, Frame.LOG, 99, 1).encode(), 0, bytes, 0, Frame.PREAMBLE);
+        new LogRecord.Preamble(LogRecord.FORMAT, LogRecord.LOG, 99, 1).encode(),
+        0,
+        bytes,
+        0,
+        LogRecord.PREAMBLE);
     assertTrue(refused(disk.with(log, bytes)).getMessage().contains("belongs to another store"));
   }
 
@@ -343,15 +350,17 @@
     SimDisk disk = new SimDisk();
     Store store =
         Store.open(
-            disk, new Options(Options.Policy.EACH, 0, 1 << 16, 1 << 16, 2, Options.Damage.REFUSE));
+            disk,
+            new StoreOptions(
+                StoreOptions.Policy.EACH, 0, 1 << 16, 1 << 16, 2, StoreOptions.Damage.REFUSE));
     long first = 0;
     for (int round = 0; round < 5; round++) {
       for (int k = 0; k < 3000; k++) {
-        store.append(new Batch().put("server/" + round + "/" + k, bytes("weight " + k)));
+        store.append(new WriteBatch().put("server/" + round + "/" + k, bytes("weight " + k)));
       }
       store.sync();
       for (int k = 0; k < 3000; k++) {
-        store.append(new Batch().delete("server/" + round + "/" + k));
+        store.append(new WriteBatch().delete("server/" + round + "/" + k));
       }
       assertTrue(store.wantsCompaction());
       store.compact(store.seal());
@@ -390,14 +399,14 @@
 
   @Test
   void aBatchIsReadOnlyAsFarAsItsBytesGo() throws IOException {
-    byte[] good = new Batch().put("a", bytes("b")).delete("c").encode();
-    assertEquals(List.of("a", "c"), List.copyOf(Batch.decode(good).changes().keySet()));
+    byte[] good = new WriteBatch().put("a", bytes("b")).delete("c").encode();
+    assertEquals(List.of("a", "c"), List.copyOf(WriteBatch.decode(good).changes().keySet()));
     for (int length = 0; length < good.length; length++) {
       byte[] cut = java.util.Arrays.copyOf(good, length);
-      assertThrows(IOException.class, () -> Batch.decode(cut));
+      assertThrows(IOException.class, () -> WriteBatch.decode(cut));
     }
     byte[] long1 = good.clone();
     ByteBuffer.wrap(long1).putInt(7, Integer.MAX_VALUE);
-    assertThrows(IOException.class, () -> Batch.decode(long1));
+    assertThrows(IOException.class, () -> WriteBatch.decode(long1));
   }
 }
--- a/src/test/java/pearusher/store/Workload.java
+++ b/src/test/java/pearusher/store/Workload.java
@@ -33,8 +33,8 @@
     return out;
   }
 
-  private Batch batch() {
-    Batch out = new Batch();
+  private WriteBatch batch() {
+    WriteBatch out = new WriteBatch();
     for (int k = random.nextInt(3); k >= 0; k--) {
       String key = "key/" + random.nextInt(12);
       if (random.nextInt(4) == 0) {
@@ -50,7 +50,7 @@
 
   /** Appends a batch and remembers what it makes. */
   void append(Store store) throws IOException {
-    Batch batch = batch();
+    WriteBatch batch = batch();
     Map<String, String> state = new TreeMap<>(states.get(states.size() - 1));
     batch
         .changes()
