--- a/src/bench/java/pearusher/intake/IntakeBench.java
+++ b/src/bench/java/pearusher/intake/IntakeBench.java
@@ -52,7 +52,7 @@
 
               @Override
               public void drain(long nowUs) {
-                queue.forEach(item -> heard += item.sums().tries());
+                queue.forEach(item -> heard += item.totals().attempts());
                 queue.clear();
               }
             });
@@ -64,12 +64,12 @@
             new Way() {
               @Override
               public void offer(QueuedReport item) {
-                merged.merge(item.about(), item.sums(), ReportTotals::plus);
+                merged.merge(item.subject(), item.totals(), ReportTotals::plus);
               }
 
               @Override
               public void drain(long nowUs) {
-                merged.values().forEach(sums -> heard += sums.tries());
+                merged.values().forEach(sums -> heard += sums.attempts());
                 merged.clear();
               }
             });
@@ -90,10 +90,10 @@
 
               @Override
               public void drain(long nowUs) {
-                while (!intake.flooded() && intake.waiting() > 0) {
-                  intake.next(nowUs, item -> heard += item.sums().tries());
+                while (!intake.isOverloaded() && intake.size() > 0) {
+                  intake.pollOldest(nowUs, item -> heard += item.totals().attempts());
                 }
-                intake.serve(nowUs, item -> heard += item.sums().tries());
+                intake.serve(nowUs, item -> heard += item.totals().attempts());
               }
             });
       }
--- a/src/bench/java/pearusher/server/CrashRecoveryBench.java
+++ b/src/bench/java/pearusher/server/CrashRecoveryBench.java
@@ -70,8 +70,8 @@
         // Within the turn itself the order has waited for nothing.
         delays.recordValue(turnEndNs == 0 ? 0 : Math.max(0, now - turnEndNs));
         List<List<String>> parts = new ArrayList<>();
-        double cost = config.settings().channel().head();
-        try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MOST)) {
+        double cost = config.settings().channel().messageOverheadLines();
+        try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES)) {
           ByteBuffer from = ByteBuffer.wrap(message);
           for (List<String> words = reader.next(from); words != null; words = reader.next(from)) {
             parts.add(words);
@@ -91,13 +91,13 @@
         lines += Math.round(cost);
         channelFreeUs =
             Math.max(channelFreeUs, clock.get())
-                + Math.round(cost / config.settings().channel().linesPerS() * 1e6);
+                + Math.round(cost / config.settings().channel().linesPerSecond() * 1e6);
         channel.add(new Arrival(channelFreeUs, clock.get(), this, parts));
       }
     }
 
     @Override
-    public void replaced() {}
+    public void onReplaced() {}
   }
 
   private CrashRecoveryBench(Path dir) throws Exception {
@@ -149,7 +149,7 @@
               2,
               StoreOptions.Damage.REFUSE);
       FileDisk disk = new FileDisk(dir.resolve("store"));
-      disk.make();
+      disk.createDirectory();
       durable =
           new DurablePublisher(
               config,
@@ -160,56 +160,56 @@
     exchange =
         new Controller(config, FaastPolicy::new, clock::get, failure -> {}, durable, null) {
           @Override
-          public void pause() {}
+          public void awaitTick() {}
         };
     exchange.connect(
         new OutboundCalls() {
           @Override
-          public void watch(boolean on, long since) {}
+          public void watchEndpoints(boolean on, long since) {}
 
           @Override
-          public void fetch() {}
+          public void fetchEndpoints() {}
 
           @Override
-          public void probe(long server, String hostPort) {}
+          public void checkHealth(long server, String hostPort) {}
         },
         (peer, body) -> {});
     if (durable != null) {
       durable.start();
     }
-    exchange.begin();
+    exchange.start();
   }
 
   private void join(int proxy, boolean fresh) {
     Holder now = new Holder(proxy);
     streams.put(proxy, now);
     held.computeIfAbsent(proxy, p -> new TestPeers.AppliedUpdates(config.names().classes()));
-    exchange.joined(now, new Message.ProxyJoin(proxy, proxy % 2, 2.5, fresh));
+    exchange.onProxyJoined(now, new Message.ProxyJoin(proxy, proxy % 2, 2.5, fresh));
   }
 
   private void turn() throws InterruptedException {
-    exchange.event(() -> {});
+    exchange.execute(() -> {});
     turnEndNs = 0;
     long start = System.nanoTime();
-    exchange.turn();
+    exchange.runIteration();
     long end = System.nanoTime();
     turnEndNs = end;
     turns.recordValue(end - start);
-    while (durable != null && durable.waiting() > 0) {
+    while (durable != null && durable.pendingIterations() > 0) {
       Thread.sleep(0, 20_000);
     }
   }
 
   /** Time passes by a twentieth of a period: what has arrived is applied and answered. */
   private void tick() throws InterruptedException {
-    clock.addAndGet(config.settings().periodUs() / 20);
+    clock.addAndGet(config.settings().controlPeriodUs() / 20);
     synchronized (channel) {
       while (!channel.isEmpty() && channel.peek().atUs() <= clock.get()) {
         Arrival one = channel.poll();
         TestPeers.AppliedUpdates to = held.get(one.to().proxy);
         one.parts().forEach(to::update);
         if (streams.get(one.to().proxy) == one.to() && !to.tickets.isEmpty()) {
-          exchange.applied(
+          exchange.onAcknowledgement(
               one.to(),
               new Message.Acknowledgement(
                   one.to().proxy,
@@ -226,13 +226,13 @@
     for (int k = 0; k < SERVERS; k++) {
       for (int zone = 0; zone < 2; zone++) {
         // Servers differ by four to one and hold still.
-        exchange.heard(
+        exchange.onLoadReport(
             new Message.LoadReport(
                 zone, "s-" + k, 40, 0, 50_000 + 1_250L * k, 1_000_000, new float[0]));
       }
     }
     for (int proxy : streams.keySet()) {
-      exchange.usage(new Message.UsageReport(proxy, 0, 15, 0, 1_000_000));
+      exchange.onUsageReport(new Message.UsageReport(proxy, 0, 15, 0, 1_000_000));
     }
     for (int k = 0; k < 20; k++) {
       tick();
@@ -284,7 +284,7 @@
     // Killed: streams end, what waits in the channel of the platform still arrives.
     streams.clear();
     if (durable != null) {
-      durable.end();
+      durable.closeQuietly();
     }
     messages = 0;
     lines = 0;
@@ -319,7 +319,7 @@
       say(mode + "_kill_right_all", times[times.length - 1] / 1e6, "s");
     }
     if (durable != null) {
-      durable.end();
+      durable.closeQuietly();
     }
   }
 }
--- a/src/bench/java/pearusher/server/MessageSizes.java
+++ b/src/bench/java/pearusher/server/MessageSizes.java
@@ -81,11 +81,11 @@
   private static int spoken(AssignerConfig config, String message) {
     List<String> words = List.of(message.split(" "));
     try {
-      Message.read(words, config.names(), config.settings());
+      Message.decode(words, config.names(), config.settings());
     } catch (Message.Fault e) {
       throw new IllegalStateException("a message that the program does not read: " + message, e);
     }
-    return RespCodec.write(words).length;
+    return RespCodec.encode(words).length;
   }
 
   private static int list(AssignerConfig config, int servers) throws SettingsException {
@@ -102,13 +102,13 @@
   }
 
   private static int read(AssignerConfig config, byte[] text) throws SettingsException {
-    EndpointListReader reader = new EndpointListReader(config.names(), config.lists());
+    EndpointListReader reader = new EndpointListReader(config.names(), config.listLimits());
     try {
       reader.feed(ByteBuffer.wrap(text));
     } catch (EndpointListTooLongException e) {
       throw new IllegalStateException("a list that the program does not take", e);
     }
-    return reader.endOfBody().instances().size();
+    return reader.endOfBody().endpoints().size();
   }
 
   /** A whole table whose weights have the digits that weights of floats have. */
@@ -117,7 +117,8 @@
     for (int k = 0; k < lines; k++) {
       table.put(server(k), 0.1 + (k * 0.618034) % 1);
     }
-    return Message.write(List.of(new UpdatePart(null, true, table, null, List.of(), List.of(), -1)))
+    return Message.encodeUpdate(
+            List.of(new UpdatePart(null, true, table, null, List.of(), List.of(), -1)))
         .length;
   }
 }
--- a/src/bench/java/pearusher/store/StoreBench.java
+++ b/src/bench/java/pearusher/store/StoreBench.java
@@ -117,7 +117,7 @@
   }
 
   private static Engine own(Path dir) throws IOException {
-    Store store = Store.open(new FileDisk(dir), StoreOptions.USUAL);
+    Store store = Store.open(new FileDisk(dir), StoreOptions.DEFAULT);
     return new Engine() {
       @Override
       public void append(WriteBatch batch) throws IOException {
@@ -272,7 +272,7 @@
         quick ? new int[] {10_000, 100_000} : new int[] {10_000, 100_000, 1_000_000}) {
       Path dir = Files.createTempDirectory(root, "recovery");
       long bytes;
-      try (Store store = Store.open(new FileDisk(dir), StoreOptions.USUAL)) {
+      try (Store store = Store.open(new FileDisk(dir), StoreOptions.DEFAULT)) {
         for (int k = 0; k < records; k++) {
           // A tenth of the keys are new: the state grows with the log, as it does at worst.
           store.append(
@@ -293,7 +293,7 @@
         System.gc();
         long before = used();
         long start = System.nanoTime();
-        try (Store store = Store.open(new FileDisk(dir), StoreOptions.USUAL)) {
+        try (Store store = Store.open(new FileDisk(dir), StoreOptions.DEFAULT)) {
           Store.Recovered found = store.recovered();
           best = Math.min(best, System.nanoTime() - start);
           System.gc();
@@ -324,7 +324,7 @@
     Histogram rest = new Histogram(60_000_000_000L, 3);
     Histogram busy = new Histogram(60_000_000_000L, 3);
     int appends = quick ? 1500 : 8000;
-    try (Store store = Store.open(new FileDisk(dir), StoreOptions.USUAL)) {
+    try (Store store = Store.open(new FileDisk(dir), StoreOptions.DEFAULT)) {
       for (int k = 0; k < 100_000; k++) {
         store.append(new WriteBatch().put("key/" + k, new byte[24]));
       }
--- a/src/main/java/pearusher/cli/ServeCommand.java
+++ b/src/main/java/pearusher/cli/ServeCommand.java
@@ -42,7 +42,8 @@
         System.getenv(),
         FaastPolicy::new,
         new OptionalFeatures(
-            read.on("store") ? keeping(read) : null, read.on("intake") ? bounds(read) : null));
+            read.isEnabled("store") ? keeping(read) : null,
+            read.isEnabled("intake") ? bounds(read) : null));
   }
 
   private static Intake.Bounds bounds(OperatorSettings from) {
--- a/src/main/java/pearusher/cli/StoreCommand.java
+++ b/src/main/java/pearusher/cli/StoreCommand.java
@@ -158,7 +158,7 @@
   static final class Compact extends OnDirectory {
     @Override
     public Integer call() throws IOException {
-      try (Store store = Store.open(disk(), StoreOptions.USUAL)) {
+      try (Store store = Store.open(disk(), StoreOptions.DEFAULT)) {
         long before = store.logBytes();
         store.compact(store.seal());
         out().println("compacted " + before + " bytes of log");
@@ -186,7 +186,7 @@
     @Override
     public Integer call() throws IOException {
       FileDisk into = new FileDisk(to);
-      into.make();
+      into.createDirectory();
       out().println("copied up to record " + Store.copy(disk(), into));
       out().flush();
       return 0;
@@ -207,7 +207,7 @@
     @Override
     public Integer call() throws IOException {
       FileDisk into = disk();
-      into.make();
+      into.createDirectory();
       out().println("restored up to record " + Store.copy(new FileDisk(from), into));
       out().flush();
       return 0;
--- a/src/main/java/pearusher/config/AssignerConfig.java
+++ b/src/main/java/pearusher/config/AssignerConfig.java
@@ -31,18 +31,18 @@
     String name,
     InetSocketAddress listen,
     InetSocketAddress discovery,
-    int sockets,
+    int maxDescriptors,
     InetSocketAddress peerListen,
     List<InetSocketAddress> peers,
-    InetSocketAddress peersAll,
-    EndpointList known,
+    InetSocketAddress peerBroadcast,
+    EndpointList knownServers,
     PolicySettings settings,
     WireNames names,
     Timeouts timeouts,
-    EndpointListLimits lists) {
+    EndpointListLimits listLimits) {
 
   /** What the file is called in faults. */
-  static final String NAME = "configuration";
+  static final String DOCUMENT_NAME = "configuration";
 
   private static final String KNOWN = "known";
   private static final String OCTET = "(\\d{1,2}|1\\d\\d|2[0-4]\\d|25[0-5])";
@@ -62,7 +62,7 @@
    * knows better.
    */
   public AssignerConfig reload(Map<String, String> environment) throws SettingsException {
-    AssignerConfig now = read(environment, lists, false);
+    AssignerConfig now = read(environment, listLimits, false);
     if (now.peers.size() != peers.size()) {
       throw new SettingsException(
           "configuration: the key peers lists "
@@ -74,15 +74,15 @@
         name,
         listen,
         now.discovery,
-        now.sockets,
+        now.maxDescriptors,
         peerListen,
         now.peers,
-        now.peersAll,
-        known,
+        now.peerBroadcast,
+        knownServers,
         settings,
         names,
         now.timeouts,
-        lists);
+        listLimits);
   }
 
   /**
@@ -112,24 +112,27 @@
 
   /** The same with so many known servers at the most: the first ones of its list. */
   public AssignerConfig withFewerKnown(int most) {
-    if (known.instances().size() <= most) {
+    if (knownServers.endpoints().size() <= most) {
       return this;
     }
     EndpointList fewer =
-        new EndpointList(known.generation(), known.whole(), known.instances().subList(0, most));
+        new EndpointList(
+            knownServers.generation(),
+            knownServers.complete(),
+            knownServers.endpoints().subList(0, most));
     return new AssignerConfig(
         name,
         listen,
         discovery,
-        sockets,
+        maxDescriptors,
         peerListen,
         peers,
-        peersAll,
+        peerBroadcast,
         fewer,
         settings,
         names,
         timeouts,
-        lists);
+        listLimits);
   }
 
   /**
@@ -142,14 +145,15 @@
       boolean start,
       SeekableByteChannel file)
       throws SettingsException, IOException {
-    PathValues at = PathValues.json(NAME, from(file), KNOWN);
+    PathValues at = PathValues.parseJson(DOCUMENT_NAME, from(file), KNOWN);
     String name = same(environment, "EDGE_NAME", at, "name");
-    InetSocketAddress listen = address("listen", same(environment, "EDGE_LISTEN", at, "listen"));
+    InetSocketAddress listen =
+        parseAddress("listen", same(environment, "EDGE_LISTEN", at, "listen"));
     InetSocketAddress discovery =
-        address(
+        parseAddress(
             "discovery",
             !start && at.has("discovery")
-                ? at.need("discovery")
+                ? at.require("discovery")
                 : same(environment, "EDGE_DISCOVERY", at, "discovery"));
     PathValues given = at.below("settings.");
     if (given.isEmpty()) {
@@ -158,23 +162,23 @@
     PolicySettings settings = PolicySettingsReader.read(seed(at), given);
     WireNames names = WireNames.of(given);
     range(given, "zone", settings.zone(), 0, settings.zones() - 1);
-    range(given, "grades.count", settings.grades().size(), 1, 16);
+    range(given, "grades.count", settings.requestClasses().size(), 1, 16);
     range(given, "familyInfo.proxyCount", settings.proxies(), 1, 65536);
-    range(given, "familyInfo.reportEveryUs", settings.periodUs(), 1, Long.MAX_VALUE);
+    range(given, "familyInfo.reportEveryUs", settings.controlPeriodUs(), 1, Long.MAX_VALUE);
     range(given, "replicasOfMe", settings.instances(), 1, 65536);
-    range(given, "myNumber", settings.me(), 0, settings.instances() - 1);
+    range(given, "myNumber", settings.instance(), 0, settings.instances() - 1);
     range(given, "tickUs", settings.tickUs(), 0, 1_000_000);
-    if (settings.channel().linesPerS() <= 0 || settings.channel().backlog() <= 0) {
+    if (settings.channel().linesPerSecond() <= 0 || settings.channel().maxBacklogLines() <= 0) {
       throw given.fault("familyInfo.channelRate", "and familyInfo.mostWaiting must be above 0");
     }
     InetSocketAddress peerListen = null;
     InetSocketAddress peersAll = null;
     List<InetSocketAddress> peers = new ArrayList<>();
-    if (settings.peers() && at.has("peer_listen")) {
-      peerListen = address("peer_listen", at.need("peer_listen"));
-      peersAll = at.has("peers_all") ? address("peers_all", at.need("peers_all")) : null;
-      for (String peer : at.listed("peers")) {
-        peers.add(address("peers", peer));
+    if (settings.peersEnabled() && at.has("peer_listen")) {
+      peerListen = parseAddress("peer_listen", at.require("peer_listen"));
+      peersAll = at.has("peers_all") ? parseAddress("peers_all", at.require("peers_all")) : null;
+      for (String peer : at.listOrEmpty("peers")) {
+        peers.add(parseAddress("peers", peer));
       }
       if (peers.size() != settings.instances()) {
         throw at.fault(
@@ -187,12 +191,12 @@
     }
     Timeouts timeouts =
         new Timeouts(
-            at.between("timeouts.connect_ms", 1, 60_000, 1000),
-            at.between("timeouts.answer_ms", 1, 60_000, 3000),
-            at.between("timeouts.silent_ms", 1, 600_000, 5000),
-            at.between("timeouts.stranger_ms", 1, 600_000, 2000));
-    EndpointList known = EndpointListReader.under(NAME, KNOWN, from(file), names, lists);
-    int sockets = at.between("limits.sockets", 128, 1 << 20, 1024);
+            at.intBetween("timeouts.connect_ms", 1, 60_000, 1000),
+            at.intBetween("timeouts.answer_ms", 1, 60_000, 3000),
+            at.intBetween("timeouts.silent_ms", 1, 600_000, 5000),
+            at.intBetween("timeouts.stranger_ms", 1, 600_000, 2000));
+    EndpointList known = EndpointListReader.under(DOCUMENT_NAME, KNOWN, from(file), names, lists);
+    int sockets = at.intBetween("limits.sockets", 128, 1 << 20, 1024);
     return new AssignerConfig(
         name,
         listen,
@@ -222,18 +226,19 @@
       Map<String, String> environment, String variable, PathValues at, String key)
       throws SettingsException {
     String value = variable(environment, variable);
-    if (at.has(key) && !at.need(key).equals(value)) {
+    if (at.has(key) && !at.require(key).equals(value)) {
       throw at.fault(
-          key, "is '" + at.need(key) + "', but the variable " + variable + " is '" + value + "'");
+          key,
+          "is '" + at.require(key) + "', but the variable " + variable + " is '" + value + "'");
     }
     return value;
   }
 
   private static long seed(PathValues at) throws SettingsException {
     try {
-      return Long.parseUnsignedLong(at.need("seed"), 16);
+      return Long.parseUnsignedLong(at.require("seed"), 16);
     } catch (NumberFormatException e) {
-      throw at.fault("seed", "is unreadable: '" + at.need("seed") + "' (hexadecimal digits)");
+      throw at.fault("seed", "is unreadable: '" + at.require("seed") + "' (hexadecimal digits)");
     }
   }
 
@@ -244,8 +249,8 @@
     }
   }
 
-  private static InetSocketAddress address(String key, String text) throws SettingsException {
-    InetSocketAddress out = address(text);
+  private static InetSocketAddress parseAddress(String key, String text) throws SettingsException {
+    InetSocketAddress out = parseAddress(text);
     if (out == null) {
       throw new SettingsException(
           "configuration: the key " + key + " is not an address and a port: '" + text + "'");
@@ -257,7 +262,7 @@
    * Four numbers and a port, or IPv6 in brackets; names are not looked up. Null where it is
    * neither.
    */
-  public static InetSocketAddress address(String text) {
+  public static InetSocketAddress parseAddress(String text) {
     int colon = text.lastIndexOf(':');
     String host = colon < 0 ? "" : text.substring(0, colon);
     // A number over 255 makes it a name to the library, which would ask the network and hold up
--- a/src/main/java/pearusher/control/CommandDispatcher.java
+++ b/src/main/java/pearusher/control/CommandDispatcher.java
@@ -38,48 +38,49 @@
   }
 
   void line(int table, long server, double weight) {
-    tables.line(table, server, weight);
+    tables.setWeight(table, server, weight);
     if (durable != null) {
-      durable.ledger().line(table, names.apply(server), weight);
+      durable.ledger().setWeight(table, names.apply(server), weight);
     }
   }
 
   void clear(int table) {
-    tables.clear(table);
+    tables.clearTable(table);
     if (durable != null) {
-      durable.ledger().clear(table);
+      durable.ledger().clearTable(table);
     }
   }
 
   void withdraw(long nowUs, long server, boolean out) {
-    tables.withdraw(server, out);
+    tables.setEjected(server, out);
     if (durable != null) {
-      durable.ledger().withdraw(names.apply(server), out, nowUs);
+      durable.ledger().setEjected(names.apply(server), out, nowUs);
     }
   }
 
   void bind(int proxy, int table, int classBits) {
-    CatchUp lacks = durable == null ? null : durable.bound(proxy, table, tables.all(classBits));
+    CatchUp lacks =
+        durable == null ? null : durable.bound(proxy, table, tables.coversAllClasses(classBits));
     if (lacks == null) {
-      tables.bind(proxy, table, classBits);
+      tables.bindProxy(proxy, table, classBits);
       return;
     }
-    tables.adopt(proxy, lacks, numbers.apply(lacks.ejections()));
+    tables.bindWithCatchUp(proxy, lacks, numbers.apply(lacks.ejections()));
   }
 
   void admit(int table, int classBits, double level, int retry) {
-    tables.admit(table, classBits, level, retry);
+    tables.setAdmission(table, classBits, level, retry);
     for (int k = 0; durable != null && k < classes; k++) {
-      if ((classBits == 0 || (classBits >> k & 1) != 0) && table != PublishedTables.ALL) {
-        durable.ledger().admit(table, k, new AdmissionLevel(level, retry));
+      if ((classBits == 0 || (classBits >> k & 1) != 0) && table != PublishedTables.ALL_TABLES) {
+        durable.ledger().setAdmission(table, k, new AdmissionLevel(level, retry));
       }
     }
   }
 
   void mark(int number, boolean toAll) {
-    tables.mark(number, toAll);
+    tables.requestAck(number, toAll);
     if (durable != null) {
-      durable.ledger().mark(number);
+      durable.ledger().lastAckNumber(number);
     }
   }
 }
--- a/src/main/java/pearusher/control/Controller.java
+++ b/src/main/java/pearusher/control/Controller.java
@@ -42,7 +42,7 @@
   private final class Turn implements EventLoop.Handler {
     @Override
     public void pause() throws InterruptedException {
-      Controller.this.pause();
+      Controller.this.awaitTick();
     }
 
     @Override
@@ -57,7 +57,7 @@
 
     @Override
     public void timer(long token) {
-      module.timer(loop.nowUs(), token);
+      module.onTimer(loop.nowUs(), token);
     }
 
     @Override
@@ -111,13 +111,18 @@
     queue = new BoundedReportQueue(loop);
     reports =
         new ReportDispatcher(
-            loop, queue, intake, config.settings().periodUs(), () -> module, servers::number);
+            loop,
+            queue,
+            intake,
+            config.settings().controlPeriodUs(),
+            () -> module,
+            servers::number);
     tables = new PublishedTables(config.names().classes(), servers::name);
     streams = new StreamMembership(loop, tables, durable, () -> module, this::numbers);
     orders =
         new CommandDispatcher(
             tables, durable, config.names().classes().size(), servers::name, this::numbers);
-    listState = new EndpointListState(config.settings().limits().askWithinUs());
+    listState = new EndpointListState(config.settings().limits().maxPollIntervalUs());
   }
 
   /** Microseconds of Unix time, read once and carried on by a clock that never runs back. */
@@ -135,17 +140,17 @@
   /**
    * Starts the module with the list last known and takes its first turn, on the caller's thread.
    */
-  public void begin() {
+  public void start() {
     loop.begin();
     module = maker.apply(config.settings(), this);
-    EndpointList known = durable == null ? config.known() : durable.known();
+    EndpointList known = durable == null ? config.knownServers() : durable.mergedServerList();
     list(ListUpdateKind.CACHED, known);
     if (durable != null) {
       durable.restore(loop.nowUs(), known, servers, tables, module);
     }
-    if (!config.settings().listOnRequest()) {
+    if (!config.settings().endpointListOnRequest()) {
       // Where changes come unasked the module doesn't ask for them.
-      watch(true);
+      watchEndpoints(true);
     }
     close();
   }
@@ -156,43 +161,43 @@
   }
 
   /** Waits for an event or a timer; what comes without a tick's pause is one turn. */
-  public void turn() throws InterruptedException {
+  public void runIteration() throws InterruptedException {
     loop.turn();
   }
 
-  public void pause() throws InterruptedException {
+  public void awaitTick() throws InterruptedException {
     TimeUnit.MICROSECONDS.sleep(config.settings().tickUs());
   }
 
   private void close() {
     long now = loop.nowUs();
-    module.close(now);
+    module.onBatchEnd(now);
     if (durable == null) {
-      tables.turn(now, (proxy, message) -> streams.stream(proxy).send(message));
+      tables.publish(now, (proxy, message) -> streams.stream(proxy).send(message));
     } else {
-      tables.turn(now, (proxy, message) -> durable.send(proxy, streams.stream(proxy), message));
-      durable.turn(now);
+      tables.publish(now, (proxy, message) -> durable.send(proxy, streams.stream(proxy), message));
+      durable.commitIteration(now);
     }
   }
 
   // Events, from any thread.
 
   /** Work for the decision thread, at the next turn. */
-  public void event(Runnable what) {
+  public void execute(Runnable what) {
     loop.add(what);
   }
 
-  public long dropped() {
+  public long droppedReports() {
     return queue.dropped();
   }
 
-  public int waiting() {
+  public int pendingEvents() {
     return loop.waiting();
   }
 
   /** A proxy's stream has said whose it is. */
-  public void joined(ProxyStream stream, Message.ProxyJoin what) {
-    event(() -> streams.joined(stream, what));
+  public void onProxyJoined(ProxyStream stream, Message.ProxyJoin what) {
+    execute(() -> streams.joined(stream, what));
   }
 
   /** Servers by number, those that are still listed. */
@@ -208,41 +213,41 @@
   }
 
   /** A stream ended; one whose proxy has joined anew since then unseats nobody. */
-  public void ended(ProxyStream stream, int proxy) {
-    event(() -> streams.ended(stream, proxy));
+  public void onStreamClosed(ProxyStream stream, int proxy) {
+    execute(() -> streams.ended(stream, proxy));
   }
 
   /** Counted with the reports: a proxy that answers without end fills no memory either. */
-  public void applied(ProxyStream stream, Message.Acknowledgement what) {
+  public void onAcknowledgement(ProxyStream stream, Message.Acknowledgement what) {
     queue.add(() -> streams.applied(stream, what));
   }
 
   /** A report on a server that no list has named yet is dropped: the proxies' list may be newer. */
-  public void heard(Message.LoadReport what) {
-    heard(what, -1);
+  public void onLoadReport(Message.LoadReport what) {
+    onLoadReport(what, -1);
   }
 
   /** {@code origin}: the proxy, or a number below 0 that is the collector's own. */
-  public void heard(Message.LoadReport what, int origin) {
+  public void onLoadReport(Message.LoadReport what, int origin) {
     reports.heard(what, origin);
   }
 
-  public void usage(Message.UsageReport what) {
-    usage(what, what.proxy());
+  public void onUsageReport(Message.UsageReport what) {
+    onUsageReport(what, what.proxy());
   }
 
-  public void usage(Message.UsageReport what, int origin) {
+  public void onUsageReport(Message.UsageReport what, int origin) {
     reports.usage(what, origin);
   }
 
   /** Tells a test of each report that has its turn, on the decision thread. */
-  public void hearing(Consumer<QueuedReport> listener) {
+  public void setReportListener(Consumer<QueuedReport> listener) {
     reports.listen(listener);
   }
 
   /** What discovery says, on a watch or as the whole list; older than what is held: passed over. */
-  public void listed(EndpointList what, boolean begins) {
-    listed(what, begins, () -> true);
+  public void onEndpointList(EndpointList what, boolean begins) {
+    onEndpointList(what, begins, () -> true);
   }
 
   /**
@@ -251,22 +256,22 @@
    * over after the new one's first: a whole list of theirs would count as a discovery that started
    * anew.
    */
-  public void listed(EndpointList what, boolean begins, BooleanSupplier counts) {
-    event(
+  public void onEndpointList(EndpointList what, boolean begins, BooleanSupplier counts) {
+    execute(
         () -> {
           if (!counts.getAsBoolean()) {
             return;
           }
           switch (listState.compare(what, begins, loop.nowUs())) {
             case CURRENT ->
-                list(what.whole() ? ListUpdateKind.WHOLE : ListUpdateKind.CHANGES, what);
+                list(what.complete() ? ListUpdateKind.COMPLETE : ListUpdateKind.DELTA, what);
             case OUTDATED ->
                 list(
-                    ListUpdateKind.CHANGES,
+                    ListUpdateKind.DELTA,
                     new EndpointList(listState.generation(), false, List.of()));
-            case RESTARTED -> list(ListUpdateKind.WHOLE, what);
+            case RESTARTED -> list(ListUpdateKind.COMPLETE, what);
             case LAGGING -> {
-              calls.watch(false, listState.generation());
+              calls.watchEndpoints(false, listState.generation());
               tellListFailed();
             }
           }
@@ -275,17 +280,17 @@
 
   private void tellListFailed() {
     listState.setWatching(false);
-    module.listed(loop.nowUs(), ListUpdateKind.FAILED, List.of());
+    module.onEndpointList(loop.nowUs(), ListUpdateKind.FAILED, List.of());
   }
 
   /** A call to discovery, or the watch, ended without what it was for. */
-  void listFailed() {
-    listFailed(() -> true);
+  void onEndpointListFailed() {
+    onEndpointListFailed(() -> true);
   }
 
   /** The end of a watch that was moved meanwhile must not count as the end of the new one. */
-  public void listFailed(BooleanSupplier counts) {
-    event(
+  public void onEndpointListFailed(BooleanSupplier counts) {
+    execute(
         () -> {
           if (counts.getAsBoolean()) {
             tellListFailed();
@@ -297,45 +302,51 @@
    * Discovery may be elsewhere: the watch that runs is begun anew there, before the old address
    * closes it. One that has failed is asked for again by the module, and goes there by itself.
    */
-  public void moved() {
-    event(
+  public void onDiscoveryMoved() {
+    execute(
         () -> {
           if (listState.isWatching()) {
-            calls.watch(true, listState.generation());
+            calls.watchEndpoints(true, listState.generation());
           }
         });
   }
 
-  public void probed(long server, HealthCheckResult end, long tookUs, float[] load) {
-    event(() -> module.probed(loop.nowUs(), server, end, tookUs, load));
+  public void onHealthCheckResult(long server, HealthCheckResult end, long tookUs, float[] load) {
+    execute(() -> module.onHealthCheckResult(loop.nowUs(), server, end, tookUs, load));
   }
 
-  public void told(int peer, byte[] body) {
-    queue.add(() -> module.told(loop.nowUs(), peer, body));
+  public void onPeerMessage(int peer, byte[] body) {
+    queue.add(() -> module.onPeerMessage(loop.nowUs(), peer, body));
   }
 
   private void list(ListUpdateKind form, EndpointList what) {
     if (form != ListUpdateKind.CACHED && tooManyKnown(what)) {
-      calls.watch(false, listState.generation());
+      calls.watchEndpoints(false, listState.generation());
       tellListFailed();
       return;
     }
     listState.hold(what.generation());
     List<ServerEntry> entries = new ArrayList<>();
-    for (Endpoint one : what.instances()) {
+    for (Endpoint one : what.endpoints()) {
       // That a server is gone which nobody knows says nothing, and would be kept for good.
-      if (one.state() == Lifecycle.GONE && !servers.knows(one.server())) {
+      if (one.lifecycle() == Lifecycle.REMOVED && !servers.knows(one.server())) {
         continue;
       }
       long id = servers.list(one.server(), one.hostPort());
       entries.add(
           new ServerEntry(
-              id, one.zone(), one.kind(), one.cell(), one.state(), one.weight(), one.startedUs()));
+              id,
+              one.zone(),
+              one.machineType(),
+              one.cell(),
+              one.lifecycle(),
+              one.weight(),
+              one.startedUs()));
     }
     if (durable != null) {
       durable.listed(what);
     }
-    module.listed(loop.nowUs(), form, entries);
+    module.onEndpointList(loop.nowUs(), form, entries);
   }
 
   /**
@@ -343,17 +354,18 @@
    * end, and against whole lists that follow each other faster than the module forgets.
    */
   private boolean tooManyKnown(EndpointList what) {
-    int room = config.lists().known() - servers.names();
-    if (what.instances().size() <= room
-        || what.instances().stream()
-                .filter(one -> one.state() != Lifecycle.GONE && !servers.knows(one.server()))
+    int room = config.listLimits().maxKnown() - servers.names();
+    if (what.endpoints().size() <= room
+        || what.endpoints().stream()
+                .filter(one -> one.lifecycle() != Lifecycle.REMOVED && !servers.knows(one.server()))
                 .count()
             <= room) {
       return false;
     }
     if (Long.bitCount(++refusedLists) == 1) {
       Logger.warn(
-          "discovery: with the servers known before, a list of {}", config.lists().overKnown());
+          "discovery: with the servers known before, a list of {}",
+          config.listLimits().describeMaxKnown());
     }
     return true;
   }
@@ -361,12 +373,12 @@
   // Orders, from the module.
 
   @Override
-  public void line(int table, long server, double weight) {
+  public void setWeight(int table, long server, double weight) {
     orders.line(table, server, weight);
   }
 
   @Override
-  public void clear(int table) {
+  public void clearTable(int table) {
     orders.clear(table);
   }
 
@@ -376,70 +388,70 @@
   }
 
   @Override
-  public void bind(int proxy, int table, int classBits) {
+  public void bindProxy(int proxy, int table, int classBits) {
     orders.bind(proxy, table, classBits);
   }
 
   @Override
-  public void sure(int proxy) {
-    tables.sure(proxy);
+  public void confirmProxy(int proxy) {
+    tables.confirmProxy(proxy);
   }
 
   @Override
-  public void doubt(long server, boolean all) {
-    tables.doubt(server, all);
+  public void suspectEjection(long server, boolean all) {
+    tables.suspectEjection(server, all);
   }
 
   @Override
-  public void admit(int table, int classBits, double level, int retry) {
+  public void setAdmission(int table, int classBits, double level, int retry) {
     orders.admit(table, classBits, level, retry);
   }
 
   @Override
-  public void mark(int number, boolean toAll) {
+  public void requestAck(int number, boolean toAll) {
     orders.mark(number, toAll);
   }
 
   @Override
-  public void watch(boolean on) {
+  public void watchEndpoints(boolean on) {
     listState.setWatching(on);
-    calls.watch(on, listState.generation());
+    calls.watchEndpoints(on, listState.generation());
   }
 
   @Override
-  public void fetch() {
-    calls.fetch();
+  public void fetchEndpoints() {
+    calls.fetchEndpoints();
   }
 
   @Override
-  public void probe(long server) {
-    calls.probe(server, servers.hostPort(server));
+  public void checkHealth(long server) {
+    calls.checkHealth(server, servers.hostPort(server));
   }
 
   @Override
-  public void timer(long delayUs, long token) {
+  public void setTimer(long delayUs, long token) {
     loop.setTimer(delayUs, token);
   }
 
   /** Every server is replaced in time: what is kept of one goes with it. */
   @Override
-  public void forget(long server) {
+  public void forgetServer(long server) {
     if (durable != null) {
-      durable.ledger().forget(servers.name(server));
+      durable.ledger().forgetServer(servers.name(server));
     }
     servers.forget(server);
-    tables.forget(server);
+    tables.forgetServer(server);
   }
 
   /** What is kept by server, proxy and timer, for tests of what must not grow. */
-  List<Integer> sizes() {
+  List<Integer> retainedSizes() {
     return List.of(
         servers.names(), servers.numbers(), streams.size(), loop.timers(), tables.size());
   }
 
   @Override
-  public void tell(long peer, byte[] body) {
-    mail.tell((int) peer, body);
+  public void sendToPeer(long peer, byte[] body) {
+    mail.send((int) peer, body);
   }
 
   /** The module names servers by number, the log as discovery does. */
--- a/src/main/java/pearusher/control/DurablePublisher.java
+++ b/src/main/java/pearusher/control/DurablePublisher.java
@@ -65,25 +65,25 @@
     this.clock = clock;
     Store.Recovered found = store.recovered();
     lastUs = clock.getAsLong();
-    owning = found.disowned();
+    owning = found.abandoned();
     RecoveryTrust doubt =
         found.state().containsKey(Store.COPIED)
-            ? RecoveryTrust.COPIED
-            : found.disowned() ? RecoveryTrust.GIVEN_UP : RecoveryTrust.NONE;
+            ? RecoveryTrust.RESTORED_COPY
+            : found.abandoned() ? RecoveryTrust.ABANDONED : RecoveryTrust.FULL;
     ledger =
         Ledger.of(
             found.state(),
             doubt,
             names(config),
             lastUs,
-            keeping.trustUs(),
+            keeping.maxTrustedAgeUs(),
             config.settings().instances() > 1);
-    outbox = new Outbox<>(post -> post.to().send(post.message()), keeping.patienceUs());
-    aliveUs = keeping.aliveUs();
+    outbox = new Outbox<>(post -> post.to().send(post.message()), keeping.maxCommitDelayUs());
+    aliveUs = keeping.heartbeatUs();
     committer =
         new GroupCommitter(
             store,
-            keeping.options(),
+            keeping.storeOptions(),
             new GroupCommitter.Events() {
               @Override
               public void failed(IOException why) {
@@ -122,18 +122,18 @@
         "store open: sequence={} epoch={} turn={} keys={} closed={} belief=\"{}\"",
         found.sequence(),
         ledger.epoch(),
-        ledger.turn(),
+        ledger.iteration(),
         found.state().size(),
         found.closed() ? "yes" : "no",
-        ledger.doubt().text());
+        ledger.trust().description());
   }
 
   /** Opens the store that the settings name. */
   public static DurablePublisher open(
       AssignerConfig config, PersistenceOptions keeping, LongSupplier clock) throws IOException {
     FileDisk disk = new FileDisk(keeping.directory());
-    disk.make();
-    return new DurablePublisher(config, keeping, Store.open(disk, keeping.options()), clock);
+    disk.createDirectory();
+    return new DurablePublisher(config, keeping, Store.open(disk, keeping.storeOptions()), clock);
   }
 
   /** What gives numbers in the store their meaning. */
@@ -148,12 +148,12 @@
   // The start.
 
   /** The list to begin with. */
-  EndpointList known() {
+  EndpointList mergedServerList() {
     List<ListedServer> given =
-        config.known().instances().stream().map(DurablePublisher::listedServer).toList();
+        config.knownServers().endpoints().stream().map(DurablePublisher::listedServer).toList();
     RecoveredServerList merged =
         RecoveredServerList.merge(
-            new RecoveredServerList(config.known().generation(), given), ledger);
+            new RecoveredServerList(config.knownServers().generation(), given), ledger);
     return new EndpointList(
         merged.generation(),
         true,
@@ -164,9 +164,9 @@
                         s.name(),
                         s.hostPort(),
                         s.zone(),
-                        s.kind(),
+                        s.machineType(),
                         s.cell(),
-                        s.state(),
+                        s.lifecycle(),
                         s.weight(),
                         s.startedUs()))
             .toList());
@@ -177,9 +177,9 @@
         one.server(),
         one.hostPort(),
         one.zone(),
-        one.kind(),
+        one.machineType(),
         one.cell(),
-        one.state(),
+        one.lifecycle(),
         one.weight(),
         one.startedUs());
   }
@@ -191,34 +191,39 @@
       ServerDirectory servers,
       PublishedTables tables,
       AssignmentPolicy module) {
-    ledger.begin(
-        known.instances().stream()
-            .filter(one -> one.state() != Lifecycle.GONE)
+    ledger.start(
+        known.endpoints().stream()
+            .filter(one -> one.lifecycle() != Lifecycle.REMOVED)
             .map(DurablePublisher::listedServer)
             .toList(),
         now);
-    Set<String> out = ledger.out();
-    out.stream().filter(servers::knows).forEach(name -> tables.restoreOut(servers.number(name)));
+    Set<String> out = ledger.ejectedServers();
+    out.stream()
+        .filter(servers::knows)
+        .forEach(name -> tables.restoreEjection(servers.number(name)));
     // With no table there is a mark at least: a proxy must not take a new one for one that it
     // answered.
     Set<Integer> numbers = new TreeSet<>(ledger.tables());
     numbers.add(0);
     for (int number : numbers) {
       Map<Long, Double> weights = new HashMap<>();
-      ledger.lines(number).forEach((name, weight) -> weights.put(servers.number(name), weight));
+      ledger.weights(number).forEach((name, weight) -> weights.put(servers.number(name), weight));
       Map<Integer, AdmissionLevel> levels =
-          ledger.levels(
-              number, config.settings().grades().stream().map(RequestClass::effect).toList());
+          ledger.admissionLevels(
+              number,
+              config.settings().requestClasses().stream().map(RequestClass::idempotency).toList());
       Map<Integer, AdmissionLevel> orders = new HashMap<>();
-      levels.forEach((k, level) -> orders.put(k, new AdmissionLevel(level.level(), level.retry())));
-      tables.restore(number, weights, orders);
+      levels.forEach(
+          (k, level) ->
+              orders.put(k, new AdmissionLevel(level.probabilityOrRate(), level.retry())));
+      tables.restoreTable(number, weights, orders);
       double[] level = new double[config.names().classes().size()];
       int[] retry = new int[level.length];
       for (int k = 0; k < level.length; k++) {
-        level[k] = levels.containsKey(k) ? levels.get(k).level() : 0;
+        level[k] = levels.containsKey(k) ? levels.get(k).probabilityOrRate() : 0;
         retry[k] = levels.containsKey(k) ? levels.get(k).retry() : -1;
       }
-      module.restored(now, number, weights, level, retry, ledger.mark());
+      module.onTableRestored(now, number, weights, level, retry, ledger.lastAckNumber());
     }
   }
 
@@ -230,7 +235,7 @@
 
   /** What a joiner lacks; null where its table is to go whole. */
   CatchUp joined(int proxy, boolean fresh) {
-    CatchUp out = ledger.joined(proxy, fresh);
+    CatchUp out = ledger.onProxyJoined(proxy, fresh);
     if (out != null) {
       joining.put(proxy, out);
     }
@@ -238,17 +243,17 @@
   }
 
   void left(int proxy) {
-    ledger.left(proxy);
+    ledger.onProxyLeft(proxy);
   }
 
   void applied(int proxy, int mark) {
-    ledger.applied(proxy, mark);
+    ledger.onAcknowledgement(proxy, mark);
   }
 
   void listed(EndpointList what) {
     List<ListedServer> servers =
-        what.instances().stream().map(DurablePublisher::listedServer).toList();
-    ledger.listed(what.generation(), what.whole(), servers);
+        what.endpoints().stream().map(DurablePublisher::listedServer).toList();
+    ledger.onEndpointList(what.generation(), what.complete(), servers);
   }
 
   Ledger ledger() {
@@ -259,50 +264,50 @@
   CatchUp bound(int proxy, int number, boolean allClasses) {
     CatchUp lacks = joining.remove(proxy);
     if (!allClasses) {
-      ledger.unbind(proxy);
+      ledger.unbindProxy(proxy);
       return null;
     }
     boolean whole = lacks == null || lacks.table() != number;
-    ledger.bind(proxy, number, whole);
+    ledger.bindProxy(proxy, number, whole);
     return whole ? null : lacks;
   }
 
   void send(int proxy, ProxyStream to, byte[] message) {
-    ledger.sent(proxy);
+    ledger.onMessageSent(proxy);
     posts.add(new Post(to, message));
   }
 
   /** The end of a turn: its changes go to the store, its messages wait for that. */
-  void turn(long now) {
+  void commitIteration(long now) {
     joining.clear();
     if (now - lastUs >= aliveUs) {
-      ledger.alive();
+      ledger.requestHeartbeat();
     }
     if (!posts.isEmpty()) {
       // No message goes by a store, whatever ordered it.
-      ledger.alive();
+      ledger.requestHeartbeat();
     }
-    Map<String, byte[]> changes = ledger.end(now);
+    Map<String, byte[]> changes = ledger.endIteration(now);
     synchronized (lock) {
       if (changes != null) {
         lastUs = now;
         long ticket = outbox.offer(posts, now);
         if (ticket > 0 && owning) {
           owning = false;
-          committer.submitOwning(WriteBatch.of(changes), () -> confirmed(ticket));
+          committer.submitAndClearAbandoned(WriteBatch.ofChanges(changes), () -> confirmed(ticket));
         } else if (ticket > 0) {
-          committer.submit(WriteBatch.of(changes), () -> confirmed(ticket));
+          committer.submit(WriteBatch.ofChanges(changes), () -> confirmed(ticket));
         }
       }
       posts.clear();
-      watch();
+      checkDeadline();
     }
   }
 
   /** Called now and then, on any thread: a disk that hangs must not hold up a drain. */
-  public void watch() {
+  public void checkDeadline() {
     synchronized (lock) {
-      if (!givenUp && outbox.late(clock.getAsLong())) {
+      if (!givenUp && outbox.isOverdue(clock.getAsLong())) {
         giveUp("an order waited for the disk longer than store.patience");
       }
     }
@@ -310,7 +315,7 @@
 
   private void confirmed(long ticket) {
     synchronized (lock) {
-      outbox.confirmed(ticket);
+      outbox.release(ticket);
     }
   }
 
@@ -319,16 +324,16 @@
     synchronized (lock) {
       if (!givenUp) {
         givenUp = true;
-        Logger.error("store given up: waiting={} cause=\"{}\"", outbox.waiting(), why);
+        Logger.error("store given up: waiting={} cause=\"{}\"", outbox.size(), why);
         // Begun first, not waited for: orders may be out before it is durable (docs/ROADMAP.md).
-        committer.disown();
-        outbox.giveUp();
+        committer.markAbandoned();
+        outbox.abandon();
       }
     }
   }
 
   /** An orderly end: what waits is written; a fault here is said and ends nothing. */
-  public void end() {
+  public void closeQuietly() {
     try {
       close();
     } catch (IOException e) {
@@ -338,13 +343,13 @@
 
   /** The store's thread is there. */
   boolean running() {
-    return committer.running();
+    return committer.isRunning();
   }
 
   /** Turns whose messages wait for the disk. */
-  public int waiting() {
+  public int pendingIterations() {
     synchronized (lock) {
-      return outbox.waiting();
+      return outbox.size();
     }
   }
 
--- a/src/main/java/pearusher/control/EndpointListState.java
+++ b/src/main/java/pearusher/control/EndpointListState.java
@@ -58,7 +58,7 @@
   /** Compares a list with the one held; {@code begins}: it is the first line of a watch. */
   Freshness compare(EndpointList what, boolean begins, long nowUs) {
     boolean old = what.generation() < generation;
-    if (old && what.whole() && begins) {
+    if (old && what.complete() && begins) {
       return older(what, nowUs);
     }
     olderSinceUs = old ? olderSinceUs : -1;
--- a/src/main/java/pearusher/control/OutboundCalls.java
+++ b/src/main/java/pearusher/control/OutboundCalls.java
@@ -2,9 +2,9 @@
 
 /** The client side. */
 public interface OutboundCalls {
-  void watch(boolean on, long since);
+  void watchEndpoints(boolean on, long since);
 
-  void fetch();
+  void fetchEndpoints();
 
-  void probe(long server, String hostPort);
+  void checkHealth(long server, String hostPort);
 }
--- a/src/main/java/pearusher/control/PeerMessenger.java
+++ b/src/main/java/pearusher/control/PeerMessenger.java
@@ -2,5 +2,5 @@
 
 /** The way to other assigners; peer -1: all. */
 public interface PeerMessenger {
-  void tell(int peer, byte[] body);
+  void send(int peer, byte[] body);
 }
--- a/src/main/java/pearusher/control/PersistenceOptions.java
+++ b/src/main/java/pearusher/control/PersistenceOptions.java
@@ -11,4 +11,8 @@
  * @param trustUs longest silence after which the store is believed in what proxies hold
  */
 public record PersistenceOptions(
-    Path directory, StoreOptions options, long patienceUs, long aliveUs, long trustUs) {}
+    Path directory,
+    StoreOptions storeOptions,
+    long maxCommitDelayUs,
+    long heartbeatUs,
+    long maxTrustedAgeUs) {}
--- a/src/main/java/pearusher/control/ProxyStream.java
+++ b/src/main/java/pearusher/control/ProxyStream.java
@@ -5,10 +5,10 @@
   void send(byte[] message);
 
   /** A newer stream of the same proxy took its place. */
-  void replaced();
+  void onReplaced();
 
   /** Its place among all connections taken: of two of a proxy the later one is the newer. */
-  default long taken() {
+  default long acceptOrder() {
     return 0;
   }
 }
--- a/src/main/java/pearusher/control/ReportDispatcher.java
+++ b/src/main/java/pearusher/control/ReportDispatcher.java
@@ -58,7 +58,7 @@
               origin,
               new QueuedReport.ServerAttempts(what.server(), what.zone()),
               ReportTotals.of(
-                  what.tries(), what.failed(), what.meanUs(), what.spanUs(), what.load())),
+                  what.attempts(), what.failed(), what.meanUs(), what.spanUs(), what.load())),
           this::wake);
       return;
     }
@@ -68,11 +68,11 @@
           if (server != null) {
             module
                 .get()
-                .heard(
+                .onLoadReport(
                     loop.nowUs(),
                     server,
                     what.zone(),
-                    what.tries(),
+                    what.attempts(),
                     what.failed(),
                     what.spanUs(),
                     what.meanUs(),
@@ -81,15 +81,16 @@
         });
   }
 
-  /** Requests that came to a proxy; {@code origin} as in {@link #heard}. */
+  /** Requests that came to a proxy; {@code origin} as in {@link #onLoadReport}. */
   void usage(Message.UsageReport what, int origin) {
     if (intake != null) {
       // Those that failed may be more than came: there is no mean to be weighted by the good ones.
       intake.offer(
           new QueuedReport(
               origin,
-              new QueuedReport.ProxyRequests(what.proxy(), what.grade()),
-              new ReportTotals(what.tries(), what.failed(), 0, what.spanUs(), 1, new float[0], 0)),
+              new QueuedReport.ProxyRequests(what.proxy(), what.requestClass()),
+              new ReportTotals(
+                  what.requests(), what.failed(), 0, what.spanUs(), 1, new float[0], 0)),
           this::wake);
       return;
     }
@@ -97,11 +98,11 @@
         () ->
             module
                 .get()
-                .usage(
+                .onUsageReport(
                     loop.nowUs(),
                     what.proxy(),
-                    what.grade(),
-                    what.tries(),
+                    what.requestClass(),
+                    what.requests(),
                     what.failed(),
                     what.spanUs()));
   }
@@ -128,9 +129,9 @@
   /** A report has its turn. A server that no list has named yet is passed over, as ever. */
   private void deliver(QueuedReport item) {
     listener.accept(item);
-    if (item.about() instanceof QueuedReport.ProxyRequests requests) {
+    if (item.subject() instanceof QueuedReport.ProxyRequests requests) {
       deliver(item, requests);
-    } else if (item.about() instanceof QueuedReport.ServerAttempts tries) {
+    } else if (item.subject() instanceof QueuedReport.ServerAttempts tries) {
       deliver(item, tries);
     }
   }
@@ -140,11 +141,16 @@
     if (item.ageUs() > SynchronizedIntake.OLD_USAGE_PERIODS * periodUs) {
       return;
     }
-    ReportTotals sums = item.sums();
+    ReportTotals sums = item.totals();
     module
         .get()
-        .usage(
-            loop.nowUs(), about.proxy(), about.grade(), sums.tries(), sums.failed(), sums.spanUs());
+        .onUsageReport(
+            loop.nowUs(),
+            about.proxy(),
+            about.requestClass(),
+            sums.attempts(),
+            sums.failed(),
+            sums.spanUs());
   }
 
   private void deliver(QueuedReport item, QueuedReport.ServerAttempts about) {
@@ -152,15 +158,15 @@
     if (server == null) {
       return;
     }
-    ReportTotals sums = item.sums();
+    ReportTotals sums = item.totals();
     if (item.ageUs() == 0) {
       module
           .get()
-          .heard(
+          .onLoadReport(
               loop.nowUs(),
               server,
               about.zone(),
-              sums.tries(),
+              sums.attempts(),
               sums.failed(),
               sums.spanUs(),
               sums.meanUs(),
@@ -169,11 +175,11 @@
     }
     module
         .get()
-        .heard(
+        .onLoadReport(
             loop.nowUs(),
             server,
             about.zone(),
-            sums.tries(),
+            sums.attempts(),
             sums.failed(),
             sums.spanUs(),
             sums.meanUs(),
--- a/src/main/java/pearusher/control/StreamMembership.java
+++ b/src/main/java/pearusher/control/StreamMembership.java
@@ -61,29 +61,32 @@
    */
   void joined(ProxyStream stream, Message.ProxyJoin what) {
     ProxyStream old = streams.get(what.proxy());
-    if (old != null && old.taken() > stream.taken()) {
-      stream.replaced();
+    if (old != null && old.acceptOrder() > stream.acceptOrder()) {
+      stream.onReplaced();
       return;
     }
     streams.put(what.proxy(), stream);
     if (old != null) {
-      module.get().left(loop.nowUs(), what.proxy());
-      old.replaced();
+      module.get().onProxyLeft(loop.nowUs(), what.proxy());
+      old.onReplaced();
     }
-    tables.joined(what.proxy());
-    module.get().joined(loop.nowUs(), what.proxy(), what.zone(), what.perS(), what.fresh());
+    tables.addProxy(what.proxy());
+    module
+        .get()
+        .onProxyJoined(
+            loop.nowUs(), what.proxy(), what.zone(), what.requestsPerSecond(), what.fresh());
     CatchUp lacks = durable == null ? null : durable.joined(what.proxy(), what.fresh());
     if (lacks != null) {
-      tables.announced(what.proxy(), numbers.apply(lacks.announced()));
-      module.get().holds(loop.nowUs(), what.proxy(), lacks.table(), lacks.cost());
+      tables.setAnnounced(what.proxy(), numbers.apply(lacks.announced()));
+      module.get().onTableHeld(loop.nowUs(), what.proxy(), lacks.table(), lacks.cost());
     }
   }
 
   /** A stream ended; one whose proxy has joined anew since then unseats nobody. */
   void ended(ProxyStream stream, int proxy) {
     if (streams.remove(proxy, stream)) {
-      tables.left(proxy);
-      module.get().left(loop.nowUs(), proxy);
+      tables.removeProxy(proxy);
+      module.get().onProxyLeft(loop.nowUs(), proxy);
       if (durable != null) {
         durable.left(proxy);
       }
@@ -98,20 +101,20 @@
     if (streams.get(what.proxy()) != stream) {
       return;
     }
-    if (!tables.answered(loop.nowUs(), what.proxy(), what.mark(), what.tookUs())) {
+    if (!tables.acknowledge(loop.nowUs(), what.proxy(), what.number(), what.tookUs())) {
       if (Long.bitCount(++impossibleAnswers) == 1) {
         Logger.warn(
             "answers dropped: {} so far, the last of proxy {}: no mark {} is {} us old",
             impossibleAnswers,
             what.proxy(),
-            what.mark(),
+            what.number(),
             what.tookUs());
       }
       return;
     }
     if (durable != null) {
-      durable.applied(what.proxy(), what.mark());
+      durable.applied(what.proxy(), what.number());
     }
-    module.get().applied(loop.nowUs(), what.proxy(), what.mark(), what.tookUs());
+    module.get().onAcknowledgement(loop.nowUs(), what.proxy(), what.number(), what.tookUs());
   }
 }
--- a/src/main/java/pearusher/control/SynchronizedIntake.java
+++ b/src/main/java/pearusher/control/SynchronizedIntake.java
@@ -27,7 +27,7 @@
             bounds,
             new Intake.Events() {
               @Override
-              public void flood(int origin, double part) {
+              public void onOverloadStarted(int origin, double part) {
                 Logger.warn(
                     "flood of reports: origin=\"{}\" part={}", name(origin), hundredths(part));
               }
@@ -36,7 +36,7 @@
               private long expired;
 
               @Override
-              public void expired(QueuedReport item) {
+              public void onExpired(QueuedReport item) {
                 if (Long.bitCount(++expired) == 1) {
                   Logger.warn(
                       "reports expired: count={} origin=\"{}\"", expired, name(item.origin()));
@@ -44,7 +44,7 @@
               }
 
               @Override
-              public void sampled(double kept, double error) {
+              public void onSampled(double kept, double error) {
                 if (Long.bitCount(++thinned) == 1) {
                   Logger.warn(
                       "reports sampled: times={} kept={} error={}",
@@ -55,7 +55,7 @@
               }
 
               @Override
-              public void over(long merged, long refused) {
+              public void onOverloadEnded(long merged, long refused) {
                 Logger.info("flood of reports over: merged={} refused={}", merged, refused);
               }
             });
@@ -74,7 +74,7 @@
    */
   public void offer(QueuedReport item, Runnable wake) {
     synchronized (intake) {
-      if (intake.offer(item) && !intake.flooded()) {
+      if (intake.offer(item) && !intake.isOverloaded()) {
         wake.run();
       }
     }
@@ -82,7 +82,7 @@
 
   /** The oldest report, outside of a flood. */
   public void next(long nowUs, Consumer<QueuedReport> out) {
-    take(() -> intake.next(nowUs, items::add), out);
+    take(() -> intake.pollOldest(nowUs, items::add), out);
   }
 
   /** In a flood: what is due. */
@@ -100,13 +100,13 @@
 
   public boolean flooded() {
     synchronized (intake) {
-      return intake.flooded();
+      return intake.isOverloaded();
     }
   }
 
   public int waiting() {
     synchronized (intake) {
-      return intake.waiting();
+      return intake.size();
     }
   }
 }
--- a/src/main/java/pearusher/discovery/DiscoveryClient.java
+++ b/src/main/java/pearusher/discovery/DiscoveryClient.java
@@ -83,12 +83,12 @@
   }
 
   @Override
-  public void watch(boolean on, long since) {
+  public void watchEndpoints(boolean on, long since) {
     Call old = watch;
     Call next = on ? new Call(Purpose.WATCH, -1, "/catalog/members?follow=1&since=" + since) : null;
     watch = next;
     if (old != null) {
-      old.finish(TerminationReason.DROPPED);
+      old.finish(TerminationReason.CANCELLED);
     }
     if (next != null) {
       next.dial(config.discovery());
@@ -96,15 +96,15 @@
   }
 
   @Override
-  public void fetch() {
+  public void fetchEndpoints() {
     new Call(Purpose.FETCH, -1, "/catalog/members").dial(config.discovery());
   }
 
   @Override
-  public void probe(long server, String hostPort) {
-    boolean loads = config.settings().reportFrom() != LoadReportSource.NOWHERE;
+  public void checkHealth(long server, String hostPort) {
+    boolean loads = config.settings().loadReportSource() != LoadReportSource.NONE;
     Call call = new Call(Purpose.PROBE, server, loads ? "/_load" : "/ping");
-    InetSocketAddress address = hostPort == null ? null : AssignerConfig.address(hostPort);
+    InetSocketAddress address = hostPort == null ? null : AssignerConfig.parseAddress(hostPort);
     if (address == null) {
       call.finish(TerminationReason.UNREACHABLE);
     } else {
@@ -158,15 +158,17 @@
       this.server = server;
       this.path = path;
       lists =
-          purpose == Purpose.PROBE ? null : new EndpointListReader(config.names(), config.lists());
+          purpose == Purpose.PROBE
+              ? null
+              : new EndpointListReader(config.names(), config.listLimits());
     }
 
     void dial(InetSocketAddress to) {
       host = to.getAddress().getHostAddress() + ":" + to.getPort();
       limit =
           scheduler.schedule(
-              () -> finish(TerminationReason.SILENT),
-              (long) config.timeouts().connectMs() + config.timeouts().answerMs(),
+              () -> finish(TerminationReason.TIMED_OUT),
+              (long) config.timeouts().connectMs() + config.timeouts().responseMs(),
               TimeUnit.MILLISECONDS);
       getExecutor()
           .execute(
@@ -241,13 +243,13 @@
         } catch (IOException e) {
           finish(TerminationReason.RESET);
         } catch (RuntimeException e) {
-          finish(TerminationReason.GARBAGE);
+          finish(TerminationReason.MALFORMED);
         }
       }
 
       @Override
       protected boolean onReadTimeout(TimeoutException timeout) {
-        finish(TerminationReason.SILENT);
+        finish(TerminationReason.TIMED_OUT);
         return false;
       }
 
@@ -299,17 +301,18 @@
       }
       getExecutor().execute(this::hangUp);
       if (purpose == Purpose.PROBE) {
-        exchange.probed(server, ending.probe(), (System.nanoTime() - startNs) / 1000, load);
-      } else if (ending != TerminationReason.DROPPED
+        exchange.onHealthCheckResult(
+            server, ending.healthCheckResult(), (System.nanoTime() - startNs) / 1000, load);
+      } else if (ending != TerminationReason.CANCELLED
           && (purpose == Purpose.FETCH || watch == this)) {
-        if (ending.answered() && list != null) {
-          exchange.listed(list, false);
+        if (ending.isCompleted() && list != null) {
+          exchange.onEndpointList(list, false);
         } else {
           if (!lost) {
             Logger.warn("discovery lost: {} ended: {}", purpose, ending);
           }
           lost = true;
-          exchange.listFailed(() -> purpose == Purpose.FETCH || watch == this);
+          exchange.onEndpointListFailed(() -> purpose == Purpose.FETCH || watch == this);
         }
       }
     }
@@ -411,8 +414,8 @@
         if (!finished) {
           limit =
               scheduler.schedule(
-                  () -> finish(TerminationReason.SILENT),
-                  config.timeouts().silentMs(),
+                  () -> finish(TerminationReason.TIMED_OUT),
+                  config.timeouts().idleMs(),
                   TimeUnit.MILLISECONDS);
         }
       }
@@ -427,7 +430,7 @@
           return;
         }
         if (told != null) {
-          exchange.listed(told, !up, () -> watch == this);
+          exchange.onEndpointList(told, !up, () -> watch == this);
         }
         up |= told != null;
         if (lost && watch == this) {
@@ -436,7 +439,7 @@
         }
       } catch (SettingsException e) {
         unreadable("line", e);
-        finish(TerminationReason.GARBAGE);
+        finish(TerminationReason.MALFORMED);
       }
     }
 
@@ -458,18 +461,18 @@
         return true;
       }
       TerminationReason ending = TerminationReason.ofStatus(status);
-      if (ending.answered()) {
+      if (ending.isCompleted()) {
         try {
           if (purpose == Purpose.FETCH) {
             list = lists.endOfBody();
           } else if (purpose == Purpose.PROBE) {
-            load = Message.probeLoad(body.toByteArray(), config.names());
+            load = Message.decodeHealthCheckLoad(body.toByteArray(), config.names());
           } else {
             ending = TerminationReason.CLOSED;
           }
         } catch (SettingsException e) {
           unreadable("list", e);
-          ending = TerminationReason.GARBAGE;
+          ending = TerminationReason.MALFORMED;
         }
       }
       finish(ending);
@@ -483,7 +486,7 @@
 
     @Override
     public void badMessage(HttpException failure) {
-      finish(TerminationReason.GARBAGE);
+      finish(TerminationReason.MALFORMED);
     }
   }
 }
--- a/src/main/java/pearusher/intake/Intake.java
+++ b/src/main/java/pearusher/intake/Intake.java
@@ -34,7 +34,13 @@
    * @param calmUs how long all places must have been empty until it is over
    */
   public record Bounds(
-      double perS, int calm, int place, long calmUs, long oldestUs, boolean sampled, long seed) {}
+      double reportsPerSecond,
+      int maxQueued,
+      int maxPerOrigin,
+      long recoveryUs,
+      long maxAgeUs,
+      boolean samplingEnabled,
+      long seed) {}
 
   /** What happens, for the log; who has no use for it leaves it. */
   public interface Events {
@@ -42,7 +48,7 @@
      * More waits than the module may hear at once; the origin that most of it is from, and its
      * part.
      */
-    default void flood(int origin, double part) {}
+    default void onOverloadStarted(int origin, double part) {}
 
     /**
      * Reports were thinned.
@@ -50,13 +56,13 @@
      * @param kept the part of them that was kept
      * @param error the standard error of the tries that they stand for, as a part of those
      */
-    default void sampled(double kept, double error) {}
+    default void onSampled(double kept, double error) {}
 
     /** It is over: reports that were merged into others, and those refused for want of a place. */
-    default void over(long merged, long refused) {}
+    default void onOverloadEnded(long merged, long refused) {}
 
     /** A report was too old to be heard. */
-    default void expired(QueuedReport item) {}
+    default void onExpired(QueuedReport item) {}
   }
 
   private static final long SECOND_US = 1_000_000;
@@ -103,9 +109,9 @@
 
   /** Takes a report; false if its origin has no room for it left, which costs nobody else. */
   public boolean offer(QueuedReport item) {
-    if (!flooded && calm.size() < bounds.calm()) {
+    if (!flooded && calm.size() < bounds.maxQueued()) {
       calm.add(item);
-      behind.merge(ReportSource.of(item), item.sums().spanUs(), Long::sum);
+      behind.merge(ReportSource.of(item), item.totals().spanUs(), Long::sum);
       return true;
     }
     if (!flooded) {
@@ -124,7 +130,7 @@
     calm.forEach(item -> by.merge(item.origin(), 1, Integer::sum));
     int most =
         by.entrySet().stream().max(Map.Entry.comparingByValue()).map(Map.Entry::getKey).orElse(0);
-    events.flood(most, 1.0 * by.getOrDefault(most, 0) / Math.max(1, calm.size()));
+    events.onOverloadStarted(most, 1.0 * by.getOrDefault(most, 0) / Math.max(1, calm.size()));
     calm.forEach(this::place);
     calm.clear();
     behind.clear();
@@ -132,29 +138,29 @@
 
   private boolean place(QueuedReport item) {
     Place place = places.computeIfAbsent(item.origin(), o -> new Place());
-    ReportTotals old = place.waiting.get(item.about());
+    ReportTotals old = place.waiting.get(item.subject());
     if (old != null) {
-      place.waiting.put(item.about(), old.plus(item.sums()));
+      place.waiting.put(item.subject(), old.plus(item.totals()));
       merged++;
       return true;
     }
-    if (place.waiting.size() >= bounds.place()) {
+    if (place.waiting.size() >= bounds.maxPerOrigin()) {
       refused++;
       return false;
     }
     if (place.waiting.isEmpty()) {
       turns.add(item.origin());
     }
-    place.waiting.put(item.about(), item.sums());
+    place.waiting.put(item.subject(), item.totals());
     waiting++;
     return true;
   }
 
   /** Lets one report through while it is calm; the oldest. */
-  public void next(long nowUs, Consumer<QueuedReport> out) {
+  public void pollOldest(long nowUs, Consumer<QueuedReport> out) {
     QueuedReport item = calm.poll();
     if (item != null) {
-      Long left = behind.merge(ReportSource.of(item), -item.sums().spanUs(), Long::sum);
+      Long left = behind.merge(ReportSource.of(item), -item.totals().spanUs(), Long::sum);
       if (left <= 0) {
         behind.remove(ReportSource.of(item));
       }
@@ -164,8 +170,8 @@
 
   private void hear(QueuedReport item, long behindUs, long nowUs, Consumer<QueuedReport> out) {
     long age = ages.age(item, behindUs, nowUs);
-    if (age > bounds.oldestUs()) {
-      events.expired(item);
+    if (age > bounds.maxAgeUs()) {
+      events.onExpired(item);
     } else {
       out.accept(item.aged(age));
     }
@@ -182,10 +188,10 @@
     // A clock that jumps back gives nothing, one that jumps ahead a second's worth at most.
     long passed = lastUs == Long.MIN_VALUE ? 0 : Math.max(0, Math.min(SECOND_US, nowUs - lastUs));
     lastUs = nowUs;
-    tokens = Math.min(bounds.perS(), tokens + passed * bounds.perS() / 1e6);
+    tokens = Math.min(bounds.reportsPerSecond(), tokens + passed * bounds.reportsPerSecond() / 1e6);
     if (thinnedUs == Long.MIN_VALUE || nowUs < thinnedUs) {
       thinnedUs = nowUs;
-    } else if (bounds.sampled() && nowUs - thinnedUs >= SECOND_US) {
+    } else if (bounds.samplingEnabled() && nowUs - thinnedUs >= SECOND_US) {
       thinnedUs = nowUs;
       thin();
     }
@@ -223,7 +229,7 @@
    * can be trusted.
    */
   private void thin() {
-    int most = (int) bounds.perS();
+    int most = (int) bounds.reportsPerSecond();
     if (waiting <= most) {
       return;
     }
@@ -237,10 +243,11 @@
       }
       origins++;
       // A report without tries still says that its origin is there.
-      double all = place.waiting.values().stream().mapToDouble(s -> Math.max(1, s.tries())).sum();
+      double all =
+          place.waiting.values().stream().mapToDouble(s -> Math.max(1, s.attempts())).sum();
       place.waiting.forEach(
           (about, sums) ->
-              over.add(new Candidate(place, about, sums, Math.max(1, sums.tries()) / all)));
+              over.add(new Candidate(place, about, sums, Math.max(1, sums.attempts()) / all)));
       waiting -= place.waiting.size();
       place.waiting.clear();
     }
@@ -248,7 +255,7 @@
     for (PrioritySample.Kept<Candidate> one :
         new PrioritySample<>(over, Candidate::mass, share * origins, random).kept()) {
       Candidate kept = one.item();
-      double tries = kept.sums().tries() / kept.mass();
+      double tries = kept.sums().attempts() / kept.mass();
       double added = one.variance() * tries * tries;
       kept.place()
           .waiting
@@ -262,9 +269,9 @@
     long all =
         places.values().stream()
             .flatMap(p -> p.waiting.values().stream())
-            .mapToLong(ReportTotals::tries)
+            .mapToLong(ReportTotals::attempts)
             .sum();
-    events.sampled(1.0 * waiting / before, Math.sqrt(variance) / Math.max(1, all));
+    events.onSampled(1.0 * waiting / before, Math.sqrt(variance) / Math.max(1, all));
   }
 
   /**
@@ -289,22 +296,22 @@
       emptySinceUs = Long.MIN_VALUE;
     } else if (emptySinceUs == Long.MIN_VALUE || nowUs < emptySinceUs) {
       emptySinceUs = nowUs;
-    } else if (nowUs - emptySinceUs >= bounds.calmUs()) {
+    } else if (nowUs - emptySinceUs >= bounds.recoveryUs()) {
       flooded = false;
       lastUs = Long.MIN_VALUE;
       thinnedUs = Long.MIN_VALUE;
       places.clear();
       turns.clear();
-      events.over(merged, refused);
+      events.onOverloadEnded(merged, refused);
     }
   }
 
-  public boolean flooded() {
+  public boolean isOverloaded() {
     return flooded;
   }
 
   /** Reports that wait, merged ones counted once. */
-  public int waiting() {
+  public int size() {
     return calm.size() + waiting;
   }
 }
--- a/src/main/java/pearusher/intake/QueuedReport.java
+++ b/src/main/java/pearusher/intake/QueuedReport.java
@@ -7,15 +7,15 @@
  * @param about what its sums are of: reports of one origin about the same add up
  * @param ageUs how long ago its span ended, as it is let through
  */
-public record QueuedReport(int origin, Subject about, ReportTotals sums, long ageUs) {
+public record QueuedReport(int origin, Subject subject, ReportTotals totals, long ageUs) {
 
   /** A report that came just now. */
-  public QueuedReport(int origin, Subject about, ReportTotals sums) {
-    this(origin, about, sums, 0);
+  public QueuedReport(int origin, Subject subject, ReportTotals totals) {
+    this(origin, subject, totals, 0);
   }
 
   QueuedReport aged(long us) {
-    return new QueuedReport(origin, about, sums, us);
+    return new QueuedReport(origin, subject, totals, us);
   }
 
   /** What a report's sums are of. */
@@ -35,15 +35,15 @@
   }
 
   /** Requests of a class that came to a proxy. */
-  public record ProxyRequests(int proxy, int grade) implements Subject {
+  public record ProxyRequests(int proxy, int requestClass) implements Subject {
     @Override
     public int hashCode() {
-      return 31 * proxy + grade;
+      return 31 * proxy + requestClass;
     }
 
     @Override
     public boolean equals(Object other) {
-      return other instanceof ProxyRequests r && r.proxy == proxy && r.grade == grade;
+      return other instanceof ProxyRequests r && r.proxy == proxy && r.requestClass == requestClass;
     }
   }
 }
--- a/src/main/java/pearusher/intake/ReportAgeEstimator.java
+++ b/src/main/java/pearusher/intake/ReportAgeEstimator.java
@@ -59,7 +59,7 @@
    */
   long age(QueuedReport item, long behindUs, long nowUs) {
     Seen at = seen.computeIfAbsent(ReportSource.of(item), s -> new Seen());
-    long span = item.sums().spanUs();
+    long span = item.totals().spanUs();
     if (at.endUs != Long.MIN_VALUE && nowUs >= at.lastUs) {
       long passed = nowUs - at.lastUs;
       if (passed < PACE * span) {
--- a/src/main/java/pearusher/intake/ReportTotals.java
+++ b/src/main/java/pearusher/intake/ReportTotals.java
@@ -12,7 +12,13 @@
  *     up, since what is drawn for one tells nothing of another
  */
 public record ReportTotals(
-    long tries, long failed, long goodUs, long spanUs, long lines, float[] load, double variance) {
+    long attempts,
+    long failed,
+    long goodUs,
+    long spanUs,
+    long reports,
+    float[] load,
+    double variance) {
 
   /** One report as it came; {@code meanUs}: of the good tries. */
   public static ReportTotals of(long tries, long failed, long meanUs, long spanUs, float[] load) {
@@ -23,11 +29,11 @@
   /** This and what came after it. */
   public ReportTotals plus(ReportTotals later) {
     return new ReportTotals(
-        tries + later.tries,
+        attempts + later.attempts,
         failed + later.failed,
         goodUs + later.goodUs,
         spanUs + later.spanUs,
-        lines + later.lines,
+        reports + later.reports,
         later.load.length > 0 ? later.load : load,
         variance + later.variance);
   }
@@ -37,14 +43,14 @@
    * nothing is added or lost on average; the mean stays.
    */
   public ReportTotals scaled(double factor, double addedVariance, SplittableRandom random) {
-    long all = rounded(tries * factor, random);
+    long all = rounded(attempts * factor, random);
     long bad = Math.min(all, rounded(failed * factor, random));
     return new ReportTotals(
         all,
         bad,
         meanUs() * (all - bad),
         spanUs,
-        lines,
+        reports,
         load,
         factor * factor * variance + addedVariance);
   }
@@ -56,7 +62,7 @@
 
   /** The mean time of the good tries, rounded to the nearest microsecond; 0 where none was good. */
   public long meanUs() {
-    long good = tries - failed;
+    long good = attempts - failed;
     return good <= 0 ? 0 : (goodUs + good / 2) / good;
   }
 }
--- a/src/main/java/pearusher/operatorsettings/OperatorSettings.java
+++ b/src/main/java/pearusher/operatorsettings/OperatorSettings.java
@@ -96,7 +96,7 @@
 
   /** What each value alone can't show. */
   private void together(List<SettingsFileParser.Line> lines) {
-    if (lines.isEmpty() || !on("store")) {
+    if (lines.isEmpty() || !isEnabled("store")) {
       return;
     }
     if (!given.containsKey(SettingKey.STORE_DIRECTORY)) {
@@ -149,12 +149,12 @@
   }
 
   /** Whether a block is there: what it is about is switched on. */
-  public boolean on(String block) {
+  public boolean isEnabled(String block) {
     return given.keySet().stream().anyMatch(k -> k.block().equals(block));
   }
 
   private String text(SettingKey key) {
-    return given.containsKey(key) ? given.get(key).text() : key.usual();
+    return given.containsKey(key) ? given.get(key).text() : key.defaultText();
   }
 
   /** A word or path as it is in force. */
@@ -176,7 +176,9 @@
           value != null
               ? value
               : new Value(
-                  key, on(key.block()) && key.usual() != null ? key.usual() : "off", "default"));
+                  key,
+                  isEnabled(key.block()) && key.defaultText() != null ? key.defaultText() : "off",
+                  "default"));
     }
     return out;
   }
--- a/src/main/java/pearusher/operatorsettings/SettingKey.java
+++ b/src/main/java/pearusher/operatorsettings/SettingKey.java
@@ -193,7 +193,7 @@
   }
 
   /** The default as it would be written; null where there is none. */
-  public String usual() {
+  public String defaultText() {
     return usual;
   }
 
--- a/src/main/java/pearusher/policy/AssignmentPolicy.java
+++ b/src/main/java/pearusher/policy/AssignmentPolicy.java
@@ -8,35 +8,36 @@
  * levels.
  *
  * <p>Everything the decisions need comes through this file. Times are microseconds of the caller's
- * clock. The caller gives all events of one instant, then calls {@link #close}; orders may be given
- * at any time up to the end of that call. Servers, proxies and tables are opaque numbers; zones and
- * classes are positions in the settings' lists, so that no name reaches the decisions.
+ * clock. The caller gives all events of one instant, then calls {@link #onBatchEnd}; orders may be
+ * given at any time up to the end of that call. Servers, proxies and tables are opaque numbers;
+ * zones and classes are positions in the settings' lists, so that no name reaches the decisions.
  */
 public interface AssignmentPolicy {
 
-  void listed(long now, ListUpdateKind form, List<ServerEntry> entries);
+  void onEndpointList(long now, ListUpdateKind form, List<ServerEntry> entries);
 
-  void timer(long now, long token);
+  void onTimer(long now, long token);
 
   /**
    * The end of a probe; who asks for none leaves it (each has a price, and they changed no measured
    * day).
    */
-  default void probed(long now, long server, HealthCheckResult end, long tookUs, float[] load) {}
+  default void onHealthCheckResult(
+      long now, long server, HealthCheckResult end, long tookUs, float[] load) {}
 
   /** A word from another assigner; who needs no agreement leaves it. */
-  default void told(long now, int peer, byte[] body) {}
+  default void onPeerMessage(long now, int peer, byte[] body) {}
 
-  void joined(long now, int proxy, int zone, double perS, boolean onlyStanding);
+  void onProxyJoined(long now, int proxy, int zone, double perS, boolean onlyStanding);
 
-  void left(long now, int proxy);
+  void onProxyLeft(long now, int proxy);
 
   /**
-   * A table that an earlier process of this assigner had ordered, before the first {@link #close}:
-   * weights by server, level and way of trying again by class (-1: neither was ordered), and the
-   * last mark given.
+   * A table that an earlier process of this assigner had ordered, before the first {@link
+   * #onBatchEnd}: weights by server, level and way of trying again by class (-1: neither was
+   * ordered), and the last mark given.
    */
-  default void restored(
+  default void onTableRestored(
       long now,
       int table,
       Map<Long, Double> weights,
@@ -48,14 +49,14 @@
    * A proxy that joins holds this table of ours, so many lines aside; told in the turn of its
    * joining.
    */
-  default void holds(long now, int proxy, int table, int lacks) {}
+  default void onTableHeld(long now, int proxy, int table, int lacks) {}
 
-  void applied(long now, int proxy, int mark, long tookUs);
+  void onAcknowledgement(long now, int proxy, int mark, long tookUs);
 
   /**
    * Tries of a zone's proxies that ended at a server in a span; {@code meanUs}: of the good ones.
    */
-  default void heard(
+  default void onLoadReport(
       long now,
       long server,
       int zone,
@@ -64,11 +65,11 @@
       long spanUs,
       long meanUs,
       float[] load) {
-    heard(now, server, zone, tries, failed, spanUs, meanUs, load, 0);
+    onLoadReport(now, server, zone, tries, failed, spanUs, meanUs, load, 0);
   }
 
   /** The same of a span that ended some time ago. */
-  void heard(
+  void onLoadReport(
       long now,
       long server,
       int zone,
@@ -80,18 +81,18 @@
       long ageUs);
 
   /** Requests of a class that came to a proxy in a span; {@code failed}: let in, not answered. */
-  void usage(long now, int proxy, int grade, long requests, long failed, long spanUs);
+  void onUsageReport(long now, int proxy, int grade, long requests, long failed, long spanUs);
 
   /**
    * Slices, where the settings count any: given or taken, a line of one's table, what came for it.
    */
-  default void sliceGiven(long now, int slice, boolean given) {}
+  default void onSliceAssignment(long now, int slice, boolean given) {}
 
-  default void sliceLine(long now, int slice, long server, double weight) {}
+  default void onSliceWeight(long now, int slice, long server, double weight) {}
 
-  default void sliceUsage(
+  default void onSliceUsageReport(
       long now, int slice, int grade, long requests, long failed, long spanUs) {}
 
   /** The end of what happened at this instant. */
-  void close(long now);
+  void onBatchEnd(long now);
 }
--- a/src/main/java/pearusher/policy/Costs.java
+++ b/src/main/java/pearusher/policy/Costs.java
@@ -3,13 +3,13 @@
 /** Points taken off for each unit. */
 public record Costs(
     double crossZone,
-    double probe,
-    double orders,
-    double lateFail,
+    double healthCheck,
+    double commandLine,
+    double lateFailure,
     double waste,
     double connection,
     double handshake,
-    double peer,
-    double list,
+    double peerMessage,
+    double discoveryCall,
     double handover,
-    double moves) {}
+    double migration) {}
--- a/src/main/java/pearusher/policy/FaastPolicy.java
+++ b/src/main/java/pearusher/policy/FaastPolicy.java
@@ -311,13 +311,20 @@
   public FaastPolicy(PolicySettings set, PolicyCommands to) {
     this.set = set;
     this.to = to;
-    aimUs = set.grades().stream().mapToLong(RequestClass::aimUs).min().orElse(set.periodUs());
-    full = set.levels() == AdmissionMode.RATE ? NO_LIMIT : 1;
-    level = new double[set.grades().size()];
+    aimUs =
+        set.requestClasses().stream()
+            .mapToLong(RequestClass::latencyObjectiveUs)
+            .min()
+            .orElse(set.controlPeriodUs());
+    full = set.admissionMode() == AdmissionMode.RATE ? NO_LIMIT : 1;
+    level = new double[set.requestClasses().size()];
     Arrays.fill(level, full);
     zones = Math.max(1, set.zones());
     mostListed =
-        (long) Math.max(1, (most(QUEUE_SOON) - set.channel().head() - 2 - level.length) / 2);
+        (long)
+            Math.max(
+                1,
+                (most(QUEUE_SOON) - set.channel().messageOverheadLines() - 2 - level.length) / 2);
     if (set.slices() > 0) {
       to.log("slices are not served: this instance binds and orders nothing");
     }
@@ -326,16 +333,18 @@
   // The list of servers.
 
   @Override
-  public void listed(long now, ListUpdateKind form, List<ServerEntry> entries) {
+  public void onEndpointList(long now, ListUpdateKind form, List<ServerEntry> entries) {
     if (form == ListUpdateKind.FAILED) {
       if (watching || !watchAsked) {
         to.log("list lost");
       }
       watching = false;
       watchAsked = true;
-      double again = Math.max(set.periodUs() / 2.0, ASK_AGAIN * set.limits().askWithinUs());
+      double again =
+          Math.max(set.controlPeriodUs() / 2.0, ASK_AGAIN * set.limits().maxPollIntervalUs());
       double spread = 0.75 + Math.floorMod(set.seed() * ++failures, 1000) / 2000.0;
-      to.timer((long) (again * spread * Math.min(ASK_MOST, 1 << Math.min(failures - 1, 9))), WATCH);
+      to.setTimer(
+          (long) (again * spread * Math.min(ASK_MOST, 1 << Math.min(failures - 1, 9))), WATCH);
       return;
     }
     if (form != ListUpdateKind.CACHED && !watching) {
@@ -351,7 +360,7 @@
       named.add(e.server());
       Server s = servers.get(e.server());
       if (s == null) {
-        if (e.state() == Lifecycle.GONE) {
+        if (e.lifecycle() == Lifecycle.REMOVED) {
           continue;
         }
         s = new Server(e.server(), new SplittableRandom(set.seed() ^ e.server()).nextLong());
@@ -362,7 +371,7 @@
         // one that we forgot may be shut out still.
         boolean fresh = started && e.startedUs() > startUs && !forgot;
         doubt(s, fresh ? 0 : form != ListUpdateKind.CACHED || e.startedUs() > 0 ? 2 : 1);
-      } else if (e.startedUs() != s.startedUs && e.state() == Lifecycle.READY) {
+      } else if (e.startedUs() != s.startedUs && e.lifecycle() == Lifecycle.READY) {
         s.forget();
         s.listedUs = now;
         restarts = true;
@@ -371,11 +380,11 @@
       s.zone = Math.min(e.zone(), zones - 1);
       s.listed = e.weight() > 0 ? e.weight() : 1;
       s.startedUs = e.startedUs();
-      state(now, s, e.state());
+      state(now, s, e.lifecycle());
     }
     servers.values().stream()
-        .filter(s -> form != ListUpdateKind.CHANGES && !named.contains(s.id))
-        .forEach(s -> state(now, s, Lifecycle.GONE));
+        .filter(s -> form != ListUpdateKind.DELTA && !named.contains(s.id))
+        .forEach(s -> state(now, s, Lifecycle.REMOVED));
   }
 
   /**
@@ -395,7 +404,7 @@
 
   private void doubt(Server s, int which) {
     if (which > s.doubt) {
-      to.doubt(s.id, which > 1);
+      to.suspectEjection(s.id, which > 1);
     }
     s.doubt = Math.max(s.doubt, which);
   }
@@ -407,7 +416,7 @@
   // Proxies.
 
   @Override
-  public void joined(long now, int proxy, int zone, double perS, boolean onlyStanding) {
+  public void onProxyJoined(long now, int proxy, int zone, double perS, boolean onlyStanding) {
     ProxyState p = new ProxyState(Math.min(zone, zones - 1), !onlyStanding, level.length, now);
     Arrays.fill(p.perS, Math.max(0, perS) / Math.max(1, level.length));
     rescope |= !tables.containsKey(p.zone);
@@ -419,31 +428,31 @@
       deal();
     }
     proxies.put(proxy, p);
-    p.sure = onlyStanding || (started && now - startUs > HELD_OLD * set.limits().graceUs());
+    p.sure = onlyStanding || (started && now - startUs > HELD_OLD * set.limits().drainGraceUs());
     if (p.sure) {
-      to.sure(proxy);
+      to.confirmProxy(proxy);
     }
     restarts |= heardPasses == 0;
     if (p.holds && heldUs == 0 && !settled) {
       heldUs = now;
-      to.timer((long) (HELD_BY * set.limits().graceUs()), SEND);
+      to.setTimer((long) (HELD_BY * set.limits().drainGraceUs()), SEND);
     }
   }
 
   @Override
-  public void left(long now, int proxy) {
+  public void onProxyLeft(long now, int proxy) {
     proxies.remove(proxy);
   }
 
   @Override
-  public void applied(long now, int proxy, int number, long tookUs) {
+  public void onAcknowledgement(long now, int proxy, int number, long tookUs) {
     // Messages leave the channel one after the other: what was ordered before this one has left it
     // too.
     replies.stream()
         .filter(r -> r.mark == number && r.lines.containsKey(proxy))
         .forEach(
             r -> {
-              r.told[0] += r.lines.remove(proxy) + set.channel().head() + 1;
+              r.told[0] += r.lines.remove(proxy) + set.channel().messageOverheadLines() + 1;
               gone = Math.max(gone, r.before + r.told[0]);
               paceFrom(r.waiting, tookUs);
             });
@@ -451,11 +460,11 @@
 
   /** An answer later than the longest way allows tells a channel slower than stated. */
   private void paceFrom(double ahead, long tookUs) {
-    double statedUs = ahead / set.channel().linesPerS() * 1e6;
-    double spareUs = tookUs - set.channel().lateMostUs();
+    double statedUs = ahead / set.channel().linesPerSecond() * 1e6;
+    double spareUs = tookUs - set.channel().maxPushDelayUs();
     if (spareUs > statedUs / pace) {
       pace = Math.max(0.05, Math.max(pace * 0.5, statedUs / spareUs));
-    } else if (tookUs < set.channel().lateMostUs() + statedUs) {
+    } else if (tookUs < set.channel().maxPushDelayUs() + statedUs) {
       pace = Math.min(1, pace * 1.1);
     }
   }
@@ -467,7 +476,7 @@
    * know nothing. Guards against even weights, lifted levels and repeats after a crash in a jam.
    */
   @Override
-  public void restored(
+  public void onTableRestored(
       long now,
       int number,
       Map<Long, Double> weights,
@@ -506,7 +515,7 @@
   }
 
   @Override
-  public void holds(long now, int proxy, int table, int lacks) {
+  public void onTableHeld(long now, int proxy, int table, int lacks) {
     ProxyState p = proxies.get(proxy);
     p.lacks = table == p.zone && !table(table).sent.isEmpty() ? lacks : -1;
   }
@@ -514,7 +523,7 @@
   // Reports.
 
   @Override
-  public void heard(
+  public void onLoadReport(
       long now,
       long server,
       int zone,
@@ -528,8 +537,8 @@
     if (s == null || zone >= zones || tries <= 0) {
       return;
     }
-    double old = Math.max(0, spanUs - set.periodUs()) / 2.0 + ageUs;
-    double part = Math.pow(0.5, old / (HALF_PERIODS * set.periodUs()));
+    double old = Math.max(0, spanUs - set.controlPeriodUs()) / 2.0 + ageUs;
+    double part = Math.pow(0.5, old / (HALF_PERIODS * set.controlPeriodUs()));
     AttemptStats t = s.tallies.fresh(tables.containsKey(zone) ? zone : ZoneAttemptStats.ELSEWHERE);
     long bad = Math.min(failed, tries);
     t.good += part * (tries - bad);
@@ -540,23 +549,25 @@
   }
 
   @Override
-  public void usage(long now, int proxy, int grade, long requests, long failed, long spanUs) {
+  public void onUsageReport(
+      long now, int proxy, int grade, long requests, long failed, long spanUs) {
     ProxyState p = proxies.get(proxy);
     if (p == null || grade >= p.perS.length || spanUs <= 0) {
       return;
     }
-    double keep = Math.pow(0.5, spanUs / (HALF_PERIODS * set.periodUs()));
+    double keep = Math.pow(0.5, spanUs / (HALF_PERIODS * set.controlPeriodUs()));
     // No request, no line: what a later one leaves open was idle or lost, not late.
     double gap = p.coveredUs[grade] > 0 ? now - p.heardUs[grade] - spanUs : 0;
-    p.coveredUs[grade] += spanUs + (gap > set.periodUs() / 2.0 ? gap : 0);
+    p.coveredUs[grade] += spanUs + (gap > set.controlPeriodUs() / 2.0 ? gap : 0);
     p.heardUs[grade] = now;
     asked += settled ? 0 : requests;
     p.perS[grade] = keep * p.perS[grade] + (1 - keep) * requests * 1e6 / spanUs;
   }
 
   @Override
-  public void probed(long now, long server, HealthCheckResult end, long tookUs, float[] load) {
-    int at = servers.containsKey(server) ? set.reportFields().indexOf(LoadMetric.UTIL) : -1;
+  public void onHealthCheckResult(
+      long now, long server, HealthCheckResult end, long tookUs, float[] load) {
+    int at = servers.containsKey(server) ? set.loadMetrics().indexOf(LoadMetric.UTILIZATION) : -1;
     if (end == HealthCheckResult.OK
         && at >= 0
         && at < load.length
@@ -567,19 +578,19 @@
   }
 
   @Override
-  public void timer(long now, long token) {
+  public void onTimer(long now, long token) {
     if (token == PASS) {
       // Timers are not revocable: those of passes that came early would else add up, one each.
       passDue |= now >= passUs;
     } else if (token == WATCH && !watching) {
-      to.watch(true);
+      to.watchEndpoints(true);
     } else if (token == SEND) {
       sendAgain = false;
     }
   }
 
   @Override
-  public void close(long now) {
+  public void onBatchEnd(long now) {
     if (set.slices() > 0) {
       return;
     }
@@ -588,9 +599,9 @@
       waitingUs = now;
       plannedUs = now;
       startUs = now;
-      watching = !set.listOnRequest();
+      watching = !set.endpointListOnRequest();
       if (!watching) {
-        to.watch(true);
+        to.watchEndpoints(true);
       }
       plan(now);
     }
@@ -600,11 +611,11 @@
             && up.stream().noneMatch(s -> s.share > 0 && serving(s))
             && servers.values().stream().anyMatch(this::serving);
     long since = now - plannedUs;
-    if (passDue || (reports && since >= EARLY * set.periodUs())) {
-      if (reports || since >= LATEST * set.periodUs()) {
+    if (passDue || (reports && since >= EARLY * set.controlPeriodUs())) {
+      if (reports || since >= LATEST * set.controlPeriodUs()) {
         plan(now);
       } else {
-        pass(now, (long) (LATEST * set.periodUs()) - since);
+        pass(now, (long) (LATEST * set.controlPeriodUs()) - since);
       }
     }
     if (restarts) {
@@ -619,18 +630,18 @@
   private void pass(long now, long delayUs) {
     passDue = false;
     passUs = now + delayUs;
-    to.timer(delayUs, PASS);
+    to.setTimer(delayUs, PASS);
   }
 
   private void plan(long now) {
-    pass(now, set.periodUs());
-    double keep = Math.pow(0.5, (now - plannedUs) / (HALF_PERIODS * set.periodUs()));
+    pass(now, set.controlPeriodUs());
+    double keep = Math.pow(0.5, (now - plannedUs) / (HALF_PERIODS * set.controlPeriodUs()));
     plannedUs = now;
     reported = reports;
     reports = false;
     // Where lines come in turn a period's own may be of few servers: a turn's tell of the fleet.
     double own = total(up, s -> s.tallies.sumFresh(t -> t.good + t.bad));
-    period.scale(Math.min(1 - set.periodUs() / turnUs(), POOL_TRIES / Math.max(1, own)));
+    period.scale(Math.min(1 - set.controlPeriodUs() / turnUs(), POOL_TRIES / Math.max(1, own)));
     for (Server s : servers.values()) {
       if (s.tallies.isEmpty()) {
         continue;
@@ -663,13 +674,13 @@
    */
   private boolean forgotten(long now, Server s) {
     boolean out =
-        s.state == Lifecycle.GONE
-            && now - s.outUs > FORGET * set.limits().graceUs()
+        s.state == Lifecycle.REMOVED
+            && now - s.outUs > FORGET * set.limits().drainGraceUs()
             && !withdrawals.contains(s.id)
             && !isSent(s.id);
     if (out) {
       tables.values().forEach(t -> t.waits.remove(s.id));
-      to.forget(s.id);
+      to.forgetServer(s.id);
       forgot = true;
     }
     return out;
@@ -686,7 +697,8 @@
   }
 
   private ZoneTable table(int number) {
-    return tables.computeIfAbsent(number, n -> new ZoneTable(level.length, full, set.usualRetry()));
+    return tables.computeIfAbsent(
+        number, n -> new ZoneTable(level.length, full, set.defaultRetry()));
   }
 
   private Stream<Integer> zonesInScope() {
@@ -700,12 +712,12 @@
   private void release(long now) {
     proxies.values().forEach(p -> table(p.zone).usedUs = now);
     tables.keySet().stream()
-        .filter(t -> now - table(t % zones).usedUs > FORGET * set.limits().graceUs())
+        .filter(t -> now - table(t % zones).usedUs > FORGET * set.limits().drainGraceUs())
         .toList()
         .forEach(
             t -> {
               tables.remove(t);
-              to.clear(t);
+              to.clearTable(t);
               servers.values().forEach(s -> s.tallies.merge(t));
               rescope = true;
             });
@@ -753,11 +765,13 @@
     heardPasses += reported ? 1 : 0;
     boolean old = proxies.values().stream().anyMatch(p -> p.holds);
     if (settled
-        || (old && heardPasses < SETTLE_PASSES && now - startUs < SETTLE_MOST * set.periodUs())) {
+        || (old
+            && heardPasses < SETTLE_PASSES
+            && now - startUs < SETTLE_MOST * set.controlPeriodUs())) {
       return;
     }
     settled = heardPasses > 0 || old;
-    if (old && asked > 0 && turnUs() <= SETTLE_PASSES * set.periodUs()) {
+    if (old && asked > 0 && turnUs() <= SETTLE_PASSES * set.controlPeriodUs()) {
       let = Math.max(LEVEL_LEAST, Math.min(1, tried / asked));
       over = let < SETTLE_FULL;
       let = over ? let : 1;
@@ -770,7 +784,7 @@
    */
   private double turnUs() {
     double due = zonesInScope().count() * up.size() + (long) level.length * proxies.size();
-    return Math.max((double) set.periodUs(), due / set.intakePerS() * 1e6);
+    return Math.max((double) set.controlPeriodUs(), due / set.maxReportsPerSecond() * 1e6);
   }
 
   /**
@@ -800,8 +814,10 @@
       s.failShare = s.bad() / (s.good() + s.bad() + FAIL_PRIOR);
       double age = age(now, s);
       double known =
-          s.startedUs == 0 ? 1 : (now - s.listedUs) / Math.max(1.0, (double) set.limits().rampUs());
-      s.ready = ramp(set.limits().coldFrom(), age, age);
+          s.startedUs == 0
+              ? 1
+              : (now - s.listedUs) / Math.max(1.0, (double) set.limits().slowStartUs());
+      s.ready = ramp(set.limits().slowStartCapacity(), age, age);
       s.climb = ramp(COLD_FIRST, age, known);
     }
     double fail = median(up, s -> s.failShare);
@@ -829,11 +845,11 @@
     busyN *= BUSY_KEEP;
     warmth = left;
     boolean may =
-        set.probes()
-            && set.reportFrom() != LoadReportSource.NOWHERE
-            && set.reportFields().contains(LoadMetric.UTIL);
+        set.healthChecksEnabled()
+            && set.loadReportSource() != LoadReportSource.NONE
+            && set.loadMetrics().contains(LoadMetric.UTILIZATION);
     for (int k = 0; may && k * k < warm.size() && k * set.instances() < warm.size(); k++) {
-      to.probe(warm.get(Math.floorMod(asks++, warm.size())).id);
+      to.checkHealth(warm.get(Math.floorMod(asks++, warm.size())).id);
     }
   }
 
@@ -867,9 +883,11 @@
       calm = busy < BUSY_AIM;
       better = false;
       grow = Math.min(LEVEL_GROW, Math.cbrt(BUSY_AIM / busy));
-      shows = set.periodUs() + waiting / set.channel().linesPerS() / pace * 1e6 / LEVEL_WAIT;
+      shows =
+          set.controlPeriodUs()
+              + waiting / set.channel().linesPerSecond() / pace * 1e6 / LEVEL_WAIT;
     }
-    boolean shown = now - cutUs >= LEVEL_WAIT * (shows + aimUs) + set.channel().lateMostUs();
+    boolean shown = now - cutUs >= LEVEL_WAIT * (shows + aimUs) + set.channel().maxPushDelayUs();
     if (jammed && shown && !better) {
       cutUs = now;
       ceiling = let;
@@ -890,7 +908,7 @@
   private double age(long now, Server s) {
     return s.startedUs == 0
         ? 1
-        : (now - s.startedUs) / Math.max(1.0, (double) set.limits().rampUs());
+        : (now - s.startedUs) / Math.max(1.0, (double) set.limits().slowStartUs());
   }
 
   /** Evenly from a first part to the full over the ramp; age 1: warm whatever was climbed. */
@@ -949,7 +967,7 @@
     ZoneTable table = tables.get(z);
     List<Server> own = up.stream().filter(s -> s.zone == z).toList();
     List<Server> far = up.stream().filter(s -> s.zone != z).toList();
-    if (own.isEmpty() || far.isEmpty() || set.prices().crossZone() <= 0) {
+    if (own.isEmpty() || far.isEmpty() || set.costs().crossZone() <= 0) {
       return 0;
     }
     if (heardPasses == 0) {
@@ -970,11 +988,13 @@
     double here = proxies.values().stream().filter(p -> p.zone == z).mapToDouble(perS).sum();
     // Where zones join apart, proxies elsewhere are taken to bring as much each.
     all *=
-        set.site() != null && set.site().ownZoneJoins() ? 1.0 * set.proxies() / proxies.size() : 1;
+        set.siteTraits() != null && set.siteTraits().proxiesJoinInOwnZone()
+            ? 1.0 * set.proxies() / proxies.size()
+            : 1;
     double even = total(own, s -> pull(s, z, 0)) / total(up, s -> pull(s, z, 0));
     double holds = here <= 0 ? 1 : even * all / here;
     double want = even + table.home * (Math.min(HOME_MOST, holds) - even);
-    want = over && set.levels() == AdmissionMode.NONE ? HOME_MOST : want;
+    want = over && set.admissionMode() == AdmissionMode.NONE ? HOME_MOST : want;
     double left = total(own, s -> pull(s, z, 0)) * (1 - want) / want;
     double d = 0;
     for (int i = 0; i < 8 && want > even; i++) {
@@ -1005,7 +1025,9 @@
     double cut = 0;
     for (Server s : up) {
       double most =
-          s.ready < 1 ? COLD_BUDGET * set.limits().fallMultiple() * each * s.ready : s.share;
+          s.ready < 1
+              ? COLD_BUDGET * set.limits().recoveryOverloadFactor() * each * s.ready
+              : s.share;
       cut += Math.max(0, s.share - most);
       s.share = Math.min(s.share, most);
     }
@@ -1038,7 +1060,7 @@
     List<Integer> order =
         IntStream.range(0, n)
             .boxed()
-            .sorted(Comparator.comparingDouble(k -> set.grades().get(k).worth()))
+            .sorted(Comparator.comparingDouble(k -> set.requestClasses().get(k).priorityWeight()))
             .toList();
     double shed = (1 - let) * Arrays.stream(perS).sum();
     for (int k : order) {
@@ -1046,7 +1068,7 @@
       shed -= cut;
       double share = perS[k] <= 0 ? 1 : 1 - cut / perS[k];
       level[k] =
-          set.levels() == AdmissionMode.RATE
+          set.admissionMode() == AdmissionMode.RATE
               ? share >= 1 ? NO_LIMIT : rate(k, share * perS[k])
               : share;
     }
@@ -1084,15 +1106,15 @@
    */
   private void send(long now) {
     ChannelSettings c = set.channel();
-    waiting = Math.max(0, waiting - (now - waitingUs) / 1e6 * c.linesPerS() * pace);
-    slow = Math.max(0, slow - (now - waitingUs) / 1e6 * c.linesPerS() * pace * SLOWEST);
+    waiting = Math.max(0, waiting - (now - waitingUs) / 1e6 * c.linesPerSecond() * pace);
+    slow = Math.max(0, slow - (now - waitingUs) / 1e6 * c.linesPerSecond() * pace * SLOWEST);
     waitingUs = now;
     lines = new TreeMap<>();
     // Answers may all be lost: in the end nothing can be out.
     gone = slow == 0 ? ordered : gone;
     replies.removeIf(r -> r.after <= gone);
     double before = ordered;
-    proxies.values().forEach(p -> p.messages.removeIf(t -> now - t >= c.messagesOverUs()));
+    proxies.values().forEach(p -> p.messages.removeIf(t -> now - t >= c.messageWindowUs()));
     // Who holds its table by what was kept is bound at once, and gets what it lacks; later, the
     // whole.
     proxies.forEach(
@@ -1110,7 +1132,7 @@
     // would
     // hold up the binds behind them past their time do not go: they are bound at once.
     if (heldUs > 0 && !settled) {
-      boolean round = now - heldUs >= HELD_BY * set.limits().graceUs();
+      boolean round = now - heldUs >= HELD_BY * set.limits().drainGraceUs();
       List<Long> out =
           servers.values().stream()
               .filter(s -> s.out)
@@ -1127,7 +1149,7 @@
     // Behind a queue they gather till they outweigh their heads, and nothing else goes meanwhile.
     // Few
     // that would come too late so go as soon as they fit: they are what a full queue left of many.
-    boolean many = withdrawals.size() > c.head();
+    boolean many = withdrawals.size() > c.messageOverheadLines();
     double bound =
         tables.values().stream()
             .mapToDouble(
@@ -1137,11 +1159,11 @@
     double cost = bound + told(withdrawals.size()) * (surge ? 0 : oldest(p -> !p.follows).size());
     double goneUs =
         withdrawals.isEmpty() ? 0 : now - servers.get(withdrawals.iterator().next()).outUs;
-    boolean late = waiting + cost + goneUs / 1e6 * c.linesPerS() > QUEUE_SOON * graceLines();
+    boolean late = waiting + cost + goneUs / 1e6 * c.linesPerSecond() > QUEUE_SOON * graceLines();
     boolean go =
         waiting
-                <= c.backlog()
-                    * (many && cost > (QUEUE_MOST - QUEUE_FEW) * c.backlog()
+                <= c.maxBacklogLines()
+                    * (many && cost > (QUEUE_MOST - QUEUE_FEW) * c.maxBacklogLines()
                         ? QUEUE_CALM
                         : QUEUE_FEW)
             || ((many || late) && fits(cost, QUEUE_MOST));
@@ -1153,11 +1175,11 @@
     all &= withdrawals.isEmpty() && others();
     if (!all && !sendAgain) {
       sendAgain = true;
-      to.timer((long) (SEND_AGAIN * set.periodUs()), SEND);
+      to.setTimer((long) (SEND_AGAIN * set.controlPeriodUs()), SEND);
     }
     if (!lines.isEmpty()) {
       mark = mark % 65000 + 1;
-      to.mark(mark, false);
+      to.requestAck(mark, false);
       replies.add(new Reply(mark, before, ordered, waiting, lines, new double[1]));
       lines.keySet().forEach(id -> proxies.get(id).messages.add(now));
     }
@@ -1236,7 +1258,7 @@
     p.bound = true;
     p.follows = true;
     p.table = number;
-    to.bind(id, number, 0);
+    to.bindProxy(id, number, 0);
   }
 
   /** Lines of a bind to these servers: itself, each, and the words that they are back. */
@@ -1257,21 +1279,22 @@
     up.removeIf(s -> !serving(s));
     List<Integer> free = oldest(p -> !p.bound && settled && (p.holds || subsets > 0));
     double gone =
-        free.isEmpty() ? 0 : (now - proxies.get(free.get(0)).joinedUs) / 1e6 * c.linesPerS();
+        free.isEmpty() ? 0 : (now - proxies.get(free.get(0)).joinedUs) / 1e6 * c.linesPerSecond();
     double sure = up.stream().filter(s -> s.doubt > 1).count();
     double unsure = up.stream().filter(s -> s.doubt > 0).count();
     double whole =
         free.stream().mapToDouble(id -> proxies.get(id).sure ? sure : unsure).sum()
-            + free.size() * (c.head() + 2 + up.size());
+            + free.size() * (c.messageOverheadLines() + 2 + up.size());
     surge = !free.isEmpty() && (surge || waiting + whole > QUEUE_SOON * (graceLines() - gone));
     if (surge && subsets == 0 && !up.isEmpty()) {
       // So small that all proxies of the tier take half of what arrives in time; drains have the
       // rest.
-      double each = QUEUE_CALM * graceLines() / set.proxies() - c.head() - 2 - level.length;
-      subsets = (int) Math.ceil(up.size() / Math.max(c.head() / 2, each / 2));
+      double each =
+          QUEUE_CALM * graceLines() / set.proxies() - c.messageOverheadLines() - 2 - level.length;
+      subsets = (int) Math.ceil(up.size() / Math.max(c.messageOverheadLines() / 2, each / 2));
       deal();
     } else if (subsets > 0 && !surge && proxies.values().stream().allMatch(p -> p.table < zones)) {
-      tables.tailMap(zones).keySet().forEach(to::clear);
+      tables.tailMap(zones).keySet().forEach(to::clearTable);
       tables.tailMap(zones).clear();
       servers.values().forEach(s -> s.subset = 0);
       subsets = 0;
@@ -1333,12 +1356,14 @@
 
   /** Lines of a message that says so much. */
   private double told(long what) {
-    return what == 0 ? 0 : what + set.channel().head() + 1;
+    return what == 0 ? 0 : what + set.channel().messageOverheadLines() + 1;
   }
 
   /** Lines that reach proxies within the grace of a drain. */
   private double graceLines() {
-    return (set.limits().graceUs() - set.channel().lateMostUs()) / 1e6 * set.channel().linesPerS();
+    return (set.limits().drainGraceUs() - set.channel().maxPushDelayUs())
+        / 1e6
+        * set.channel().linesPerSecond();
   }
 
   /**
@@ -1347,11 +1372,11 @@
    * word to each.
    */
   private double most(double share) {
-    double each = 2.5 * set.channel().head() + 4 + level.length;
+    double each = 2.5 * set.channel().messageOverheadLines() + 4 + level.length;
     double calm = Math.max(QUEUE_LEAST, QUEUE_MOST - set.proxies() * each / graceLines());
     double part =
         share == QUEUE_MOST ? share : Math.min(QUEUE_GRACE, share == QUEUE_BACK ? share : calm);
-    return Math.min(share * set.channel().backlog(), part * graceLines());
+    return Math.min(share * set.channel().maxBacklogLines(), part * graceLines());
   }
 
   /**
@@ -1361,12 +1386,13 @@
   private boolean fits(double cost, double share) {
     return cost <= 0
         || (waiting + cost <= most(share)
-            && Math.min(slow, ordered - gone) + cost <= QUEUE_OUT * set.channel().backlog());
+            && Math.min(slow, ordered - gone) + cost
+                <= QUEUE_OUT * set.channel().maxBacklogLines());
   }
 
   /** Counts so many lines to each of these proxies, if they fit under a share of the backlog. */
   private boolean take(Collection<Integer> users, double each, double share) {
-    double head = set.channel().head() + 1;
+    double head = set.channel().messageOverheadLines() + 1;
     double cost = users.stream().mapToDouble(id -> each + (lines.containsKey(id) ? 0 : head)).sum();
     if (!fits(cost, share)) {
       return false;
@@ -1447,14 +1473,14 @@
     if (weight == table.sent.getOrDefault(id, 0.0) || (weight > 0 && full(table, id))) {
       return;
     }
-    to.line(z, id, weight);
+    to.setWeight(z, id, weight);
     table.waits.remove(id);
     table.sent.compute(id, (k, last) -> weight > 0 ? weight : null);
   }
 
   /** What can wait does while a proxy of the zone has had half the messages that it may be sent. */
   private boolean capped(Collection<Integer> users) {
-    double most = QUEUE_CALM * set.channel().messagesMost();
+    double most = QUEUE_CALM * set.channel().maxMessagesPerProxy();
     return most > 0 && users.stream().anyMatch(u -> proxies.get(u).messages.size() >= most);
   }
 
@@ -1464,13 +1490,13 @@
    */
   private void admit(int z, ZoneTable table) {
     for (int k = 0; k < level.length && !capped(table.users); k++) {
-      double value = set.levels() == AdmissionMode.NONE ? 1 : level[k];
+      double value = set.admissionMode() == AdmissionMode.NONE ? 1 : level[k];
       double last = table.level[k];
       boolean moved =
           Math.abs(value - last) > DEAD_BAND * Math.min(value, last)
               || (value != last && (value == 1 || value == NO_LIMIT));
       if ((moved || retry() != table.retry[k]) && take(table.users, 1, QUEUE_SOON)) {
-        to.admit(z, 1 << k, value, retry());
+        to.setAdmission(z, 1 << k, value, retry());
         table.level[k] = value;
         table.retry[k] = retry();
         table.ordered |= 1 << k;
--- a/src/main/java/pearusher/policy/HealthCheckResult.java
+++ b/src/main/java/pearusher/policy/HealthCheckResult.java
@@ -4,9 +4,9 @@
 public enum HealthCheckResult {
   OK,
   ERROR,
-  TURNED_AWAY,
-  NO_ANSWER,
-  DOWN,
-  BROKEN,
+  REJECTED,
+  TIMED_OUT,
+  UNREACHABLE,
+  DISCONNECTED,
   OTHER
 }
--- a/src/main/java/pearusher/policy/Idempotency.java
+++ b/src/main/java/pearusher/policy/Idempotency.java
@@ -2,7 +2,7 @@
 
 /** What a repeat of a request of a class may do. */
 public enum Idempotency {
-  SAFE,
-  KEYED,
-  UNSAFE
+  IDEMPOTENT,
+  WITH_KEY,
+  NOT_IDEMPOTENT
 }
--- a/src/main/java/pearusher/policy/Lifecycle.java
+++ b/src/main/java/pearusher/policy/Lifecycle.java
@@ -2,7 +2,7 @@
 
 /** What the list says of a server. */
 public enum Lifecycle {
-  GONE,
+  REMOVED,
   READY,
   DRAINING
 }
--- a/src/main/java/pearusher/policy/ListUpdateKind.java
+++ b/src/main/java/pearusher/policy/ListUpdateKind.java
@@ -2,8 +2,8 @@
 
 /** What a list of servers is. */
 public enum ListUpdateKind {
-  CHANGES,
-  WHOLE,
+  DELTA,
+  COMPLETE,
   CACHED,
   FAILED
 }
--- a/src/main/java/pearusher/policy/LoadMetric.java
+++ b/src/main/java/pearusher/policy/LoadMetric.java
@@ -2,11 +2,11 @@
 
 /** The values that a load report may hold. */
 public enum LoadMetric {
-  INFLIGHT,
-  QUEUE,
-  UTIL,
+  IN_FLIGHT,
+  QUEUE_LENGTH,
+  UTILIZATION,
   LATENCY_MS,
-  PER_S,
-  ERRORS_PER_S,
+  REQUESTS_PER_SECOND,
+  ERRORS_PER_SECOND,
   OTHER
 }
--- a/src/main/java/pearusher/policy/LoadReportSource.java
+++ b/src/main/java/pearusher/policy/LoadReportSource.java
@@ -2,7 +2,7 @@
 
 /** Where load reports come from. */
 public enum LoadReportSource {
-  ANSWERS,
-  PROBES,
-  NOWHERE
+  RESPONSES,
+  HEALTH_CHECKS,
+  NONE
 }
--- a/src/main/java/pearusher/policy/RequestClass.java
+++ b/src/main/java/pearusher/policy/RequestClass.java
@@ -2,13 +2,13 @@
 
 /** A request class; {@code groupAll}: all servers discard repeats of a keyed request. */
 public record RequestClass(
-    long aimUs,
+    long latencyObjectiveUs,
     long deadlineUs,
-    double worth,
-    double lateWorth,
-    Idempotency effect,
-    boolean groupAll,
-    long windowUs,
+    double priorityWeight,
+    double latePriorityWeight,
+    Idempotency idempotency,
+    boolean deduplicatedEverywhere,
+    long deduplicationWindowUs,
     boolean writes,
-    boolean ownZone,
-    double aimStretch) {}
+    boolean ownZoneOnly,
+    double objectiveStretch) {}
--- a/src/main/java/pearusher/policy/ScoreWeights.java
+++ b/src/main/java/pearusher/policy/ScoreWeights.java
@@ -2,7 +2,7 @@
 
 /** What a result is made of. */
 public record ScoreWeights(
-    double whole,
+    double overall,
     double worstWindow,
     double worstClass,
     double worstTenant,
--- a/src/main/java/pearusher/policy/ServerEntry.java
+++ b/src/main/java/pearusher/policy/ServerEntry.java
@@ -2,4 +2,10 @@
 
 /** A line of the list; {@code startedUs} 0: long ago. */
 public record ServerEntry(
-    long server, int zone, int kind, int cell, Lifecycle state, double weight, long startedUs) {}
+    long server,
+    int zone,
+    int machineType,
+    int cell,
+    Lifecycle lifecycle,
+    double weight,
+    long startedUs) {}
--- a/src/main/java/pearusher/policy/ServiceLimits.java
+++ b/src/main/java/pearusher/policy/ServiceLimits.java
@@ -2,11 +2,11 @@
 
 /** The figures of the rules. */
 public record ServiceLimits(
-    long bareUs,
-    long graceUs,
-    double coldFrom,
-    long rampUs,
-    double fallMultiple,
-    long fallUs,
-    long askWithinUs,
-    boolean onlyDrainingBinds) {}
+    long maxUnboundUs,
+    long drainGraceUs,
+    double slowStartCapacity,
+    long slowStartUs,
+    double recoveryOverloadFactor,
+    long recoveryUs,
+    long maxPollIntervalUs,
+    boolean softRemoval) {}
--- a/src/main/java/pearusher/policy/SiteTraits.java
+++ b/src/main/java/pearusher/policy/SiteTraits.java
@@ -4,16 +4,16 @@
  * How proxies and servers of the site are built; times for slices and exclusive owners among them.
  */
 public record SiteTraits(
-    PickMethod pick,
-    int standing,
-    double connsLeast,
-    int streamsPerConn,
+    PickMethod pickMethod,
+    int bootstrapServers,
+    double minConnections,
+    int streamsPerConnection,
     long idleCloseUs,
     long connectTimeoutUs,
-    double cpuUsPerS,
-    boolean ownZoneJoins,
-    boolean warmKeys,
-    boolean exclusive,
+    double cpuUsPerSecond,
+    boolean proxiesJoinInOwnZone,
+    boolean keyAffinity,
+    boolean exclusiveOwners,
     long parkUs,
     long tenureUs,
     long settleUs) {}
--- a/src/main/java/pearusher/protocol/Endpoint.java
+++ b/src/main/java/pearusher/protocol/Endpoint.java
@@ -13,9 +13,9 @@
     String server,
     String hostPort,
     int zone,
-    int kind,
+    int machineType,
     int cell,
-    Lifecycle state,
+    Lifecycle lifecycle,
     double weight,
     long startedUs) {
 
@@ -26,7 +26,7 @@
           "terminating",
           Lifecycle.DRAINING,
           "terminated",
-          Lifecycle.GONE);
+          Lifecycle.REMOVED);
 
   /** No address and port that can be used is longer. */
   private static final int MOST_ADDRESS = 64;
@@ -36,29 +36,31 @@
    * lifecycle that is not known is one that wants nothing new.
    */
   static Endpoint of(PathValues at, WireNames names) throws SettingsException {
-    Integer zone = names.zones().get(at.need("zone"));
+    Integer zone = names.zones().get(at.require("zone"));
     if (zone == null) {
       return null;
     }
-    String id = at.need("instanceId");
-    if (id.codePointCount(0, id.length()) > EndpointListLimits.MOST_ID) {
+    String id = at.require("instanceId");
+    if (id.codePointCount(0, id.length()) > EndpointListLimits.MAX_ID_LENGTH) {
       throw at.fault(
           "instanceId",
           "is longer than "
-              + EndpointListLimits.MOST_ID
+              + EndpointListLimits.MAX_ID_LENGTH
               + " characters: '"
               + Message.brief(id)
               + "'");
     }
-    String hostPort = at.text("hostPort");
+    String hostPort = at.textOrNull("hostPort");
     return new Endpoint(
         id,
         hostPort == null || hostPort.length() > MOST_ADDRESS ? null : hostPort,
         zone,
-        names.kinds().getOrDefault(at.text("machineType"), names.kinds().size()),
-        (int) at.optional("cell"),
-        STATES.getOrDefault(at.need("lifecycle"), Lifecycle.DRAINING),
-        at.has("weight") ? at.real("weight") : 1,
-        Math.round(at.optional("startedAtMs") * 1000));
+        names
+            .machineTypes()
+            .getOrDefault(at.textOrNull("machineType"), names.machineTypes().size()),
+        (int) at.doubleOrZero("cell"),
+        STATES.getOrDefault(at.require("lifecycle"), Lifecycle.DRAINING),
+        at.has("weight") ? at.requireDouble("weight") : 1,
+        Math.round(at.doubleOrZero("startedAtMs") * 1000));
   }
 }
--- a/src/main/java/pearusher/protocol/EndpointListBuilder.java
+++ b/src/main/java/pearusher/protocol/EndpointListBuilder.java
@@ -170,8 +170,8 @@
     if (one == null) {
       return;
     }
-    if (reading.size() >= limits.servers()) {
-      throw new EndpointListTooLongException(limits.overServers());
+    if (reading.size() >= limits.maxListed()) {
+      throw new EndpointListTooLongException(limits.describeMaxListed());
     }
     reading.add(one);
   }
@@ -210,7 +210,7 @@
     } else if (token.isStructStart()) {
       plainOnly = false;
       passedOver = 1;
-    } else if (plain.length() + in.getTextLength() <= limits.textLength()) {
+    } else if (plain.length() + in.getTextLength() <= limits.maxTextLength()) {
       plain.append(plainEmpty ? "" : ",").append(in.getText());
       plainEmpty = false;
     } else {
@@ -219,7 +219,7 @@
               + ": a list of plain values under "
               + key
               + " of over "
-              + limits.textLength()
+              + limits.maxTextLength()
               + " characters");
     }
   }
@@ -235,6 +235,6 @@
       throw fault;
     }
     PathValues at = PathValues.of(name + ": the key " + prefix, head);
-    return new EndpointList(at.whole("generation"), at.flag("reset"), instances);
+    return new EndpointList(at.requireLong("generation"), at.requireBoolean("reset"), instances);
   }
 }
--- a/src/main/java/pearusher/protocol/EndpointListLimits.java
+++ b/src/main/java/pearusher/protocol/EndpointListLimits.java
@@ -8,9 +8,9 @@
  * @param textLength the most characters of one text in a list, whether it is needed or passed over
  * @param heapBytes the heap that both are derived from
  */
-public record EndpointListLimits(int servers, int textLength, long heapBytes) {
+public record EndpointListLimits(int maxListed, int maxTextLength, long heapBytes) {
   /** The most characters of a server's id. */
-  static final int MOST_ID = 255;
+  static final int MAX_ID_LENGTH = 255;
 
   /**
    * Bytes of heap that one listed server keeps, with an id of 255 characters, in two zones and with
@@ -46,18 +46,18 @@
   /**
    * The servers that may be known at once: those that left are kept until the module forgets them.
    */
-  public int known() {
-    return servers + servers / 2;
+  public int maxKnown() {
+    return maxListed + maxListed / 2;
   }
 
   /** The limit in words, for what was refused. */
-  String overServers() {
-    return over(servers + " servers");
+  String describeMaxListed() {
+    return over(maxListed + " servers");
   }
 
   /** The limit on all that are known, in words. */
-  public String overKnown() {
-    return over(known() + " servers");
+  public String describeMaxKnown() {
+    return over(maxKnown() + " servers");
   }
 
   private String over(String what) {
--- a/src/main/java/pearusher/protocol/EndpointListReader.java
+++ b/src/main/java/pearusher/protocol/EndpointListReader.java
@@ -53,7 +53,7 @@
         .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
         .disable(JsonFactory.Feature.CANONICALIZE_FIELD_NAMES)
         .streamReadConstraints(
-            StreamReadConstraints.builder().maxStringLength(limits.textLength()).build())
+            StreamReadConstraints.builder().maxStringLength(limits.maxTextLength()).build())
         .build();
   }
 
@@ -85,7 +85,7 @@
     ((ByteBufferFeeder) parser.getNonBlockingInputFeeder()).feedInput(piece);
     take();
     // The parser itself measures a number only once it ends.
-    if (unfinished > (long) limits.textLength() * MOST_BYTES_PER_CHARACTER) {
+    if (unfinished > (long) limits.maxTextLength() * MOST_BYTES_PER_CHARACTER) {
       throw new SettingsException(
           NAME + ": malformed JSON: a value of over " + unfinished + " bytes");
     }
@@ -189,7 +189,7 @@
       throw new EndpointListTooLongException(
           document + ": the key " + key + ".instances names " + e.getMessage());
     }
-    return found != null && found.hasGeneration() ? found.listing() : EndpointList.NONE;
+    return found != null && found.hasGeneration() ? found.listing() : EndpointList.EMPTY;
   }
 
   private static void fill(EndpointListBuilder builder, JsonParser in)
--- a/src/main/java/pearusher/protocol/Message.java
+++ b/src/main/java/pearusher/protocol/Message.java
@@ -22,15 +22,16 @@
 
   record CollectorHello(int zone) implements Message {}
 
-  record ProxyJoin(int proxy, int zone, double perS, boolean fresh) implements Message {}
+  record ProxyJoin(int proxy, int zone, double requestsPerSecond, boolean fresh)
+      implements Message {}
 
-  record Acknowledgement(int proxy, int mark, long tookUs) implements Message {}
+  record Acknowledgement(int proxy, int number, long tookUs) implements Message {}
 
   record LoadReport(
-      int zone, String server, long tries, long failed, long meanUs, long spanUs, float[] load)
+      int zone, String server, long attempts, long failed, long meanUs, long spanUs, float[] load)
       implements Message {}
 
-  record UsageReport(int proxy, int grade, long tries, long failed, long spanUs)
+  record UsageReport(int proxy, int requestClass, long requests, long failed, long spanUs)
       implements Message {}
 
   /** A message that can't be used; the text names the value. */
@@ -46,18 +47,18 @@
    * Beyond these no report makes sense: periods that one covers, tries a second, times in
    * milliseconds.
    */
-  int MOST_PERIODS = 100;
+  int MAX_PERIODS = 100;
 
-  double MOST_PER_S = 1e5;
-  double MOST_MS = 600_000;
-  int MOST_MARK = 65_535;
+  double MAX_PER_SECOND = 1e5;
+  double MAX_MILLIS = 600_000;
+  int MAX_ACK_NUMBER = 65_535;
 
   /**
    * Reads one message; names and values that it doesn't need are passed over. Guards against spoilt
    * reports that can be read: a figure that can't be would stay in the module's means for many
    * periods.
    */
-  static Message read(List<String> words, WireNames names, PolicySettings settings) throws Fault {
+  static Message decode(List<String> words, WireNames names, PolicySettings settings) throws Fault {
     if (words.size() % 2 == 0) {
       throw new Fault("an odd number of fields after '" + brief(words.get(0)) + "'");
     }
@@ -66,15 +67,16 @@
       case "ping" -> new Ping();
       case "collector" -> new CollectorHello(at.zone());
       case "joined" ->
-          new ProxyJoin(at.proxy(), at.zone(), at.real("weight", MOST_PER_S), at.flag("fresh"));
+          new ProxyJoin(at.proxy(), at.zone(), at.real("weight", MAX_PER_SECOND), at.flag("fresh"));
       case "applied" ->
           new Acknowledgement(
-              at.proxy(), (int) at.whole("mark", MOST_MARK), at.us("took_ms", MOST_MS));
+              at.proxy(), (int) at.whole("mark", MAX_ACK_NUMBER), at.us("took_ms", MAX_MILLIS));
       case "usage" -> {
         long span = at.span(settings);
         long tries = at.tries(span);
         // Those that failed may have come in the period before: they can be more than came.
-        yield new UsageReport(at.proxy(), at.grade(), tries, at.whole("failed", MOST_PER_S), span);
+        yield new UsageReport(
+            at.proxy(), at.grade(), tries, at.whole("failed", MAX_PER_SECOND), span);
       }
       case "heard" -> {
         long span = at.span(settings);
@@ -82,7 +84,7 @@
         long failed = at.whole("failed", (double) tries);
         // No client waits longer than the longest of its times, so no good answer took twice that.
         long longest =
-            settings.grades().stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
+            settings.requestClasses().stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
         yield new LoadReport(
             at.zone(),
             at.need("server"),
@@ -114,14 +116,14 @@
    * A load report's values in the order of the settings, by PROTOCOL's names or the settings': 0
    * for one that is missing, none at all for no report; unknown ones are passed over.
    */
-  static float[] load(String text, String pair, WireNames names) {
+  static float[] decodeLoad(String text, String pair, WireNames names) {
     Map<String, Float> values = new HashMap<>();
     for (String part : text.split(",")) {
       String[] sides = part.trim().split(pair, 2);
       try {
         float value = sides.length == 2 ? Float.parseFloat(sides[1].trim()) : Float.NaN;
         if (Float.isFinite(value)) {
-          values.put(WireNames.word(sides[0].trim()), value);
+          values.put(WireNames.canonicalMetric(sides[0].trim()), value);
         }
       } catch (NumberFormatException e) {
         values.remove(sides[0].trim());
@@ -130,17 +132,17 @@
     if (values.isEmpty()) {
       return new float[0];
     }
-    float[] out = new float[names.load().size()];
+    float[] out = new float[names.loadMetrics().size()];
     for (int k = 0; k < out.length; k++) {
-      out[k] = values.getOrDefault(names.load().get(k), 0f);
+      out[k] = values.getOrDefault(names.loadMetrics().get(k), 0f);
     }
     return out;
   }
 
   /** A probe's body: the word TEXT, then pairs. */
-  static float[] probeLoad(byte[] body, WireNames names) {
+  static float[] decodeHealthCheckLoad(byte[] body, WireNames names) {
     String text = new String(body, StandardCharsets.UTF_8).trim();
-    return load(text.startsWith("TEXT") ? text.substring(4) : "", "=", names);
+    return decodeLoad(text.startsWith("TEXT") ? text.substring(4) : "", "=", names);
   }
 
   /** The values of a message by name; of a name that stands twice the last counts. */
@@ -191,7 +193,7 @@
     }
 
     private long span(PolicySettings settings) throws Fault {
-      long out = us("span_ms", 1e-3 * MOST_PERIODS * settings.periodUs());
+      long out = us("span_ms", 1e-3 * MAX_PERIODS * settings.controlPeriodUs());
       if (out <= 0) {
         throw new Fault("the value span_ms is out of range: '" + brief(need("span_ms")) + "'");
       }
@@ -199,7 +201,7 @@
     }
 
     private long tries(long spanUs) throws Fault {
-      return whole("tries", MOST_PER_S * Math.max(1, spanUs / 1e6));
+      return whole("tries", MAX_PER_SECOND * Math.max(1, spanUs / 1e6));
     }
 
     /** The load report of a message: a spoilt one spoils its message. */
@@ -215,7 +217,7 @@
         }
         throw new Fault("the value load is out of range: '" + brief(text) + "'");
       }
-      return Message.load(text, ":", names);
+      return Message.decodeLoad(text, ":", names);
     }
 
     private boolean flag(String key) throws Fault {
@@ -247,12 +249,12 @@
     }
 
     private int grade() throws Fault {
-      return place("class", names.classAt());
+      return place("class", names.classIndex());
     }
   }
 
   /** The bytes of one message to a proxy. */
-  static byte[] write(List<UpdatePart> parts) {
+  static byte[] encodeUpdate(List<UpdatePart> parts) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(256);
     for (int k = 0; k < parts.size(); k++) {
       UpdatePart part = parts.get(k);
@@ -260,41 +262,41 @@
       if (part.classes() != null) {
         words.addAll(List.of("classes", String.join("+", part.classes())));
       }
-      if (part.whole()) {
+      if (part.replacesTable()) {
         words.addAll(List.of("whole", "1"));
       }
-      if (!part.lines().isEmpty()) {
+      if (!part.weights().isEmpty()) {
         StringJoiner lines = new StringJoiner(",");
-        part.lines().forEach((server, weight) -> lines.add(server + ":" + plain(weight)));
+        part.weights().forEach((server, weight) -> lines.add(server + ":" + formatDecimal(weight)));
         words.addAll(List.of("lines", lines.toString()));
       }
-      if (part.level() != null) {
+      if (part.admission() != null) {
         words.addAll(
             List.of(
                 "level",
-                plain(part.level().level()),
+                formatDecimal(part.admission().probabilityOrRate()),
                 "retry",
-                Integer.toString(part.level().retry())));
+                Integer.toString(part.admission().retry())));
       }
-      if (!part.out().isEmpty()) {
-        words.addAll(List.of("out", String.join(",", part.out())));
+      if (!part.ejected().isEmpty()) {
+        words.addAll(List.of("out", String.join(",", part.ejected())));
       }
-      if (!part.back().isEmpty()) {
-        words.addAll(List.of("back", String.join(",", part.back())));
+      if (!part.reinstated().isEmpty()) {
+        words.addAll(List.of("back", String.join(",", part.reinstated())));
       }
-      if (part.ticket() >= 0) {
-        words.addAll(List.of("ticket", Integer.toString(part.ticket())));
+      if (part.ackNumber() >= 0) {
+        words.addAll(List.of("ticket", Integer.toString(part.ackNumber())));
       }
       if (k < parts.size() - 1) {
         words.addAll(List.of("more", "1"));
       }
-      out.writeBytes(RespCodec.write(words));
+      out.writeBytes(RespCodec.encode(words));
     }
     return out.toByteArray();
   }
 
   /** A figure with the simulator's precision and without an exponent. */
-  static String plain(double value) {
+  static String formatDecimal(double value) {
     return new BigDecimal(Float.toString((float) value)).toPlainString();
   }
 }
--- a/src/main/java/pearusher/protocol/RequestClasses.java
+++ b/src/main/java/pearusher/protocol/RequestClasses.java
@@ -25,7 +25,7 @@
   }
 
   /** Whether an order means all classes. */
-  public boolean all(int classBits) {
+  public boolean coversAll(int classBits) {
     return bits(classBits) == bits(0);
   }
 
--- a/src/main/java/pearusher/protocol/RespCodec.java
+++ b/src/main/java/pearusher/protocol/RespCodec.java
@@ -15,7 +15,7 @@
  */
 public final class RespCodec {
   /** Most bytes of a message, its headers included. */
-  public static final int MOST = 1 << 20;
+  public static final int MAX_MESSAGE_BYTES = 1 << 20;
 
   /**
    * Unfinished bytes that all connections may hold together, by the memory that there is (a byte of
@@ -23,7 +23,7 @@
    * a proxy.
    */
   private static final long MOST_UNFINISHED =
-      Math.min(8L << 20, Math.max(2 * MOST, Runtime.getRuntime().maxMemory() / 8));
+      Math.min(8L << 20, Math.max(2 * MAX_MESSAGE_BYTES, Runtime.getRuntime().maxMemory() / 8));
 
   private static final int SURE = 4 << 10;
   private static final int KEPT = 1 << 10;
@@ -67,12 +67,14 @@
     private boolean closed;
     private int most;
 
-    /** With the most bytes that a message may have until {@link #most} says otherwise. */
+    /**
+     * With the most bytes that a message may have until {@link #setMaxMessageBytes} says otherwise.
+     */
     public Reader(int most) {
       this.most = most;
     }
 
-    public synchronized void most(int bytes) {
+    public synchronized void setMaxMessageBytes(int bytes) {
       most = bytes;
     }
 
@@ -110,7 +112,7 @@
     }
 
     /** A message has begun and is not whole. */
-    public synchronized boolean half() {
+    public synchronized boolean isMidMessage() {
       return taken > 0;
     }
 
@@ -196,7 +198,7 @@
 
   private RespCodec() {}
 
-  public static byte[] write(List<String> words) {
+  public static byte[] encode(List<String> words) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(256);
     header(out, '*', words.size());
     for (String word : words) {
--- a/src/main/java/pearusher/protocol/UpdatePart.java
+++ b/src/main/java/pearusher/protocol/UpdatePart.java
@@ -7,9 +7,9 @@
 /** A part of an update; null or empty where a field is left out. Classes null: all of them. */
 public record UpdatePart(
     List<String> classes,
-    boolean whole,
-    Map<String, Double> lines,
-    AdmissionLevel level,
-    List<String> out,
-    List<String> back,
-    int ticket) {}
+    boolean replacesTable,
+    Map<String, Double> weights,
+    AdmissionLevel admission,
+    List<String> ejected,
+    List<String> reinstated,
+    int ackNumber) {}
--- a/src/main/java/pearusher/protocol/WireNames.java
+++ b/src/main/java/pearusher/protocol/WireNames.java
@@ -10,9 +10,9 @@
 public record WireNames(
     Map<String, Integer> zones,
     List<String> classes,
-    Map<String, Integer> classAt,
-    Map<String, Integer> kinds,
-    List<String> load) {
+    Map<String, Integer> classIndex,
+    Map<String, Integer> machineTypes,
+    List<String> loadMetrics) {
 
   /** PROTOCOL's word for each value that the settings may list; others keep their name. */
   private static final Map<String, String> WORDS =
@@ -31,18 +31,19 @@
           "eps");
 
   /** One name for each value of a load report: servers are met that use the settings' words. */
-  static String word(String name) {
+  static String canonicalMetric(String name) {
     return WORDS.getOrDefault(name, name);
   }
 
   public static WireNames of(PathValues settings) throws SettingsException {
-    List<String> classes = settings.each("grades", "name");
-    List<String> load = settings.listed("report.fields").stream().map(WireNames::word).toList();
+    List<String> classes = settings.requireEach("grades", "name");
+    List<String> load =
+        settings.listOrEmpty("report.fields").stream().map(WireNames::canonicalMetric).toList();
     return new WireNames(
-        places(settings, "azs", settings.list("azs")),
+        places(settings, "azs", settings.requireList("azs")),
         classes,
         places(settings, "grades", classes),
-        places(settings, "kinds", settings.listed("kinds")),
+        places(settings, "kinds", settings.listOrEmpty("kinds")),
         load);
   }
 
--- a/src/main/java/pearusher/publish/GlobalAdmissionLevels.java
+++ b/src/main/java/pearusher/publish/GlobalAdmissionLevels.java
@@ -45,7 +45,10 @@
     AdmissionLevel all = levels[grade];
     return own == null
         ? all
-        : all == null ? own : new AdmissionLevel(Math.min(own.level(), all.level()), own.retry());
+        : all == null
+            ? own
+            : new AdmissionLevel(
+                Math.min(own.probabilityOrRate(), all.probabilityOrRate()), own.retry());
   }
 
   void endTurn() {
--- a/src/main/java/pearusher/publish/PublishedTables.java
+++ b/src/main/java/pearusher/publish/PublishedTables.java
@@ -20,7 +20,7 @@
  */
 public final class PublishedTables {
   /** The table number that stands for all of them, in levels. */
-  public static final int ALL = 65535;
+  public static final int ALL_TABLES = 65535;
 
   private final RequestClasses classes;
   private final Map<Integer, PublishedTable> tables = new TreeMap<>();
@@ -39,23 +39,24 @@
   }
 
   /** A table as an earlier process left it: who is bound gets it, nobody hears of it by itself. */
-  public void restore(int number, Map<Long, Double> lines, Map<Integer, AdmissionLevel> levels) {
+  public void restoreTable(
+      int number, Map<Long, Double> lines, Map<Integer, AdmissionLevel> levels) {
     table(number).lines.putAll(lines);
     levels.forEach((k, level) -> table(number).levels[k] = level);
   }
 
   /** A server that an earlier process withdrew, and that still is out. */
-  public void restoreOut(long server) {
+  public void restoreEjection(long server) {
     ejections.restore(server);
   }
 
   /** A stream whose proxy holds a table of ours: it was told before how these servers stand. */
-  public void announced(int proxy, Map<Long, Boolean> out) {
+  public void setAnnounced(int proxy, Map<Long, Boolean> out) {
     proxies.get(proxy).announced.putAll(out);
   }
 
   /** Binds a proxy that holds the table but for what is named: that alone goes to it. */
-  public void adopt(int proxy, CatchUp lacks, Map<Long, Boolean> ejected) {
+  public void bindWithCatchUp(int proxy, CatchUp lacks, Map<Long, Boolean> ejected) {
     table(lacks.table());
     proxies.get(proxy).adopt(lacks, ejected);
   }
@@ -63,20 +64,20 @@
   /**
    * A stream begins: what the proxy holds of withdrawals is not known, and no table of ours is its.
    */
-  public void joined(int proxy) {
+  public void addProxy(int proxy) {
     proxies.put(proxy, new ProxyStreamState(classes.count()));
   }
 
   /** The proxy shuts out no server but those in doubt at all. */
-  public void sure(int proxy) {
+  public void confirmProxy(int proxy) {
     proxies.get(proxy).sure = true;
   }
 
-  public void doubt(long server, boolean all) {
+  public void suspectEjection(long server, boolean all) {
     ejections.doubt(server, all);
   }
 
-  public void forget(long server) {
+  public void forgetServer(long server) {
     ejections.forget(server);
     proxies.values().forEach(p -> p.announced.remove(server));
   }
@@ -86,7 +87,7 @@
     return ejections.size() + proxies.values().stream().mapToInt(ProxyStreamState::size).sum();
   }
 
-  public void left(int proxy) {
+  public void removeProxy(int proxy) {
     proxies.remove(proxy);
   }
 
@@ -94,24 +95,24 @@
     return tables.computeIfAbsent(number, n -> new PublishedTable(classes.count()));
   }
 
-  public void line(int number, long server, double weight) {
+  public void setWeight(int number, long server, double weight) {
     table(number).line(server, weight);
   }
 
-  public void clear(int number) {
+  public void clearTable(int number) {
     table(number).clear();
   }
 
-  public void withdraw(long server, boolean out) {
+  public void setEjected(long server, boolean out) {
     ejections.order(server, out);
   }
 
   /** Whether these are all classes. */
-  public boolean all(int classBits) {
-    return classes.all(classBits);
+  public boolean coversAllClasses(int classBits) {
+    return classes.coversAll(classBits);
   }
 
-  public void bind(int proxy, int number, int classBits) {
+  public void bindProxy(int proxy, int number, int classBits) {
     ProxyStreamState p = proxies.get(proxy);
     if (p == null) {
       return;
@@ -124,10 +125,10 @@
     }
   }
 
-  public void admit(int number, int classBits, double level, int retry) {
+  public void setAdmission(int number, int classBits, double level, int retry) {
     AdmissionLevel to = new AdmissionLevel(level, retry);
     int which = classes.bits(classBits);
-    if (number == ALL) {
+    if (number == ALL_TABLES) {
       forAll.order(which, to);
       return;
     }
@@ -137,12 +138,12 @@
   }
 
   /** A number below 0 is no mark. */
-  public void mark(int number, boolean toAll) {
+  public void requestAck(int number, boolean toAll) {
     mark = number < 0 ? null : new UpdateComposer.MarkOrder(number, toAll);
   }
 
   /** Gives each proxy's message of the turn, and starts the next turn. */
-  public void turn(long now, BiConsumer<Integer, byte[]> send) {
+  public void publish(long now, BiConsumer<Integer, byte[]> send) {
     boolean quiet =
         ejections.changed().isEmpty()
             && forAll.changed() == 0
@@ -154,10 +155,10 @@
           List<UpdatePart> parts =
               quiet && !p.isBoundAnew() ? List.of() : composer.compose(p, mark);
           if (!parts.isEmpty()) {
-            if (parts.stream().anyMatch(part -> part.ticket() >= 0)) {
+            if (parts.stream().anyMatch(part -> part.ackNumber() >= 0)) {
               p.owe(mark.number(), now);
             }
-            send.accept(id, Message.write(parts));
+            send.accept(id, Message.encodeUpdate(parts));
           }
           p.endTurn();
         });
@@ -175,7 +176,7 @@
   }
 
   /** Tables that are kept, for tests of what must not grow. */
-  int tables() {
+  int tableCount() {
     return tables.size();
   }
 
@@ -184,7 +185,7 @@
    * answered before, or would have taken longer than it is out. Guards the pace of the channel
    * against spoilt answers, which the module takes at their word.
    */
-  public boolean answered(long now, int proxy, int number, long tookUs) {
+  public boolean acknowledge(long now, int proxy, int number, long tookUs) {
     ProxyStreamState p = proxies.get(proxy);
     return p != null && p.answer(now, number, tookUs);
   }
--- a/src/main/java/pearusher/publish/UpdateComposer.java
+++ b/src/main/java/pearusher/publish/UpdateComposer.java
@@ -108,7 +108,7 @@
   private Map<String, Double> lines(ProxyStreamState proxy, PublishedTable table, boolean whole) {
     Map<String, Double> out = new LinkedHashMap<>();
     if (!whole && proxy.lacks != null) {
-      out.putAll(proxy.lacks.lines());
+      out.putAll(proxy.lacks.weights());
     }
     for (long server : whole ? table.lines.keySet() : table.changed) {
       out.put(names.apply(server), table.lines.getOrDefault(server, 0.0));
@@ -124,7 +124,7 @@
     for (int k = 0; k < classes.count(); k++) {
       boolean due =
           whole
-              || (lacks && proxy.lacks.levels().containsKey(k))
+              || (lacks && proxy.lacks.admissionLevels().containsKey(k))
               || ((table.changedLevels | forAll.changed()) >> k & 1) != 0;
       AdmissionLevel level = (which >> k & 1) != 0 && due ? forAll.effective(table, k) : null;
       if (level != null) {
@@ -170,9 +170,9 @@
       out.add(
           new UpdatePart(
               last.classes(),
-              last.whole(),
-              last.lines(),
-              last.level(),
+              last.replacesTable(),
+              last.weights(),
+              last.admission(),
               shut,
               back,
               marked ? mark.number() : -1));
--- a/src/main/java/pearusher/recovery/CatchUp.java
+++ b/src/main/java/pearusher/recovery/CatchUp.java
@@ -14,13 +14,13 @@
  */
 public record CatchUp(
     int table,
-    Map<String, Double> lines,
-    Map<Integer, AdmissionLevel> levels,
+    Map<String, Double> weights,
+    Map<Integer, AdmissionLevel> admissionLevels,
     Map<String, Boolean> ejections,
     Map<String, Boolean> announced) {
 
   /** Lines of the channel that it takes to say so. */
   public int cost() {
-    return lines.size() + levels.size() + ejections.size();
+    return weights.size() + admissionLevels.size() + ejections.size();
   }
 }
--- a/src/main/java/pearusher/recovery/Ledger.java
+++ b/src/main/java/pearusher/recovery/Ledger.java
@@ -52,7 +52,7 @@
   /**
    * The ledger that a store's values make, and how far they are believed.
    *
-   * @param given what the store itself says against it: {@link RecoveryTrust#NONE} for nothing
+   * @param given what the store itself says against it: {@link RecoveryTrust#EMPTY} for nothing
    * @param settings names that give positions their meaning: another text is another ledger
    * @param nowUs Unix time in microseconds
    * @param trustUs longest time since the store's last word
@@ -76,7 +76,7 @@
       out.turn = meta.turn();
       out.timeUs = meta.timeUs();
       out.mark = meta.mark();
-      out.doubt = given != RecoveryTrust.NONE ? given : out.doubtOf(meta, nowUs, trustUs);
+      out.doubt = given != RecoveryTrust.FULL ? given : out.doubtOf(meta, nowUs, trustUs);
       for (Map.Entry<String, byte[]> one : values.entrySet()) {
         out.state.load(one.getKey(), one.getValue());
       }
@@ -84,7 +84,7 @@
       out.doubt = RecoveryTrust.UNREADABLE;
     }
     out.epoch = epoch + 1;
-    if (!out.doubt.tablesHold()) {
+    if (!out.doubt.trustsTables()) {
       out.forgetAll(values.keySet());
     }
     return out;
@@ -93,16 +93,16 @@
   /** What speaks against the store's values, by what they say of themselves. */
   private RecoveryTrust doubtOf(LedgerCodec.Meta meta, long nowUs, long trustUs) {
     if (!meta.settings().equals(settings)) {
-      return RecoveryTrust.SETTINGS;
+      return RecoveryTrust.OTHER_SETTINGS;
     }
     // A little of the future is two clocks of one machine; more is one that jumped.
     if (meta.timeUs() - nowUs > trustUs / 10) {
-      return RecoveryTrust.CLOCK;
+      return RecoveryTrust.CLOCK_SKEW;
     }
     if (nowUs - meta.timeUs() > trustUs) {
-      return RecoveryTrust.SILENT;
+      return RecoveryTrust.STALE;
     }
-    return shared ? RecoveryTrust.SHARED : RecoveryTrust.NONE;
+    return shared ? RecoveryTrust.SHARED_FLEET : RecoveryTrust.FULL;
   }
 
   /** Nothing is taken over but what must only rise: the epoch, the turn and the mark. */
@@ -113,7 +113,7 @@
 
   // What was found, for a start.
 
-  public RecoveryTrust doubt() {
+  public RecoveryTrust trust() {
     return doubt;
   }
 
@@ -121,12 +121,12 @@
     return epoch;
   }
 
-  public long turn() {
+  public long iteration() {
     return turn;
   }
 
   /** The last mark that was ordered: the next must not be taken for one of an earlier process. */
-  public int mark() {
+  public int lastAckNumber() {
     return mark;
   }
 
@@ -143,17 +143,17 @@
   }
 
   /** A table's lines by server, without those taken out. */
-  public Map<String, Double> lines(int number) {
+  public Map<String, Double> weights(int number) {
     return state.table(number).weights();
   }
 
   /** A table's levels by class. A way to repeat what must never run twice is not taken over. */
-  public Map<Integer, AdmissionLevel> levels(int number, List<Idempotency> effects) {
+  public Map<Integer, AdmissionLevel> admissionLevels(int number, List<Idempotency> effects) {
     return state.table(number).levels(effects);
   }
 
   /** Servers that are out, as last ordered. */
-  public Set<String> out() {
+  public Set<String> ejectedServers() {
     Set<String> out = new HashSet<>();
     state.ejections.forEach(
         (server, ejection) -> {
@@ -167,7 +167,7 @@
   // Events.
 
   /** What a proxy that joins lacks; null where it must get its table whole. */
-  public CatchUp joined(int proxy, boolean fresh) {
+  public CatchUp onProxyJoined(int proxy, boolean fresh) {
     marks.forget(proxy);
     LedgerCodec.Proxy known = state.proxies.get(proxy);
     if (known == null || fresh || shared) {
@@ -185,31 +185,31 @@
    * hears of it: lines of servers that it does not name are taken out, and a server that is back is
    * let in again.
    */
-  public void begin(Iterable<ListedServer> list, long nowUs) {
+  public void start(Iterable<ListedServer> list, long nowUs) {
     Set<String> named = new HashSet<>();
     list.forEach(
         server -> {
           named.add(server.name());
-          if (server.state() == Lifecycle.READY && state.ejections.containsKey(server.name())) {
-            withdraw(server.name(), false, nowUs);
+          if (server.lifecycle() == Lifecycle.READY && state.ejections.containsKey(server.name())) {
+            setEjected(server.name(), false, nowUs);
           }
         });
     for (int number : tables()) {
-      lines(number).keySet().stream()
+      weights(number).keySet().stream()
           .filter(s -> !named.contains(s))
-          .forEach(s -> line(number, s, 0));
+          .forEach(s -> setWeight(number, s, 0));
     }
     Set<String> unknown = new HashSet<>(state.ejections.keySet());
     unknown.addAll(state.servers.keySet());
     unknown.removeAll(named);
-    unknown.forEach(this::forget);
+    unknown.forEach(this::forgetServer);
     ordered = true;
   }
 
   /**
    * What the list says now; a whole one says of servers that it does not name that they are gone.
    */
-  public void listed(long listGeneration, boolean whole, List<ListedServer> said) {
+  public void onEndpointList(long listGeneration, boolean whole, List<ListedServer> said) {
     if (whole) {
       Set<String> missing = new HashSet<>(state.servers.keySet());
       said.forEach(one -> missing.remove(one.name()));
@@ -227,7 +227,7 @@
     }
   }
 
-  public void forget(String server) {
+  public void forgetServer(String server) {
     if (state.servers.remove(server) != null) {
       changed.add(LedgerCodec.SERVER + server);
     }
@@ -236,12 +236,12 @@
     }
   }
 
-  public void left(int proxy) {
+  public void onProxyLeft(int proxy) {
     marks.forget(proxy);
   }
 
   /** A proxy has applied all up to a mark. */
-  public void applied(int proxy, int number) {
+  public void onAcknowledgement(int proxy, int number) {
     LedgerCodec.Proxy known = state.proxies.get(proxy);
     long at = known == null ? OutstandingAcks.NOT_SENT : marks.answer(proxy, number);
     if (at != OutstandingAcks.NOT_SENT) {
@@ -252,7 +252,7 @@
 
   // Orders.
 
-  public void line(int number, String server, double weight) {
+  public void setWeight(int number, String server, double weight) {
     LedgerTable table = state.table(number);
     if (weight > 0 || table.lines.containsKey(server)) {
       table.lines.put(server, new LedgerCodec.Line(Math.max(0, weight), turn + 1));
@@ -261,8 +261,8 @@
     }
   }
 
-  public void clear(int number) {
-    lines(number).keySet().forEach(server -> line(number, server, 0));
+  public void clearTable(int number) {
+    weights(number).keySet().forEach(server -> setWeight(number, server, 0));
     LedgerTable table = state.table(number);
     table.levels.keySet().forEach(grade -> changed.add(LedgerCodec.levelKey(number, grade)));
     table.levels.clear();
@@ -277,7 +277,7 @@
   }
 
   /** A server is out, or back; what was said already is not said again. */
-  public void withdraw(String server, boolean out, long nowUs) {
+  public void setEjected(String server, boolean out, long nowUs) {
     LedgerCodec.Ejection old = state.ejections.get(server);
     if (old != null && old.out() == out) {
       return;
@@ -288,7 +288,7 @@
   }
 
   /** A proxy is bound for all classes to one table; {@code whole}: it is sent all of it. */
-  public void bind(int proxy, int number, boolean whole) {
+  public void bindProxy(int proxy, int number, boolean whole) {
     LedgerCodec.Proxy known = state.proxies.get(proxy);
     state.proxies.put(
         proxy, whole || known == null ? new LedgerCodec.Proxy(number, turn + 1, 0) : known);
@@ -297,30 +297,30 @@
   }
 
   /** A proxy is bound in another way than this ledger can tell: it always gets its tables whole. */
-  public void unbind(int proxy) {
+  public void unbindProxy(int proxy) {
     state.proxies.remove(proxy);
     changed.add(LedgerCodec.PROXY + proxy);
   }
 
-  public void admit(int number, int grade, AdmissionLevel level) {
+  public void setAdmission(int number, int grade, AdmissionLevel level) {
     state.table(number).levels.put(grade, new LedgerCodec.LevelAt(level, turn + 1));
     changed.add(LedgerCodec.levelKey(number, grade));
     ordered = true;
   }
 
-  public void mark(int number) {
+  public void lastAckNumber(int number) {
     mark = number;
     marked = number;
     ordered = true;
   }
 
   /** A message of this turn goes to a proxy. */
-  public void sent(int proxy) {
+  public void onMessageSent(int proxy) {
     sent.add(proxy);
   }
 
   /** A sign of life is due: without it a calm assigner's store would look as if left long ago. */
-  public void alive() {
+  public void requestHeartbeat() {
     alive = true;
   }
 
@@ -329,7 +329,7 @@
    *
    * @return its changes by key, null for one that is gone; null where there are none
    */
-  public Map<String, byte[]> end(long nowUs) {
+  public Map<String, byte[]> endIteration(long nowUs) {
     if (ordered) {
       turn++;
       for (int proxy : marked >= 0 ? sent : Set.<Integer>of()) {
--- a/src/main/java/pearusher/recovery/LedgerCodec.java
+++ b/src/main/java/pearusher/recovery/LedgerCodec.java
@@ -166,7 +166,7 @@
   static byte[] of(LevelAt l) {
     return bytes(
         to -> {
-          to.writeDouble(l.level().level());
+          to.writeDouble(l.level().probabilityOrRate());
           to.writeByte(l.level().retry());
           to.writeLong(l.turn());
         });
@@ -210,9 +210,9 @@
           to.writeBoolean(s.hostPort() != null);
           to.writeUTF(s.hostPort() == null ? "" : s.hostPort());
           to.writeInt(s.zone());
-          to.writeInt(s.kind());
+          to.writeInt(s.machineType());
           to.writeInt(s.cell());
-          to.writeByte(s.state().ordinal());
+          to.writeByte(s.lifecycle().ordinal());
           to.writeDouble(s.weight());
           to.writeLong(s.startedUs());
         });
--- a/src/main/java/pearusher/recovery/LedgerTable.java
+++ b/src/main/java/pearusher/recovery/LedgerTable.java
@@ -49,10 +49,10 @@
     levels.forEach(
         (grade, at) -> {
           int retry =
-              effects.get(grade) == Idempotency.UNSAFE
+              effects.get(grade) == Idempotency.NOT_IDEMPOTENT
                   ? Math.min(SAFE_RETRY, at.level().retry())
                   : at.level().retry();
-          out.put(grade, new AdmissionLevel(at.level().level(), retry));
+          out.put(grade, new AdmissionLevel(at.level().probabilityOrRate(), retry));
         });
     return out;
   }
--- a/src/main/java/pearusher/recovery/ListedServer.java
+++ b/src/main/java/pearusher/recovery/ListedServer.java
@@ -10,8 +10,8 @@
     String name,
     String hostPort,
     int zone,
-    int kind,
+    int machineType,
     int cell,
-    Lifecycle state,
+    Lifecycle lifecycle,
     double weight,
     long startedUs) {}
--- a/src/main/java/pearusher/recovery/Outbox.java
+++ b/src/main/java/pearusher/recovery/Outbox.java
@@ -41,24 +41,24 @@
   }
 
   /** All up to this ticket is durable. */
-  public void confirmed(long ticket) {
+  public void release(long ticket) {
     while (!held.isEmpty() && held.peek().ticket() <= ticket) {
       held.poll().messages().forEach(out);
     }
   }
 
   /** Whether something has waited for longer than it may. */
-  public boolean late(long nowUs) {
+  public boolean isOverdue(long nowUs) {
     return !held.isEmpty() && nowUs - held.peek().sinceUs() > patienceUs;
   }
 
-  public int waiting() {
+  public int size() {
     return held.size();
   }
 
   /** The store is given up for good; what waits goes now. */
-  public void giveUp() {
+  public void abandon() {
     open = true;
-    confirmed(Long.MAX_VALUE);
+    release(Long.MAX_VALUE);
   }
 }
--- a/src/main/java/pearusher/recovery/RecoveredServerList.java
+++ b/src/main/java/pearusher/recovery/RecoveredServerList.java
@@ -20,7 +20,7 @@
    * missed for a moment than revived. Discovery then is asked for the whole list, which settles it.
    */
   public static RecoveredServerList merge(RecoveredServerList given, Ledger ledger) {
-    if (!ledger.doubt().tablesHold() || ledger.servers().isEmpty()) {
+    if (!ledger.trust().trustsTables() || ledger.servers().isEmpty()) {
       return given;
     }
     RecoveredServerList stored =
@@ -35,8 +35,8 @@
       ListedServer old = other.get(one.name());
       boolean worse =
           old != null
-              && one.state() == Lifecycle.READY
-              && old.state() != one.state()
+              && one.lifecycle() == Lifecycle.READY
+              && old.lifecycle() != one.lifecycle()
               && old.startedUs() >= one.startedUs();
       settled &= !worse;
       out.add(
@@ -46,9 +46,9 @@
                   one.name(),
                   one.hostPort(),
                   one.zone(),
-                  one.kind(),
+                  one.machineType(),
                   one.cell(),
-                  old.state(),
+                  old.lifecycle(),
                   one.weight(),
                   one.startedUs()));
     }
--- a/src/main/java/pearusher/recovery/RecoveryTrust.java
+++ b/src/main/java/pearusher/recovery/RecoveryTrust.java
@@ -2,23 +2,23 @@
 
 /** Why a start believes less of what it found than all; the text is for the log. */
 public enum RecoveryTrust {
-  NONE("all of it is believed"),
+  FULL("all of it is believed"),
   /** Nothing was there. */
   EMPTY("it is new"),
   /** Put back from a copy: orders given after the copy was made may be out. */
-  COPIED("it was restored from a copy"),
+  RESTORED_COPY("it was restored from a copy"),
   /** An earlier process went on without its store: orders may be out that it does not hold. */
-  GIVEN_UP("an earlier process went on without it"),
+  ABANDONED("an earlier process went on without it"),
   /** The last word is too old: who knows who ordered since then. */
-  SILENT("its last word is too old"),
+  STALE("its last word is too old"),
   /** The last word comes from the future: one of the clocks is wrong. */
-  CLOCK("its last word is later than the clock"),
+  CLOCK_SKEW("its last word is later than the clock"),
   /** Zones, classes or the assigner are others: positions mean something else. */
-  SETTINGS("it was written under other settings"),
+  OTHER_SETTINGS("it was written under other settings"),
   /** A value can't be read by this program. */
   UNREADABLE("a value in it can't be read"),
   /** Proxies may have joined another assigner meanwhile and hold its tables. */
-  SHARED("proxies may have followed another assigner");
+  SHARED_FLEET("proxies may have followed another assigner");
 
   private final String text;
 
@@ -26,12 +26,12 @@
     this.text = text;
   }
 
-  public String text() {
+  public String description() {
     return text;
   }
 
   /** Tables, levels and the list may be taken over. */
-  public boolean tablesHold() {
-    return this == NONE || this == SHARED;
+  public boolean trustsTables() {
+    return this == FULL || this == SHARED_FLEET;
   }
 }
--- a/src/main/java/pearusher/server/AssignerServer.java
+++ b/src/main/java/pearusher/server/AssignerServer.java
@@ -84,15 +84,15 @@
       durable.start();
       look();
     }
-    exchange.begin();
+    exchange.start();
     decisions.start();
-    streams.ready();
+    streams.markReady();
     return at;
   }
 
   /** The store is looked at often enough that a disk which hangs is seen in time. */
   private void look() {
-    durable.watch();
+    durable.checkDeadline();
     scheduler.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
   }
 
@@ -109,7 +109,7 @@
     streams.reload(now);
     peers.reload(now);
     outbound.reload(now);
-    exchange.moved();
+    exchange.onDiscoveryMoved();
   }
 
   StreamServer streams() {
@@ -158,7 +158,7 @@
         config.name(),
         text(config.listen()),
         text(config.discovery()),
-        config.known().instances().size());
+        config.knownServers().endpoints().size());
     Consumer<Throwable> failed =
         failure -> {
           failing.set(true);
@@ -168,15 +168,15 @@
     DurablePublisher durable;
     try {
       durable =
-          extras.keeping() == null
+          extras.persistence() == null
               ? null
-              : DurablePublisher.open(config, extras.keeping(), Controller.unixClock());
+              : DurablePublisher.open(config, extras.persistence(), Controller.unixClock());
     } catch (IOException e) {
       Logger.error("can't start on the store: {}", e.getMessage());
       return 1;
     }
     SynchronizedIntake intake =
-        extras.intake() == null ? null : new SynchronizedIntake(extras.intake());
+        extras.intakeBounds() == null ? null : new SynchronizedIntake(extras.intakeBounds());
     AssignerServer serve =
         new AssignerServer(config, maker, Controller.unixClock(), failed, durable, intake);
     Runtime.getRuntime()
@@ -186,7 +186,7 @@
                   if (!failing.get()) {
                     Logger.info("shutdown: {} ends on SIGTERM", config.name());
                     if (durable != null) {
-                      durable.end();
+                      durable.closeQuietly();
                     }
                     Runtime.getRuntime().halt(0);
                   }
--- a/src/main/java/pearusher/server/OptionalFeatures.java
+++ b/src/main/java/pearusher/server/OptionalFeatures.java
@@ -9,7 +9,7 @@
  * @param keeping a memory on disk
  * @param intake bounds of the reports that wait
  */
-public record OptionalFeatures(PersistenceOptions keeping, Intake.Bounds intake) {
+public record OptionalFeatures(PersistenceOptions persistence, Intake.Bounds intakeBounds) {
   /** Everything off. */
   public static final OptionalFeatures NONE = new OptionalFeatures(null, null);
 }
--- a/src/main/java/pearusher/server/WarmUp.java
+++ b/src/main/java/pearusher/server/WarmUp.java
@@ -49,19 +49,19 @@
       connect(
           new OutboundCalls() {
             @Override
-            public void watch(boolean on, long since) {}
+            public void watchEndpoints(boolean on, long since) {}
 
             @Override
-            public void fetch() {}
+            public void fetchEndpoints() {}
 
             @Override
-            public void probe(long server, String hostPort) {}
+            public void checkHealth(long server, String hostPort) {}
           },
           (peer, body) -> {});
     }
 
     @Override
-    public void pause() {}
+    public void awaitTick() {}
 
     @Override
     public void log(String text) {}
@@ -71,7 +71,7 @@
   private record Nobody() implements ProxyStream {
     @Override
     public void send(byte[] message) {
-      try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MOST)) {
+      try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES)) {
         reader.next(ByteBuffer.wrap(message));
       } catch (RespCodec.Fault e) {
         throw new IllegalStateException(e);
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public void replaced() {}
+    public void onReplaced() {}
   }
 
   private WarmUp() {}
@@ -91,13 +91,14 @@
     Controller exchange = new Silent(config, maker, clock);
     long end = System.nanoTime() + MOST_NS;
     int period = 0;
-    try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MOST)) {
-      exchange.begin();
-      exchange.listed(new EndpointList(config.known().generation(), false, List.of()), true);
+    try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES)) {
+      exchange.start();
+      exchange.onEndpointList(
+          new EndpointList(config.knownServers().generation(), false, List.of()), true);
       while (period < PERIODS && System.nanoTime() < end) {
-        clock.addAndGet(config.settings().periodUs());
+        clock.addAndGet(config.settings().controlPeriodUs());
         period(config, exchange, reader, period++);
-        exchange.turn();
+        exchange.runIteration();
       }
     } catch (RespCodec.Fault | Message.Fault e) {
       throw new IllegalStateException(e);
@@ -114,14 +115,14 @@
     for (int p = 0; p < Math.min(MOST_PROXIES, config.settings().proxies()); p++) {
       String zone = zones.get(p % zones.size());
       if (period == 0) {
-        exchange.joined(
+        exchange.onProxyJoined(
             new Nobody(),
             (Message.ProxyJoin)
                 read(
                     config, reader, "joined proxy " + p + " zone " + zone + " weight 5.5 fresh 1"));
       }
       for (String grade : config.names().classes()) {
-        exchange.usage(
+        exchange.onUsageReport(
             (Message.UsageReport)
                 read(
                     config,
@@ -135,10 +136,10 @@
                         + " failed 0 span_ms 1000.0"));
       }
     }
-    for (Endpoint one : config.known().instances()) {
+    for (Endpoint one : config.knownServers().endpoints()) {
       for (String zone : zones) {
         int ms = 20 + (one.server().hashCode() + period * 7 & 63);
-        exchange.heard(
+        exchange.onLoadReport(
             (Message.LoadReport)
                 read(
                     config,
@@ -158,7 +159,7 @@
 
   private static Message read(AssignerConfig config, RespCodec.Reader reader, String line)
       throws RespCodec.Fault, Message.Fault {
-    List<String> words = reader.next(ByteBuffer.wrap(RespCodec.write(List.of(line.split(" ")))));
-    return Message.read(words, config.names(), config.settings());
+    List<String> words = reader.next(ByteBuffer.wrap(RespCodec.encode(List.of(line.split(" ")))));
+    return Message.decode(words, config.names(), config.settings());
   }
 }
--- a/src/main/java/pearusher/simulator/ReplyWriter.java
+++ b/src/main/java/pearusher/simulator/ReplyWriter.java
@@ -67,14 +67,14 @@
   }
 
   @Override
-  public void line(int table, long server, double weight) {
+  public void setWeight(int table, long server, double weight) {
     ByteBuffer to = record(78, 12).putShort((short) table);
     task(to, server);
     to.putFloat((float) weight);
   }
 
   @Override
-  public void clear(int table) {
+  public void clearTable(int table) {
     record(74, 2).putShort((short) table);
   }
 
@@ -86,12 +86,12 @@
   }
 
   @Override
-  public void bind(int proxy, int table, int classBits) {
+  public void bindProxy(int proxy, int table, int classBits) {
     record(69, 6).putShort((short) proxy).putShort((short) table).putShort((short) classBits);
   }
 
   @Override
-  public void admit(int table, int classBits, double level, int retry) {
+  public void setAdmission(int table, int classBits, double level, int retry) {
     record(70, 9)
         .put((byte) retry)
         .putFloat((float) level)
@@ -100,32 +100,32 @@
   }
 
   @Override
-  public void mark(int number, boolean toAll) {
+  public void requestAck(int number, boolean toAll) {
     record(67, 5).putInt(number).put((byte) (toAll ? 1 : 0));
   }
 
   @Override
-  public void watch(boolean on) {
+  public void watchEndpoints(boolean on) {
     record(68, 1).put((byte) (on ? 1 : 0));
   }
 
   @Override
-  public void fetch() {
+  public void fetchEndpoints() {
     record(71, 0);
   }
 
   @Override
-  public void probe(long server) {
+  public void checkHealth(long server) {
     task(record(75, 6), server);
   }
 
   @Override
-  public void timer(long delayUs, long token) {
+  public void setTimer(long delayUs, long token) {
     record(77, 12).putInt((int) Math.max(0, Math.min(delayUs, 0xffffffffL))).putLong(token);
   }
 
   @Override
-  public void tell(long peer, byte[] body) {
+  public void sendToPeer(long peer, byte[] body) {
     record(73, 6 + body.length).putInt((int) peer).putShort((short) body.length).put(body);
   }
 
--- a/src/main/java/pearusher/simulator/SimulatorLoop.java
+++ b/src/main/java/pearusher/simulator/SimulatorLoop.java
@@ -32,13 +32,13 @@
           502,
           HealthCheckResult.ERROR,
           429,
-          HealthCheckResult.TURNED_AWAY,
+          HealthCheckResult.REJECTED,
           408,
-          HealthCheckResult.NO_ANSWER,
+          HealthCheckResult.TIMED_OUT,
           521,
-          HealthCheckResult.DOWN,
+          HealthCheckResult.UNREACHABLE,
           520,
-          HealthCheckResult.BROKEN);
+          HealthCheckResult.DISCONNECTED);
 
   private final BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker;
   private final Map<Integer, AssignmentPolicy> instances = new TreeMap<>();
@@ -118,7 +118,7 @@
     }
     for (int id : touched) {
       reply.speaker(id);
-      deliver(id, a -> a.close(now));
+      deliver(id, a -> a.onBatchEnd(now));
     }
     return reply.frame();
   }
@@ -144,7 +144,7 @@
         long seed = in.u64();
         PolicySettings settings;
         try {
-          settings = PolicySettingsReader.read(seed, PathValues.lines(in.text()));
+          settings = PolicySettingsReader.read(seed, PathValues.parseLines(in.text()));
         } catch (SettingsException e) {
           throw new SimulatorProtocolException(e.getMessage());
         }
@@ -159,23 +159,23 @@
         ListUpdateKind form = form(in);
         in.u32();
         List<ServerEntry> entries = entries(in);
-        deliver(id, a -> a.listed(now, form, entries));
+        deliver(id, a -> a.onEndpointList(now, form, entries));
       }
       case 3 -> {
         long token = in.u64();
-        deliver(id, a -> a.timer(now, token));
+        deliver(id, a -> a.onTimer(now, token));
       }
       case 4 -> {
         long server = in.task();
         HealthCheckResult end = ENDS.getOrDefault(in.u16(), HealthCheckResult.OTHER);
         long took = in.u32();
         float[] load = in.load();
-        deliver(id, a -> a.probed(now, server, end, took, load));
+        deliver(id, a -> a.onHealthCheckResult(now, server, end, took, load));
       }
       case 5 -> {
         int peer = in.u16();
         byte[] said = in.bytes(in.u16());
-        deliver(id, a -> a.told(now, peer, said));
+        deliver(id, a -> a.onPeerMessage(now, peer, said));
       }
       case 6 -> instances.remove(id);
       case 7 -> {
@@ -183,17 +183,17 @@
         int zone = in.u8();
         float perS = in.f32();
         boolean standing = in.flag();
-        deliver(id, a -> a.joined(now, proxy, zone, perS, standing));
+        deliver(id, a -> a.onProxyJoined(now, proxy, zone, perS, standing));
       }
       case 8 -> {
         int proxy = in.u16();
-        deliver(id, a -> a.left(now, proxy));
+        deliver(id, a -> a.onProxyLeft(now, proxy));
       }
       case 9 -> {
         long took = in.u32();
         long mark = in.u32();
         int proxy = in.u16();
-        deliver(id, a -> a.applied(now, proxy, (int) mark, took));
+        deliver(id, a -> a.onAcknowledgement(now, proxy, (int) mark, took));
       }
       case 10 -> {
         long tries = in.u32();
@@ -203,7 +203,7 @@
         long server = in.task();
         long mean = in.u32();
         float[] load = in.load();
-        deliver(id, a -> a.heard(now, server, zone, tries, failed, span, mean, load));
+        deliver(id, a -> a.onLoadReport(now, server, zone, tries, failed, span, mean, load));
       }
       case 11 -> {
         int proxy = in.u16();
@@ -211,7 +211,7 @@
         long requests = in.u32();
         long failed = in.u32();
         long span = in.u32();
-        deliver(id, a -> a.usage(now, proxy, grade, requests, failed, span));
+        deliver(id, a -> a.onUsageReport(now, proxy, grade, requests, failed, span));
       }
       case 12 -> {
         long requests = in.u32();
@@ -219,18 +219,18 @@
         int grade = in.u8();
         int slice = in.u16();
         long span = in.u32();
-        deliver(id, a -> a.sliceUsage(now, slice, grade, requests, failed, span));
+        deliver(id, a -> a.onSliceUsageReport(now, slice, grade, requests, failed, span));
       }
       case 13 -> {
         boolean given = in.flag();
         int slice = in.u16();
-        deliver(id, a -> a.sliceGiven(now, slice, given));
+        deliver(id, a -> a.onSliceAssignment(now, slice, given));
       }
       case 14 -> {
         int slice = in.u16();
         long server = in.task();
         float weight = in.f32();
-        deliver(id, a -> a.sliceLine(now, slice, server, weight));
+        deliver(id, a -> a.onSliceWeight(now, slice, server, weight));
       }
       default -> throw in.fault("unknown record code " + code);
     }
@@ -242,7 +242,10 @@
       throw in.fault("unknown list form " + form);
     }
     return new ListUpdateKind[] {
-          ListUpdateKind.CHANGES, ListUpdateKind.WHOLE, ListUpdateKind.CACHED, ListUpdateKind.FAILED
+          ListUpdateKind.DELTA,
+          ListUpdateKind.COMPLETE,
+          ListUpdateKind.CACHED,
+          ListUpdateKind.FAILED
         }
         [form];
   }
@@ -267,7 +270,7 @@
               zone,
               kind,
               cell,
-              state == 1 ? Lifecycle.READY : state == 2 ? Lifecycle.DRAINING : Lifecycle.GONE,
+              state == 1 ? Lifecycle.READY : state == 2 ? Lifecycle.DRAINING : Lifecycle.REMOVED,
               weight,
               started));
     }
--- a/src/main/java/pearusher/sitesettings/PathValues.java
+++ b/src/main/java/pearusher/sitesettings/PathValues.java
@@ -42,7 +42,7 @@
   }
 
   /** The simulator's form. */
-  public static PathValues lines(String text) {
+  public static PathValues parseLines(String text) {
     PathValues out = new PathValues("settings: the key ");
     for (String line : text.split("\n")) {
       int eq = line.indexOf('=');
@@ -54,9 +54,9 @@
   }
 
   /** The configuration's form; faults begin with what the text is. */
-  public static PathValues json(String name, byte[] text) throws SettingsException {
+  public static PathValues parseJson(String name, byte[] text) throws SettingsException {
     try {
-      return json(name, new ByteArrayInputStream(text), "");
+      return parseJson(name, new ByteArrayInputStream(text), "");
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -65,7 +65,7 @@
   /**
    * The same of a stream, without what stands under one key, which is checked for its form only.
    */
-  public static PathValues json(String name, InputStream text, String without)
+  public static PathValues parseJson(String name, InputStream text, String without)
       throws SettingsException, IOException {
     PathValues out = new PathValues(name + ": the key ");
     try (JsonParser in = new JsonFactory().createParser(text)) {
@@ -151,7 +151,7 @@
     return new SettingsException(what + key + " " + how);
   }
 
-  public String need(String key) throws SettingsException {
+  public String require(String key) throws SettingsException {
     String value = values.get(key);
     if (value == null) {
       throw fault(key, "is missing");
@@ -160,7 +160,7 @@
   }
 
   /** The text of a key, null where it is left out. */
-  public String text(String key) {
+  public String textOrNull(String key) {
     return values.get(key);
   }
 
@@ -168,8 +168,8 @@
     return fault(key, "is unreadable: '" + value + "'");
   }
 
-  public double real(String key) throws SettingsException {
-    String value = need(key);
+  public double requireDouble(String key) throws SettingsException {
+    String value = require(key);
     try {
       double out = Double.parseDouble(value);
       if (Double.isFinite(out)) {
@@ -181,59 +181,59 @@
     throw unreadable(key, value);
   }
 
-  public long whole(String key) throws SettingsException {
-    return Math.round(real(key));
+  public long requireLong(String key) throws SettingsException {
+    return Math.round(requireDouble(key));
   }
 
   /** A key that may be left out: 0 then. */
-  public double optional(String key) throws SettingsException {
-    return has(key) ? real(key) : 0;
+  public double doubleOrZero(String key) throws SettingsException {
+    return has(key) ? requireDouble(key) : 0;
   }
 
   /** A whole number between two bounds; the default where it is left out. */
-  public int between(String key, int least, int most, int otherwise) throws SettingsException {
+  public int intBetween(String key, int least, int most, int otherwise) throws SettingsException {
     if (!has(key)) {
       return otherwise;
     }
-    double out = real(key);
+    double out = requireDouble(key);
     if (out != Math.rint(out) || out < least || out > most) {
-      throw fault(key, "is out of range: " + need(key) + " (" + least + " to " + most + ")");
+      throw fault(key, "is out of range: " + require(key) + " (" + least + " to " + most + ")");
     }
     return (int) out;
   }
 
-  public boolean on(String key, String word) {
+  public boolean isSetTo(String key, String word) {
     return word.equals(values.get(key));
   }
 
-  public boolean flag(String key) throws SettingsException {
-    return pick(key, Map.of("true", true, "false", false));
+  public boolean requireBoolean(String key) throws SettingsException {
+    return requireOneOf(key, Map.of("true", true, "false", false));
   }
 
-  public List<String> list(String key) throws SettingsException {
-    need(key);
-    return listed(key);
+  public List<String> requireList(String key) throws SettingsException {
+    require(key);
+    return listOrEmpty(key);
   }
 
   /** A list that may be left out: empty then. */
-  public List<String> listed(String key) {
+  public List<String> listOrEmpty(String key) {
     String value = values.getOrDefault(key, "");
     return value.isEmpty() ? List.of() : List.of(value.split(","));
   }
 
   /** The values of one key of a list of objects. */
-  public List<String> each(String key, String of) throws SettingsException {
+  public List<String> requireEach(String key, String of) throws SettingsException {
     List<String> out = new ArrayList<>();
-    for (int k = 0; k < between(key + ".count", 0, 1 << 20, 0); k++) {
-      out.add(need(key + "." + k + "." + of));
+    for (int k = 0; k < intBetween(key + ".count", 0, 1 << 20, 0); k++) {
+      out.add(require(key + "." + k + "." + of));
     }
     return out;
   }
 
-  public <T> T pick(String key, Map<String, T> of) throws SettingsException {
-    T out = of.get(need(key));
+  public <T> T requireOneOf(String key, Map<String, T> of) throws SettingsException {
+    T out = of.get(require(key));
     if (out == null) {
-      throw unreadable(key, need(key));
+      throw unreadable(key, require(key));
     }
     return out;
   }
--- a/src/main/java/pearusher/sitesettings/PolicySettingsReader.java
+++ b/src/main/java/pearusher/sitesettings/PolicySettingsReader.java
@@ -25,17 +25,17 @@
   private static final Map<String, LoadMetric> FIELDS =
       Map.of(
           "outstanding",
-          LoadMetric.INFLIGHT,
+          LoadMetric.IN_FLIGHT,
           "backlog",
-          LoadMetric.QUEUE,
+          LoadMetric.QUEUE_LENGTH,
           "utilization",
-          LoadMetric.UTIL,
+          LoadMetric.UTILIZATION,
           "recent_ms",
           LoadMetric.LATENCY_MS,
           "throughput",
-          LoadMetric.PER_S,
+          LoadMetric.REQUESTS_PER_SECOND,
           "errors_per_s",
-          LoadMetric.ERRORS_PER_S);
+          LoadMetric.ERRORS_PER_SECOND);
 
   private final PathValues at;
 
@@ -50,76 +50,78 @@
   private PolicySettings read(long seed) throws SettingsException {
     ChannelSettings channel =
         new ChannelSettings(
-            at.real("familyInfo.channelRate"),
-            at.real("familyInfo.fixedCost"),
-            at.real("familyInfo.mostWaiting"),
-            (int) at.whole("familyInfo.messagesMost"),
-            at.whole("familyInfo.messagesOverUs"),
-            at.whole("familyInfo.transitUs"),
-            at.whole("familyInfo.pushDelayMaxUs"));
+            at.requireDouble("familyInfo.channelRate"),
+            at.requireDouble("familyInfo.fixedCost"),
+            at.requireDouble("familyInfo.mostWaiting"),
+            (int) at.requireLong("familyInfo.messagesMost"),
+            at.requireLong("familyInfo.messagesOverUs"),
+            at.requireLong("familyInfo.transitUs"),
+            at.requireLong("familyInfo.pushDelayMaxUs"));
     ServiceLimits limits =
         new ServiceLimits(
-            at.whole("familyInfo.emptyForUs"),
-            at.whole("rules.drainGraceUs"),
-            at.real("rules.coldFrom"),
-            at.whole("rules.rampTimeUs"),
-            at.real("rules.overloadFactor"),
-            at.whole("rules.fallUs"),
-            (long) at.optional("rules.askWithinUs"),
-            at.on("rules.softRemoval", "true"));
+            at.requireLong("familyInfo.emptyForUs"),
+            at.requireLong("rules.drainGraceUs"),
+            at.requireDouble("rules.coldFrom"),
+            at.requireLong("rules.rampTimeUs"),
+            at.requireDouble("rules.overloadFactor"),
+            at.requireLong("rules.fallUs"),
+            (long) at.doubleOrZero("rules.askWithinUs"),
+            at.isSetTo("rules.softRemoval", "true"));
     Costs prices =
         new Costs(
-            at.real("fees.crossZone"),
-            at.real("fees.probe"),
-            at.real("familyInfo.costPerLine"),
-            at.real("fees.lateFail"),
-            at.real("fees.waste"),
-            at.optional("fees.connection"),
-            at.optional("fees.handshake"),
-            at.optional("fees.peer"),
-            at.optional("fees.discovery"),
-            at.optional("familyInfo.handoverFee"),
-            at.optional("fees.moves"));
+            at.requireDouble("fees.crossZone"),
+            at.requireDouble("fees.probe"),
+            at.requireDouble("familyInfo.costPerLine"),
+            at.requireDouble("fees.lateFail"),
+            at.requireDouble("fees.waste"),
+            at.doubleOrZero("fees.connection"),
+            at.doubleOrZero("fees.handshake"),
+            at.doubleOrZero("fees.peer"),
+            at.doubleOrZero("fees.discovery"),
+            at.doubleOrZero("familyInfo.handoverFee"),
+            at.doubleOrZero("fees.moves"));
     ScoreWeights goal =
         new ScoreWeights(
-            at.optional("goal.whole"),
-            at.optional("goal.worstWindow"),
-            at.optional("goal.worstClass"),
-            at.optional("goal.worstTenant"),
-            at.optional("goal.nines"),
-            at.optional("goal.ninesFull"),
-            at.on("countedBy", "work"));
+            at.doubleOrZero("goal.whole"),
+            at.doubleOrZero("goal.worstWindow"),
+            at.doubleOrZero("goal.worstClass"),
+            at.doubleOrZero("goal.worstTenant"),
+            at.doubleOrZero("goal.nines"),
+            at.doubleOrZero("goal.ninesFull"),
+            at.isSetTo("countedBy", "work"));
     PickMethod pick =
-        at.on("familyInfo.pick", "rotate")
-            ? PickMethod.ROTATE
-            : at.on("familyInfo.pick", "p2c") ? PickMethod.TWO : PickMethod.RANDOM;
+        at.isSetTo("familyInfo.pick", "rotate")
+            ? PickMethod.ROUND_ROBIN
+            : at.isSetTo("familyInfo.pick", "p2c")
+                ? PickMethod.LEAST_BUSY_OF_TWO
+                : PickMethod.RANDOM;
     SiteTraits site =
         new SiteTraits(
             pick,
-            (int) at.optional("familyInfo.bootstrap"),
-            at.optional("familyInfo.connsLeast"),
-            (int) at.optional("ceilings.streamsPerConn"),
-            (long) at.optional("ceilings.idleCloseUs"),
-            (long) at.optional("ceilings.connectTimeoutUs"),
-            at.optional("ceilings.cpuUsPerS"),
-            at.on("familyInfo.zonal", "true"),
-            at.on("familyInfo.warmKeys", "true"),
-            at.on("familyInfo.exclusive", "true"),
-            (long) at.optional("familyInfo.parkUs"),
-            (long) at.optional("familyInfo.tenureUs"),
-            (long) at.optional("familyInfo.settleUs"));
+            (int) at.doubleOrZero("familyInfo.bootstrap"),
+            at.doubleOrZero("familyInfo.connsLeast"),
+            (int) at.doubleOrZero("ceilings.streamsPerConn"),
+            (long) at.doubleOrZero("ceilings.idleCloseUs"),
+            (long) at.doubleOrZero("ceilings.connectTimeoutUs"),
+            at.doubleOrZero("ceilings.cpuUsPerS"),
+            at.isSetTo("familyInfo.zonal", "true"),
+            at.isSetTo("familyInfo.warmKeys", "true"),
+            at.isSetTo("familyInfo.exclusive", "true"),
+            (long) at.doubleOrZero("familyInfo.parkUs"),
+            (long) at.doubleOrZero("familyInfo.tenureUs"),
+            (long) at.doubleOrZero("familyInfo.settleUs"));
     return new PolicySettings(
         seed,
-        at.list("azs").size(),
+        at.requireList("azs").size(),
         grades(),
-        (int) at.whole("familyInfo.proxyCount"),
-        (int) at.whole("myNumber"),
-        (int) at.whole("replicasOfMe"),
-        (int) at.whole("zone"),
+        (int) at.requireLong("familyInfo.proxyCount"),
+        (int) at.requireLong("myNumber"),
+        (int) at.requireLong("replicasOfMe"),
+        (int) at.requireLong("zone"),
         channel,
         limits,
         prices,
-        at.pick(
+        at.requireOneOf(
             "familyInfo.throttleBy",
             Map.of(
                 "fraction",
@@ -128,65 +130,65 @@
                 AdmissionMode.RATE,
                 "off",
                 AdmissionMode.NONE)),
-        (int) at.whole("familyInfo.baseMode"),
-        at.real("familyInfo.perTry"),
-        at.whole("familyInfo.reportEveryUs"),
-        at.real("familyInfo.reportsPerS"),
-        (int) at.whole("familyInfo.ejects"),
-        (int) at.whole("familyInfo.shards"),
-        at.pick("discovery", Map.of("on_request", true, "pushed", false)),
-        at.flag("ceilings.probes"),
-        at.flag("ceilings.peers"),
-        at.pick(
+        (int) at.requireLong("familyInfo.baseMode"),
+        at.requireDouble("familyInfo.perTry"),
+        at.requireLong("familyInfo.reportEveryUs"),
+        at.requireDouble("familyInfo.reportsPerS"),
+        (int) at.requireLong("familyInfo.ejects"),
+        (int) at.requireLong("familyInfo.shards"),
+        at.requireOneOf("discovery", Map.of("on_request", true, "pushed", false)),
+        at.requireBoolean("ceilings.probes"),
+        at.requireBoolean("ceilings.peers"),
+        at.requireOneOf(
             "report.source",
             Map.of(
                 "inline",
-                LoadReportSource.ANSWERS,
+                LoadReportSource.RESPONSES,
                 "on_probe",
-                LoadReportSource.PROBES,
+                LoadReportSource.HEALTH_CHECKS,
                 "off",
-                LoadReportSource.NOWHERE)),
+                LoadReportSource.NONE)),
         fields(),
-        !"off".equals(at.need("weightKind")),
-        at.whole("tickUs"),
+        !"off".equals(at.require("weightKind")),
+        at.requireLong("tickUs"),
         goal,
         site);
   }
 
   private List<RequestClass> grades() throws SettingsException {
     List<RequestClass> out = new ArrayList<>();
-    long count = at.whole("grades.count");
-    List<String> writes = at.list("familyInfo.writeClasses");
-    List<String> own = at.list("familyInfo.classOwnZone");
+    long count = at.requireLong("grades.count");
+    List<String> writes = at.requireList("familyInfo.writeClasses");
+    List<String> own = at.requireList("familyInfo.classOwnZone");
     for (int k = 0; k < count; k++) {
       String path = "grades." + k + ".";
       out.add(
           new RequestClass(
-              at.whole(path + "promiseUs"),
-              at.whole(path + "deadlineUs"),
-              at.real(path + "worth"),
-              at.real(path + "lateWorth"),
-              at.pick(
+              at.requireLong(path + "promiseUs"),
+              at.requireLong(path + "deadlineUs"),
+              at.requireDouble(path + "worth"),
+              at.requireDouble(path + "lateWorth"),
+              at.requireOneOf(
                   path + "repeat",
                   Map.of(
                       "retryable",
-                      Idempotency.SAFE,
+                      Idempotency.IDEMPOTENT,
                       "dedup",
-                      Idempotency.KEYED,
+                      Idempotency.WITH_KEY,
                       "fragile",
-                      Idempotency.UNSAFE)),
-              "all".equals(at.need(path + "group")),
-              at.whole(path + "windowUs"),
+                      Idempotency.NOT_IDEMPOTENT)),
+              "all".equals(at.require(path + "group")),
+              at.requireLong(path + "windowUs"),
               k < writes.size() && "true".equals(writes.get(k)),
               k < own.size() && "true".equals(own.get(k)),
-              at.optional(path + "aimStretch")));
+              at.doubleOrZero(path + "aimStretch")));
     }
     return List.copyOf(out);
   }
 
   private List<LoadMetric> fields() {
     List<LoadMetric> out = new ArrayList<>();
-    for (String name : at.listed("report.fields")) {
+    for (String name : at.listOrEmpty("report.fields")) {
       out.add(FIELDS.getOrDefault(name, LoadMetric.OTHER));
     }
     return List.copyOf(out);
--- a/src/main/java/pearusher/store/Disk.java
+++ b/src/main/java/pearusher/store/Disk.java
@@ -54,5 +54,5 @@
   Closeable lock() throws IOException;
 
   /** The directory, for messages. */
-  String place();
+  String describe();
 }
--- a/src/main/java/pearusher/store/FileDisk.java
+++ b/src/main/java/pearusher/store/FileDisk.java
@@ -30,7 +30,7 @@
   }
 
   /** Makes the directory where it is missing, and its name durable in the one above. */
-  public void make() throws IOException {
+  public void createDirectory() throws IOException {
     if (!Files.isDirectory(directory)) {
       Files.createDirectories(directory);
       Path above = directory.toAbsolutePath().getParent();
@@ -158,11 +158,13 @@
   private StoreException inUse() {
     return new StoreException(
         StoreException.Reason.LOCKED,
-        "store " + place() + " is in use by another process; stop it, or name another directory");
+        "store "
+            + describe()
+            + " is in use by another process; stop it, or name another directory");
   }
 
   @Override
-  public String place() {
+  public String describe() {
     return directory.toString();
   }
 }
--- a/src/main/java/pearusher/store/GroupCommitter.java
+++ b/src/main/java/pearusher/store/GroupCommitter.java
@@ -50,12 +50,12 @@
   }
 
   /** The next batch makes a store that was left behind whole again. */
-  public void submitOwning(WriteBatch batch, Runnable done) {
+  public void submitAndClearAbandoned(WriteBatch batch, Runnable done) {
     submit(
         batch,
         () -> {
           try {
-            store.own();
+            store.clearAbandoned();
           } catch (IOException e) {
             events.failed(e);
           }
@@ -73,12 +73,12 @@
   }
 
   /** Marks the store as left behind, on a thread of its own: the disk may hang. */
-  public void disown() {
+  public void markAbandoned() {
     Thread marking =
         new Thread(
             () -> {
               try {
-                store.disown();
+                store.markAbandoned();
               } catch (IOException e) {
                 events.notDisowned(e);
               }
@@ -89,7 +89,7 @@
   }
 
   /** Its thread is at work. */
-  public boolean running() {
+  public boolean isRunning() {
     return thread.isAlive();
   }
 
@@ -116,7 +116,7 @@
         }
         group.forEach(one -> one.done().run());
         group.clear();
-        if (store.wantsCompaction() && compacting.compareAndSet(false, true)) {
+        if (store.needsCompaction() && compacting.compareAndSet(false, true)) {
           compact(store.seal());
         }
       }
--- a/src/main/java/pearusher/store/Inspection.java
+++ b/src/main/java/pearusher/store/Inspection.java
@@ -20,7 +20,7 @@
   public static Inspection of(Disk disk) throws IOException {
     SegmentedLog.Found found = SegmentedLog.readWhileOpen(disk);
     if (found.store() == 0 && found.damage().isEmpty()) {
-      throw new StoreException(StoreException.Reason.ABSENT, "no store in " + disk.place());
+      throw new StoreException(StoreException.Reason.ABSENT, "no store in " + disk.describe());
     }
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("store", String.format("%016x", found.store()));
--- a/src/main/java/pearusher/store/SegmentedLog.java
+++ b/src/main/java/pearusher/store/SegmentedLog.java
@@ -106,7 +106,7 @@
     } catch (IOException e) {
       throw new StoreException(
           StoreException.Reason.ABSENT,
-          "store " + disk.place() + " can't be read: " + e.getMessage(),
+          "store " + disk.describe() + " can't be read: " + e.getMessage(),
           e);
     }
     for (String name : names) {
@@ -152,7 +152,7 @@
       throw new StoreException(
           StoreException.Reason.NEWER,
           "store "
-              + disk.place()
+              + disk.describe()
               + ": "
               + name
               + " has format "
@@ -168,7 +168,7 @@
       throw new StoreException(
           StoreException.Reason.DAMAGED,
           "store "
-              + disk.place()
+              + disk.describe()
               + ": "
               + name
               + " belongs to another store than the files beside it; put the right files back");
--- a/src/main/java/pearusher/store/Store.java
+++ b/src/main/java/pearusher/store/Store.java
@@ -19,7 +19,7 @@
   private static final String RESERVE = "reserve";
 
   /** Says that orders went out which the store does not hold: its last state is not the last. */
-  private static final String DISOWNED = "given-up";
+  private static final String ABANDONED = "given-up";
 
   private static final long RESERVE_LEAST = 64 << 10;
   private static final int ENTRY_BYTES = 32 << 10;
@@ -44,7 +44,7 @@
       long cutBytes,
       long cutFrames,
       boolean closed,
-      boolean disowned) {}
+      boolean abandoned) {}
 
   /** Logs that are written no more: those below a serial, which end with a sequence. */
   public record Sealed(long serial, long sequence) {}
@@ -88,7 +88,7 @@
       throw new StoreException(
           StoreException.Reason.ABSENT,
           "store "
-              + disk.place()
+              + disk.describe()
               + " can't be opened: "
               + e
               + "; make the directory, or give this user the right to write",
@@ -96,11 +96,11 @@
     }
     try {
       SegmentedLog.Found found = SegmentedLog.read(disk, Long.MAX_VALUE);
-      if (!found.damage().isEmpty() && options.damage() == StoreOptions.Damage.REFUSE) {
+      if (!found.damage().isEmpty() && options.onDamage() == StoreOptions.Damage.REFUSE) {
         throw new StoreException(
             StoreException.Reason.DAMAGED,
             "store "
-                + disk.place()
+                + disk.describe()
                 + " is damaged: "
                 + found.damage()
                 + "; restore a backup, or set 'damage stop' to go on from record "
@@ -146,7 +146,7 @@
             found.cutBytes(),
             found.cutFrames(),
             found.closed(),
-            disk.list().contains(DISOWNED));
+            disk.list().contains(ABANDONED));
     // After a kill, what was read may stand in the page cache only. The new log states that it is
     // there,
     // so it must be: else a power cut now would look like damage to the next start.
@@ -193,7 +193,7 @@
     if (failure != null) {
       throw new StoreException(
           StoreException.Reason.FAILED,
-          "store " + disk.place() + " takes no more since: " + failure.getMessage(),
+          "store " + disk.describe() + " takes no more since: " + failure.getMessage(),
           failure);
     }
   }
@@ -236,7 +236,7 @@
     // good.
     failure = e;
     return new StoreException(
-        StoreException.Reason.FAILED, "store " + disk.place() + " failed: " + e.getMessage(), e);
+        StoreException.Reason.FAILED, "store " + disk.describe() + " failed: " + e.getMessage(), e);
   }
 
   private void roll() throws IOException {
@@ -245,7 +245,7 @@
   }
 
   /** The logs have outgrown the last checkpoint. */
-  public boolean wantsCompaction() {
+  public boolean needsCompaction() {
     return failure == null
         && logBytes
             >= Math.max(options.compactBytes(), (long) (options.compactTimes() * checkpointBytes));
@@ -279,7 +279,7 @@
       throw new StoreException(
           StoreException.Reason.DAMAGED,
           "store "
-              + disk.place()
+              + disk.describe()
               + " can't be compacted, nothing was deleted: record "
               + found.sequence()
               + " of "
@@ -383,17 +383,17 @@
    * The caller goes on without the store, on a disk that may be full: the next start must not take
    * the last state here for the last there was.
    */
-  public void disown() throws IOException {
+  public void markAbandoned() throws IOException {
     disk.delete(RESERVE);
-    if (!disk.list().contains(DISOWNED)) {
-      disk.create(DISOWNED).close();
+    if (!disk.list().contains(ABANDONED)) {
+      disk.create(ABANDONED).close();
     }
     disk.syncDirectory();
   }
 
   /** All that is held was appended since the start that found the store disowned. */
-  public void own() throws IOException {
-    disk.delete(DISOWNED);
+  public void clearAbandoned() throws IOException {
+    disk.delete(ABANDONED);
     disk.syncDirectory();
   }
 
@@ -412,18 +412,18 @@
   public static long copy(Disk from, Disk into) throws IOException {
     SegmentedLog.Found found = SegmentedLog.readWhileOpen(from);
     if (found.store() == 0) {
-      throw new StoreException(StoreException.Reason.ABSENT, "no store in " + from.place());
+      throw new StoreException(StoreException.Reason.ABSENT, "no store in " + from.describe());
     }
     if (!found.damage().isEmpty()) {
       throw new StoreException(
           StoreException.Reason.DAMAGED,
-          "store " + from.place() + " is damaged: " + found.damage());
+          "store " + from.describe() + " is damaged: " + found.damage());
     }
     List<String> there = new ArrayList<>(into.list());
     if (!there.isEmpty()) {
       throw new StoreException(
           StoreException.Reason.ABSENT,
-          into.place() + " is not empty (" + there.get(0) + "); name an empty directory");
+          into.describe() + " is not empty (" + there.get(0) + "); name an empty directory");
     }
     found.state().put(COPIED, ByteBuffer.allocate(8).putLong(found.sequence()).array());
     writeCheckpoint(
--- a/src/main/java/pearusher/store/StoreOptions.java
+++ b/src/main/java/pearusher/store/StoreOptions.java
@@ -17,7 +17,7 @@
     long segmentBytes,
     long compactBytes,
     double compactTimes,
-    Damage damage) {
+    Damage onDamage) {
 
   /**
    * Sync after each group that waits, after a time of gathering, or never (a killed process loses
@@ -39,6 +39,6 @@
   }
 
   /** Values in force where nothing else is said. */
-  public static final StoreOptions USUAL =
+  public static final StoreOptions DEFAULT =
       new StoreOptions(Policy.EACH, 20_000, 8 << 20, 1 << 20, 2, Damage.REFUSE);
 }
