--- a/src/main/java/pearusher/store/WriteBatch.java
+++ b/src/main/java/pearusher/store/WriteBatch.java
@@ -16,7 +16,7 @@
   private final Map<String, byte[]> changes = new LinkedHashMap<>();
 
   /** Changes by key, null for one that is deleted; the map and its values are not copied. */
-  public static WriteBatch of(Map<String, byte[]> changes) {
+  public static WriteBatch ofChanges(Map<String, byte[]> changes) {
     WriteBatch out = new WriteBatch();
     out.changes.putAll(changes);
     return out;
--- a/src/main/java/pearusher/transport/ConnectionRegistry.java
+++ b/src/main/java/pearusher/transport/ConnectionRegistry.java
@@ -162,15 +162,15 @@
   synchronized List<StreamConnection> overdue(Timeouts timeouts) {
     List<StreamConnection> out = new ArrayList<>();
     long nowNs = System.nanoTime();
-    int limitMs = timeouts.strangerMs();
+    int limitMs = timeouts.identificationMs();
     for (StreamConnection one : unidentified) {
-      long mayMs = one.proxy >= 0 ? Math.max(limitMs, timeouts.silentMs()) : limitMs;
+      long mayMs = one.proxy >= 0 ? Math.max(limitMs, timeouts.idleMs()) : limitMs;
       if (nowNs - one.unidentifiedSinceNs >= mayMs * NS_PER_MS
           && (ready || !awaitingPong.contains(one))) {
         out.add(one);
       }
     }
-    long unfinishedNs = (long) UNFINISHED_SILENCES * timeouts.silentMs() * NS_PER_MS;
+    long unfinishedNs = (long) UNFINISHED_SILENCES * timeouts.idleMs() * NS_PER_MS;
     unfinished.stream()
         .filter(one -> nowNs - one.unfinishedSinceNs >= unfinishedNs)
         .forEach(out::add);
--- a/src/main/java/pearusher/transport/PeerSocket.java
+++ b/src/main/java/pearusher/transport/PeerSocket.java
@@ -61,7 +61,7 @@
       try {
         buffer.clear();
         int from = config.peers().indexOf(channel.receive(buffer));
-        if (from < 0 || from == config.settings().me() || buffer.flip().remaining() > MOST) {
+        if (from < 0 || from == config.settings().instance() || buffer.flip().remaining() > MOST) {
           dropped++;
           if (Long.bitCount(dropped) == 1) {
             Logger.warn("datagrams dropped: {} so far, of unknown senders or too long", dropped);
@@ -70,7 +70,7 @@
         }
         byte[] body = new byte[buffer.remaining()];
         buffer.get(body);
-        exchange.told(from, body);
+        exchange.onPeerMessage(from, body);
       } catch (ClosedChannelException closed) {
         return;
       } catch (IOException e) {
@@ -80,10 +80,10 @@
   }
 
   @Override
-  public void tell(int peer, byte[] body) {
+  public void send(int peer, byte[] body) {
     InetSocketAddress to =
         peer == -1
-            ? config.peersAll()
+            ? config.peerBroadcast()
             : peer >= 0 && peer < config.peers().size() ? config.peers().get(peer) : null;
     if (channel == null || to == null || body.length > MOST) {
       return;
--- a/src/main/java/pearusher/transport/StreamConnection.java
+++ b/src/main/java/pearusher/transport/StreamConnection.java
@@ -109,12 +109,12 @@
     } catch (RespCodec.Fault e) {
       end(TerminationReason.ofFault(e.kind()), e.getMessage());
     } catch (Message.Fault e) {
-      end(TerminationReason.GARBAGE, e.getMessage());
+      end(TerminationReason.MALFORMED, e.getMessage());
     } catch (IOException e) {
       end(TerminationReason.RESET, null);
     } catch (RuntimeException e) {
       Logger.error(e, "a fault of our own while reading");
-      end(TerminationReason.GARBAGE, "it could not be read");
+      end(TerminationReason.MALFORMED, "it could not be read");
     }
   }
 
@@ -126,7 +126,7 @@
       any = true;
       try {
         AssignerConfig config = shared.config().get();
-        message(Message.read(words, config.names(), config.settings()));
+        message(Message.decode(words, config.names(), config.settings()));
       } catch (Message.Fault e) {
         if (!identified) {
           throw e;
@@ -150,17 +150,17 @@
       identify(
           () -> {
             proxy = joined.proxy();
-            exchange.joined(this, joined);
+            exchange.onProxyJoined(this, joined);
           });
     } else if (message instanceof Message.Acknowledgement applied
         && identified
         && proxy == applied.proxy()) {
-      exchange.applied(this, applied);
+      exchange.onAcknowledgement(this, applied);
     } else if (message instanceof Message.LoadReport heard && collector) {
-      exchange.heard(heard, origin);
+      exchange.onLoadReport(heard, origin);
     } else if (message instanceof Message.UsageReport usage
         && (collector || (identified && proxy == usage.proxy()))) {
-      exchange.usage(usage, collector ? origin : usage.proxy());
+      exchange.onUsageReport(usage, collector ? origin : usage.proxy());
     } else {
       throw new Message.Fault("no place for " + message);
     }
@@ -171,21 +171,21 @@
         this,
         () -> {
           identified = true;
-          reader.most(RespCodec.MOST);
+          reader.setMaxMessageBytes(RespCodec.MAX_MESSAGE_BYTES);
           how.run();
         });
   }
 
   /** Whether a message has begun and is not whole yet. */
   boolean isMidMessage() {
-    return reader.half();
+    return reader.isMidMessage();
   }
 
   /** Answers the pings that came. */
   void pong() {
     int due = registry.takePings(this);
     for (int k = 0; k < due; k++) {
-      send(RespCodec.write(List.of("pong")));
+      send(RespCodec.encode(List.of("pong")));
     }
   }
 
@@ -196,18 +196,21 @@
     } else {
       getExecutor()
           .execute(
-              () -> end(TerminationReason.UNREAD, SendQueue.MOST_UNREAD + " bytes wait for it"));
+              () ->
+                  end(
+                      TerminationReason.SEND_BUFFER_FULL,
+                      SendQueue.MOST_UNREAD + " bytes wait for it"));
     }
   }
 
   @Override
-  public long taken() {
+  public long acceptOrder() {
     return taken;
   }
 
   /** The proxy has a newer stream: this one is closed like an unidentified one, a little later. */
   @Override
-  public void replaced() {
+  public void onReplaced() {
     registry.replaced(this);
   }
 
@@ -238,7 +241,9 @@
       shared.log().refused(who(), how + ": " + why);
     } else if (why != null) {
       Logger.warn("connection of {} ended: {}: {}", who(), how, why);
-    } else if (proxy >= 0 && how != TerminationReason.CLOSED && how != TerminationReason.DROPPED) {
+    } else if (proxy >= 0
+        && how != TerminationReason.CLOSED
+        && how != TerminationReason.CANCELLED) {
       Logger.info("connection of {} ended: {}", who(), how);
     }
     getEndPoint().close();
@@ -253,14 +258,14 @@
     super.onClose(cause);
     end(
         shared.stopping().getAsBoolean()
-            ? TerminationReason.DROPPED
+            ? TerminationReason.CANCELLED
             : cause == null ? TerminationReason.CLOSED : TerminationReason.ofFailure(cause),
         null);
     unsent.clear();
     reader.close();
     registry.closed(this);
     if (proxy >= 0) {
-      shared.exchange().ended(this, proxy);
+      shared.exchange().onStreamClosed(this, proxy);
     }
   }
 }
--- a/src/main/java/pearusher/transport/StreamServer.java
+++ b/src/main/java/pearusher/transport/StreamServer.java
@@ -51,7 +51,7 @@
     super(executor, scheduler, 1);
     this.config = config;
     this.scheduler = scheduler;
-    policy = new AcceptPolicy(registry, () -> this.config.sockets());
+    policy = new AcceptPolicy(registry, () -> this.config.maxDescriptors());
     shared =
         new StreamConnection.Shared(
             exchange,
@@ -70,7 +70,7 @@
         });
   }
 
-  /** Listens; the port is taken from here on, but no ping is answered before {@link #ready}. */
+  /** Listens; the port is taken from here on, but no ping is answered before {@link #markReady}. */
   public InetSocketAddress listen() throws Exception {
     server = ServerSocketChannel.open();
     server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -89,24 +89,24 @@
   }
 
   /** Connections that may be held at once. */
-  public int most() {
+  public int maxConnections() {
     return policy.most();
   }
 
   /** Ends the connections whose time is over, again and again. */
   private void closeOverdue() {
     Timeouts timeouts = config.timeouts();
-    registry.overdue(timeouts).forEach(one -> one.end(TerminationReason.SILENT, null));
+    registry.overdue(timeouts).forEach(one -> one.end(TerminationReason.TIMED_OUT, null));
     if (!stopping) {
       scheduler.schedule(
           () -> getExecutor().execute(this::closeOverdue),
-          Math.max(1, timeouts.strangerMs() / LOOKS),
+          Math.max(1, timeouts.identificationMs() / LOOKS),
           TimeUnit.MILLISECONDS);
     }
   }
 
   /** From now on pings are answered, those that wait first. */
-  public void ready() {
+  public void markReady() {
     registry.ready().forEach(StreamConnection::pong);
   }
 
--- a/src/main/java/pearusher/transport/TerminationReason.java
+++ b/src/main/java/pearusher/transport/TerminationReason.java
@@ -9,36 +9,36 @@
 
 /**
  * Every way in which a connection can end, on either side, and what it means to the module: for a
- * probe by {@link #probe}, for discovery by {@link #answered}; a proxy's stream has been left in
- * every case. This is the one place of that mapping. It must never tell when to try again.
+ * probe by {@link #checkHealth}, for discovery by {@link #acknowledge}; a proxy's stream has been
+ * left in every case. This is the one place of that mapping. It must never tell when to try again.
  */
 public enum TerminationReason {
   /** An answer of status 200, whole. */
-  ANSWERED(HealthCheckResult.OK),
+  COMPLETED(HealthCheckResult.OK),
   /** Status 503: draining, too busy or out of service for now. */
-  UNAVAILABLE(HealthCheckResult.TURNED_AWAY),
+  UNAVAILABLE(HealthCheckResult.REJECTED),
   /** Any other status. */
   ERROR_STATUS(HealthCheckResult.ERROR),
   /** The connection was refused: the process is down. */
-  REFUSED(HealthCheckResult.DOWN),
+  REFUSED(HealthCheckResult.UNREACHABLE),
   /** The connection never came up, or nobody knows the way. */
-  UNREACHABLE(HealthCheckResult.DOWN),
+  UNREACHABLE(HealthCheckResult.UNREACHABLE),
   /** Connected, and nothing more came within the time-out. */
-  SILENT(HealthCheckResult.NO_ANSWER),
+  TIMED_OUT(HealthCheckResult.TIMED_OUT),
   /** The other end closed in order: the normal end of a stream, or an answer that broke off. */
-  CLOSED(HealthCheckResult.BROKEN),
+  CLOSED(HealthCheckResult.DISCONNECTED),
   /** The other end reset. */
-  RESET(HealthCheckResult.BROKEN),
+  RESET(HealthCheckResult.DISCONNECTED),
   /** What came can't be read; this side closed. */
-  GARBAGE(HealthCheckResult.BROKEN),
+  MALFORMED(HealthCheckResult.DISCONNECTED),
   /** More came than is allowed; this side closed. */
-  TOO_LONG(HealthCheckResult.BROKEN),
+  TOO_LONG(HealthCheckResult.DISCONNECTED),
   /** The other end left too much unread; this side closed. */
-  UNREAD(HealthCheckResult.OTHER),
+  SEND_BUFFER_FULL(HealthCheckResult.OTHER),
   /** An unidentified connection that said nothing, closed for its descriptor. */
   EVICTED(HealthCheckResult.OTHER),
   /** This side wanted it no more. */
-  DROPPED(HealthCheckResult.OTHER);
+  CANCELLED(HealthCheckResult.OTHER);
 
   private final HealthCheckResult probe;
 
@@ -46,22 +46,22 @@
     this.probe = probe;
   }
 
-  public HealthCheckResult probe() {
+  public HealthCheckResult healthCheckResult() {
     return probe;
   }
 
-  public boolean answered() {
-    return this == ANSWERED;
+  public boolean isCompleted() {
+    return this == COMPLETED;
   }
 
   public static TerminationReason ofStatus(int status) {
-    return status == 200 ? ANSWERED : status == 503 ? UNAVAILABLE : ERROR_STATUS;
+    return status == 200 ? COMPLETED : status == 503 ? UNAVAILABLE : ERROR_STATUS;
   }
 
   /** What is wrong with the bytes that came. */
   static TerminationReason ofFault(RespCodec.Fault.Kind kind) {
     return switch (kind) {
-      case MALFORMED -> GARBAGE;
+      case MALFORMED -> MALFORMED;
       case TOO_LONG -> TOO_LONG;
     };
   }
@@ -75,7 +75,7 @@
   /** What failed on a connection that was up. */
   public static TerminationReason ofFailure(Throwable failure) {
     return failure instanceof TimeoutException || failure instanceof SocketTimeoutException
-        ? SILENT
+        ? TIMED_OUT
         : failure instanceof IOException ? RESET : CLOSED;
   }
 }
--- a/src/test/java/pearusher/cli/CliTest.java
+++ b/src/test/java/pearusher/cli/CliTest.java
@@ -35,8 +35,8 @@
   private Path store() throws IOException {
     Path at = dir.resolve("store");
     FileDisk disk = new FileDisk(at);
-    disk.make();
-    try (Store store = Store.open(disk, StoreOptions.USUAL)) {
+    disk.createDirectory();
+    try (Store store = Store.open(disk, StoreOptions.DEFAULT)) {
       store.append(
           new WriteBatch()
               .put("b", "two".getBytes(StandardCharsets.UTF_8))
@@ -121,7 +121,7 @@
     Path at = store();
     assertEquals(1, run("store", "inspect", dir.resolve("none").toString()));
     assertEquals(1, err.toString().lines().count(), err.toString());
-    try (Store held = Store.open(new FileDisk(at), StoreOptions.USUAL)) {
+    try (Store held = Store.open(new FileDisk(at), StoreOptions.DEFAULT)) {
       assertEquals(1, run("store", "compact", at.toString()));
       assertTrue(err.toString().contains("is in use by another process"), err.toString());
       // Looking and copying need no lock.
--- a/src/test/java/pearusher/config/AssignerConfigTest.java
+++ b/src/test/java/pearusher/config/AssignerConfigTest.java
@@ -40,18 +40,18 @@
   void theExampleIsRead() throws Exception {
     AssignerConfig c = new ExampleConfig().read(dir);
     assertEquals("n0", c.name());
-    assertEquals(1024, c.sockets());
+    assertEquals(1024, c.maxDescriptors());
     assertEquals(0x8c1f30d27a5be964L, c.settings().seed());
     assertEquals(List.of("lookup", "order"), c.names().classes());
     assertEquals(Map.of("north", 0, "south", 1), c.names().zones());
-    assertEquals(List.of("util", "inflight"), c.names().load());
-    assertEquals(Idempotency.UNSAFE, c.settings().grades().get(1).effect());
-    assertTrue(c.settings().grades().get(1).writes());
-    assertEquals(5900, c.settings().channel().backlog());
-    assertEquals(41, c.known().generation());
+    assertEquals(List.of("util", "inflight"), c.names().loadMetrics());
+    assertEquals(Idempotency.NOT_IDEMPOTENT, c.settings().requestClasses().get(1).idempotency());
+    assertTrue(c.settings().requestClasses().get(1).writes());
+    assertEquals(5900, c.settings().channel().maxBacklogLines());
+    assertEquals(41, c.knownServers().generation());
     assertEquals(
         new Endpoint("s-0badcafe", "127.0.0.1:9002", 1, 0, 1, Lifecycle.READY, 1, 0),
-        c.known().instances().get(1));
+        c.knownServers().endpoints().get(1));
   }
 
   /** Nested JSON and the simulator's lines are the same settings. */
@@ -59,18 +59,18 @@
   void jsonAndLinesAgree() throws Exception {
     StringBuilder lines = new StringBuilder();
     PathValues json =
-        PathValues.json(
+        PathValues.parseJson(
             "list",
             "{\"a\":{\"b\":[1,2],\"c\":[{\"d\":true},{\"d\":false}],\"e\":[],\"f\":null}}"
                 .getBytes(StandardCharsets.UTF_8));
     for (String key : List.of("a.b", "a.c.count", "a.c.0.d", "a.c.1.d", "a.e")) {
-      lines.append(key).append('=').append(json.need(key)).append('\n');
+      lines.append(key).append('=').append(json.require(key)).append('\n');
     }
     assertEquals("a.b=1,2\na.c.count=2\na.c.0.d=true\na.c.1.d=false\na.e=\n", lines.toString());
     assertTrue(!json.has("a.f") && !json.has("a.b.count"));
-    PathValues given = PathValues.lines(lines.toString());
-    assertEquals(List.of("1", "2"), given.list("a.b"));
-    assertEquals(List.of(), given.list("a.e"));
+    PathValues given = PathValues.parseLines(lines.toString());
+    assertEquals(List.of("1", "2"), given.requireList("a.b"));
+    assertEquals(List.of(), given.requireList("a.e"));
   }
 
   @Test
@@ -93,8 +93,8 @@
             .with("\"limits\"", "\"unlimited\"")
             .read(dir);
     assertEquals(new Timeouts(1000, 3000, 5000, 2000), c.timeouts());
-    assertEquals(1024, c.sockets());
-    assertEquals(List.of(), c.known().instances());
+    assertEquals(1024, c.maxDescriptors());
+    assertEquals(List.of(), c.knownServers().endpoints());
     assertNull(
         new ExampleConfig().with("\"peers\": true", "\"peers\": false").read(dir).peerListen());
   }
@@ -189,13 +189,13 @@
         "300.0.0.1:80"
       })
   void onlyAddressesWithAPortAreAddresses(String text) {
-    assertNull(AssignerConfig.address(text));
+    assertNull(AssignerConfig.parseAddress(text));
   }
 
   @Test
   void theAdapterReadsTheSameSettings() throws Exception {
     PathValues all =
-        PathValues.json(
+        PathValues.parseJson(
             "configuration", new ExampleConfig().json().getBytes(StandardCharsets.UTF_8));
     assertEquals(
         new ExampleConfig().read(dir).settings(),
@@ -219,15 +219,15 @@
         behind.substring(behind.indexOf("\"overloadFactor"))
             + ","
             + known.strip().replaceFirst(",$", ""));
-    assertEquals(first.known(), moved.read(dir).known());
+    assertEquals(first.knownServers(), moved.read(dir).knownServers());
     ExampleConfig twice =
         new ExampleConfig().with(known, "\"known\": {\"generation\": 1}," + known);
-    assertEquals(first.known(), twice.read(dir).known());
+    assertEquals(first.knownServers(), twice.read(dir).knownServers());
     for (String none :
         List.of("null", "[]", "[{\"generation\": 1}]", "7", "{}", "{\"reset\": 7}")) {
       assertEquals(
-          EndpointList.NONE,
-          new ExampleConfig().with(known, "\"known\": " + none + ",").read(dir).known(),
+          EndpointList.EMPTY,
+          new ExampleConfig().with(known, "\"known\": " + none + ",").read(dir).knownServers(),
           none);
     }
   }
@@ -244,8 +244,8 @@
         new ExampleConfig()
             .lists(new EndpointListLimits(2, 1000, 40 << 20))
             .read(dir)
-            .known()
-            .instances()
+            .knownServers()
+            .endpoints()
             .size());
     String said = fault(new ExampleConfig().with("s-5be2a07c", "x".repeat(256)));
     assertTrue(
@@ -275,7 +275,7 @@
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
     AssignerConfig.read(environment);
     long before = threads.getThreadAllocatedBytes(Thread.currentThread().getId());
-    assertEquals(9102, AssignerConfig.read(environment).known().instances().size());
+    assertEquals(9102, AssignerConfig.read(environment).knownServers().endpoints().size());
     long bytes = threads.getThreadAllocatedBytes(Thread.currentThread().getId()) - before;
     assertTrue(bytes < 2000L * 9102, bytes / 9102 + " bytes a server were allocated");
   }
@@ -295,10 +295,10 @@
         .write(dir);
     AssignerConfig now = first.reload(environment);
     assertEquals(77, now.discovery().getPort());
-    assertEquals(256, now.sockets());
-    assertEquals(1500, now.timeouts().strangerMs());
+    assertEquals(256, now.maxDescriptors());
+    assertEquals(1500, now.timeouts().identificationMs());
     assertEquals(first.settings(), now.settings());
-    assertEquals(first.known(), now.known());
+    assertEquals(first.knownServers(), now.knownServers());
   }
 
   @ParameterizedTest
--- a/src/test/java/pearusher/config/EndpointListLimitsTest.java
+++ b/src/test/java/pearusher/config/EndpointListLimitsTest.java
@@ -46,16 +46,16 @@
   @Test
   void aWatchWithAListOverTheLimitHasFailed() throws Exception {
     TestPeers.Request watch = watch();
-    module.hear("listed CACHED");
+    module.hear("onEndpointList CACHED");
     watch.beginWatch();
     watch.line(list(43, true, 0, 4));
-    module.hear("listed WHOLE [Entry[server=2,");
+    module.hear("onEndpointList COMPLETE [ServerEntry[server=2,");
     for (int time = 1; time <= 3; time++) {
       // Refused at its fifth server: the line never ends.
       String text = list(50, true, 0, 5);
       watch.write("100000\r\n" + text.substring(0, text.length() - 2));
-      module.hear("listed FAILED []");
-      module.order(o -> o.watch(true));
+      module.hear("onEndpointList FAILED []");
+      module.order(o -> o.watchEndpoints(true));
       watch = discovery.next();
       assertEquals("/catalog/members?follow=1&since=43", watch.path(), "the last good list stays");
       watch.beginWatch();
@@ -63,34 +63,34 @@
     assertEquals(0, logged(REFUSED, 2), "told at 1, 2, 4, 8 ...");
     logged("WARN discovery lost: WATCH ended: TOO_LONG");
     watch.line(list(51, true, 1, 4));
-    module.hear("listed WHOLE [Entry[server=3,");
+    module.hear("onEndpointList COMPLETE [ServerEntry[server=3,");
     assertEquals(List.of(), module.told);
   }
 
   @Test
   void aFetchedListOverTheLimitHasFailed() throws Exception {
     start();
-    module.hear("listed CACHED");
-    module.order(PolicyCommands::fetch);
+    module.hear("onEndpointList CACHED");
+    module.order(PolicyCommands::fetchEndpoints);
     discovery.next().answer(200, list(45, true, 0, 5));
-    module.hear("listed FAILED []");
+    module.hear("onEndpointList FAILED []");
     assertEquals(0, logged(REFUSED, 1));
     logged("WARN discovery lost: FETCH ended: TOO_LONG");
     assertFalse(
         log.toString(StandardCharsets.UTF_8).contains("can't be read"), "one line tells it");
-    module.order(PolicyCommands::fetch);
+    module.order(PolicyCommands::fetchEndpoints);
     discovery.next().answer(200, list(45, true, 0, 4));
-    module.hear("listed WHOLE");
+    module.hear("onEndpointList COMPLETE");
     assertEquals(List.of(), module.told);
   }
 
   @Test
   void anIdThatIsTooLongIsNamed() throws Exception {
     start();
-    module.hear("listed CACHED");
-    module.order(PolicyCommands::fetch);
+    module.hear("onEndpointList CACHED");
+    module.order(PolicyCommands::fetchEndpoints);
     discovery.next().answer(200, list(45, true, 0, 1).replace("s-0", "x".repeat(256)));
-    module.hear("listed FAILED []");
+    module.hear("onEndpointList FAILED []");
     logged(
         "WARN discovery: a list can't be read: list: the key instances.0.instanceId is longer than "
             + "255 characters: 'xxx");
@@ -100,23 +100,23 @@
   @Test
   void changesThatNameNewServersWithoutEndAreRefused() throws Exception {
     TestPeers.Request watch = watch();
-    module.hear("listed CACHED");
+    module.hear("onEndpointList CACHED");
     watch.beginWatch();
     for (int k = 0; k < 4; k++) {
       watch.line(list(43 + k, false, k, k + 1));
-      module.hear("listed CHANGES [Entry[server=" + (2 + k) + ",");
+      module.hear("onEndpointList DELTA [ServerEntry[server=" + (2 + k) + ",");
     }
     watch.line(list(47, false, 3, 4));
-    module.hear("listed CHANGES [Entry[server=5,");
+    module.hear("onEndpointList DELTA [ServerEntry[server=5,");
     watch.line(list(48, false, 3, 5));
-    module.hear("listed FAILED []");
+    module.hear("onEndpointList FAILED []");
     assertEquals(
         0,
         logged(
             "WARN discovery: with the servers known before, a list of over 6 servers: the "
                 + "heap of 40 MB holds no more",
             1));
-    module.order(o -> o.watch(true));
+    module.order(o -> o.watchEndpoints(true));
     assertEquals("/catalog/members?follow=1&since=47", discovery.next().path());
     assertEquals(List.of(), module.told);
   }
@@ -129,7 +129,7 @@
   void ofAServerThatIsListedTwiceTheLastCounts() throws Exception {
     try (TestPeers.HttpStub task = new TestPeers.HttpStub()) {
       TestPeers.Request watch = watch();
-      module.hear("listed CACHED");
+      module.hear("onEndpointList CACHED");
       watch.beginWatch();
       watch.line(
           TestPeers.listing(
@@ -138,12 +138,12 @@
               TestPeers.instance("s-0badcafe", "127.0.0.1:1", "north", "terminating", 0),
               TestPeers.instance("s-0badcafe", task.address(), "south", "in_service", 0)));
       module.hear(
-          "listed WHOLE [Entry[server=1, zone=0, kind=0, cell=0, state=DRAINING, weight=1.0, "
-              + "startedUs=0], Entry[server=1, zone=1, kind=0, cell=0, state=READY, weight=1.0, "
-              + "startedUs=0]]");
-      module.order(o -> o.probe(1));
+          "onEndpointList COMPLETE [ServerEntry[server=1, zone=0, machineType=0, cell=0,"
+              + " lifecycle=DRAINING, weight=1.0, startedUs=0], ServerEntry[server=1, zone=1,"
+              + " machineType=0, cell=0, lifecycle=READY, weight=1.0, startedUs=0]]");
+      module.order(o -> o.checkHealth(1));
       task.next().answer(200, "TEXT util=0.5");
-      module.hear("probed 1 OK");
+      module.hear("onHealthCheckResult 1 OK");
     }
   }
 }
--- a/src/test/java/pearusher/control/BoundedStateTest.java
+++ b/src/test/java/pearusher/control/BoundedStateTest.java
@@ -58,9 +58,9 @@
 
     @Override
     public void send(byte[] message) {
-      try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MOST)) {
+      try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES)) {
         ByteBuffer from = ByteBuffer.wrap(message);
-        queued += config.settings().channel().head();
+        queued += config.settings().channel().messageOverheadLines();
         for (List<String> words = reader.next(from); words != null; words = reader.next(from)) {
           held.update(words);
           for (int k = 1; k < words.size(); k += 2) {
@@ -77,14 +77,14 @@
         throw new IllegalStateException(e);
       }
       if (!held.tickets.isEmpty()) {
-        exchange.applied(
+        exchange.onAcknowledgement(
             this, new Message.Acknowledgement(proxy, held.tickets.get(held.tickets.size() - 1), 0));
         held.tickets.clear();
       }
     }
 
     @Override
-    public void replaced() {}
+    public void onReplaced() {}
   }
 
   private void start() throws Exception {
@@ -96,21 +96,21 @@
     exchange =
         new Controller(config, FaastPolicy::new, clock::get, failure -> {}) {
           @Override
-          public void pause() {}
+          public void awaitTick() {}
         };
     exchange.connect(
         new OutboundCalls() {
           @Override
-          public void watch(boolean on, long since) {}
+          public void watchEndpoints(boolean on, long since) {}
 
           @Override
-          public void fetch() {}
+          public void fetchEndpoints() {}
 
           @Override
-          public void probe(long server, String hostPort) {}
+          public void checkHealth(long server, String hostPort) {}
         },
         (peer, body) -> {});
-    exchange.begin();
+    exchange.start();
   }
 
   private Endpoint instance(String name, int k, Lifecycle state) {
@@ -118,42 +118,43 @@
   }
 
   private void change(Endpoint... what) {
-    exchange.listed(new EndpointList(++generation, false, List.of(what)), false);
+    exchange.onEndpointList(new EndpointList(++generation, false, List.of(what)), false);
   }
 
   private void join(int proxy, TestPeers.AppliedUpdates held, boolean fresh) {
     Holder now = new Holder(proxy, held);
     Holder old = streams.put(proxy, now);
-    exchange.joined(now, new Message.ProxyJoin(proxy, proxy % 2, 2.5, fresh));
+    exchange.onProxyJoined(now, new Message.ProxyJoin(proxy, proxy % 2, 2.5, fresh));
     if (old != null) {
-      exchange.ended(old, proxy);
+      exchange.onStreamClosed(old, proxy);
     }
   }
 
   private void pass(long us) {
     clock.addAndGet(us);
-    queued = Math.max(0, queued - config.settings().channel().linesPerS() * us / 1e6);
+    queued = Math.max(0, queued - config.settings().channel().linesPerSecond() * us / 1e6);
   }
 
   private void period(List<String> names) throws Exception {
     for (int k = 0; k < 18; k++) {
-      pass(config.settings().periodUs() / 20);
-      exchange.event(() -> {});
-      exchange.turn();
+      pass(config.settings().controlPeriodUs() / 20);
+      exchange.execute(() -> {});
+      exchange.runIteration();
     }
     for (String name : names) {
       for (int zone = 0; zone < 2; zone++) {
-        exchange.heard(new Message.LoadReport(zone, name, 20, 0, 100_000, 1_000_000, new float[0]));
+        exchange.onLoadReport(
+            new Message.LoadReport(zone, name, 20, 0, 100_000, 1_000_000, new float[0]));
       }
     }
     for (int proxy : streams.keySet()) {
-      exchange.usage(new Message.UsageReport(proxy, 0, 15, 0, 1_000_000));
+      exchange.onUsageReport(new Message.UsageReport(proxy, 0, 15, 0, 1_000_000));
     }
     // Timers fall due between the periods' reports too.
     for (int k = 0; k < 4; k++) {
-      exchange.event(() -> {});
-      exchange.turn();
-      pass(config.settings().periodUs() / 40);
+      exchange.execute(() -> {});
+      exchange.runIteration();
+      pass(config.settings().controlPeriodUs() / 40);
     }
   }
 
@@ -178,12 +179,12 @@
       change(instance(names.get(k), k, Lifecycle.DRAINING), instance(next, k, Lifecycle.READY));
       period(names);
       change(
-          instance(names.get(k), k, Lifecycle.GONE),
-          instance("s-never-" + round, k, Lifecycle.GONE));
+          instance(names.get(k), k, Lifecycle.REMOVED),
+          instance("s-never-" + round, k, Lifecycle.REMOVED));
       names.set(k, next);
       join(round % PROXIES, held.get(round % PROXIES), false);
       period(names);
-      early = round == 200 ? exchange.sizes() : early;
+      early = round == 200 ? exchange.retainedSizes() : early;
     }
     names.addAll(List.of("s-5be2a07c", "s-0badcafe"));
     for (TestPeers.AppliedUpdates one : held.values()) {
@@ -196,22 +197,24 @@
       assertTrue(
           one.open("lookup").values().stream().allMatch(w -> w < 1000), "" + one.open("lookup"));
     }
-    List<Integer> late = exchange.sizes();
+    List<Integer> late = exchange.retainedSizes();
     for (int k = 0; k < late.size(); k++) {
       assertTrue(late.get(k) <= early.get(k) + SERVERS, "of " + early + " became " + late);
     }
     // With its servers and proxies goes all the rest.
     for (String name : names.subList(0, SERVERS)) {
-      change(instance(name, 0, Lifecycle.GONE));
+      change(instance(name, 0, Lifecycle.REMOVED));
     }
-    streams.forEach((proxy, stream) -> exchange.ended(stream, proxy));
+    streams.forEach((proxy, stream) -> exchange.onStreamClosed(stream, proxy));
     streams.clear();
     for (int round = 0; round < 120; round++) {
       period(List.of());
     }
     assertEquals(
-        List.of(2, 2, 0), exchange.sizes().subList(0, 3), "the two of the known list stay");
-    assertTrue(exchange.sizes().get(3) <= 3 && exchange.sizes().get(4) <= 2, "" + exchange.sizes());
+        List.of(2, 2, 0), exchange.retainedSizes().subList(0, 3), "the two of the known list stay");
+    assertTrue(
+        exchange.retainedSizes().get(3) <= 3 && exchange.retainedSizes().get(4) <= 2,
+        "" + exchange.retainedSizes());
   }
 
   /**
@@ -228,12 +231,12 @@
       period(List.of("s-5be2a07c", "s-0badcafe", "s-again"));
     }
     assertTrue(held.open("order").containsKey("s-again"), held.shown());
-    change(instance("s-again", 1, Lifecycle.GONE));
+    change(instance("s-again", 1, Lifecycle.REMOVED));
     for (int k = 0; k < 120; k++) {
       period(List.of("s-5be2a07c", "s-0badcafe"));
     }
     assertTrue(held.out.contains("s-again"), held.shown());
-    assertEquals(2, exchange.sizes().get(0), "it is forgotten");
+    assertEquals(2, exchange.retainedSizes().get(0), "it is forgotten");
     change(instance("s-again", 1, Lifecycle.READY));
     for (int k = 0; k < 30; k++) {
       period(List.of("s-5be2a07c", "s-0badcafe", "s-again"));
@@ -281,9 +284,10 @@
       }
       period(names);
     }
-    assertTrue(fullest > 0.3 * config.settings().channel().backlog(), "it was tried: " + fullest);
     assertTrue(
-        fullest <= config.settings().channel().backlog(),
-        fullest + " lines waited, " + config.settings().channel().backlog() + " may");
+        fullest > 0.3 * config.settings().channel().maxBacklogLines(), "it was tried: " + fullest);
+    assertTrue(
+        fullest <= config.settings().channel().maxBacklogLines(),
+        fullest + " lines waited, " + config.settings().channel().maxBacklogLines() + " may");
   }
 }
--- a/src/test/java/pearusher/control/DurablePublisherTest.java
+++ b/src/test/java/pearusher/control/DurablePublisherTest.java
@@ -74,7 +74,7 @@
       if (!open) {
         return;
       }
-      try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MOST)) {
+      try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES)) {
         ByteBuffer from = ByteBuffer.wrap(message);
         for (List<String> words = reader.next(from); words != null; words = reader.next(from)) {
           check.part(proxy, words, clock.get());
@@ -85,7 +85,7 @@
     }
 
     @Override
-    public void replaced() {}
+    public void onReplaced() {}
   }
 
   @BeforeEach
@@ -109,31 +109,32 @@
     exchange =
         new Controller(config, FaastPolicy::new, clock::get, failure -> {}, durable, null) {
           @Override
-          public void pause() {}
+          public void awaitTick() {}
         };
     exchange.connect(
         new OutboundCalls() {
           @Override
-          public void watch(boolean on, long since) {
+          public void watchEndpoints(boolean on, long since) {
             // Discovery answers at once with the whole list.
-            exchange.listed(new EndpointList(generation, true, List.copyOf(list.values())), true);
+            exchange.onEndpointList(
+                new EndpointList(generation, true, List.copyOf(list.values())), true);
           }
 
           @Override
-          public void fetch() {}
+          public void fetchEndpoints() {}
 
           @Override
-          public void probe(long server, String hostPort) {}
+          public void checkHealth(long server, String hostPort) {}
         },
         (peer, body) -> {});
     durable.start();
-    exchange.begin();
+    exchange.start();
     settle();
   }
 
   /** Waits until the disk has done with the turn; false once the power went. */
   private boolean settle() throws InterruptedException {
-    while (durable.waiting() > 0) {
+    while (durable.pendingIterations() > 0) {
       if (disk.gone && !durable.running()) {
         return false;
       }
@@ -143,22 +144,22 @@
   }
 
   private void turn() throws InterruptedException {
-    exchange.event(() -> {});
-    exchange.turn();
+    exchange.execute(() -> {});
+    exchange.runIteration();
   }
 
   private void join(int proxy, boolean fresh) {
     Holder now = new Holder(proxy);
     streams.put(proxy, now);
     check.joined(proxy, fresh, killed);
-    exchange.joined(now, new Message.ProxyJoin(proxy, proxy % 2, 2.5, fresh));
+    exchange.onProxyJoined(now, new Message.ProxyJoin(proxy, proxy % 2, 2.5, fresh));
   }
 
   /** A stream breaks and its proxy dials again: what was on its way to the old one is lost. */
   private void rejoin(int proxy) {
     Holder old = streams.get(proxy);
     old.open = false;
-    exchange.ended(old, proxy);
+    exchange.onStreamClosed(old, proxy);
     long before = killed;
     killed = clock.get();
     join(proxy, false);
@@ -166,7 +167,7 @@
   }
 
   private void change(String name) {
-    boolean ready = list.get(name).state() == Lifecycle.READY;
+    boolean ready = list.get(name).lifecycle() == Lifecycle.READY;
     Endpoint now =
         instance(
             name,
@@ -174,7 +175,7 @@
             ready ? list.get(name).startedUs() : clock.get());
     list.put(name, now);
     check.listed(name, ready, clock.get());
-    exchange.listed(new EndpointList(++generation, false, List.of(now)), false);
+    exchange.onEndpointList(new EndpointList(++generation, false, List.of(now)), false);
   }
 
   /** Half a second of an ordinary day; false once the power went. */
@@ -185,7 +186,7 @@
     }
     for (String name : list.keySet()) {
       for (int zone = 0; zone < 2; zone++) {
-        exchange.heard(
+        exchange.onLoadReport(
             new Message.LoadReport(
                 zone,
                 name,
@@ -197,9 +198,9 @@
       }
     }
     for (int proxy : streams.keySet()) {
-      exchange.usage(new Message.UsageReport(proxy, 0, 15, 0, 1_000_000));
+      exchange.onUsageReport(new Message.UsageReport(proxy, 0, 15, 0, 1_000_000));
       if (check.unanswered(proxy) && random.nextInt(4) > 0) {
-        exchange.applied(
+        exchange.onAcknowledgement(
             streams.get(proxy), new Message.Acknowledgement(proxy, check.mark(proxy), 0));
         check.answered(proxy, clock.get());
       }
@@ -304,7 +305,7 @@
       clock.addAndGet(500_000);
       for (int proxy : streams.keySet()) {
         if (check.unanswered(proxy)) {
-          exchange.applied(
+          exchange.onAcknowledgement(
               streams.get(proxy), new Message.Acknowledgement(proxy, check.mark(proxy), 0));
           check.answered(proxy, clock.get());
         }
@@ -416,7 +417,7 @@
       step(random);
     }
     assertTrue(check.orders > before + 3, check.orders + " orders");
-    assertEquals(0, durable.waiting());
+    assertEquals(0, durable.pendingIterations());
     if (marked) {
       while (!disk.list().contains("given-up")) {
         Thread.sleep(1);
@@ -425,7 +426,7 @@
     killed = clock.get();
     streams.values().forEach(s -> s.open = false);
     streams.clear();
-    durable.end();
+    durable.closeQuietly();
     if (!marked) {
       while (!disk.list().contains("given-up")) {
         Thread.sleep(1);
@@ -509,7 +510,7 @@
         for (int k = 0; k < 30 && !at[0].equals("sync"); k++) {
           step(random);
         }
-        durable.end();
+        durable.closeQuietly();
         TestPeers.until(
             one.getValue(), () -> log.toString(StandardCharsets.UTF_8).contains(one.getValue()));
       }
--- a/src/test/java/pearusher/control/ScriptedPolicy.java
+++ b/src/test/java/pearusher/control/ScriptedPolicy.java
@@ -29,14 +29,14 @@
             ScriptedPolicy.class.getClassLoader(),
             new Class<?>[] {AssignmentPolicy.class},
             (self, method, args) -> {
-              if (method.getName().equals("close")) {
+              if (method.getName().equals("onBatchEnd")) {
                 for (Consumer<PolicyCommands> a = asked.poll(); a != null; a = asked.poll()) {
                   a.accept(orders);
                 }
                 return null;
               }
-              if (method.getName().equals("joined") && (Boolean) args[4]) {
-                orders.sure((Integer) args[1]);
+              if (method.getName().equals("onProxyJoined") && (Boolean) args[4]) {
+                orders.confirmProxy((Integer) args[1]);
               }
               List<String> words = new ArrayList<>(List.of(method.getName()));
               for (int k = 1; k < args.length; k++) {
@@ -59,7 +59,7 @@
   /** Gives orders in a turn of their own. */
   public void order(Consumer<PolicyCommands> what) {
     asked.add(what);
-    exchange.event(() -> {});
+    exchange.execute(() -> {});
   }
 
   /** Waits until the module was told this, and forgets all up to then. */
--- a/src/test/java/pearusher/control/StoredDataSite.java
+++ b/src/test/java/pearusher/control/StoredDataSite.java
@@ -62,12 +62,12 @@
     }
 
     @Override
-    public void listed(long now, ListUpdateKind form, List<ServerEntry> entries) {
+    public void onEndpointList(long now, ListUpdateKind form, List<ServerEntry> entries) {
       entries.forEach(entry -> cells.put(entry.server(), entry.cell()));
     }
 
     @Override
-    public void restored(
+    public void onTableRestored(
         long now, int table, Map<Long, Double> weights, double[] levels, int[] retries, int mark) {
       Map<String, Double> byName = new TreeMap<>();
       weights.forEach((server, weight) -> byName.put(serverName(cells.get(server)), weight));
@@ -86,20 +86,20 @@
     }
 
     @Override
-    public void joined(long now, int proxy, int zone, double perS, boolean onlyStanding) {
+    public void onProxyJoined(long now, int proxy, int zone, double perS, boolean onlyStanding) {
       joining.put(proxy, zone);
     }
 
     @Override
-    public void holds(long now, int proxy, int table, int lacks) {
+    public void onTableHeld(long now, int proxy, int table, int lacks) {
       joining.put(proxy, table);
     }
 
     @Override
-    public void close(long now) {
-      joining.forEach((proxy, table) -> orders.bind(proxy, table, 0));
+    public void onBatchEnd(long now) {
+      joining.forEach((proxy, table) -> orders.bindProxy(proxy, table, 0));
       if (!joining.isEmpty()) {
-        orders.mark(++lastMark, false);
+        orders.requestAck(++lastMark, false);
       }
       joining.clear();
       // A mark among these takes the place of the one above.
@@ -117,16 +117,16 @@
     }
 
     @Override
-    public void timer(long now, long token) {}
+    public void onTimer(long now, long token) {}
 
     @Override
-    public void left(long now, int proxy) {}
+    public void onProxyLeft(long now, int proxy) {}
 
     @Override
-    public void applied(long now, int proxy, int mark, long tookUs) {}
+    public void onAcknowledgement(long now, int proxy, int mark, long tookUs) {}
 
     @Override
-    public void heard(
+    public void onLoadReport(
         long now,
         long server,
         int zone,
@@ -138,7 +138,8 @@
         long ageUs) {}
 
     @Override
-    public void usage(long now, int proxy, int grade, long requests, long failed, long spanUs) {}
+    public void onUsageReport(
+        long now, int proxy, int grade, long requests, long failed, long spanUs) {}
   }
 
   /** A proxy's stream, which keeps what it is sent. */
@@ -151,7 +152,7 @@
     }
 
     @Override
-    public void replaced() {}
+    public void onReplaced() {}
 
     synchronized List<byte[]> take() {
       List<byte[]> out = List.copyOf(messages);
@@ -175,7 +176,7 @@
     clock = new AtomicLong(nowUs);
     AssignerConfig config = new ExampleConfig().read(work);
     FileDisk disk = new FileDisk(store);
-    disk.make();
+    disk.createDirectory();
     PersistenceOptions keeping =
         new PersistenceOptions(store, OPTIONS, PATIENCE_US, ALIVE_US, TRUST_US);
     durable = new DurablePublisher(config, keeping, Store.open(disk, OPTIONS), clock::get);
@@ -191,22 +192,22 @@
             durable,
             null) {
           @Override
-          public void pause() {}
+          public void awaitTick() {}
         };
     exchange.connect(
         new OutboundCalls() {
           @Override
-          public void watch(boolean on, long since) {}
+          public void watchEndpoints(boolean on, long since) {}
 
           @Override
-          public void fetch() {}
+          public void fetchEndpoints() {}
 
           @Override
-          public void probe(long server, String hostPort) {}
+          public void checkHealth(long server, String hostPort) {}
         },
         (peer, body) -> {});
     durable.start();
-    exchange.begin();
+    exchange.start();
     settle();
   }
 
@@ -217,19 +218,19 @@
   /** Lets time pass, then takes a turn and waits until the disk is done with it. */
   void turn(long passedUs) throws InterruptedException {
     clock.addAndGet(passedUs);
-    exchange.event(() -> {});
-    exchange.turn();
+    exchange.execute(() -> {});
+    exchange.runIteration();
     settle();
   }
 
   private void settle() throws InterruptedException {
-    while (durable.waiting() > 0) {
+    while (durable.pendingIterations() > 0) {
       Thread.sleep(1);
     }
   }
 
   void list(long generation, boolean whole, List<Endpoint> servers) {
-    exchange.listed(new EndpointList(generation, whole, servers), false);
+    exchange.onEndpointList(new EndpointList(generation, whole, servers), false);
   }
 
   /** Orders for the end of the next turn. */
@@ -245,11 +246,11 @@
   void join(int proxy, int zone, boolean fresh) {
     KeptStream stream = new KeptStream();
     streams.put(proxy, stream);
-    exchange.joined(stream, new Message.ProxyJoin(proxy, zone, REQUESTS_PER_S, fresh));
+    exchange.onProxyJoined(stream, new Message.ProxyJoin(proxy, zone, REQUESTS_PER_S, fresh));
   }
 
   void answer(int proxy, int mark) {
-    exchange.applied(streams.get(proxy), new Message.Acknowledgement(proxy, mark, 0));
+    exchange.onAcknowledgement(streams.get(proxy), new Message.Acknowledgement(proxy, mark, 0));
   }
 
   /** The tables that the module was told at the start, a line each. */
@@ -282,7 +283,7 @@
               .toList());
     }
     List<String> parts = new ArrayList<>();
-    try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MOST)) {
+    try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES)) {
       ByteBuffer from = ByteBuffer.wrap(message);
       for (List<String> words = reader.next(from); words != null; words = reader.next(from)) {
         parts.add(String.join(" ", words.stream().map(StoredDataSite::sorted).toList()));
--- a/src/test/java/pearusher/control/StoredDataWriter.java
+++ b/src/test/java/pearusher/control/StoredDataWriter.java
@@ -115,13 +115,13 @@
       site.ask(
           orders -> {
             for (int k = 0; k < SERVERS - 2; k++) {
-              orders.line(NORTH, site.server(k), 1 + k / 8.0);
-              orders.line(SOUTH, site.server(k), 2 - k / 8.0);
+              orders.setWeight(NORTH, site.server(k), 1 + k / 8.0);
+              orders.setWeight(SOUTH, site.server(k), 2 - k / 8.0);
             }
-            orders.line(SUBSET_TABLE, site.server(7), 1);
-            orders.admit(NORTH, LOOKUP_BIT, 0.75, 2);
-            orders.admit(SOUTH, 0, 0.5, 0);
-            orders.admit(SUBSET_TABLE, 0, 1, 1);
+            orders.setWeight(SUBSET_TABLE, site.server(7), 1);
+            orders.setAdmission(NORTH, LOOKUP_BIT, 0.75, 2);
+            orders.setAdmission(SOUTH, 0, 0.5, 0);
+            orders.setAdmission(SUBSET_TABLE, 0, 1, 1);
           });
       for (int proxy = 0; proxy < 4; proxy++) {
         site.join(proxy, proxy % 2, true);
@@ -134,17 +134,17 @@
           orders -> {
             orders.withdraw(site.server(2), true);
             orders.withdraw(site.server(4), true);
-            orders.mark(2, false);
+            orders.requestAck(2, false);
           });
       site.turn(STEP_US);
       site.answer(0, 2);
       site.ask(
           orders -> {
             orders.withdraw(site.server(4), false);
-            orders.line(SUBSET_TABLE, site.server(1), 1.25);
-            orders.clear(SUBSET_TABLE);
-            orders.line(SUBSET_TABLE, site.server(3), 0.5);
-            orders.mark(3, false);
+            orders.setWeight(SUBSET_TABLE, site.server(1), 1.25);
+            orders.clearTable(SUBSET_TABLE);
+            orders.setWeight(SUBSET_TABLE, site.server(3), 0.5);
+            orders.requestAck(3, false);
           });
       site.turn(STEP_US);
       passed = 4 * STEP_US;
@@ -176,27 +176,27 @@
             orders -> {
               for (int k = 0; k < 3; k++) {
                 int server = (step + 2 * k) % (SERVERS - 2);
-                orders.line(NORTH, site.server(server), 1 + (step * 7 + k) % 16 / 16.0);
-                orders.line(SOUTH, site.server(server), 2 - (step * 5 + k) % 16 / 16.0);
+                orders.setWeight(NORTH, site.server(server), 1 + (step * 7 + k) % 16 / 16.0);
+                orders.setWeight(SOUTH, site.server(server), 2 - (step * 5 + k) % 16 / 16.0);
               }
-              orders.admit(NORTH, 0, 1 - step / 64.0, step % 2);
-              orders.mark(5 + step, false);
+              orders.setAdmission(NORTH, 0, 1 - step / 64.0, step % 2);
+              orders.requestAck(5 + step, false);
             });
         site.turn(STEP_US);
         now += STEP_US;
       }
-      site.list(101, false, List.of(server(1, Lifecycle.DRAINING), server(7, Lifecycle.GONE)));
+      site.list(101, false, List.of(server(1, Lifecycle.DRAINING), server(7, Lifecycle.REMOVED)));
       site.turn(STEP_US);
       now += STEP_US;
       site.ask(
           orders -> {
             orders.withdraw(site.server(1), true);
-            orders.line(NORTH, site.server(1), 0);
-            orders.line(SOUTH, site.server(3), 0);
-            orders.admit(SOUTH, LOOKUP_BIT, 0.875, 1);
+            orders.setWeight(NORTH, site.server(1), 0);
+            orders.setWeight(SOUTH, site.server(3), 0);
+            orders.setAdmission(SOUTH, LOOKUP_BIT, 0.875, 1);
             // A way to repeat that a start does not take over for this class.
-            orders.admit(SOUTH, ORDER_BIT, 0.625, 2);
-            orders.mark(29, false);
+            orders.setAdmission(SOUTH, ORDER_BIT, 0.625, 2);
+            orders.requestAck(29, false);
           });
       site.join(4, NORTH, true);
       site.turn(END_US - now);
@@ -208,7 +208,7 @@
     Ledger ledger =
         Ledger.of(
             Inspection.of(new FileDisk(store)).state(),
-            RecoveryTrust.NONE,
+            RecoveryTrust.FULL,
             NAMES,
             READ_US,
             StoredDataSite.TRUST_US,
@@ -216,30 +216,30 @@
     List<String> out = new ArrayList<>();
     out.add(
         "tables hold "
-            + ledger.doubt().tablesHold()
+            + ledger.trust().trustsTables()
             + ", epoch "
             + ledger.epoch()
             + ", turn "
-            + ledger.turn()
+            + ledger.iteration()
             + ", mark "
-            + ledger.mark()
+            + ledger.lastAckNumber()
             + ", generation "
             + ledger.generation());
     new TreeMap<>(ledger.servers()).values().forEach(server -> out.add(shown(server)));
-    out.add("out " + ledger.out().stream().sorted().toList());
-    List<Idempotency> effects = List.of(Idempotency.SAFE, Idempotency.UNSAFE);
+    out.add("out " + ledger.ejectedServers().stream().sorted().toList());
+    List<Idempotency> effects = List.of(Idempotency.IDEMPOTENT, Idempotency.NOT_IDEMPOTENT);
     ledger.tables().stream()
         .sorted()
         .forEach(
             number -> {
-              out.add("table " + number + " lines " + new TreeMap<>(ledger.lines(number)));
-              Map<Integer, AdmissionLevel> levels = ledger.levels(number, effects);
+              out.add("table " + number + " lines " + new TreeMap<>(ledger.weights(number)));
+              Map<Integer, AdmissionLevel> levels = ledger.admissionLevels(number, effects);
               for (int grade : List.of(LOOKUP, ORDER)) {
                 out.add("table " + number + " class " + grade + " " + shown(levels.get(grade)));
               }
             });
     for (int proxy = 0; proxy < PROXIES; proxy++) {
-      out.add("proxy " + proxy + " lacks " + shown(ledger.joined(proxy, false)));
+      out.add("proxy " + proxy + " lacks " + shown(ledger.onProxyJoined(proxy, false)));
     }
     return out;
   }
@@ -252,11 +252,11 @@
         + " zone "
         + server.zone()
         + " kind "
-        + server.kind()
+        + server.machineType()
         + " cell "
         + server.cell()
         + " state "
-        + server.state().ordinal()
+        + server.lifecycle().ordinal()
         + " weight "
         + server.weight()
         + " started "
@@ -264,7 +264,9 @@
   }
 
   private static String shown(AdmissionLevel level) {
-    return level == null ? "no level" : "level " + level.level() + " retry " + level.retry();
+    return level == null
+        ? "no level"
+        : "level " + level.probabilityOrRate() + " retry " + level.retry();
   }
 
   private static String shown(CatchUp lacks) {
@@ -272,11 +274,12 @@
       return "the whole table";
     }
     List<String> levels = new ArrayList<>();
-    new TreeMap<>(lacks.levels()).forEach((grade, level) -> levels.add(grade + " " + shown(level)));
+    new TreeMap<>(lacks.admissionLevels())
+        .forEach((grade, level) -> levels.add(grade + " " + shown(level)));
     return "of table "
         + lacks.table()
         + " lines "
-        + new TreeMap<>(lacks.lines())
+        + new TreeMap<>(lacks.weights())
         + " levels "
         + levels
         + " ejections "
@@ -303,8 +306,8 @@
       site.ask(
           orders -> {
             orders.withdraw(site.server(2), false);
-            orders.line(NORTH, site.server(0), 0.25);
-            orders.mark(1000, false);
+            orders.setWeight(NORTH, site.server(0), 0.25);
+            orders.requestAck(1000, false);
           });
       site.turn(STEP_US);
       out.addAll(sent(site));
--- a/src/test/java/pearusher/intake/IntakeTest.java
+++ b/src/test/java/pearusher/intake/IntakeTest.java
@@ -26,22 +26,22 @@
           new Intake.Bounds(1000, 100, 50, 2_000_000, HOUR, false, 1),
           new Intake.Events() {
             @Override
-            public void flood(int origin, double part) {
+            public void onOverloadStarted(int origin, double part) {
               log.add("flood " + origin + " " + part);
             }
 
             @Override
-            public void expired(QueuedReport item) {
+            public void onExpired(QueuedReport item) {
               log.add("expired");
             }
 
             @Override
-            public void sampled(double kept, double error) {
+            public void onSampled(double kept, double error) {
               log.add("sampled");
             }
 
             @Override
-            public void over(long merged, long refused) {
+            public void onOverloadEnded(long merged, long refused) {
               log.add("over " + merged + " " + refused);
             }
           });
@@ -58,7 +58,7 @@
   }
 
   private static String shown(ReportTotals s) {
-    return s.tries()
+    return s.attempts()
         + " "
         + s.failed()
         + " "
@@ -66,7 +66,7 @@
         + " "
         + s.spanUs()
         + " "
-        + s.lines()
+        + s.reports()
         + " "
         + s.meanUs();
   }
@@ -79,10 +79,10 @@
     ReportTotals c = sums(of.subList(8, 12));
     ReportTotals all = a.plus(b).plus(c);
     assertEquals(shown(all), shown(a.plus(b.plus(c))));
-    assertEquals(a.tries() + b.tries() + c.tries(), all.tries());
+    assertEquals(a.attempts() + b.attempts() + c.attempts(), all.attempts());
     assertEquals(a.failed() + b.failed() + c.failed(), all.failed());
     // The mean is weighted by good tries, to the microsecond.
-    double good = all.tries() - all.failed();
+    double good = all.attempts() - all.failed();
     double mean = good == 0 ? 0 : (1.0 * a.goodUs() + b.goodUs() + c.goodUs()) / good;
     assertEquals(mean, (double) all.meanUs(), 0.5);
   }
@@ -95,13 +95,13 @@
       assertTrue(intake.offer(sent.get(k)));
     }
     for (int k = 0; k < 100; k++) {
-      intake.next(0, out::add);
+      intake.pollOldest(0, out::add);
     }
     assertEquals(
-        sent.stream().map(QueuedReport::sums).toList(),
-        out.stream().map(QueuedReport::sums).toList());
+        sent.stream().map(QueuedReport::totals).toList(),
+        out.stream().map(QueuedReport::totals).toList());
     assertEquals(List.of(), log);
-    assertEquals(0, intake.waiting());
+    assertEquals(0, intake.size());
   }
 
   /**
@@ -121,8 +121,8 @@
         sent += 7;
       }
       intake.serve(
-          tick * 100_000L, one -> heard.merge(one.origin(), one.sums().tries(), Long::sum));
-      assertTrue(intake.waiting() <= 50 + 10 * 50);
+          tick * 100_000L, one -> heard.merge(one.origin(), one.totals().attempts(), Long::sum));
+      assertTrue(intake.size() <= 50 + 10 * 50);
     }
     long quiet =
         heard.entrySet().stream().filter(e -> e.getKey() < 99).mapToLong(Map.Entry::getValue).sum();
@@ -140,11 +140,11 @@
     }
     intake.serve(0, out::add);
     intake.serve(100_000, out::add);
-    long tries = out.stream().mapToLong(i -> i.sums().tries()).sum();
+    long tries = out.stream().mapToLong(i -> i.totals().attempts()).sum();
     assertEquals(1800, tries);
     assertEquals(
         600_000_000L,
-        out.stream().mapToLong(i -> i.sums().spanUs()).sum(),
+        out.stream().mapToLong(i -> i.totals().spanUs()).sum(),
         "the span says how old they are");
     assertEquals(1, out.size());
   }
@@ -183,7 +183,7 @@
     for (int k = 0; k < 130; k++) {
       intake.offer(item(k % 7, "s" + k, 1));
     }
-    assertTrue(intake.flooded());
+    assertTrue(intake.isOverloaded());
     for (int tick = 0; tick < 100; tick++) {
       for (int k = 0; k < (tick % 2 == 0 ? 150 : 60); k++) {
         intake.offer(item(k % 7, "t" + k, 1));
@@ -202,9 +202,9 @@
     for (int tick = 1; tick < 60; tick++) {
       intake.serve(tick * 100_000L, out::add);
     }
-    assertFalse(intake.flooded());
+    assertFalse(intake.isOverloaded());
     assertEquals(2, log.size(), "" + log);
-    assertEquals(0, intake.waiting());
+    assertEquals(0, intake.size());
   }
 
   /**
@@ -250,7 +250,7 @@
               new Intake.Bounds(200, 50, 100_000, 2_000_000, HOUR, true, 7),
               new Intake.Events() {
                 @Override
-                public void sampled(double kept, double now) {
+                public void onSampled(double kept, double now) {
                   error[0] = Math.max(error[0], now);
                 }
               });
@@ -273,21 +273,21 @@
           one.serve(
               second * 1_000_000L + part * 100_000L,
               i -> {
-                heard[0] += i.sums().tries();
-                heard[1] += i.sums().failed();
+                heard[0] += i.totals().attempts();
+                heard[1] += i.totals().failed();
                 assertTrue(
-                    i.sums().tries() == i.sums().failed()
-                        || Math.abs(i.sums().meanUs() - 40_000) <= 1,
+                    i.totals().attempts() == i.totals().failed()
+                        || Math.abs(i.totals().meanUs() - 40_000) <= 1,
                     "the mean stays");
               });
         }
       }
-      for (int more = 0; more < 30 && one.flooded(); more++) {
+      for (int more = 0; more < 30 && one.isOverloaded(); more++) {
         one.serve(
             (20 + more) * 1_000_000L,
             i -> {
-              heard[0] += i.sums().tries();
-              heard[1] += i.sums().failed();
+              heard[0] += i.totals().attempts();
+              heard[1] += i.totals().failed();
             });
       }
       double off = Math.abs(1.0 * heard[0] / truth[0] - 1);
@@ -310,7 +310,7 @@
     }
     one.offer(item(6, "s1", 3));
     for (int k = 0; k < 601; k++) {
-      one.next(1_000_000, out::add);
+      one.pollOldest(1_000_000, out::add);
     }
     assertEquals(480 - 1, expired, "those of more than two minutes are let go");
     assertEquals(120_000_000, out.get(0).ageUs());
@@ -323,7 +323,7 @@
   private Intake.Events quiet() {
     return new Intake.Events() {
       @Override
-      public void expired(QueuedReport item) {
+      public void onExpired(QueuedReport item) {
         expired++;
       }
     };
@@ -339,13 +339,13 @@
     long now = 0;
     for (int k = 0; k < 5; k++) {
       one.offer(item(5, "s1", 3));
-      one.next(now += 1_000_000, out::add);
+      one.pollOldest(now += 1_000_000, out::add);
     }
     assertTrue(out.stream().allMatch(i -> i.ageUs() == 0), "at its pace each is of now");
     now += 600_000_000;
     for (int k = 0; k < 600; k++) {
       one.offer(item(5, "s1", 3));
-      one.next(now += 3_000, out::add);
+      one.pollOldest(now += 3_000, out::add);
     }
     assertEquals(0, out.get(5).ageUs(), "one report after a silence may be of now");
     long burst = out.subList(6, 605).stream().filter(i -> i.ageUs() > 2_000_000).count();
@@ -357,7 +357,7 @@
     }
     for (int k = 0; k < 5; k++) {
       one.offer(item(5, "s1", 3));
-      one.next(now += 1_000_000, out::add);
+      one.pollOldest(now += 1_000_000, out::add);
     }
     assertEquals(0, out.get(out.size() - 1).ageUs(), "and then they are of now again");
   }
--- a/src/test/java/pearusher/operatorsettings/OperatorSettingsTest.java
+++ b/src/test/java/pearusher/operatorsettings/OperatorSettingsTest.java
@@ -55,8 +55,8 @@
   @SuppressWarnings("EnumOrdinal")
   @Test
   void goodFiles() throws InvalidSettingsException {
-    assertFalse(OperatorSettings.parse("f", "").on("store"));
-    assertFalse(OperatorSettings.parse("f", "# nothing\n\n  # else\r\n").on("store"));
+    assertFalse(OperatorSettings.parse("f", "").isEnabled("store"));
+    assertFalse(OperatorSettings.parse("f", "# nothing\n\n  # else\r\n").isEnabled("store"));
     OperatorSettings all =
         OperatorSettings.parse(
             "f",
@@ -69,7 +69,7 @@
                 + "  compact-times 1.5\n"
                 + "  damage stop\n"
                 + "}");
-    assertTrue(all.on("store"));
+    assertTrue(all.isEnabled("store"));
     assertEquals("/a b/\"c\\d", all.word(SettingKey.STORE_DIRECTORY));
     assertEquals(5_000, all.number(SettingKey.STORE_INTERVAL));
     assertEquals(2_500_000, all.number(SettingKey.STORE_PATIENCE));
@@ -89,7 +89,8 @@
   @Test
   void theDefaultsAreGood() {
     for (SettingKey key : SettingKey.values()) {
-      assertTrue(key.usual() == null || !Double.isNaN(key.number(key.usual())), key.path());
+      assertTrue(
+          key.defaultText() == null || !Double.isNaN(key.number(key.defaultText())), key.path());
       assertFalse(key.help().isBlank());
     }
   }
@@ -104,7 +105,7 @@
               "(?s).*\\| `"
                   + key.path()
                   + "` \\| "
-                  + (key.usual() == null ? "needed" : "`" + key.usual() + "`")
+                  + (key.defaultText() == null ? "needed" : "`" + key.defaultText() + "`")
                   + ".*"),
           key.path());
       assertTrue(page.contains(key.help()), key.path() + ": " + key.help());
--- a/src/test/java/pearusher/policy/ChannelModel.java
+++ b/src/test/java/pearusher/policy/ChannelModel.java
@@ -60,7 +60,7 @@
       if (due.get(i) <= now) {
         Sent sent = answers.remove(i);
         long at = due.remove(i--);
-        p.rules.applied(now, sent.proxy, sent.mark, at - sent.ordered);
+        p.rules.onAcknowledgement(now, sent.proxy, sent.mark, at - sent.ordered);
       }
     }
   }
--- a/src/test/java/pearusher/policy/FaastPolicyTest.java
+++ b/src/test/java/pearusher/policy/FaastPolicyTest.java
@@ -137,8 +137,8 @@
     double before = p.fleet.share(0, 1);
     for (int i = 0; i < 10; i++) {
       p.step(2 * RecordingCommands.S);
-      p.rules.timer(p.now, 1);
-      p.rules.close(p.now);
+      p.rules.onTimer(p.now, 1);
+      p.rules.onBatchEnd(p.now);
     }
     assertEquals(before, p.fleet.share(0, 1), 1e-9);
   }
@@ -150,27 +150,27 @@
     p.step(10_000);
     int before = p.fleet.orders.size();
     p.list(
-        ListUpdateKind.CHANGES,
+        ListUpdateKind.DELTA,
         List.of(
             RecordingCommands.state(1, 1, Lifecycle.DRAINING),
-            RecordingCommands.state(2, 0, Lifecycle.GONE)));
+            RecordingCommands.state(2, 0, Lifecycle.REMOVED)));
     List<String> said = p.fleet.orders.subList(before, p.fleet.orders.size());
     assertEquals("withdraw 1 true", said.get(0));
     assertEquals("withdraw 2 true", said.get(1));
     p.periods(2);
     assertFalse(p.fleet.tables.get(0).containsKey(1L));
-    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(1, 1, p.now)));
+    p.list(ListUpdateKind.DELTA, List.of(RecordingCommands.ready(1, 1, p.now)));
     assertFalse(p.fleet.withdrawn.contains(1L));
   }
 
   @Test
   void aServerMissingFromAWholeListIsGone() {
     PolicyFixture p = play(8, 4);
-    p.list(ListUpdateKind.WHOLE, RecordingCommands.servers(7, 2));
+    p.list(ListUpdateKind.COMPLETE, RecordingCommands.servers(7, 2));
     assertTrue(p.fleet.withdrawn.contains(8L));
     p.list(ListUpdateKind.FAILED, List.of());
     assertEquals(1, p.fleet.withdrawn.size());
-    p.list(ListUpdateKind.WHOLE, List.of());
+    p.list(ListUpdateKind.COMPLETE, List.of());
     assertEquals(8, p.fleet.withdrawn.size());
   }
 
@@ -179,7 +179,7 @@
     PolicyFixture p = play(8, 4);
     p.periods(4);
     p.step(10_000);
-    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(9, 1, p.now)));
+    p.list(ListUpdateKind.DELTA, List.of(RecordingCommands.ready(9, 1, p.now)));
     p.period();
     double first = p.fleet.share(0, 9) / p.fleet.share(0, 3);
     assertTrue(first > 0.05 && first < 0.25, "first share " + first);
@@ -199,7 +199,7 @@
     PolicyFixture p = play(8, 4);
     p.periods(4);
     p.step(300_000);
-    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(1, 1, p.now)));
+    p.list(ListUpdateKind.DELTA, List.of(RecordingCommands.ready(1, 1, p.now)));
     assertTrue(p.fleet.share(0, 1) < 0.04, "a restarted server keeps " + p.fleet.share(0, 1));
     assertTrue(p.fleet.share(1, 1) < 0.04, "a restarted server keeps " + p.fleet.share(1, 1));
   }
@@ -209,10 +209,10 @@
     PolicyFixture p = play(8, 4);
     p.periods(4);
     p.step(300_000);
-    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.state(1, 1, Lifecycle.GONE)));
+    p.list(ListUpdateKind.DELTA, List.of(RecordingCommands.state(1, 1, Lifecycle.REMOVED)));
     p.step(300_000);
     int before = p.fleet.orders.size();
-    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(1, 1, p.now)));
+    p.list(ListUpdateKind.DELTA, List.of(RecordingCommands.ready(1, 1, p.now)));
     List<String> said = p.fleet.orders.subList(before, p.fleet.orders.size());
     int let = said.indexOf("withdraw 1 false");
     assertTrue(let >= 0);
@@ -239,13 +239,13 @@
       for (long id = 2; (i == 0 || i == 9) && id <= 100; id += 2) {
         news.add(
             i == 0
-                ? RecordingCommands.state(id, 0, Lifecycle.GONE)
+                ? RecordingCommands.state(id, 0, Lifecycle.REMOVED)
                 : RecordingCommands.ready(id, 0, p.now));
       }
       int marks = p.fleet.marks;
-      p.rules.listed(p.now, ListUpdateKind.CHANGES, news);
-      p.rules.timer(p.now, 3);
-      p.rules.close(p.now);
+      p.rules.onEndpointList(p.now, ListUpdateKind.DELTA, news);
+      p.rules.onTimer(p.now, 3);
+      p.rules.onBatchEnd(p.now);
       channel.put();
       waiting += p.fleet.linesThisReply + (p.fleet.marks == marks ? 0 : 60 * 11);
       assertTrue(waiting <= 4500, "lines waiting " + waiting + " after " + (p.now - gone));
@@ -276,12 +276,12 @@
       channel.answer();
       List<ServerEntry> news = new ArrayList<>();
       for (long id = 1; i == 0 && id <= 80; id++) {
-        news.add(RecordingCommands.state(id, (int) (id % 2), Lifecycle.GONE));
+        news.add(RecordingCommands.state(id, (int) (id % 2), Lifecycle.REMOVED));
       }
       int marks = p.fleet.marks;
-      p.rules.listed(p.now, ListUpdateKind.CHANGES, news);
-      p.rules.timer(p.now, 3);
-      p.rules.close(p.now);
+      p.rules.onEndpointList(p.now, ListUpdateKind.DELTA, news);
+      p.rules.onTimer(p.now, 3);
+      p.rules.onBatchEnd(p.now);
       channel.put();
       messages += p.fleet.marks == marks ? 0 : 1;
       waiting += p.fleet.linesThisReply + (p.fleet.marks == marks ? 0 : 70 * 11);
@@ -306,7 +306,7 @@
   @Test
   void hundredsOfServersAndProxiesThatJoinAtOnceFitTheQueueAndAllAreBound() {
     PolicyFixture p = new PolicyFixture(RecordingCommands.settings());
-    p.rules.listed(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(300, 2));
+    p.rules.onEndpointList(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(300, 2));
     for (int proxy = 0; proxy < 300; proxy++) {
       p.join(proxy, true);
     }
@@ -316,8 +316,8 @@
       int bound = p.fleet.bound.size();
       p.step(100_000);
       channel.answer();
-      p.rules.timer(p.now, 3);
-      p.rules.close(p.now);
+      p.rules.onTimer(p.now, 3);
+      p.rules.onBatchEnd(p.now);
       channel.put();
       int binds = p.fleet.bound.size() - bound;
       waiting += p.fleet.linesThisReply + 11 * binds;
@@ -335,7 +335,7 @@
   @Test
   void bindsOfProxiesThatHoldTablesLeaveRoomForWhatIsBack() {
     PolicyFixture p = new PolicyFixture(RecordingCommands.settings());
-    p.rules.listed(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(100, 2));
+    p.rules.onEndpointList(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(100, 2));
     for (int proxy = 0; proxy < 100; proxy++) {
       p.join(proxy, false);
     }
@@ -344,9 +344,9 @@
     for (int i = 0; i < 600 && p.fleet.bound.size() < 100; i++) {
       int bound = p.fleet.bound.size();
       p.step(100_000);
-      p.rules.timer(p.now, 1);
-      p.rules.timer(p.now, 3);
-      p.rules.close(p.now);
+      p.rules.onTimer(p.now, 1);
+      p.rules.onTimer(p.now, 3);
+      p.rules.onBatchEnd(p.now);
       int binds = p.fleet.bound.size() - bound;
       waiting += p.fleet.linesThisReply + (11 + 100) * binds;
       most = Math.max(most, waiting);
@@ -366,7 +366,7 @@
     PolicySettings set =
         RecordingCommands.settings(
             AdmissionMode.SHARE,
-            List.of(RecordingCommands.grade(Idempotency.SAFE, 1)),
+            List.of(RecordingCommands.grade(Idempotency.IDEMPOTENT, 1)),
             2,
             0,
             0,
@@ -383,14 +383,14 @@
       draining.add(RecordingCommands.state(id, (int) (id % 2), Lifecycle.DRAINING));
     }
     p.step(0);
-    p.rules.listed(p.now, ListUpdateKind.CHANGES, draining);
+    p.rules.onEndpointList(p.now, ListUpdateKind.DELTA, draining);
     ChannelModel channel = new ChannelModel(p, 3000, 200_000);
     int[] late = {0};
     for (int i = 0; i < 19; i++) {
       p.step(100_000);
       channel.answer();
-      p.rules.timer(p.now, 3);
-      p.rules.close(p.now);
+      p.rules.onTimer(p.now, 3);
+      p.rules.onBatchEnd(p.now);
       channel.put();
       assertTrue(channel.waiting() <= 4500, "lines waiting " + channel.waiting());
       late[0] = p.fleet.bound.size();
@@ -424,7 +424,7 @@
     PolicySettings set =
         RecordingCommands.settings(
             AdmissionMode.SHARE,
-            List.of(RecordingCommands.grade(Idempotency.SAFE, 1)),
+            List.of(RecordingCommands.grade(Idempotency.IDEMPOTENT, 1)),
             2,
             0,
             0,
@@ -445,8 +445,8 @@
         p.period();
       }
       channel.answer();
-      p.rules.timer(p.now, 3);
-      p.rules.close(p.now);
+      p.rules.onTimer(p.now, 3);
+      p.rules.onBatchEnd(p.now);
       Map<Integer, Integer> sent = channel.put();
       longest = Math.max(longest, sent.values().stream().mapToInt(n -> n).average().orElse(0));
     }
@@ -463,7 +463,7 @@
     PolicySettings set =
         RecordingCommands.settings(
             AdmissionMode.SHARE,
-            List.of(RecordingCommands.grade(Idempotency.SAFE, 1)),
+            List.of(RecordingCommands.grade(Idempotency.IDEMPOTENT, 1)),
             2,
             0,
             0,
@@ -478,7 +478,7 @@
       }
       p.step(5 * RecordingCommands.S);
       p.fleet.orders.clear();
-      p.list(ListUpdateKind.CHANGES, zone);
+      p.list(ListUpdateKind.DELTA, zone);
     }
     long back =
         p.fleet.orders.stream()
@@ -498,20 +498,20 @@
       PolicySettings set =
           RecordingCommands.settings(
               AdmissionMode.SHARE,
-              List.of(RecordingCommands.grade(Idempotency.SAFE, 1)),
+              List.of(RecordingCommands.grade(Idempotency.IDEMPOTENT, 1)),
               2,
               0,
               0,
               0,
               120);
       PolicyFixture p = new PolicyFixture(set);
-      p.rules.listed(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(100, 2));
-      p.rules.close(p.now);
+      p.rules.onEndpointList(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(100, 2));
+      p.rules.onBatchEnd(p.now);
       List<ServerEntry> draining = new ArrayList<>();
       for (long id = 1; id <= 60; id++) {
         draining.add(RecordingCommands.state(id, (int) (id % 2), Lifecycle.DRAINING));
       }
-      p.list(ListUpdateKind.CHANGES, before ? draining : List.of());
+      p.list(ListUpdateKind.DELTA, before ? draining : List.of());
       ChannelModel channel = new ChannelModel(p, 3000, 200_000);
       long joined = p.now;
       for (int proxy = 0; proxy < 60; proxy++) {
@@ -520,9 +520,10 @@
       double arrives = 0;
       for (int i = 0; i < 15 && p.fleet.bound.size() < 60; i++) {
         channel.answer();
-        p.rules.listed(p.now, ListUpdateKind.CHANGES, before || i != 2 ? List.of() : draining);
-        p.rules.timer(p.now, 3);
-        p.rules.close(p.now);
+        p.rules.onEndpointList(
+            p.now, ListUpdateKind.DELTA, before || i != 2 ? List.of() : draining);
+        p.rules.onTimer(p.now, 3);
+        p.rules.onBatchEnd(p.now);
         channel.put();
         arrives = (p.now - joined) / 1e6 + channel.waiting() / 3000 + 0.5;
         p.step(100_000);
@@ -543,7 +544,7 @@
         p.fleet.doubted.values().contains(true), "known since long ago: only where not sure");
     p.step(RecordingCommands.S);
     p.list(
-        ListUpdateKind.CHANGES,
+        ListUpdateKind.DELTA,
         List.of(
             RecordingCommands.ready(100, 0, p.now),
             RecordingCommands.ready(101, 0, 0),
@@ -553,11 +554,11 @@
     for (long id : List.of(101L, 1L, 2L)) {
       assertTrue(p.fleet.doubted.get(id), id + ": started before, anew or drains");
     }
-    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.state(100, 0, Lifecycle.GONE)));
+    p.list(ListUpdateKind.DELTA, List.of(RecordingCommands.state(100, 0, Lifecycle.REMOVED)));
     assertTrue(p.fleet.doubted.get(100L));
     p.periods(70);
     assertTrue(p.fleet.forgotten.contains(100L));
-    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(102, 0, p.now)));
+    p.list(ListUpdateKind.DELTA, List.of(RecordingCommands.ready(102, 0, p.now)));
     assertTrue(p.fleet.doubted.get(102L), "its id may be one that was forgotten");
   }
 
@@ -572,7 +573,7 @@
       PolicySettings set =
           RecordingCommands.settings(
               AdmissionMode.SHARE,
-              List.of(RecordingCommands.grade(Idempotency.SAFE, 1)),
+              List.of(RecordingCommands.grade(Idempotency.IDEMPOTENT, 1)),
               2,
               0,
               0,
@@ -591,9 +592,9 @@
         for (long id = 1 + 4L * i; i < 15 && id <= 4 * i + 4; id++) {
           drains.add(RecordingCommands.state(id, (int) (id % 2), Lifecycle.DRAINING));
         }
-        p.rules.listed(p.now, ListUpdateKind.CHANGES, drains);
-        p.rules.timer(p.now, 3);
-        p.rules.close(p.now);
+        p.rules.onEndpointList(p.now, ListUpdateKind.DELTA, drains);
+        p.rules.onTimer(p.now, 3);
+        p.rules.onBatchEnd(p.now);
         channel.put();
         assertTrue(channel.waiting() <= 4500, channel.waiting() + " lines wait at " + pace);
       }
@@ -621,7 +622,7 @@
     PolicySettings set =
         RecordingCommands.settings(
             AdmissionMode.SHARE,
-            List.of(RecordingCommands.grade(Idempotency.SAFE, 1)),
+            List.of(RecordingCommands.grade(Idempotency.IDEMPOTENT, 1)),
             2,
             0,
             0,
@@ -641,9 +642,9 @@
         long which = i == at ? id : id + 40;
         drains.add(RecordingCommands.state(which, (int) (which % 2), Lifecycle.DRAINING));
       }
-      p.rules.listed(p.now, ListUpdateKind.CHANGES, drains);
-      p.rules.timer(p.now, 3);
-      p.rules.close(p.now);
+      p.rules.onEndpointList(p.now, ListUpdateKind.DELTA, drains);
+      p.rules.onTimer(p.now, 3);
+      p.rules.onBatchEnd(p.now);
       channel.put();
       assertTrue(channel.waiting() <= 4500, channel.waiting() + " lines wait after " + i);
     }
@@ -663,11 +664,11 @@
     double waiting = 0;
     for (int i = 0; i < 60; i++) {
       p.step(200_000);
-      p.rules.left(p.now, 5);
+      p.rules.onProxyLeft(p.now, 5);
       p.fleet.bound.remove(5);
-      p.rules.joined(p.now, 5, 1, 10, false);
+      p.rules.onProxyJoined(p.now, 5, 1, 10, false);
       int marks = p.fleet.marks;
-      p.rules.close(p.now);
+      p.rules.onBatchEnd(p.now);
       waiting = queue(p, waiting, marks, 200_000, 3000);
       assertTrue(p.fleet.bound.containsKey(5), "bound in the reply to its joining");
     }
@@ -726,7 +727,7 @@
       p.fails.put(id, 0.6);
     }
     p.periods(2);
-    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(9, 1, p.now)));
+    p.list(ListUpdateKind.DELTA, List.of(RecordingCommands.ready(9, 1, p.now)));
     p.periods(3);
     assertFalse(p.fleet.tables.get(0).containsKey(9L), "proxies that avoid the rest crowd onto it");
     p.periods(9);
@@ -739,7 +740,7 @@
       PolicyFixture p = play(8, 4);
       p.step(lag * RecordingCommands.S);
       p.periods(4);
-      p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(9, 1, p.now)));
+      p.list(ListUpdateKind.DELTA, List.of(RecordingCommands.ready(9, 1, p.now)));
       p.periods(3);
       assertEquals(
           lag == 0, p.fleet.tables.get(0).containsKey(9L), "reports behind by " + lag + " s");
@@ -766,18 +767,18 @@
       }
       while (!due.isEmpty() && due.firstKey() <= p.now) {
         for (int k = due.pollFirstEntry().getValue(); k > 0; k--) {
-          p.rules.timer(p.now, 1);
-          p.rules.close(p.now);
+          p.rules.onTimer(p.now, 1);
+          p.rules.onBatchEnd(p.now);
         }
       }
       // The reports of a period come in two halves, the second three tenths after the first.
       if (i % 9 == 0 || i % 9 == 3) {
         for (long id = 1L + part++ % 2; id <= 8; id += 2) {
-          p.rules.heard(
+          p.rules.onLoadReport(
               p.now, id, 0, 9, 0, RecordingCommands.S, 200_000, RecordingCommands.NO_LOAD);
         }
       }
-      p.rules.close(p.now);
+      p.rules.onBatchEnd(p.now);
       assertTrue(due.values().stream().mapToInt(k -> k).sum() <= 3, "timers out: " + due);
     }
   }
@@ -787,15 +788,15 @@
   void aServerLongGoneIsForgotten() {
     PolicyFixture p = play(8, 4).periods(3);
     p.list(
-        ListUpdateKind.CHANGES,
+        ListUpdateKind.DELTA,
         List.of(
-            RecordingCommands.state(3, 1, Lifecycle.GONE),
+            RecordingCommands.state(3, 1, Lifecycle.REMOVED),
             RecordingCommands.state(4, 0, Lifecycle.DRAINING)));
     p.periods(50);
     assertEquals(List.of(), p.fleet.forgotten);
     p.periods(15);
     assertEquals(List.of(3L), p.fleet.forgotten, "one that drains may be told of again");
-    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(3, 1, 0)));
+    p.list(ListUpdateKind.DELTA, List.of(RecordingCommands.ready(3, 1, 0)));
     p.periods(2);
     assertTrue(p.fleet.tables.get(1).containsKey(3L));
   }
@@ -811,7 +812,7 @@
     for (int i = 0; i < 40; i++) {
       p.step(RecordingCommands.S);
       for (long id = 1L + i % 4; id <= 40; id += 4) {
-        p.rules.heard(
+        p.rules.onLoadReport(
             p.now,
             id,
             0,
@@ -822,10 +823,11 @@
             RecordingCommands.NO_LOAD);
       }
       for (int proxy = i % 4; proxy < 300; proxy += 4) {
-        p.rules.usage(p.now, proxy, 0, 30, 0, 4 * RecordingCommands.S);
+        p.rules.onUsageReport(p.now, proxy, 0, 30, 0, 4 * RecordingCommands.S);
       }
-      p.rules.close(p.now);
-      p.fleet.joined.forEach(proxy -> p.rules.applied(p.now, proxy, p.fleet.marks, 200_000));
+      p.rules.onBatchEnd(p.now);
+      p.fleet.joined.forEach(
+          proxy -> p.rules.onAcknowledgement(p.now, proxy, p.fleet.marks, 200_000));
     }
     assertFalse(p.fleet.logs.contains("overload"), "the mean over all is 0.31 of the aim");
   }
@@ -892,8 +894,8 @@
   void ratesLimitTheLargeProxiesAndNoLevelsMeansNone() {
     List<RequestClass> grades =
         List.of(
-            RecordingCommands.grade(Idempotency.SAFE, 1),
-            RecordingCommands.grade(Idempotency.SAFE, 2));
+            RecordingCommands.grade(Idempotency.IDEMPOTENT, 1),
+            RecordingCommands.grade(Idempotency.IDEMPOTENT, 2));
     for (AdmissionMode kind : List.of(AdmissionMode.RATE, AdmissionMode.NONE)) {
       PolicyFixture p =
           new PolicyFixture(RecordingCommands.settings(kind, grades, 2, 0, 0))
@@ -911,7 +913,7 @@
     for (int i = 0; i < periods; i++) {
       for (String order : List.copyOf(p.fleet.orders)) {
         if (order.startsWith("probe ")) {
-          p.rules.probed(
+          p.rules.onHealthCheckResult(
               p.now,
               Long.parseLong(order.substring(6)),
               HealthCheckResult.OK,
@@ -945,7 +947,7 @@
     for (long id = 1; id <= 5; id++) {
       drains.add(RecordingCommands.state(id, (int) (id % 2), Lifecycle.DRAINING));
     }
-    p.list(ListUpdateKind.CHANGES, drains);
+    p.list(ListUpdateKind.DELTA, drains);
     busy(p, 1, 0.5);
     assertTrue(
         p.fleet.levels.getOrDefault(1, 1.0) < 1, "half of 8 servers' time is more than 3 have");
@@ -978,25 +980,25 @@
   @Test
   void proxiesThatHoldTablesAreBoundOnceTheFleetWasHeard() {
     PolicyFixture p = new PolicyFixture(RecordingCommands.settings());
-    p.rules.listed(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(8, 2));
+    p.rules.onEndpointList(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(8, 2));
     p.join(0, false);
     p.join(1, true);
-    p.rules.close(p.now);
+    p.rules.onBatchEnd(p.now);
     assertFalse(p.fleet.bound.containsKey(0));
     assertTrue(p.fleet.bound.containsKey(1));
     p.step(10_000);
-    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.state(1, 1, Lifecycle.GONE)));
+    p.list(ListUpdateKind.DELTA, List.of(RecordingCommands.state(1, 1, Lifecycle.REMOVED)));
     p.step(700_000);
-    p.rules.timer(p.now, 3);
-    p.rules.close(p.now);
+    p.rules.onTimer(p.now, 3);
+    p.rules.onBatchEnd(p.now);
     for (int proxy = 2; proxy < 8; proxy++) {
       p.join(proxy, false);
       p.step(10_000);
-      p.rules.close(p.now);
+      p.rules.onBatchEnd(p.now);
     }
     p.step(700_000);
-    p.rules.timer(p.now, 3);
-    p.rules.close(p.now);
+    p.rules.onTimer(p.now, 3);
+    p.rules.onBatchEnd(p.now);
     assertEquals(
         3,
         p.fleet.orders.stream().filter("withdraw 1 true"::equals).count(),
@@ -1010,20 +1012,21 @@
   @Test
   void noLevelIsReadOffAPartOfATurnAfterARestart() {
     PolicyFixture p = new PolicyFixture(RecordingCommands.settings());
-    p.rules.listed(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(30, 2));
+    p.rules.onEndpointList(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(30, 2));
     for (int proxy = 0; proxy < 160; proxy++) {
       p.join(proxy, false);
     }
-    p.rules.close(p.now);
+    p.rules.onBatchEnd(p.now);
     for (int i = 0; i < 4; i++) {
       p.step(RecordingCommands.S);
       for (long id = 1L + i % 3; id <= 30; id += 3) {
-        p.rules.heard(p.now, id, 0, 16, 0, RecordingCommands.S, 200_000, RecordingCommands.NO_LOAD);
+        p.rules.onLoadReport(
+            p.now, id, 0, 16, 0, RecordingCommands.S, 200_000, RecordingCommands.NO_LOAD);
       }
       for (int proxy = 0; proxy < 160; proxy++) {
-        p.rules.usage(p.now, proxy, 0, 3, 0, RecordingCommands.S);
+        p.rules.onUsageReport(p.now, proxy, 0, 3, 0, RecordingCommands.S);
       }
-      p.rules.close(p.now);
+      p.rules.onBatchEnd(p.now);
     }
     assertEquals(List.of(), p.fleet.logs);
     assertTrue(p.fleet.levels.values().stream().allMatch(l -> l >= 1), "" + p.fleet.levels);
@@ -1033,15 +1036,16 @@
   @Test
   void levelsBelongToTablesAndAreReadOffAfterARestart() {
     PolicyFixture p = new PolicyFixture(RecordingCommands.settings());
-    p.rules.listed(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(8, 2));
+    p.rules.onEndpointList(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(8, 2));
     for (int proxy = 0; proxy < 4; proxy++) {
       p.join(proxy, false);
     }
-    p.rules.close(p.now);
+    p.rules.onBatchEnd(p.now);
     p.triesPerZone = 0;
     for (int i = 0; i < 3; i++) {
       for (long id = 1; id <= 8; id++) {
-        p.rules.heard(p.now, id, 0, 5, 0, RecordingCommands.S, 200_000, RecordingCommands.NO_LOAD);
+        p.rules.onLoadReport(
+            p.now, id, 0, 5, 0, RecordingCommands.S, 200_000, RecordingCommands.NO_LOAD);
       }
       p.period();
     }
@@ -1052,7 +1056,7 @@
 
   @Test
   void whereMessagesAreCappedCalmLinesWaitAndWithdrawalsDoNot() {
-    List<RequestClass> one = List.of(RecordingCommands.grade(Idempotency.SAFE, 1));
+    List<RequestClass> one = List.of(RecordingCommands.grade(Idempotency.IDEMPOTENT, 1));
     PolicyFixture p =
         new PolicyFixture(RecordingCommands.settings(AdmissionMode.SHARE, one, 2, 0, 0, 6));
     p.start(RecordingCommands.servers(8, 2), 4);
@@ -1065,7 +1069,7 @@
     }
     assertTrue(marks <= 3, "calm messages in ten seconds: " + marks);
     p.step(1000);
-    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.state(2, 0, Lifecycle.GONE)));
+    p.list(ListUpdateKind.DELTA, List.of(RecordingCommands.state(2, 0, Lifecycle.REMOVED)));
     assertTrue(p.fleet.withdrawn.contains(2L));
     assertEquals(marks + 1, p.fleet.marks);
   }
@@ -1117,7 +1121,8 @@
       p.periods(4);
       jam(p, failed, 200);
       p.step(10_000);
-      p.rules.listed(p.now, ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(9, 1, p.now)));
+      p.rules.onEndpointList(
+          p.now, ListUpdateKind.DELTA, List.of(RecordingCommands.ready(9, 1, p.now)));
       p.period();
       assertEquals(failed < 0.05, p.fleet.tables.get(0).containsKey(9L), "fell by " + failed);
     }
@@ -1125,15 +1130,15 @@
 
   @Test
   void theHomePullStartsByProxiesAndLeavesWhatAZoneCannotHold() {
-    List<RequestClass> one = List.of(RecordingCommands.grade(Idempotency.SAFE, 1));
+    List<RequestClass> one = List.of(RecordingCommands.grade(Idempotency.IDEMPOTENT, 1));
     PolicyFixture p =
         new PolicyFixture(RecordingCommands.settings(AdmissionMode.SHARE, one, 2, 0.08, 0));
-    p.rules.listed(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(40, 2));
+    p.rules.onEndpointList(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(40, 2));
     for (int proxy = 0; proxy < 40; proxy++) {
       p.fleet.joined.add(proxy);
-      p.rules.joined(p.now, proxy, proxy % 4 == 0 ? 1 : 0, 10, true);
+      p.rules.onProxyJoined(p.now, proxy, proxy % 4 == 0 ? 1 : 0, 10, true);
     }
-    p.rules.close(p.now);
+    p.rules.onBatchEnd(p.now);
     double[] home = new double[2];
     for (int z = 0; z < 2; z++) {
       for (long id = 1; id <= 40; id++) {
@@ -1151,9 +1156,9 @@
             .start(RecordingCommands.servers(120, 2), 60);
     p.periods(6);
     p.step(300_000);
-    p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.state(1, 1, Lifecycle.DRAINING)));
+    p.list(ListUpdateKind.DELTA, List.of(RecordingCommands.state(1, 1, Lifecycle.DRAINING)));
     for (int proxy = 0; proxy < 60; proxy++) {
-      p.rules.left(p.now, proxy);
+      p.rules.onProxyLeft(p.now, proxy);
     }
     p.fleet.bound.clear();
     p.fleet.orders.clear();
@@ -1166,8 +1171,8 @@
         p.join(proxy, false);
         joined.put(proxy, p.now);
       }
-      p.rules.timer(p.now, 3);
-      p.rules.close(p.now);
+      p.rules.onTimer(p.now, 3);
+      p.rules.onBatchEnd(p.now);
       List<String[]> binds =
           p.fleet.orders.stream().map(o -> o.split(" ")).filter(o -> o[0].equals("bind")).toList();
       for (String[] bind : binds) {
@@ -1197,19 +1202,21 @@
     for (int i = 0; i < 60; i++) {
       p.step(RecordingCommands.S);
       for (long id = 1; id <= 8; id++) {
-        p.rules.heard(p.now, id, 0, 20, 0, RecordingCommands.S, 200_000, RecordingCommands.NO_LOAD);
+        p.rules.onLoadReport(
+            p.now, id, 0, 20, 0, RecordingCommands.S, 200_000, RecordingCommands.NO_LOAD);
       }
       for (int proxy = 0; proxy < 24; proxy++) {
         // A third silent from the first on, a third idle most of the time, a third losing some.
         if ((proxy % 3 == 1 && i % 9 == proxy % 9) || (proxy % 3 == 2 && (i + proxy) % 5 > 0)) {
-          p.rules.usage(p.now, proxy, 0, 1, 0, RecordingCommands.S);
+          p.rules.onUsageReport(p.now, proxy, 0, 1, 0, RecordingCommands.S);
         }
       }
-      p.rules.close(p.now);
-      p.fleet.joined.forEach(proxy -> p.rules.applied(p.now, proxy, p.fleet.marks, 200_000));
+      p.rules.onBatchEnd(p.now);
+      p.fleet.joined.forEach(
+          proxy -> p.rules.onAcknowledgement(p.now, proxy, p.fleet.marks, 200_000));
       if (i == 54) {
-        p.rules.listed(
-            p.now, ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(999, 1, p.now)));
+        p.rules.onEndpointList(
+            p.now, ListUpdateKind.DELTA, List.of(RecordingCommands.ready(999, 1, p.now)));
       }
     }
     assertTrue(
@@ -1222,17 +1229,18 @@
     for (int i = 0; i < 12; i++) {
       p.step(RecordingCommands.S);
       for (long id = 1L + i % 3; id <= 100; id += 3) {
-        p.rules.heard(
+        p.rules.onLoadReport(
             p.now, id, 0, 9, 0, 3 * RecordingCommands.S, 200_000, RecordingCommands.NO_LOAD);
       }
       for (int proxy = i % 3; proxy < 40; proxy += 3) {
-        p.rules.usage(p.now, proxy, 0, 30, 0, 3 * RecordingCommands.S);
+        p.rules.onUsageReport(p.now, proxy, 0, 30, 0, 3 * RecordingCommands.S);
       }
-      p.rules.close(p.now);
-      p.fleet.joined.forEach(proxy -> p.rules.applied(p.now, proxy, p.fleet.marks, 200_000));
+      p.rules.onBatchEnd(p.now);
+      p.fleet.joined.forEach(
+          proxy -> p.rules.onAcknowledgement(p.now, proxy, p.fleet.marks, 200_000));
       if (i == 6) {
-        p.rules.listed(
-            p.now, ListUpdateKind.CHANGES, List.of(RecordingCommands.ready(999, 1, p.now)));
+        p.rules.onEndpointList(
+            p.now, ListUpdateKind.DELTA, List.of(RecordingCommands.ready(999, 1, p.now)));
       }
     }
     assertTrue(p.fleet.tables.get(0).containsKey(999L), "listed though lines come in turns");
@@ -1240,7 +1248,7 @@
 
   @Test
   void theOwnZoneTakesMoreWhileItDoesWellAndLessWhenItDoesWorse() {
-    List<RequestClass> one = List.of(RecordingCommands.grade(Idempotency.SAFE, 1));
+    List<RequestClass> one = List.of(RecordingCommands.grade(Idempotency.IDEMPOTENT, 1));
     PolicyFixture p =
         new PolicyFixture(RecordingCommands.settings(AdmissionMode.SHARE, one, 2, 0.08, 0));
     p.start(RecordingCommands.servers(8, 2), 4);
@@ -1266,15 +1274,15 @@
   void aFailedWatchIsRenewedAndTheListLossIsLoggedOnce() {
     PolicyFixture p = play(8, 4);
     assertTrue(p.fleet.orders.contains("watch true"));
-    p.list(ListUpdateKind.WHOLE, RecordingCommands.servers(8, 2));
+    p.list(ListUpdateKind.COMPLETE, RecordingCommands.servers(8, 2));
     p.fleet.orders.clear();
     p.list(ListUpdateKind.FAILED, List.of());
     assertTrue(p.fleet.timers.containsKey(2L));
-    p.rules.timer(p.now, 2);
+    p.rules.onTimer(p.now, 2);
     assertTrue(p.fleet.orders.contains("watch true"));
     p.list(ListUpdateKind.FAILED, List.of());
     assertEquals(1, p.fleet.logs.stream().filter("list lost"::equals).count());
-    p.list(ListUpdateKind.WHOLE, RecordingCommands.servers(8, 2));
+    p.list(ListUpdateKind.COMPLETE, RecordingCommands.servers(8, 2));
     assertTrue(p.fleet.logs.contains("list back"));
   }
 
@@ -1290,13 +1298,13 @@
       PolicyFixture p =
           new PolicyFixture(RecordingCommands.seeded(set, seed))
               .start(RecordingCommands.servers(8, 2), 4);
-      p.list(ListUpdateKind.WHOLE, RecordingCommands.servers(8, 2));
+      p.list(ListUpdateKind.COMPLETE, RecordingCommands.servers(8, 2));
       List<Long> own = new ArrayList<>();
       for (int k = 0; k < 40; k++) {
         p.list(ListUpdateKind.FAILED, List.of());
         own.add(p.fleet.timers.get(2L));
       }
-      p.list(ListUpdateKind.WHOLE, RecordingCommands.servers(8, 2));
+      p.list(ListUpdateKind.COMPLETE, RecordingCommands.servers(8, 2));
       p.list(ListUpdateKind.FAILED, List.of());
       assertEquals(own.get(0), p.fleet.timers.get(2L), "begins anew once the list is back");
       assertTrue(own.get(0) >= 375_000 && own.get(0) <= 625_000, "the first " + own);
@@ -1315,11 +1323,12 @@
       PolicyFixture p = play(8, 8);
       p.periods(8);
       if (left) {
-        p.list(ListUpdateKind.CHANGES, List.of(RecordingCommands.state(1, 1, Lifecycle.DRAINING)));
+        p.list(ListUpdateKind.DELTA, List.of(RecordingCommands.state(1, 1, Lifecycle.DRAINING)));
       }
       for (int k = 0; k < 5; k++) {
         for (int probe = 0; probe < 4; probe++) {
-          p.rules.probed(p.now, left ? 1 : 2, HealthCheckResult.OK, 3000, new float[] {1});
+          p.rules.onHealthCheckResult(
+              p.now, left ? 1 : 2, HealthCheckResult.OK, 3000, new float[] {1});
         }
         p.period();
       }
@@ -1329,11 +1338,11 @@
 
   @Test
   void slicesAreNotServedButSaidSo() {
-    List<RequestClass> one = List.of(RecordingCommands.grade(Idempotency.SAFE, 1));
+    List<RequestClass> one = List.of(RecordingCommands.grade(Idempotency.IDEMPOTENT, 1));
     PolicyFixture p =
         new PolicyFixture(RecordingCommands.settings(AdmissionMode.SHARE, one, 2, 0, 16));
     p.start(RecordingCommands.servers(8, 2), 4);
-    p.rules.sliceGiven(p.now, 1, true);
+    p.rules.onSliceAssignment(p.now, 1, true);
     p.periods(3);
     assertTrue(p.fleet.bound.isEmpty());
     assertTrue(p.fleet.logs.stream().anyMatch(l -> l.contains("slices are not served")));
@@ -1344,22 +1353,23 @@
     PolicyFixture p = play(4, 2);
     p.periods(3);
     int before = p.fleet.orders.size();
-    p.rules.heard(p.now, 99, 0, 5, 0, RecordingCommands.S, 1000, RecordingCommands.NO_LOAD);
-    p.rules.heard(p.now, 1, 9, 5, 0, RecordingCommands.S, 1000, RecordingCommands.NO_LOAD);
-    p.rules.heard(p.now, 1, 0, 0, 0, 0, 0, RecordingCommands.NO_LOAD);
-    p.rules.usage(p.now, 99, 0, 5, 0, RecordingCommands.S);
-    p.rules.usage(p.now, 0, 9, 5, 0, RecordingCommands.S);
-    p.rules.usage(p.now, 0, 0, 5, 0, 0);
-    p.rules.probed(p.now, 99, HealthCheckResult.DOWN, 0, RecordingCommands.NO_LOAD);
-    p.rules.applied(p.now, 99, 1, 0);
-    p.rules.left(p.now, 99);
-    p.rules.timer(p.now, 77);
-    p.rules.listed(
-        p.now, ListUpdateKind.CHANGES, List.of(RecordingCommands.state(50, 0, Lifecycle.GONE)));
-    p.rules.close(p.now);
+    p.rules.onLoadReport(p.now, 99, 0, 5, 0, RecordingCommands.S, 1000, RecordingCommands.NO_LOAD);
+    p.rules.onLoadReport(p.now, 1, 9, 5, 0, RecordingCommands.S, 1000, RecordingCommands.NO_LOAD);
+    p.rules.onLoadReport(p.now, 1, 0, 0, 0, 0, 0, RecordingCommands.NO_LOAD);
+    p.rules.onUsageReport(p.now, 99, 0, 5, 0, RecordingCommands.S);
+    p.rules.onUsageReport(p.now, 0, 9, 5, 0, RecordingCommands.S);
+    p.rules.onUsageReport(p.now, 0, 0, 5, 0, 0);
+    p.rules.onHealthCheckResult(
+        p.now, 99, HealthCheckResult.UNREACHABLE, 0, RecordingCommands.NO_LOAD);
+    p.rules.onAcknowledgement(p.now, 99, 1, 0);
+    p.rules.onProxyLeft(p.now, 99);
+    p.rules.onTimer(p.now, 77);
+    p.rules.onEndpointList(
+        p.now, ListUpdateKind.DELTA, List.of(RecordingCommands.state(50, 0, Lifecycle.REMOVED)));
+    p.rules.onBatchEnd(p.now);
     assertEquals(before, p.fleet.orders.size());
     p.join(0, true);
-    p.rules.close(p.now);
+    p.rules.onBatchEnd(p.now);
     assertTrue(p.fleet.orders.subList(before, p.fleet.orders.size()).contains("bind 0 0 0"));
   }
 
@@ -1378,7 +1388,7 @@
         long id = alive.remove(random.nextInt(alive.size()));
         changes.add(
             RecordingCommands.state(
-                id, 0, random.nextBoolean() ? Lifecycle.GONE : Lifecycle.DRAINING));
+                id, 0, random.nextBoolean() ? Lifecycle.REMOVED : Lifecycle.DRAINING));
       }
       if (random.nextInt(4) == 0) {
         alive.add(++next);
@@ -1393,16 +1403,16 @@
       }
       if (random.nextInt(8) == 0) {
         int proxy = random.nextInt(10);
-        p.rules.left(p.now, proxy);
+        p.rules.onProxyLeft(p.now, proxy);
         p.fleet.joined.remove(proxy);
         p.fleet.bound.remove(proxy);
       }
-      p.list(ListUpdateKind.CHANGES, changes);
+      p.list(ListUpdateKind.DELTA, changes);
       int lines = p.fleet.linesThisReply + 11 * p.fleet.joined.size();
       if (check) {
         for (ServerEntry e : changes) {
           assertEquals(
-              e.state() != Lifecycle.READY,
+              e.lifecycle() != Lifecycle.READY,
               p.fleet.withdrawn.contains(e.server()),
               "withdrawn at once, seed " + seed);
         }
@@ -1470,7 +1480,7 @@
       p.step(RecordingCommands.S);
       for (int z = 0; z < 2; z++) {
         for (long id = 1; id <= 12; id++) {
-          p.rules.heard(
+          p.rules.onLoadReport(
               p.now,
               id,
               z,
@@ -1482,12 +1492,12 @@
         }
       }
       int marks = p.fleet.marks;
-      p.rules.close(p.now);
+      p.rules.onBatchEnd(p.now);
       if (p.fleet.marks != marks) {
         sent += p.fleet.linesThisReply + 11 * p.fleet.joined.size();
       }
       for (int proxy : p.fleet.joined) {
-        p.rules.applied(p.now, proxy, p.fleet.marks, 20 * RecordingCommands.S);
+        p.rules.onAcknowledgement(p.now, proxy, p.fleet.marks, 20 * RecordingCommands.S);
       }
     }
     assertTrue(sent < 60 * 160, "lines sent into a channel that takes 20 s: " + sent);
--- a/src/test/java/pearusher/policy/HistorySettings.java
+++ b/src/test/java/pearusher/policy/HistorySettings.java
@@ -23,18 +23,18 @@
   boolean listOnRequest;
   boolean probes;
   boolean peers;
-  LoadReportSource reportFrom = LoadReportSource.PROBES;
-  List<LoadMetric> reportFields = List.of(LoadMetric.QUEUE, LoadMetric.UTIL);
+  LoadReportSource reportFrom = LoadReportSource.HEALTH_CHECKS;
+  List<LoadMetric> reportFields = List.of(LoadMetric.QUEUE_LENGTH, LoadMetric.UTILIZATION);
   boolean ownZoneJoins;
 
   private static RequestClass grade(int number) {
     Idempotency effect =
         switch (number % 3) {
-          case 0 -> Idempotency.SAFE;
-          case 1 -> Idempotency.UNSAFE;
-          default -> Idempotency.KEYED;
+          case 0 -> Idempotency.IDEMPOTENT;
+          case 1 -> Idempotency.NOT_IDEMPOTENT;
+          default -> Idempotency.WITH_KEY;
         };
-    boolean writes = effect != Idempotency.SAFE;
+    boolean writes = effect != Idempotency.IDEMPOTENT;
     return new RequestClass(
         SECOND + number * 200_000L,
         3 * SECOND,
--- a/src/test/java/pearusher/policy/OrderRecorder.java
+++ b/src/test/java/pearusher/policy/OrderRecorder.java
@@ -98,7 +98,7 @@
   }
 
   @Override
-  public void line(int table, long server, double weight) {
+  public void setWeight(int table, long server, double weight) {
     write("weight", table, server, number(weight));
     Map<Long, Double> weights = tables.computeIfAbsent(table, t -> new TreeMap<>());
     if (weight > 0) {
@@ -110,7 +110,7 @@
   }
 
   @Override
-  public void clear(int table) {
+  public void clearTable(int table) {
     write("drop-table", table);
     tables.remove(table);
   }
@@ -127,49 +127,49 @@
   }
 
   @Override
-  public void bind(int proxy, int table, int classBits) {
+  public void bindProxy(int proxy, int table, int classBits) {
     write("assign-table", proxy, table, classBits);
     bound.put(proxy, table);
     boundNow.add(proxy);
   }
 
   @Override
-  public void admit(int table, int classBits, double level, int retry) {
+  public void setAdmission(int table, int classBits, double level, int retry) {
     write("admission", table, classBits, number(level), retry);
     changesByTable.merge(table, 1, Integer::sum);
   }
 
   @Override
-  public void mark(int number, boolean toAll) {
+  public void requestAck(int number, boolean toAll) {
     write("checkpoint", number, yesOrNo(toAll));
     markNow = number;
   }
 
   @Override
-  public void watch(boolean on) {
+  public void watchEndpoints(boolean on) {
     write("subscribe", yesOrNo(on));
     watchNow = on;
   }
 
   @Override
-  public void fetch() {
+  public void fetchEndpoints() {
     write("request-list");
   }
 
   @Override
-  public void probe(long server) {
+  public void checkHealth(long server) {
     write("health-check", server);
     probes.add(server);
   }
 
   @Override
-  public void timer(long delayUs, long token) {
+  public void setTimer(long delayUs, long token) {
     write("wake-up", delayUs, token);
     timers.add(new Timer(delayUs, token));
   }
 
   @Override
-  public void tell(long peer, byte[] body) {
+  public void sendToPeer(long peer, byte[] body) {
     write("peer-message", peer, HexFormat.of().formatHex(body));
   }
 
@@ -180,17 +180,17 @@
   }
 
   @Override
-  public void sure(int proxy) {
+  public void confirmProxy(int proxy) {
     write("proxy-state-known", proxy);
   }
 
   @Override
-  public void doubt(long server, boolean all) {
+  public void suspectEjection(long server, boolean all) {
     write("server-state-unknown", server, yesOrNo(all));
   }
 
   @Override
-  public void forget(long server) {
+  public void forgetServer(long server) {
     write("release-server", server);
   }
 }
--- a/src/test/java/pearusher/policy/PolicyFixture.java
+++ b/src/test/java/pearusher/policy/PolicyFixture.java
@@ -23,11 +23,11 @@
   }
 
   PolicyFixture start(List<ServerEntry> servers, int proxies) {
-    rules.listed(now, ListUpdateKind.CACHED, servers);
+    rules.onEndpointList(now, ListUpdateKind.CACHED, servers);
     for (int p = 0; p < proxies; p++) {
       join(p, true);
     }
-    rules.close(now);
+    rules.onBatchEnd(now);
     return this;
   }
 
@@ -37,18 +37,18 @@
 
   void join(int proxy, int zone, boolean standing) {
     fleet.joined.add(proxy);
-    rules.joined(now, proxy, zone, 10, standing);
+    rules.onProxyJoined(now, proxy, zone, 10, standing);
   }
 
   void leave(int proxy) {
     fleet.joined.remove(proxy);
     fleet.bound.remove(proxy);
-    rules.left(now, proxy);
+    rules.onProxyLeft(now, proxy);
   }
 
   void list(ListUpdateKind form, List<ServerEntry> entries) {
-    rules.listed(now, form, entries);
-    rules.close(now);
+    rules.onEndpointList(now, form, entries);
+    rules.onBatchEnd(now);
   }
 
   void step(long us) {
@@ -60,10 +60,10 @@
   void period() {
     step(RecordingCommands.S);
     reports();
-    rules.close(now);
+    rules.onBatchEnd(now);
     if (fleet.marks > 0) {
       for (int proxy : fleet.joined) {
-        rules.applied(now, proxy, fleet.marks, 200_000);
+        rules.onAcknowledgement(now, proxy, fleet.marks, 200_000);
       }
     }
   }
@@ -80,7 +80,7 @@
         long tries = Math.round(triesPerZone * (table.get(id) / sum));
         long failed = Math.round(tries * fails.getOrDefault(id, 0.0));
         if (tries > 0) {
-          rules.heard(
+          rules.onLoadReport(
               now,
               id,
               z,
@@ -93,8 +93,8 @@
       }
     }
     for (int proxy : fleet.joined) {
-      for (int k = 0; k < set.grades().size(); k++) {
-        rules.usage(now, proxy, k, 10, 0, RecordingCommands.S);
+      for (int k = 0; k < set.requestClasses().size(); k++) {
+        rules.onUsageReport(now, proxy, k, 10, 0, RecordingCommands.S);
       }
     }
   }
--- a/src/test/java/pearusher/policy/PolicyHistory.java
+++ b/src/test/java/pearusher/policy/PolicyHistory.java
@@ -125,13 +125,14 @@
 
   /** Ends the events of one instant and carries out what was ordered. */
   void close() {
-    policy.close(now());
+    policy.onBatchEnd(now());
     for (OrderRecorder.Timer timer : orders.timers) {
-      schedule(timer.delayUs(), () -> policy.timer(now(), timer.token()));
+      schedule(timer.delayUs(), () -> policy.onTimer(now(), timer.token()));
     }
     orders.probes.forEach(this::answerProbe);
     if (orders.watchNow) {
-      schedule(50_000, () -> list(listUnavailable ? ListUpdateKind.FAILED : ListUpdateKind.WHOLE));
+      schedule(
+          50_000, () -> list(listUnavailable ? ListUpdateKind.FAILED : ListUpdateKind.COMPLETE));
     }
     if (orders.markNow > 0) {
       sendMessages(orders.markNow);
@@ -156,13 +157,13 @@
     if (form != ListUpdateKind.FAILED) {
       servers.values().forEach(server -> entries.add(server.entry()));
     }
-    policy.listed(now(), form, entries);
+    policy.onEndpointList(now(), form, entries);
   }
 
   /** Tells that these servers changed. */
   void listChanges(List<Long> ids) {
-    policy.listed(
-        now(), ListUpdateKind.CHANGES, ids.stream().map(id -> servers.get(id).entry()).toList());
+    policy.onEndpointList(
+        now(), ListUpdateKind.DELTA, ids.stream().map(id -> servers.get(id).entry()).toList());
   }
 
   void change(Lifecycle state, List<Long> ids) {
@@ -192,16 +193,17 @@
     boolean lost = random.nextDouble() < probeLoss;
     HealthCheckResult[] bad = {
       HealthCheckResult.ERROR,
-      HealthCheckResult.TURNED_AWAY,
-      HealthCheckResult.NO_ANSWER,
-      HealthCheckResult.DOWN,
-      HealthCheckResult.BROKEN,
+      HealthCheckResult.REJECTED,
+      HealthCheckResult.TIMED_OUT,
+      HealthCheckResult.UNREACHABLE,
+      HealthCheckResult.DISCONNECTED,
       HealthCheckResult.OTHER
     };
     HealthCheckResult end = lost ? bad[random.nextInt(bad.length)] : HealthCheckResult.OK;
     float busy = (float) (utilization + random.nextDouble() * 0.1);
     long tookUs = 5000L + random.nextInt(40_000);
-    schedule(tookUs, () -> policy.probed(now(), id, end, tookUs, new float[] {3, busy}));
+    schedule(
+        tookUs, () -> policy.onHealthCheckResult(now(), id, end, tookUs, new float[] {3, busy}));
   }
 
   // Proxies.
@@ -209,7 +211,7 @@
   void join(int proxy, int zone, boolean fresh) {
     proxies.put(proxy, zone);
     orders.bound.remove(proxy);
-    policy.joined(now(), proxy, zone, requestsPerS, fresh);
+    policy.onProxyJoined(now(), proxy, zone, requestsPerS, fresh);
   }
 
   /** Proxies with consecutive numbers join, in turn in the first zones. */
@@ -222,7 +224,7 @@
   void leave(int proxy) {
     proxies.remove(proxy);
     orders.bound.remove(proxy);
-    policy.left(now(), proxy);
+    policy.onProxyLeft(now(), proxy);
   }
 
   private void sendMessages(int mark) {
@@ -235,14 +237,14 @@
               if (lines == 0) {
                 return;
               }
-              double pace = settings.channel().linesPerS() * channelPace;
-              double tookUs = (lines + settings.channel().head() + 1) / pace * 1e6;
+              double pace = settings.channel().linesPerSecond() * channelPace;
+              double tookUs = (lines + settings.channel().messageOverheadLines() + 1) / pace * 1e6;
               channelFreeUs = Math.max(channelFreeUs, elapsedUs) + Math.round(tookUs);
-              long arrivedUs = channelFreeUs + settings.channel().lateUs();
+              long arrivedUs = channelFreeUs + settings.channel().transitDelayUs();
               if (random.nextDouble() >= acknowledgementLoss) {
                 schedule(
                     inBatches(arrivedUs + acknowledgementDelayUs) - elapsedUs,
-                    () -> policy.applied(now(), proxy, mark, arrivedUs - orderedUs));
+                    () -> policy.onAcknowledgement(now(), proxy, mark, arrivedUs - orderedUs));
               }
             });
   }
@@ -302,19 +304,20 @@
     }
     proxies.forEach(
         (proxy, at) -> {
-          for (int grade = 0; at == zone && grade < settings.grades().size(); grade++) {
+          for (int grade = 0; at == zone && grade < settings.requestClasses().size(); grade++) {
             long requests = Math.round(requestsPerS * (0.5 + random.nextDouble()));
-            policy.usage(now(), proxy, grade, requests, Math.round(requests * failures), SECOND);
+            policy.onUsageReport(
+                now(), proxy, grade, requests, Math.round(requests * failures), SECOND);
           }
         });
   }
 
   private void deliver(long server, int zone, long tries, long failed, long meanUs) {
     if (reportAgeUs > 0) {
-      policy.heard(
+      policy.onLoadReport(
           now(), server, zone, tries, failed, 3 * SECOND, meanUs, new float[0], reportAgeUs);
     } else {
-      policy.heard(now(), server, zone, tries, failed, SECOND, meanUs, new float[0]);
+      policy.onLoadReport(now(), server, zone, tries, failed, SECOND, meanUs, new float[0]);
     }
   }
 }
--- a/src/test/java/pearusher/policy/PolicyScenarios.java
+++ b/src/test/java/pearusher/policy/PolicyScenarios.java
@@ -111,7 +111,7 @@
             with(
                 s -> {
                   s.probes = true;
-                  s.reportFields = List.of(LoadMetric.QUEUE);
+                  s.reportFields = List.of(LoadMetric.QUEUE_LENGTH);
                 }),
             9,
             PolicyScenarios::probes));
@@ -285,7 +285,7 @@
     history.change(Lifecycle.DRAINING, ids(1, 1));
     history.close();
     history.run(3);
-    history.change(Lifecycle.GONE, ids(1, 1));
+    history.change(Lifecycle.REMOVED, ids(1, 1));
     history.close();
     history.run(2.5);
     history.addServers(2, 1, 1, history.now());
@@ -429,14 +429,14 @@
     history.listUnavailable = false;
     history.run(15);
     history.servers.remove(12L);
-    history.list(ListUpdateKind.WHOLE);
+    history.list(ListUpdateKind.COMPLETE);
     history.close();
     history.run(3);
     for (int repeat = 0; repeat < 12; repeat++) {
       history.list(ListUpdateKind.FAILED);
     }
     history.close();
-    history.policy.told(history.now(), 1, new byte[] {1, 2, 3});
+    history.policy.onPeerMessage(history.now(), 1, new byte[] {1, 2, 3});
     history.run(20);
     history.addServers(30, 2, 5, history.now());
     history.list(ListUpdateKind.CACHED);
@@ -452,7 +452,7 @@
       history.change(Lifecycle.DRAINING, batch);
       history.close();
       history.run(1.2);
-      history.change(Lifecycle.GONE, batch);
+      history.change(Lifecycle.REMOVED, batch);
       history.close();
       history.run(1.5);
       history.restart(batch);
@@ -470,7 +470,7 @@
   private static void forgetting(PolicyHistory history) {
     start(history, 24, 6, 12);
     history.run(6);
-    history.change(Lifecycle.GONE, ids(1, 4));
+    history.change(Lifecycle.REMOVED, ids(1, 4));
     for (int proxy = 0; proxy < 12; proxy++) {
       if (proxy % 6 > 2) {
         history.leave(proxy);
@@ -562,15 +562,15 @@
         weights.put(id, zone == 0 ? weight * scale : weight / scale);
       }
       history.orders.tables.put(zone, new TreeMap<>(weights));
-      history.policy.restored(
+      history.policy.onTableRestored(
           history.now(), zone, weights, new double[] {0.4, 1}, new int[] {0, zone - 1}, 70);
     }
-    history.policy.restored(
+    history.policy.onTableRestored(
         history.now(), 7, Map.of(1L, 1.0), new double[] {1, 1}, new int[] {1, 1}, 70);
     history.joinAll(0, 10, 2, false);
     history.joinAll(10, 4, 2, true);
     for (int proxy = 0; proxy < 8; proxy++) {
-      history.policy.holds(history.now(), proxy, proxy < 6 ? proxy % 2 : 9, proxy);
+      history.policy.onTableHeld(history.now(), proxy, proxy < 6 ? proxy % 2 : 9, proxy);
     }
     history.failures = 0.3;
     history.slowdown = 3;
@@ -609,7 +609,7 @@
     history.change(Lifecycle.DRAINING, ids(1, 60));
     history.close();
     history.run(8);
-    history.change(Lifecycle.GONE, ids(1, 30));
+    history.change(Lifecycle.REMOVED, ids(1, 30));
     history.change(Lifecycle.READY, ids(31, 60));
     history.joinAll(12, 4, 98, false);
     history.leave(3);
@@ -696,9 +696,9 @@
 
   private static void slices(PolicyHistory history) {
     start(history, 6, 2, 4);
-    history.policy.sliceGiven(history.now(), 1, true);
-    history.policy.sliceLine(history.now(), 1, 3, 0.5);
-    history.policy.sliceUsage(history.now(), 1, 0, 10, 1, SECOND);
+    history.policy.onSliceAssignment(history.now(), 1, true);
+    history.policy.onSliceWeight(history.now(), 1, 3, 0.5);
+    history.policy.onSliceUsageReport(history.now(), 1, 0, 10, 1, SECOND);
     history.run(3);
   }
 
@@ -712,7 +712,7 @@
     history.listChanges(ids(1, 8));
     history.close();
     history.run(6);
-    history.change(Lifecycle.GONE, ids(1, 8));
+    history.change(Lifecycle.REMOVED, ids(1, 8));
     history.close();
     history.run(6);
     history.change(Lifecycle.READY, ids(1, 4));
@@ -731,21 +731,21 @@
     for (int round = 0; round < 4; round++) {
       history.addServers(100 + round, 1, 5, history.now());
       history.servers.get(100L + round).state =
-          round % 2 == 0 ? Lifecycle.GONE : Lifecycle.DRAINING;
+          round % 2 == 0 ? Lifecycle.REMOVED : Lifecycle.DRAINING;
       history.listChanges(ids(100 + round, 100 + round));
-      policy.heard(history.now(), 99, 0, 10, 1, SECOND, 200_000, new float[0]);
-      policy.heard(history.now(), 1, 7, 10, 1, SECOND, 200_000, new float[0]);
-      policy.heard(history.now(), 1, 1, 0, 0, SECOND, 200_000, new float[0]);
-      policy.heard(history.now(), 2, 0, 5, 9, SECOND, 200_000, new float[0]);
-      policy.usage(history.now(), 99, 0, 10, 0, SECOND);
-      policy.usage(history.now(), 1, 7, 10, 0, SECOND);
-      policy.usage(history.now(), 1, 0, 10, 0, 0);
-      policy.probed(history.now(), 99, HealthCheckResult.OK, 1000, new float[] {1, 1});
-      policy.probed(history.now(), 2, HealthCheckResult.OK, 1000, new float[] {1});
-      policy.applied(history.now(), 99, 1, 200_000);
-      policy.applied(history.now(), 1, 64_000, 200_000);
-      policy.timer(history.now(), 77);
-      policy.left(history.now(), 99);
+      policy.onLoadReport(history.now(), 99, 0, 10, 1, SECOND, 200_000, new float[0]);
+      policy.onLoadReport(history.now(), 1, 7, 10, 1, SECOND, 200_000, new float[0]);
+      policy.onLoadReport(history.now(), 1, 1, 0, 0, SECOND, 200_000, new float[0]);
+      policy.onLoadReport(history.now(), 2, 0, 5, 9, SECOND, 200_000, new float[0]);
+      policy.onUsageReport(history.now(), 99, 0, 10, 0, SECOND);
+      policy.onUsageReport(history.now(), 1, 7, 10, 0, SECOND);
+      policy.onUsageReport(history.now(), 1, 0, 10, 0, 0);
+      policy.onHealthCheckResult(history.now(), 99, HealthCheckResult.OK, 1000, new float[] {1, 1});
+      policy.onHealthCheckResult(history.now(), 2, HealthCheckResult.OK, 1000, new float[] {1});
+      policy.onAcknowledgement(history.now(), 99, 1, 200_000);
+      policy.onAcknowledgement(history.now(), 1, 64_000, 200_000);
+      policy.onTimer(history.now(), 77);
+      policy.onProxyLeft(history.now(), 99);
       history.join(50 + round, 9, false);
       history.close();
       history.run(4);
@@ -770,7 +770,7 @@
     PolicyHistory.ServerModel server = history.servers.get(id);
     switch (history.random.nextInt(16)) {
       case 0, 1 -> history.change(Lifecycle.DRAINING, List.of(id));
-      case 2 -> history.change(Lifecycle.GONE, List.of(id));
+      case 2 -> history.change(Lifecycle.REMOVED, List.of(id));
       case 3, 4 -> history.change(Lifecycle.READY, List.of(id));
       case 5 -> history.restart(List.of(id));
       case 6 -> {
@@ -803,10 +803,10 @@
 
   private static ListUpdateKind randomForm(PolicyHistory history) {
     return Arrays.asList(
-            ListUpdateKind.WHOLE,
+            ListUpdateKind.COMPLETE,
             ListUpdateKind.CACHED,
             ListUpdateKind.FAILED,
-            ListUpdateKind.CHANGES)
+            ListUpdateKind.DELTA)
         .get(history.random.nextInt(4));
   }
 }
--- a/src/test/java/pearusher/policy/RecordingCommands.java
+++ b/src/test/java/pearusher/policy/RecordingCommands.java
@@ -30,7 +30,7 @@
   int marks;
 
   static RequestClass grade(Idempotency effect, double worth) {
-    boolean writes = effect == Idempotency.UNSAFE;
+    boolean writes = effect == Idempotency.NOT_IDEMPOTENT;
     return new RequestClass(S, 3 * S, worth, 0.2, effect, false, 5 * S, writes, false, 0);
   }
 
@@ -78,8 +78,8 @@
         true,
         true,
         true,
-        LoadReportSource.PROBES,
-        List.of(LoadMetric.UTIL),
+        LoadReportSource.HEALTH_CHECKS,
+        List.of(LoadMetric.UTILIZATION),
         false,
         5000,
         null,
@@ -98,48 +98,48 @@
         s.seed(),
         new ChannelSettings(
             linesPerS,
-            c.head(),
+            c.messageOverheadLines(),
             1.5 * linesPerS,
-            c.messagesMost(),
-            c.messagesOverUs(),
-            c.lateUs(),
-            c.lateMostUs()));
+            c.maxMessagesPerProxy(),
+            c.messageWindowUs(),
+            c.transitDelayUs(),
+            c.maxPushDelayUs()));
   }
 
   private static PolicySettings changed(PolicySettings s, long seed, ChannelSettings channel) {
     return new PolicySettings(
         seed,
         s.zones(),
-        s.grades(),
+        s.requestClasses(),
         s.proxies(),
-        s.me(),
+        s.instance(),
         s.instances(),
         s.zone(),
         channel,
         s.limits(),
-        s.prices(),
-        s.levels(),
-        s.usualRetry(),
-        s.tryAims(),
-        s.periodUs(),
-        s.intakePerS(),
-        s.ejects(),
+        s.costs(),
+        s.admissionMode(),
+        s.defaultRetry(),
+        s.attemptTimeoutObjectives(),
+        s.controlPeriodUs(),
+        s.maxReportsPerSecond(),
+        s.consecutiveFailuresToEject(),
         s.slices(),
-        s.listOnRequest(),
-        s.probes(),
-        s.peers(),
-        s.reportFrom(),
-        s.reportFields(),
+        s.endpointListOnRequest(),
+        s.healthChecksEnabled(),
+        s.peersEnabled(),
+        s.loadReportSource(),
+        s.loadMetrics(),
         s.weightsListed(),
         s.tickUs(),
-        s.goal(),
-        s.site());
+        s.scoreWeights(),
+        s.siteTraits());
   }
 
   static PolicySettings settings() {
     return settings(
         AdmissionMode.SHARE,
-        List.of(grade(Idempotency.SAFE, 1), grade(Idempotency.UNSAFE, 3)),
+        List.of(grade(Idempotency.IDEMPOTENT, 1), grade(Idempotency.NOT_IDEMPOTENT, 3)),
         2,
         0,
         0);
@@ -175,7 +175,7 @@
   }
 
   @Override
-  public void line(int table, long server, double weight) {
+  public void setWeight(int table, long server, double weight) {
     orders.add("line " + table + " " + server + " " + weight);
     Map<Long, Double> lines = tables.computeIfAbsent(table, t -> new TreeMap<>());
     if (weight > 0) {
@@ -187,7 +187,7 @@
   }
 
   @Override
-  public void clear(int table) {
+  public void clearTable(int table) {
     orders.add("clear " + table);
     tables.remove(table);
   }
@@ -204,14 +204,14 @@
   }
 
   @Override
-  public void bind(int proxy, int table, int classBits) {
+  public void bindProxy(int proxy, int table, int classBits) {
     orders.add("bind " + proxy + " " + table + " " + classBits);
     bound.put(proxy, table);
     linesThisReply += 1 + tables.getOrDefault(table, Map.of()).size();
   }
 
   @Override
-  public void admit(int table, int classBits, double level, int retry) {
+  public void setAdmission(int table, int classBits, double level, int retry) {
     orders.add("admit " + table + " " + classBits + " " + level + " " + retry);
     retries.put(classBits, retry);
     levels.put(classBits, level);
@@ -219,34 +219,34 @@
   }
 
   @Override
-  public void mark(int number, boolean toAll) {
+  public void requestAck(int number, boolean toAll) {
     orders.add("mark " + number);
     marks = number;
   }
 
   @Override
-  public void watch(boolean on) {
+  public void watchEndpoints(boolean on) {
     orders.add("watch " + on);
   }
 
   @Override
-  public void fetch() {
+  public void fetchEndpoints() {
     orders.add("fetch");
   }
 
   @Override
-  public void probe(long server) {
+  public void checkHealth(long server) {
     orders.add("probe " + server);
   }
 
   @Override
-  public void timer(long delayUs, long token) {
+  public void setTimer(long delayUs, long token) {
     orders.add("timer " + delayUs + " " + token);
     timers.put(token, delayUs);
   }
 
   @Override
-  public void tell(long peer, byte[] body) {
+  public void sendToPeer(long peer, byte[] body) {
     orders.add("tell");
   }
 
@@ -257,12 +257,12 @@
   }
 
   @Override
-  public void doubt(long server, boolean all) {
+  public void suspectEjection(long server, boolean all) {
     doubted.put(server, all);
   }
 
   @Override
-  public void forget(long server) {
+  public void forgetServer(long server) {
     forgotten.add(server);
   }
 }
--- a/src/test/java/pearusher/policy/RestoredStateTest.java
+++ b/src/test/java/pearusher/policy/RestoredStateTest.java
@@ -16,7 +16,7 @@
   private void restored(Map<Long, Double> weights, double level, int retry) {
     for (int table = 0; table < 2; table++) {
       p.fleet.tables.put(table, new TreeMap<>(weights));
-      p.rules.restored(
+      p.rules.onTableRestored(
           p.now, table, weights, new double[] {level, level}, new int[] {retry, retry}, 41);
     }
   }
@@ -27,7 +27,7 @@
 
   private void holds(int proxy, int lacks) {
     p.join(proxy, false);
-    p.rules.holds(p.now, proxy, proxy % 2, lacks);
+    p.rules.onTableHeld(p.now, proxy, proxy % 2, lacks);
   }
 
   private long lines(int from) {
@@ -36,14 +36,14 @@
 
   @Test
   void whoLacksNothingIsBoundAtOnceAndTheWeightsStay() {
-    p.rules.listed(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(4, 2));
+    p.rules.onEndpointList(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(4, 2));
     restored(uneven(), 1, 1);
-    p.rules.close(p.now);
+    p.rules.onBatchEnd(p.now);
     p.step(10_000);
     holds(0, 0);
     holds(1, 2);
     p.join(2, false);
-    p.rules.close(p.now);
+    p.rules.onBatchEnd(p.now);
     assertEquals(Map.of(0, 0, 1, 1), p.fleet.bound, "proxy 2 holds who knows what and waits");
     assertEquals(0, lines(0), "weights stand as they were");
     assertEquals(42, p.fleet.marks, "marks go on");
@@ -63,9 +63,9 @@
    */
   @Test
   void withoutItTheSameStartEvensTheWeights() {
-    p.rules.listed(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(4, 2));
+    p.rules.onEndpointList(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(4, 2));
     p.join(0, false);
-    p.rules.close(p.now);
+    p.rules.onBatchEnd(p.now);
     p.periods(4);
     assertTrue(lines(0) >= 4);
     assertTrue(p.fleet.share(0, 1) < 0.3);
@@ -77,15 +77,15 @@
    */
   @Test
   void inAJamLevelsStayAndNoRepeatIsOrderedAgain() {
-    p.rules.listed(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(4, 2));
+    p.rules.onEndpointList(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(4, 2));
     restored(uneven(), 0.5, 0);
-    p.rules.close(p.now);
+    p.rules.onBatchEnd(p.now);
     for (int proxy = 0; proxy < 4; proxy++) {
       holds(proxy, 0);
     }
-    p.rules.close(p.now);
+    p.rules.onBatchEnd(p.now);
     p.step(RecordingCommands.S / 2);
-    p.rules.close(p.now);
+    p.rules.onBatchEnd(p.now);
     assertTrue(p.fleet.orders.stream().noneMatch(o -> o.startsWith("admit")), "" + p.fleet.orders);
     p.periods(12);
     assertEquals(1, p.fleet.retries.get(1), "a calm fleet repeats again, after proof");
@@ -93,7 +93,7 @@
 
   @Test
   void aServerThatDrainsOrIsGoneIsNotRevived() {
-    p.rules.listed(
+    p.rules.onEndpointList(
         p.now,
         ListUpdateKind.CACHED,
         List.of(
@@ -102,7 +102,7 @@
             RecordingCommands.state(3, 1, Lifecycle.DRAINING)));
     restored(uneven(), 1, 1);
     holds(0, 0);
-    p.rules.close(p.now);
+    p.rules.onBatchEnd(p.now);
     assertTrue(p.fleet.withdrawn.contains(3L));
     p.periods(3);
     for (int table = 0; table < 2; table++) {
@@ -112,7 +112,7 @@
 
   @Test
   void aTableOfWhichNobodyIsLeftIsNoTable() {
-    p.rules.listed(
+    p.rules.onEndpointList(
         p.now,
         ListUpdateKind.CACHED,
         List.of(RecordingCommands.ready(8, 0, 0), RecordingCommands.ready(9, 1, 0)));
@@ -120,7 +120,7 @@
     holds(0, 0);
     p.join(1, true);
     p.fleet.tables.clear();
-    p.rules.close(p.now);
+    p.rules.onBatchEnd(p.now);
     assertEquals(java.util.Set.of(1), p.fleet.bound.keySet());
     p.periods(4);
     assertTrue(p.fleet.bound.containsKey(0));
@@ -130,11 +130,11 @@
   /** What one lacks finds no room: it is bound later, by its whole table, and counted so. */
   @Test
   void whoLacksMoreThanFitsWaitsForTheWhole() {
-    p.rules.listed(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(4, 2));
+    p.rules.onEndpointList(p.now, ListUpdateKind.CACHED, RecordingCommands.servers(4, 2));
     restored(uneven(), 1, 1);
-    p.rules.close(p.now);
+    p.rules.onBatchEnd(p.now);
     holds(0, 5000);
-    p.rules.close(p.now);
+    p.rules.onBatchEnd(p.now);
     assertFalse(p.fleet.bound.containsKey(0));
     p.periods(4);
     assertTrue(p.fleet.bound.containsKey(0));
--- a/src/test/java/pearusher/policy/ScopeModelTest.java
+++ b/src/test/java/pearusher/policy/ScopeModelTest.java
@@ -49,8 +49,8 @@
     PolicySettings settings() {
       List<RequestClass> grades =
           List.of(
-              RecordingCommands.grade(Idempotency.SAFE, 1),
-              RecordingCommands.grade(Idempotency.UNSAFE, 3));
+              RecordingCommands.grade(Idempotency.IDEMPOTENT, 1),
+              RecordingCommands.grade(Idempotency.NOT_IDEMPOTENT, 3));
       PolicySettings set =
           RecordingCommands.settings(
               AdmissionMode.SHARE, grades, zones, 0.08, 0, messagesMost, tier);
@@ -110,7 +110,7 @@
         changes.add(
             switch (alike ? way : random.nextInt(5)) {
               case 0 -> entry(e, Lifecycle.DRAINING, e.startedUs());
-              case 1 -> entry(e, Lifecycle.GONE, e.startedUs());
+              case 1 -> entry(e, Lifecycle.REMOVED, e.startedUs());
               case 2 -> entry(e, Lifecycle.READY, e.startedUs());
               case 3 -> entry(e, Lifecycle.READY, now);
               default -> RecordingCommands.ready(++nextServer, random.nextInt(drawn.zones), now);
@@ -128,8 +128,9 @@
         return;
       }
       // A whole list leaves out what is gone.
-      listed.values().removeIf(e -> e.state() == Lifecycle.GONE);
-      site.play.rules.listed(site.play.now, ListUpdateKind.WHOLE, List.copyOf(listed.values()));
+      listed.values().removeIf(e -> e.lifecycle() == Lifecycle.REMOVED);
+      site.play.rules.onEndpointList(
+          site.play.now, ListUpdateKind.COMPLETE, List.copyOf(listed.values()));
     }
 
     /** Many servers drain, and a little later are as they were. */
@@ -190,7 +191,7 @@
     private Set<Long> serving() {
       Set<Long> ids = new TreeSet<>();
       listed.values().stream()
-          .filter(e -> e.state() == Lifecycle.READY)
+          .filter(e -> e.lifecycle() == Lifecycle.READY)
           .forEach(e -> ids.add(e.server()));
       return ids;
     }
@@ -209,7 +210,7 @@
         }
       }
       assertTrue(
-          site.channel.waiting() <= site.play.set.channel().backlog(),
+          site.channel.waiting() <= site.play.set.channel().maxBacklogLines(),
           "lines waiting " + site.channel.waiting());
       site.fleet.tables.forEach(
           (number, table) -> {
@@ -257,11 +258,13 @@
   /** The longest table that a bind can carry with a word for each line: design.md's figures. */
   private static int longest(PolicySettings set) {
     ChannelSettings c = set.channel();
-    double grace = (set.limits().graceUs() - c.lateMostUs()) / 1e6 * c.linesPerS();
-    double joiners = set.proxies() * (2.5 * c.head() + 4 + set.grades().size()) / grace;
+    double grace = (set.limits().drainGraceUs() - c.maxPushDelayUs()) / 1e6 * c.linesPerSecond();
+    double joiners =
+        set.proxies() * (2.5 * c.messageOverheadLines() + 4 + set.requestClasses().size()) / grace;
     double share = Math.min(0.3, Math.max(0.1, 0.9 - joiners));
-    double room = Math.min(0.8 * c.backlog(), share * grace);
-    return (int) Math.max(1, (room - c.head() - 2 - set.grades().size()) / 2);
+    double room = Math.min(0.8 * c.maxBacklogLines(), share * grace);
+    return (int)
+        Math.max(1, (room - c.messageOverheadLines() - 2 - set.requestClasses().size()) / 2);
   }
 
   /** The same histories each time, as all tests here. */
--- a/src/test/java/pearusher/policy/ScopeSite.java
+++ b/src/test/java/pearusher/policy/ScopeSite.java
@@ -62,7 +62,7 @@
    * Starts with these servers, and so many proxies for each of the first zones that hold no table.
    */
   ScopeSite start(List<ServerEntry> servers, int zonesHere, int proxiesEach) {
-    play.rules.listed(play.now, ListUpdateKind.CACHED, servers);
+    play.rules.onEndpointList(play.now, ListUpdateKind.CACHED, servers);
     for (int proxy = 0; proxy < zonesHere * proxiesEach; proxy++) {
       join(proxy, proxy % zonesHere);
     }
@@ -96,7 +96,7 @@
   }
 
   void list(List<ServerEntry> changes) {
-    play.rules.listed(play.now, ListUpdateKind.CHANGES, changes);
+    play.rules.onEndpointList(play.now, ListUpdateKind.DELTA, changes);
   }
 
   /** These servers drain or are gone, as the state says. */
@@ -109,9 +109,9 @@
 
   /** The end of an instant: what was ordered goes to the channel and to the proxies. */
   void reply() {
-    play.rules.timer(play.now, 1);
-    play.rules.timer(play.now, 3);
-    play.rules.close(play.now);
+    play.rules.onTimer(play.now, 1);
+    play.rules.onTimer(play.now, 3);
+    play.rules.onBatchEnd(play.now);
     orders.clear();
     orders.addAll(fleet.orders);
     for (String order : orders) {
@@ -206,7 +206,8 @@
   /** The rules on what waits and on bare proxies. */
   void assertRules() {
     assertTrue(
-        channel.waiting() <= play.set.channel().backlog(), "lines waiting " + channel.waiting());
+        channel.waiting() <= play.set.channel().maxBacklogLines(),
+        "lines waiting " + channel.waiting());
     new TreeSet<>(fleet.bound.values())
         .forEach(
             table ->
--- a/src/test/java/pearusher/policy/ScopeSizeTest.java
+++ b/src/test/java/pearusher/policy/ScopeSizeTest.java
@@ -40,7 +40,7 @@
     PolicySettings set =
         RecordingCommands.settings(
             AdmissionMode.SHARE,
-            List.of(RecordingCommands.grade(Idempotency.SAFE, 1)),
+            List.of(RecordingCommands.grade(Idempotency.IDEMPOTENT, 1)),
             zones,
             0.08,
             0);
@@ -64,7 +64,7 @@
   private static void hearAll(ScopeSite site, int zones) {
     for (int zone = 0; zone < zones; zone++) {
       for (long id = 1; id <= 20; id++) {
-        site.play.rules.heard(
+        site.play.rules.onLoadReport(
             site.play.now, id, zone, 5, 0, RecordingCommands.S, 200_000, RecordingCommands.NO_LOAD);
       }
     }
@@ -141,7 +141,7 @@
     PolicySettings set =
         RecordingCommands.settings(
             AdmissionMode.SHARE,
-            List.of(RecordingCommands.grade(Idempotency.SAFE, 1)),
+            List.of(RecordingCommands.grade(Idempotency.IDEMPOTENT, 1)),
             98,
             0.08,
             0,
--- a/src/test/java/pearusher/policy/ScopeTest.java
+++ b/src/test/java/pearusher/policy/ScopeTest.java
@@ -35,7 +35,7 @@
   private static PolicySettings settings(int zones, int tier) {
     return RecordingCommands.settings(
         AdmissionMode.SHARE,
-        List.of(RecordingCommands.grade(Idempotency.SAFE, 1)),
+        List.of(RecordingCommands.grade(Idempotency.IDEMPOTENT, 1)),
         zones,
         0,
         0,
@@ -260,7 +260,7 @@
     assertTrue(arrives <= ScopeSite.GRACE_S, "bound after " + arrives);
     for (int i = 0; i < 150; i++) {
       double even = 1.0 / (servers + 1);
-      double most = site.play.set.limits().fallMultiple() * even;
+      double most = site.play.set.limits().recoveryOverloadFactor() * even;
       Map<Long, Double> parts = parts(site);
       // Rule 4 is of cold servers; warm ones keep it too where a table lists all.
       parts.forEach(
@@ -319,7 +319,7 @@
         takeOver(site, 200, 60, 0, site.table(0));
       }
       if (i == 640) {
-        site.state(Set.of(5L), Lifecycle.GONE);
+        site.state(Set.of(5L), Lifecycle.REMOVED);
       }
       site.tick();
     }
@@ -367,7 +367,7 @@
                   first.orders.stream()
                       .noneMatch(o -> o.matches("(line|admit|clear) 2 .*|clear 2|bind 20 .*")),
                   "" + first.orders);
-      first.state(Set.of(1L), Lifecycle.GONE);
+      first.state(Set.of(1L), Lifecycle.REMOVED);
       first.seconds(120);
     }
     assertEquals(told, first.cleared.contains(2));
@@ -443,7 +443,7 @@
             .filter(id -> id % 5 >= 2)
             .collect(Collectors.toCollection(TreeSet::new));
     long now = site.play.now;
-    site.play.rules.listed(now, ListUpdateKind.WHOLE, mostlyNew(servers, zones, now));
+    site.play.rules.onEndpointList(now, ListUpdateKind.COMPLETE, mostlyNew(servers, zones, now));
     site.reply();
     if (servers <= 100) {
       assertEquals(gone, site.fleet.withdrawn, "in the same reply, where there is room");
@@ -535,7 +535,7 @@
     ScopeSite site = site(20, 8, 1000, 3, 2).ticks(300);
     Set<Long> before = site.table(0);
     long gone = before.stream().filter(id -> id % 20 >= 3).findFirst().orElseThrow();
-    site.state(Set.of(gone), Lifecycle.GONE);
+    site.state(Set.of(gone), Lifecycle.REMOVED);
     int[] lines = {0};
     site.invariant =
         () -> lines[0] += (int) site.orders.stream().filter(o -> o.startsWith("line ")).count();
@@ -559,7 +559,7 @@
     site.until("all bound", 20, site::allBound);
     site.ticks(100);
     long now = site.play.now;
-    site.play.rules.listed(now, ListUpdateKind.WHOLE, mostlyNew(1000, 20, now));
+    site.play.rules.onEndpointList(now, ListUpdateKind.COMPLETE, mostlyNew(1000, 20, now));
     Map<Integer, Integer> most = new TreeMap<>();
     site.invariant = () -> site.fleet.tables.forEach((z, t) -> most.merge(z, t.size(), Math::max));
     site.ticks(400);
@@ -574,11 +574,11 @@
     site.until("all bound", 20, site::allBound);
     site.ticks(100);
     long now = site.play.now;
-    site.play.rules.listed(now, ListUpdateKind.WHOLE, mostlyNew(1000, 20, now));
+    site.play.rules.onEndpointList(now, ListUpdateKind.COMPLETE, mostlyNew(1000, 20, now));
     site.ticks(after);
     site.join(500, 0);
     site.reply();
-    double bare = site.play.set.limits().bareUs() / 1e6;
+    double bare = site.play.set.limits().maxUnboundUs() / 1e6;
     site.until("bound", bare, site::allBound);
   }
 }
--- a/src/test/java/pearusher/protocol/EndpointListReaderTest.java
+++ b/src/test/java/pearusher/protocol/EndpointListReaderTest.java
@@ -78,27 +78,29 @@
             "terminating",
             Lifecycle.DRAINING,
             "terminated",
-            Lifecycle.GONE);
-    PathValues at = PathValues.json("list", text);
+            Lifecycle.REMOVED);
+    PathValues at = PathValues.parseJson("list", text);
     List<Endpoint> out = new ArrayList<>();
-    for (int k = 0; k < at.between("instances.count", 0, 1 << 20, 0); k++) {
+    for (int k = 0; k < at.intBetween("instances.count", 0, 1 << 20, 0); k++) {
       String path = "instances." + k + ".";
-      Integer zone = NAMES.zones().get(at.need(path + "zone"));
+      Integer zone = NAMES.zones().get(at.require(path + "zone"));
       if (zone == null) {
         continue;
       }
       out.add(
           new Endpoint(
-              at.need(path + "instanceId"),
-              at.text(path + "hostPort"),
+              at.require(path + "instanceId"),
+              at.textOrNull(path + "hostPort"),
               zone,
-              NAMES.kinds().getOrDefault(String.valueOf(at.text(path + "machineType")), 2),
-              (int) at.optional(path + "cell"),
-              states.getOrDefault(at.need(path + "lifecycle"), Lifecycle.DRAINING),
-              at.has(path + "weight") ? at.real(path + "weight") : 1,
-              Math.round(at.optional(path + "startedAtMs") * 1000)));
+              NAMES
+                  .machineTypes()
+                  .getOrDefault(String.valueOf(at.textOrNull(path + "machineType")), 2),
+              (int) at.doubleOrZero(path + "cell"),
+              states.getOrDefault(at.require(path + "lifecycle"), Lifecycle.DRAINING),
+              at.has(path + "weight") ? at.requireDouble(path + "weight") : 1,
+              Math.round(at.doubleOrZero(path + "startedAtMs") * 1000)));
     }
-    return new EndpointList(at.whole("generation"), at.flag("reset"), out);
+    return new EndpointList(at.requireLong("generation"), at.requireBoolean("reset"), out);
   }
 
   @ParameterizedTest
@@ -142,7 +144,7 @@
       assertTrue(said.startsWith("list: malformed JSON: "), length + ": " + said);
     }
     feed(reader, LIST);
-    assertEquals(2, reader.endOfLine().instances().size());
+    assertEquals(2, reader.endOfLine().endpoints().size());
   }
 
   private static String one(String fields) {
@@ -239,7 +241,7 @@
             + server
             + "],\"instances\":null}");
     assertEquals(
-        List.of("c"), reader.endOfLine().instances().stream().map(Endpoint::server).toList());
+        List.of("c"), reader.endOfLine().endpoints().stream().map(Endpoint::server).toList());
   }
 
   // The same as before, for whatever a list may hold.
@@ -370,7 +372,7 @@
   void aListOverTheLimitIsRefusedAtOnceAndTheNextOneIsRead() throws Exception {
     EndpointListReader reader = reader(5);
     feed(reader, many(5, 0));
-    assertEquals(5, reader.endOfLine().instances().size());
+    assertEquals(5, reader.endOfLine().endpoints().size());
     String six = many(6, 0);
     EndpointListTooLongException refused =
         assertThrows(
@@ -378,7 +380,7 @@
             () -> feed(reader, six.substring(0, six.length() - 2)));
     assertEquals("over 5 servers: the heap of 40 MB holds no more", refused.getMessage());
     feed(reader, many(5, 0));
-    assertEquals(5, reader.endOfLine().instances().size());
+    assertEquals(5, reader.endOfLine().endpoints().size());
   }
 
   /** Servers that are passed over take no place. */
@@ -392,7 +394,7 @@
             true,
             many(5, 0).replaceFirst(".*\"instances\":\\[", "").replaceFirst("\\]\\}$", ""),
             TestPeers.instance("e", "127.0.0.1:1", "east", "in_service", 0)));
-    assertEquals(5, reader.endOfLine().instances().size());
+    assertEquals(5, reader.endOfLine().endpoints().size());
   }
 
   @Test
@@ -400,7 +402,7 @@
     EndpointListReader reader = reader(9);
     for (String character : List.of("x", "é", "€", "😀")) {
       feed(reader, many(1, 0).replace("s-0", character.repeat(255)));
-      assertEquals(character.repeat(255), reader.endOfLine().instances().get(0).server());
+      assertEquals(character.repeat(255), reader.endOfLine().endpoints().get(0).server());
       feed(reader, many(1, 0).replace("s-0", character.repeat(256)));
       String said = assertThrows(SettingsException.class, reader::endOfLine).getMessage();
       assertTrue(
@@ -418,7 +420,7 @@
         reader,
         TestPeers.listing(
             1, true, TestPeers.instance("a", "1".repeat(900), "north", "in_service", 0)));
-    assertNull(reader.endOfLine().instances().get(0).hostPort());
+    assertNull(reader.endOfLine().endpoints().get(0).hostPort());
   }
 
   /** A value without end, needed or not, is no reason to hold more and more of it. */
@@ -447,7 +449,7 @@
     assertTrue(reader.spoilt(), "60,000 characters came");
     assertThrows(SettingsException.class, reader::endOfLine);
     feed(reader, LIST);
-    assertEquals(2, reader.endOfLine().instances().size());
+    assertEquals(2, reader.endOfLine().endpoints().size());
   }
 
   @Test
@@ -467,11 +469,11 @@
   @Test
   void theLimitsFollowTheHeap() {
     EndpointListLimits small = EndpointListLimits.of(39L << 20);
-    assertTrue(small.servers() >= 10_000 && small.servers() < 100_000, small.toString());
-    assertTrue(small.textLength() >= 64 << 10, small.toString());
+    assertTrue(small.maxListed() >= 10_000 && small.maxListed() < 100_000, small.toString());
+    assertTrue(small.maxTextLength() >= 64 << 10, small.toString());
     EndpointListLimits large = EndpointListLimits.of(10 * (39L << 20));
-    assertTrue(Math.abs(large.servers() - 10 * small.servers()) <= 10, large.toString());
-    assertTrue(EndpointListLimits.of(Long.MAX_VALUE).known() > 0, "as large as can be");
+    assertTrue(Math.abs(large.maxListed() - 10 * small.maxListed()) <= 10, large.toString());
+    assertTrue(EndpointListLimits.of(Long.MAX_VALUE).maxKnown() > 0, "as large as can be");
   }
 
   // What a list costs, counted in bytes that were allocated, not in time.
@@ -507,7 +509,7 @@
       got = reader.endOfLine();
       bytes = allocated() - before;
     }
-    assertEquals(servers, got.instances().size());
+    assertEquals(servers, got.endpoints().size());
     assertTrue(bytes < 2000L * servers, bytes / servers + " bytes a server were allocated");
   }
 
@@ -522,7 +524,7 @@
     EndpointList got = reader.endOfLine();
     System.gc();
     long kept = live() - before;
-    assertEquals(10_000, got.instances().size());
+    assertEquals(10_000, got.endpoints().size());
     assertTrue(kept < 10_000 * 260L, kept / 10_000 + " bytes a server are kept");
   }
 
--- a/src/test/java/pearusher/protocol/MessageTest.java
+++ b/src/test/java/pearusher/protocol/MessageTest.java
@@ -35,7 +35,7 @@
   }
 
   private Message read(String line) throws Message.Fault {
-    return Message.read(List.of(line.split(" ")), names, settings);
+    return Message.decode(List.of(line.split(" ")), names, settings);
   }
 
   @Test
@@ -64,7 +64,7 @@
         "s-5be2a07c 212 3 41700 1000000",
         heard.server()
             + " "
-            + heard.tries()
+            + heard.attempts()
             + " "
             + heard.failed()
             + " "
@@ -104,7 +104,7 @@
   })
   void loadsGoByName(String load, String wanted) {
     StringBuilder got = new StringBuilder();
-    for (float v : Message.load(load, ":", names)) {
+    for (float v : Message.decodeLoad(load, ":", names)) {
       got.append(got.length() > 0 ? "," : "").append(v == Math.rint(v) ? "" + (int) v : "" + v);
     }
     assertEquals(wanted, got.toString());
@@ -114,16 +114,18 @@
   void aProbesBodyIsRead() {
     assertArrayEquals(
         new float[] {0.61f, 7},
-        Message.probeLoad(
+        Message.decodeHealthCheckLoad(
             "TEXT inflight=7, queue=2, util=0.61\n".getBytes(StandardCharsets.UTF_8), names));
     assertArrayEquals(
-        Message.probeLoad("TEXT inflight=7, util=0.61".getBytes(StandardCharsets.UTF_8), names),
-        Message.probeLoad(
+        Message.decodeHealthCheckLoad(
+            "TEXT inflight=7, util=0.61".getBytes(StandardCharsets.UTF_8), names),
+        Message.decodeHealthCheckLoad(
             "TEXT outstanding=7, utilization=0.61".getBytes(StandardCharsets.UTF_8), names),
         "the settings' words mean the same");
     assertArrayEquals(
-        new float[0], Message.probeLoad("<html>".getBytes(StandardCharsets.UTF_8), names));
-    assertArrayEquals(new float[0], Message.probeLoad(new byte[0], names));
+        new float[0],
+        Message.decodeHealthCheckLoad("<html>".getBytes(StandardCharsets.UTF_8), names));
+    assertArrayEquals(new float[0], Message.decodeHealthCheckLoad(new byte[0], names));
   }
 
   @ParameterizedTest
@@ -189,7 +191,7 @@
     lines.put("s-5be2a07c", 1.5);
     lines.put("s-0badcafe", 0.00002);
     byte[] got =
-        Message.write(
+        Message.encodeUpdate(
             List.of(
                 new UpdatePart(
                     List.of("lookup", "order"),
@@ -226,7 +228,7 @@
   @ParameterizedTest
   @CsvSource({"0,0.0", "1e6,1000000.0", "1e-7,0.00000010", "0.1,0.1", "123456789,123456792"})
   void figuresAreWrittenWithoutExponent(double value, String wanted) {
-    assertEquals(wanted, Message.plain(value));
+    assertEquals(wanted, Message.formatDecimal(value));
   }
 
   @Test
@@ -246,9 +248,9 @@
         List.of(
             new Endpoint(
                 "a", "127.0.0.1:1", 1, 0, 0, Lifecycle.DRAINING, 1, 1_700_000_000_123_000L),
-            new Endpoint("b", "127.0.0.1:2", 0, 0, 0, Lifecycle.GONE, 1, 0),
+            new Endpoint("b", "127.0.0.1:2", 0, 0, 0, Lifecycle.REMOVED, 1, 0),
             new Endpoint("d", "127.0.0.1:4", 0, 0, 0, Lifecycle.DRAINING, 1, 0)),
-        got.instances());
-    assertTrue(!got.whole() && TestPeers.read(TestPeers.listing(0, true), names).whole());
+        got.endpoints());
+    assertTrue(!got.complete() && TestPeers.read(TestPeers.listing(0, true), names).complete());
   }
 }
--- a/src/test/java/pearusher/protocol/RespCodecTest.java
+++ b/src/test/java/pearusher/protocol/RespCodecTest.java
@@ -36,7 +36,7 @@
   void writesWhatThePageShows() {
     assertEquals(
         "*2\r\n$4\r\nping\r\n$3\r\né0\r\n",
-        new String(RespCodec.write(List.of("ping", "é0")), StandardCharsets.UTF_8));
+        new String(RespCodec.encode(List.of("ping", "é0")), StandardCharsets.UTF_8));
   }
 
   @Test
@@ -45,14 +45,14 @@
         List.of("heard", "zone", "Île", "server", "s-1", "load", "", "tries", "\r\n$3");
     byte[] two =
         bytes(
-            new String(RespCodec.write(words), StandardCharsets.UTF_8)
-                + new String(RespCodec.write(List.of("ping")), StandardCharsets.UTF_8));
+            new String(RespCodec.encode(words), StandardCharsets.UTF_8)
+                + new String(RespCodec.encode(List.of("ping")), StandardCharsets.UTF_8));
     for (int cut = 0; cut <= two.length; cut++) {
       byte[] head = java.util.Arrays.copyOf(two, cut);
       byte[] tail = java.util.Arrays.copyOfRange(two, cut, two.length);
       assertEquals(
           List.of(words, List.of("ping")),
-          all(new RespCodec.Reader(RespCodec.MOST), head, tail),
+          all(new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES), head, tail),
           "cut at " + cut);
     }
     byte[][] single = new byte[two.length][];
@@ -60,30 +60,33 @@
       single[k] = new byte[] {two[k]};
     }
     assertEquals(
-        List.of(words, List.of("ping")), all(new RespCodec.Reader(RespCodec.MOST), single));
+        List.of(words, List.of("ping")),
+        all(new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES), single));
   }
 
   @Test
   void severalInOneReadComeOneByOne() throws Exception {
-    byte[] ping = RespCodec.write(List.of("ping"));
+    byte[] ping = RespCodec.encode(List.of("ping"));
     byte[] many = new byte[ping.length * 50];
     for (int k = 0; k < 50; k++) {
       System.arraycopy(ping, 0, many, k * ping.length, ping.length);
     }
-    assertEquals(50, all(new RespCodec.Reader(RespCodec.MOST), many).size());
+    assertEquals(50, all(new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES), many).size());
   }
 
   /** 1 MiB fits, its headers counted; one byte more does not. */
   @Test
   void theLimitIsOneMebibyte() throws Exception {
-    int head = RespCodec.write(List.of("x".repeat(1_000_000))).length - 1_000_000;
-    String fits = "x".repeat(RespCodec.MOST - head);
+    int head = RespCodec.encode(List.of("x".repeat(1_000_000))).length - 1_000_000;
+    String fits = "x".repeat(RespCodec.MAX_MESSAGE_BYTES - head);
     assertEquals(
         List.of(List.of(fits)),
-        all(new RespCodec.Reader(RespCodec.MOST), RespCodec.write(List.of(fits))));
-    byte[] over = RespCodec.write(List.of(fits + "x"));
+        all(new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES), RespCodec.encode(List.of(fits))));
+    byte[] over = RespCodec.encode(List.of(fits + "x"));
     RespCodec.Fault e =
-        assertThrows(RespCodec.Fault.class, () -> all(new RespCodec.Reader(RespCodec.MOST), over));
+        assertThrows(
+            RespCodec.Fault.class,
+            () -> all(new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES), over));
     assertEquals(RespCodec.Fault.Kind.TOO_LONG, e.kind());
   }
 
@@ -107,7 +110,9 @@
     byte[] raw = bytes(text.replace("@", "\r\n"));
     assertEquals(
         kind,
-        assertThrows(RespCodec.Fault.class, () -> all(new RespCodec.Reader(RespCodec.MOST), raw))
+        assertThrows(
+                RespCodec.Fault.class,
+                () -> all(new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES), raw))
             .kind());
   }
 
@@ -121,7 +126,7 @@
     List<RespCodec.Reader> readers = new ArrayList<>();
     RespCodec.Fault fault = null;
     for (int k = 0; k < 12 && fault == null; k++) {
-      RespCodec.Reader one = new RespCodec.Reader(RespCodec.MOST);
+      RespCodec.Reader one = new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES);
       readers.add(one);
       try {
         assertNull(one.next(ByteBuffer.wrap(part)));
@@ -131,16 +136,17 @@
     }
     assertEquals(RespCodec.Fault.Kind.TOO_LONG, fault.kind());
     // Guards a good connection against being the one that is hit: its messages are small.
-    byte[] small = RespCodec.write(List.of("ping", "x".repeat(1000)));
+    byte[] small = RespCodec.encode(List.of("ping", "x".repeat(1000)));
     assertEquals(
         1,
         all(
-                new RespCodec.Reader(RespCodec.MOST),
+                new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES),
                 java.util.Arrays.copyOf(small, 500),
                 java.util.Arrays.copyOfRange(small, 500, small.length))
             .size());
     readers.forEach(RespCodec.Reader::close);
-    assertNull(new RespCodec.Reader(RespCodec.MOST).next(ByteBuffer.wrap(bytes("*1\r\n"))));
+    assertNull(
+        new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES).next(ByteBuffer.wrap(bytes("*1\r\n"))));
   }
 
   /**
@@ -152,7 +158,7 @@
     List<RespCodec.Reader> readers = new ArrayList<>();
     int ended = 0;
     for (int k = 0; k < 600; k++) {
-      readers.add(new RespCodec.Reader(RespCodec.MOST));
+      readers.add(new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES));
       try {
         assertNull(readers.get(k).next(ByteBuffer.wrap(part)));
       } catch (RespCodec.Fault e) {
@@ -169,12 +175,12 @@
   @Test
   void aReaderHasItsOwnLimit() throws Exception {
     RespCodec.Reader one = new RespCodec.Reader(100);
-    byte[] over = RespCodec.write(List.of("x".repeat(200)));
+    byte[] over = RespCodec.encode(List.of("x".repeat(200)));
     assertEquals(
         RespCodec.Fault.Kind.TOO_LONG,
         assertThrows(RespCodec.Fault.class, () -> all(one, over)).kind());
     RespCodec.Reader later = new RespCodec.Reader(100);
-    later.most(RespCodec.MOST);
+    later.setMaxMessageBytes(RespCodec.MAX_MESSAGE_BYTES);
     assertEquals(1, all(later, over).size());
   }
 }
--- a/src/test/java/pearusher/publish/PublishedTablesTest.java
+++ b/src/test/java/pearusher/publish/PublishedTablesTest.java
@@ -27,7 +27,7 @@
   @BeforeEach
   void fresh() {
     tables = new PublishedTables(CLASSES, id -> "s" + id);
-    LongStream.range(0, 9).forEach(server -> tables.doubt(server, false));
+    LongStream.range(0, 9).forEach(server -> tables.suspectEjection(server, false));
   }
 
   private TestPeers.AppliedUpdates join(int proxy) {
@@ -35,9 +35,9 @@
   }
 
   private TestPeers.AppliedUpdates join(int proxy, boolean fresh) {
-    tables.joined(proxy);
+    tables.addProxy(proxy);
     if (fresh) {
-      tables.sure(proxy);
+      tables.confirmProxy(proxy);
     }
     return proxies.computeIfAbsent(proxy, p -> new TestPeers.AppliedUpdates(CLASSES));
   }
@@ -45,12 +45,12 @@
   private void turn() throws Exception {
     last.clear();
     Map<Integer, byte[]> sent = new TreeMap<>();
-    tables.turn(
+    tables.publish(
         1_000_000,
         (proxy, message) -> assertEquals(null, sent.put(proxy, message), "two messages in a turn"));
     for (Map.Entry<Integer, byte[]> e : sent.entrySet()) {
       messages.merge(e.getKey(), 1, Integer::sum);
-      RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MOST);
+      RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES);
       ByteBuffer from = ByteBuffer.wrap(e.getValue());
       List<List<String>> parts = new ArrayList<>();
       for (List<String> words = reader.next(from); words != null; words = reader.next(from)) {
@@ -65,14 +65,14 @@
   @Test
   void aBindBringsTheWholeTableAndThenItsChangesOnly() throws Exception {
     TestPeers.AppliedUpdates one = join(1);
-    tables.line(0, 5, 0.5);
-    tables.line(0, 6, 0.25);
-    tables.bind(1, 0, 0);
+    tables.setWeight(0, 5, 0.5);
+    tables.setWeight(0, 6, 0.25);
+    tables.bindProxy(1, 0, 0);
     turn();
     assertEquals(Map.of("s5", 0.5f, "s6", 0.25f), one.open("read"));
     assertEquals(one.open("read"), one.open("list"));
-    tables.line(0, 5, 0);
-    tables.line(0, 7, 0.125);
+    tables.setWeight(0, 5, 0);
+    tables.setWeight(0, 7, 0.125);
     turn();
     assertEquals(Map.of("s6", 0.25f, "s7", 0.125f), one.open("write"));
     assertEquals(List.of(List.of("update", "lines", "s5:0.0,s7:0.125", "back", "s7")), last.get(1));
@@ -84,11 +84,11 @@
   @Test
   void classesMaySitOnDifferentTables() throws Exception {
     TestPeers.AppliedUpdates one = join(1);
-    tables.line(3, 5, 0.5);
-    tables.line(4, 6, 0.25);
-    tables.bind(1, 3, 1 | 4);
-    tables.bind(1, 4, 2);
-    tables.admit(3, 1, 0.5, 1);
+    tables.setWeight(3, 5, 0.5);
+    tables.setWeight(4, 6, 0.25);
+    tables.bindProxy(1, 3, 1 | 4);
+    tables.bindProxy(1, 4, 2);
+    tables.setAdmission(3, 1, 0.5, 1);
     turn();
     assertEquals(Map.of("s5", 0.5f), one.open("read"));
     assertEquals(Map.of("s6", 0.25f), one.open("write"));
@@ -103,12 +103,12 @@
   @Test
   void levelsOutlastAWholeTable() throws Exception {
     TestPeers.AppliedUpdates one = join(1);
-    tables.line(0, 5, 0.5);
-    tables.admit(0, 2, 0.25, 0);
-    tables.bind(1, 0, 0);
+    tables.setWeight(0, 5, 0.5);
+    tables.setAdmission(0, 2, 0.25, 0);
+    tables.bindProxy(1, 0, 0);
     turn();
     assertEquals(0.25f, one.by.get("write").level);
-    tables.bind(1, 0, 0);
+    tables.bindProxy(1, 0, 0);
     turn();
     assertEquals(0.25f, one.by.get("write").level);
     assertEquals(null, one.by.get("read").level);
@@ -117,12 +117,12 @@
   @Test
   void clearingForgetsLinesAndLevels() throws Exception {
     TestPeers.AppliedUpdates one = join(1);
-    tables.line(0, 5, 0.5);
-    tables.admit(0, 0, 0.25, 0);
-    tables.bind(1, 0, 0);
+    tables.setWeight(0, 5, 0.5);
+    tables.setAdmission(0, 0, 0.25, 0);
+    tables.bindProxy(1, 0, 0);
     turn();
-    tables.clear(0);
-    tables.line(0, 6, 0.75);
+    tables.clearTable(0);
+    tables.setWeight(0, 6, 0.75);
     turn();
     assertEquals(Map.of("s6", 0.75f), one.open("read"));
     assertEquals(null, one.by.get("read").level);
@@ -134,21 +134,21 @@
   @Test
   void aClearedTableOfNobodyIsNotKept() throws Exception {
     TestPeers.AppliedUpdates one = join(1);
-    tables.line(0, 5, 0.5);
-    tables.line(7, 5, 0.5);
-    tables.bind(1, 0, 0);
+    tables.setWeight(0, 5, 0.5);
+    tables.setWeight(7, 5, 0.5);
+    tables.bindProxy(1, 0, 0);
     turn();
-    tables.clear(0);
-    tables.clear(7);
+    tables.clearTable(0);
+    tables.clearTable(7);
     turn();
-    assertEquals(1, tables.tables());
-    tables.line(0, 6, 0.75);
+    assertEquals(1, tables.tableCount());
+    tables.setWeight(0, 6, 0.75);
     turn();
     assertEquals(Map.of("s6", 0.75f), one.open("read"));
-    tables.left(1);
-    tables.clear(0);
+    tables.removeProxy(1);
+    tables.clearTable(0);
     turn();
-    assertEquals(0, tables.tables());
+    assertEquals(0, tables.tableCount());
   }
 
   /**
@@ -159,11 +159,11 @@
   void levelsCombine() throws Exception {
     TestPeers.AppliedUpdates bound = join(1);
     TestPeers.AppliedUpdates unbound = join(2);
-    tables.line(0, 5, 0.5);
-    tables.bind(1, 0, 0);
-    tables.admit(0, 0, 0.5, 3);
-    tables.admit(PublishedTables.ALL, 1, 0.25, 1);
-    tables.admit(PublishedTables.ALL, 2, 0.75, 1);
+    tables.setWeight(0, 5, 0.5);
+    tables.bindProxy(1, 0, 0);
+    tables.setAdmission(0, 0, 0.5, 3);
+    tables.setAdmission(PublishedTables.ALL_TABLES, 1, 0.25, 1);
+    tables.setAdmission(PublishedTables.ALL_TABLES, 2, 0.75, 1);
     turn();
     assertEquals("0.25 3", bound.by.get("read").level + " " + bound.by.get("read").retry);
     assertEquals("0.5 3", bound.by.get("write").level + " " + bound.by.get("write").retry);
@@ -171,7 +171,7 @@
     assertEquals("0.25 1", unbound.by.get("read").level + " " + unbound.by.get("read").retry);
     assertEquals(null, unbound.by.get("list").level);
     TestPeers.AppliedUpdates late = join(3);
-    tables.withdraw(9, true);
+    tables.setEjected(9, true);
     turn();
     assertEquals(0.25f, late.by.get("read").level);
     assertEquals(0.75f, late.by.get("write").level);
@@ -185,26 +185,26 @@
     TestPeers.AppliedUpdates holds = join(1);
     TestPeers.AppliedUpdates other = join(2);
     TestPeers.AppliedUpdates unbound = join(3);
-    tables.line(0, 5, 0.5);
-    tables.line(1, 6, 0.5);
-    tables.bind(1, 0, 0);
-    tables.bind(2, 1, 0);
+    tables.setWeight(0, 5, 0.5);
+    tables.setWeight(1, 6, 0.5);
+    tables.bindProxy(1, 0, 0);
+    tables.bindProxy(2, 1, 0);
     turn();
-    tables.withdraw(5, true);
-    tables.mark(17, false);
+    tables.setEjected(5, true);
+    tables.requestAck(17, false);
     turn();
     assertEquals("[s5] [] [s5]", holds.out + " " + other.out + " " + unbound.out);
     assertEquals("[17] [] [17]", holds.tickets + " " + other.tickets + " " + unbound.tickets);
-    tables.line(1, 5, 0.5);
+    tables.setWeight(1, 5, 0.5);
     turn();
     assertEquals(
         Map.of("s6", 0.5f), other.open("read"), "a line of a withdrawn server comes shut out");
-    tables.withdraw(5, false);
-    tables.mark(18, true);
+    tables.setEjected(5, false);
+    tables.requestAck(18, true);
     turn();
     assertTrue(holds.out.isEmpty() && other.out.isEmpty() && unbound.out.isEmpty());
     assertEquals(List.of(18), other.tickets);
-    tables.mark(19, true);
+    tables.requestAck(19, true);
     turn();
     assertEquals(List.of(17, 18, 19), unbound.tickets);
   }
@@ -217,24 +217,24 @@
   void aBindLeavesExactlyOurWithdrawals() throws Exception {
     TestPeers.AppliedUpdates one = join(1);
     one.out.addAll(List.of("s5", "s8"));
-    tables.line(0, 5, 0.5);
-    tables.line(0, 6, 0.5);
-    tables.withdraw(6, true);
-    tables.bind(1, 0, 0);
+    tables.setWeight(0, 5, 0.5);
+    tables.setWeight(0, 6, 0.5);
+    tables.setEjected(6, true);
+    tables.bindProxy(1, 0, 0);
     turn();
     assertEquals(Map.of("s5", 0.5f), one.open("read"));
     assertEquals(new TreeSet<>(List.of("s6", "s8")), one.out);
-    tables.line(0, 8, 0.5);
+    tables.setWeight(0, 8, 0.5);
     turn();
     assertEquals(
         Map.of("s5", 0.5f, "s8", 0.5f), one.open("read"), "told when a table brings the server");
-    tables.withdraw(5, true);
+    tables.setEjected(5, true);
     turn();
-    tables.left(1);
-    tables.withdraw(5, false);
+    tables.removeProxy(1);
+    tables.setEjected(5, false);
     turn();
     join(1);
-    tables.bind(1, 0, 0);
+    tables.bindProxy(1, 0, 0);
     turn();
     assertEquals(Map.of("s5", 0.5f, "s8", 0.5f), one.open("read"));
   }
@@ -248,12 +248,12 @@
   void aFreshProxyHearsOfDoubtedServersOnly() throws Exception {
     TestPeers.AppliedUpdates one = join(1, true);
     one.out.add("s6");
-    tables.doubt(6, true);
-    tables.line(0, 5, 0.5);
-    tables.line(0, 6, 0.5);
-    tables.line(0, 7, 0.5);
-    tables.withdraw(7, true);
-    tables.bind(1, 0, 0);
+    tables.suspectEjection(6, true);
+    tables.setWeight(0, 5, 0.5);
+    tables.setWeight(0, 6, 0.5);
+    tables.setWeight(0, 7, 0.5);
+    tables.setEjected(7, true);
+    tables.bindProxy(1, 0, 0);
     turn();
     assertEquals(
         List.of(
@@ -270,8 +270,8 @@
         last.get(1));
     assertEquals(Map.of("s5", 0.5f, "s6", 0.5f), one.open("read"));
     TestPeers.AppliedUpdates two = join(2);
-    tables.bind(2, 0, 0);
-    tables.line(0, 9, 0.5);
+    tables.bindProxy(2, 0, 0);
+    tables.setWeight(0, 9, 0.5);
     turn();
     assertEquals(List.of(List.of("update", "lines", "s9:0.5")), last.get(1));
     assertEquals(Map.of("s5", 0.5f, "s6", 0.5f, "s9", 0.5f), two.open("read"));
@@ -281,11 +281,11 @@
   @Test
   void ordersForWhoHasLeftDoNothing() throws Exception {
     join(1);
-    tables.left(1);
-    tables.bind(1, 0, 0);
-    tables.line(0, 5, 1);
-    tables.withdraw(5, true);
-    tables.mark(3, true);
+    tables.removeProxy(1);
+    tables.bindProxy(1, 0, 0);
+    tables.setWeight(0, 5, 1);
+    tables.setEjected(5, true);
+    tables.requestAck(3, true);
     turn();
     assertEquals(Map.of(), messages);
   }
@@ -295,9 +295,9 @@
   void hugeTablesGoInParts() throws Exception {
     TestPeers.AppliedUpdates one = join(1);
     for (int server = 0; server < 60_000; server++) {
-      tables.line(0, server, 0.5);
+      tables.setWeight(0, server, 0.5);
     }
-    tables.bind(1, 0, 0);
+    tables.bindProxy(1, 0, 0);
     turn();
     assertEquals(60_000, one.open("read").size());
     assertTrue(last.get(1).size() <= 64);
@@ -313,20 +313,20 @@
     join(1);
     join(2);
     for (int mark = 7; mark <= 9; mark++) {
-      tables.mark(mark, true);
+      tables.requestAck(mark, true);
       turn();
     }
     long now = 1_500_000;
-    assertFalse(tables.answered(now, 1, 6, 100));
-    assertFalse(tables.answered(now, 1, 8, 500_001), "it is half a second old");
-    assertTrue(tables.answered(now, 1, 8, 500_000));
-    assertFalse(tables.answered(now, 1, 8, 100), "twice");
-    assertFalse(tables.answered(now, 1, 7, 100), "before one that was answered");
-    assertTrue(tables.answered(now, 1, 9, 100));
-    assertTrue(tables.answered(now, 2, 7, 100));
-    assertFalse(tables.answered(now, 3, 7, 100), "who is not joined");
-    tables.joined(2);
-    assertFalse(tables.answered(now, 2, 9, 100), "of an earlier stream");
+    assertFalse(tables.acknowledge(now, 1, 6, 100));
+    assertFalse(tables.acknowledge(now, 1, 8, 500_001), "it is half a second old");
+    assertTrue(tables.acknowledge(now, 1, 8, 500_000));
+    assertFalse(tables.acknowledge(now, 1, 8, 100), "twice");
+    assertFalse(tables.acknowledge(now, 1, 7, 100), "before one that was answered");
+    assertTrue(tables.acknowledge(now, 1, 9, 100));
+    assertTrue(tables.acknowledge(now, 2, 7, 100));
+    assertFalse(tables.acknowledge(now, 3, 7, 100), "who is not joined");
+    tables.addProxy(2);
+    assertFalse(tables.acknowledge(now, 2, 9, 100), "of an earlier stream");
   }
 
   /**
@@ -336,16 +336,16 @@
   @Test
   void aServerThatNoTableBringsIsNotTold() throws Exception {
     TestPeers.AppliedUpdates one = join(1);
-    tables.line(0, 5, 0.5);
-    tables.line(0, 6, 0.5);
-    tables.bind(1, 0, 0);
+    tables.setWeight(0, 5, 0.5);
+    tables.setWeight(0, 6, 0.5);
+    tables.bindProxy(1, 0, 0);
     turn();
-    tables.line(0, 6, 0);
+    tables.setWeight(0, 6, 0);
     turn();
-    tables.withdraw(6, true);
+    tables.setEjected(6, true);
     turn();
     assertEquals(2, one.messages);
-    tables.line(0, 6, 0.5);
+    tables.setWeight(0, 6, 0.5);
     turn();
     assertEquals(Map.of("s5", 0.5f), one.open("read"), "it is out once a table brings it");
   }
--- a/src/test/java/pearusher/recovery/LedgerTest.java
+++ b/src/test/java/pearusher/recovery/LedgerTest.java
@@ -29,7 +29,7 @@
   private long now = 1_000_000_000_000_000L;
 
   private Ledger ledger() {
-    return ledger(RecoveryTrust.NONE, NAMES, now, false);
+    return ledger(RecoveryTrust.FULL, NAMES, now, false);
   }
 
   private Ledger ledger(RecoveryTrust given, String names, long at, boolean shared) {
@@ -37,9 +37,9 @@
   }
 
   private void end(Ledger ledger) {
-    Map<String, byte[]> changes = ledger.end(now += 1000);
+    Map<String, byte[]> changes = ledger.endIteration(now += 1000);
     if (changes != null) {
-      WriteBatch.of(changes).applyTo(store);
+      WriteBatch.ofChanges(changes).applyTo(store);
     }
   }
 
@@ -50,17 +50,18 @@
   /** A table of two lines, proxy 3 bound to it; it has answered if that is asked. */
   private Ledger bound(boolean answered) {
     Ledger ledger = ledger();
-    ledger.listed(7, false, List.of(server("a", Lifecycle.READY), server("b", Lifecycle.READY)));
-    ledger.line(0, "a", 1.5);
-    ledger.line(0, "b", 0.5);
-    ledger.admit(0, 1, new AdmissionLevel(0.8, 0));
-    assertNull(ledger.joined(3, true));
-    ledger.bind(3, 0, true);
-    ledger.mark(11);
-    ledger.sent(3);
+    ledger.onEndpointList(
+        7, false, List.of(server("a", Lifecycle.READY), server("b", Lifecycle.READY)));
+    ledger.setWeight(0, "a", 1.5);
+    ledger.setWeight(0, "b", 0.5);
+    ledger.setAdmission(0, 1, new AdmissionLevel(0.8, 0));
+    assertNull(ledger.onProxyJoined(3, true));
+    ledger.bindProxy(3, 0, true);
+    ledger.lastAckNumber(11);
+    ledger.onMessageSent(3);
     end(ledger);
     if (answered) {
-      ledger.applied(3, 11);
+      ledger.onAcknowledgement(3, 11);
       end(ledger);
     }
     return ledger;
@@ -69,7 +70,7 @@
   @Test
   void whoHasAnsweredLacksNothing() {
     bound(true);
-    CatchUp lacks = ledger().joined(3, false);
+    CatchUp lacks = ledger().onProxyJoined(3, false);
     assertEquals(0, lacks.cost());
     assertEquals(0, lacks.table());
   }
@@ -77,8 +78,8 @@
   @Test
   void whoHasNotAnsweredGetsItsTableWhole() {
     bound(false);
-    assertNull(ledger().joined(3, false));
-    assertNull(ledger().joined(4, false), "never bound");
+    assertNull(ledger().onProxyJoined(3, false));
+    assertNull(ledger().onProxyJoined(4, false), "never bound");
   }
 
   /** A proxy's own word wins over the store's. */
@@ -86,28 +87,28 @@
   void aFreshProxyHoldsNothingWhateverTheStoreSays() {
     bound(true);
     Ledger again = ledger();
-    assertNull(again.joined(3, true));
+    assertNull(again.onProxyJoined(3, true));
     end(again);
-    assertNull(ledger().joined(3, false), "and that lasts");
+    assertNull(ledger().onProxyJoined(3, false), "and that lasts");
   }
 
   @Test
   void whatChangedSinceTheAnswerIsLacking() {
     Ledger ledger = bound(true);
-    ledger.line(0, "b", 0.7);
-    ledger.withdraw("a", true, now);
-    ledger.admit(0, 1, new AdmissionLevel(1, 1));
+    ledger.setWeight(0, "b", 0.7);
+    ledger.setEjected("a", true, now);
+    ledger.setAdmission(0, 1, new AdmissionLevel(1, 1));
     end(ledger);
-    CatchUp lacks = ledger().joined(3, false);
-    assertEquals(Map.of("b", 0.7), lacks.lines());
-    assertEquals(Map.of(1, new AdmissionLevel(1, 1)), lacks.levels());
+    CatchUp lacks = ledger().onProxyJoined(3, false);
+    assertEquals(Map.of("b", 0.7), lacks.weights());
+    assertEquals(Map.of(1, new AdmissionLevel(1, 1)), lacks.admissionLevels());
     assertEquals(Map.of("a", true), lacks.ejections());
-    ledger.mark(12);
-    ledger.sent(3);
+    ledger.lastAckNumber(12);
+    ledger.onMessageSent(3);
     end(ledger);
-    ledger.applied(3, 12);
+    ledger.onAcknowledgement(3, 12);
     end(ledger);
-    lacks = ledger().joined(3, false);
+    lacks = ledger().onProxyJoined(3, false);
     assertEquals(0, lacks.cost());
     assertEquals(Map.of("a", true, "b", false), lacks.announced());
   }
@@ -116,26 +117,26 @@
   @Test
   void anAnswerCountsOnItsOwnStreamOnly() {
     Ledger ledger = bound(false);
-    assertNull(ledger.joined(3, false));
-    ledger.applied(3, 11);
+    assertNull(ledger.onProxyJoined(3, false));
+    ledger.onAcknowledgement(3, 11);
     end(ledger);
-    assertNull(ledger().joined(3, false));
-    assertEquals(11, ledger().mark(), "the next mark is another one");
+    assertNull(ledger().onProxyJoined(3, false));
+    assertEquals(11, ledger().lastAckNumber(), "the next mark is another one");
   }
 
   @Test
   void aStartTakesOutWhatTheListNoLongerNames() {
     bound(true);
     Ledger again = ledger();
-    again.withdraw("b", true, now);
+    again.setEjected("b", true, now);
     end(again);
     again = ledger();
-    again.begin(List.of(server("b", Lifecycle.READY)), now);
-    CatchUp lacks = again.joined(3, false);
-    assertEquals(Map.of("a", 0.0), lacks.lines());
+    again.start(List.of(server("b", Lifecycle.READY)), now);
+    CatchUp lacks = again.onProxyJoined(3, false);
+    assertEquals(Map.of("a", 0.0), lacks.weights());
     assertEquals(Map.of("b", false), lacks.ejections(), "b is back");
-    again.begin(List.of(server("b", Lifecycle.DRAINING)), now);
-    assertEquals(Set.of("b"), again.lines(0).keySet());
+    again.start(List.of(server("b", Lifecycle.DRAINING)), now);
+    assertEquals(Set.of("b"), again.weights(0).keySet());
   }
 
   /**
@@ -144,7 +145,7 @@
   @Test
   void aWholeListForgetsWhomItDoesNotName() {
     Ledger ledger = bound(true);
-    ledger.listed(8, true, List.of(server("b", Lifecycle.READY)));
+    ledger.onEndpointList(8, true, List.of(server("b", Lifecycle.READY)));
     end(ledger);
     assertEquals(Set.of("b"), ledger().servers().keySet());
     assertEquals(8, ledger().generation());
@@ -156,35 +157,35 @@
     bound(true);
     assertEquals(
         RecoveryTrust.EMPTY,
-        Ledger.of(Map.of(), RecoveryTrust.NONE, NAMES, now, HOUR, false).doubt());
-    assertEquals(RecoveryTrust.NONE, ledger().doubt());
+        Ledger.of(Map.of(), RecoveryTrust.FULL, NAMES, now, HOUR, false).trust());
+    assertEquals(RecoveryTrust.FULL, ledger().trust());
     Map<RecoveryTrust, Ledger> doubted =
         Map.of(
-            RecoveryTrust.COPIED,
-            ledger(RecoveryTrust.COPIED, NAMES, now, false),
-            RecoveryTrust.GIVEN_UP,
-            ledger(RecoveryTrust.GIVEN_UP, NAMES, now, false),
-            RecoveryTrust.SETTINGS,
-            ledger(RecoveryTrust.NONE, "n0 order,lookup north", now, false),
-            RecoveryTrust.SILENT,
-            ledger(RecoveryTrust.NONE, NAMES, now + HOUR + 1, false),
-            RecoveryTrust.CLOCK,
-            ledger(RecoveryTrust.NONE, NAMES, now - HOUR, false));
+            RecoveryTrust.RESTORED_COPY,
+            ledger(RecoveryTrust.RESTORED_COPY, NAMES, now, false),
+            RecoveryTrust.ABANDONED,
+            ledger(RecoveryTrust.ABANDONED, NAMES, now, false),
+            RecoveryTrust.OTHER_SETTINGS,
+            ledger(RecoveryTrust.FULL, "n0 order,lookup north", now, false),
+            RecoveryTrust.STALE,
+            ledger(RecoveryTrust.FULL, NAMES, now + HOUR + 1, false),
+            RecoveryTrust.CLOCK_SKEW,
+            ledger(RecoveryTrust.FULL, NAMES, now - HOUR, false));
     doubted.forEach(
         (doubt, ledger) -> {
-          assertEquals(doubt, ledger.doubt());
+          assertEquals(doubt, ledger.trust());
           assertEquals(2, ledger.epoch());
-          assertEquals(11, ledger.mark());
-          assertTrue(ledger.turn() > 0);
+          assertEquals(11, ledger.lastAckNumber());
+          assertTrue(ledger.iteration() > 0);
           assertEquals(Set.of(), ledger.tables());
-          assertNull(ledger.joined(3, false));
+          assertNull(ledger.onProxyJoined(3, false));
         });
-    Ledger shared = ledger(RecoveryTrust.NONE, NAMES, now, true);
-    assertEquals(RecoveryTrust.SHARED, shared.doubt());
-    assertNull(shared.joined(3, false), "it may hold another assigner's table");
-    assertEquals(Set.of("a", "b"), shared.lines(0).keySet());
+    Ledger shared = ledger(RecoveryTrust.FULL, NAMES, now, true);
+    assertEquals(RecoveryTrust.SHARED_FLEET, shared.trust());
+    assertNull(shared.onProxyJoined(3, false), "it may hold another assigner's table");
+    assertEquals(Set.of("a", "b"), shared.weights(0).keySet());
     store.put("t/0/l/c", new byte[] {1});
-    assertEquals(RecoveryTrust.UNREADABLE, ledger().doubt());
+    assertEquals(RecoveryTrust.UNREADABLE, ledger().trust());
     Ledger unreadable = ledger();
     end(unreadable);
     assertEquals(Set.of("m"), store.keySet(), "what is not believed does not stay");
@@ -194,12 +195,12 @@
   @Test
   void noUnsafeRepeatIsTakenOver() {
     Ledger ledger = ledger();
-    ledger.admit(0, 0, new AdmissionLevel(1, 3));
-    ledger.admit(0, 1, new AdmissionLevel(1, 3));
+    ledger.setAdmission(0, 0, new AdmissionLevel(1, 3));
+    ledger.setAdmission(0, 1, new AdmissionLevel(1, 3));
     end(ledger);
     assertEquals(
         Map.of(0, new AdmissionLevel(1, 3), 1, new AdmissionLevel(1, 1)),
-        ledger().levels(0, List.of(Idempotency.SAFE, Idempotency.UNSAFE)));
+        ledger().admissionLevels(0, List.of(Idempotency.IDEMPOTENT, Idempotency.NOT_IDEMPOTENT)));
   }
 
   /**
@@ -209,17 +210,17 @@
   void manyServersLeaveNothingBehind() {
     Ledger ledger = bound(true);
     for (int k = 0; k < 5000; k++) {
-      ledger.listed(8 + k, false, List.of(server("s" + k, Lifecycle.READY)));
-      ledger.line(0, "s" + k, 1);
+      ledger.onEndpointList(8 + k, false, List.of(server("s" + k, Lifecycle.READY)));
+      ledger.setWeight(0, "s" + k, 1);
       end(ledger);
-      ledger.withdraw("s" + k, true, now);
-      ledger.line(0, "s" + k, 0);
+      ledger.setEjected("s" + k, true, now);
+      ledger.setWeight(0, "s" + k, 0);
       end(ledger);
-      ledger.forget("s" + k);
+      ledger.forgetServer("s" + k);
     }
     end(ledger);
     assertTrue(store.size() < 150, store.size() + " keys");
-    assertNull(ledger().joined(3, false));
+    assertNull(ledger().onProxyJoined(3, false));
   }
 
   /** A proxy's end of the channel, with what it holds. */
@@ -261,9 +262,9 @@
     int mark = 0;
     for (int step = 0; step < 60; step++) {
       if (!joined) {
-        CatchUp lacks = ledger.joined(1, follower.fresh);
-        ledger.bind(1, 0, lacks == null);
-        Map<String, Double> whole = ledger.lines(0);
+        CatchUp lacks = ledger.onProxyJoined(1, follower.fresh);
+        ledger.bindProxy(1, 0, lacks == null);
+        Map<String, Double> whole = ledger.weights(0);
         Map<Integer, AdmissionLevel> levels = levels(ledger);
         Map<String, Boolean> out = new HashMap<>(words);
         follower.way.add(
@@ -276,7 +277,8 @@
                   follower.levels.putAll(levels);
                   whole.keySet().forEach(s -> follower.word(s, out.getOrDefault(s, false)));
                 }
-                : () -> apply(follower, lacks.lines(), lacks.levels(), lacks.ejections()));
+                : () ->
+                    apply(follower, lacks.weights(), lacks.admissionLevels(), lacks.ejections()));
         joined = true;
       }
       Map<String, Double> changed = new HashMap<>();
@@ -286,24 +288,24 @@
         String server = "s" + random.nextInt(6);
         if (random.nextInt(4) == 0) {
           boolean out = random.nextBoolean();
-          ledger.withdraw(server, out, now);
+          ledger.setEjected(server, out, now);
           words.put(server, out);
           flips.put(server, out);
         } else if (random.nextInt(4) == 0) {
           AdmissionLevel level = new AdmissionLevel(random.nextInt(5), random.nextInt(2));
-          ledger.admit(0, 0, level);
+          ledger.setAdmission(0, 0, level);
           admitted.put(0, level);
         } else {
           double weight = random.nextInt(4);
-          ledger.line(0, server, weight);
+          ledger.setWeight(0, server, weight);
           changed.put(server, weight);
           // A line goes along with how its server stands.
           flips.put(server, words.getOrDefault(server, false));
         }
       }
       int ticket = ++mark;
-      ledger.mark(ticket);
-      ledger.sent(1);
+      ledger.lastAckNumber(ticket);
+      ledger.onMessageSent(1);
       end(ledger);
       follower.way.add(() -> apply(follower, changed, admitted, flips));
       boolean crash = random.nextInt(8) == 0;
@@ -312,7 +314,7 @@
       follower.way.subList(0, arrived).forEach(Runnable::run);
       follower.way.clear();
       if (all && random.nextInt(3) > 0) {
-        ledger.applied(1, ticket);
+        ledger.onAcknowledgement(1, ticket);
         if (random.nextBoolean()) {
           end(ledger);
         }
@@ -321,11 +323,11 @@
         ledger = ledger();
         joined = false;
       } else if (random.nextInt(9) == 0) {
-        ledger.left(1);
+        ledger.onProxyLeft(1);
         joined = false;
       }
       if (joined) {
-        Map<String, Double> open = ledger.lines(0);
+        Map<String, Double> open = ledger.weights(0);
         open.keySet().removeIf(s -> words.getOrDefault(s, false));
         assertEquals(open, follower.open(), "seed " + seed + " step " + step);
         assertEquals(levels(ledger), follower.levels);
@@ -335,7 +337,7 @@
   }
 
   private static Map<Integer, AdmissionLevel> levels(Ledger ledger) {
-    return ledger.levels(0, List.of(Idempotency.SAFE, Idempotency.SAFE));
+    return ledger.admissionLevels(0, List.of(Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT));
   }
 
   private static void apply(
--- a/src/test/java/pearusher/recovery/OutboxTest.java
+++ b/src/test/java/pearusher/recovery/OutboxTest.java
@@ -19,27 +19,27 @@
     long first = box.offer(List.of("a", "b"), 0);
     long second = box.offer(List.of("c"), 10);
     assertEquals(List.of(), out);
-    box.confirmed(first);
+    box.release(first);
     assertEquals(List.of("a", "b"), out);
-    box.confirmed(first);
-    box.confirmed(second);
+    box.release(first);
+    box.release(second);
     assertEquals(List.of("a", "b", "c"), out);
-    assertEquals(0, box.waiting());
+    assertEquals(0, box.size());
   }
 
   @Test
   void whatWaitsTooLongGoesWithoutTheDiskAndAllAfterIt() {
     box.offer(List.of("a"), 0);
     box.offer(List.of("b"), 900);
-    assertFalse(box.late(1000));
-    assertTrue(box.late(1001));
-    box.giveUp();
+    assertFalse(box.isOverdue(1000));
+    assertTrue(box.isOverdue(1001));
+    box.abandon();
     assertEquals(List.of("a", "b"), out);
     assertEquals(0, box.offer(List.of("c"), 2000));
     assertEquals(List.of("a", "b", "c"), out);
-    box.confirmed(2);
+    box.release(2);
     assertEquals(3, out.size());
-    assertFalse(box.late(100_000));
+    assertFalse(box.isOverdue(100_000));
   }
 
   private static ListedServer server(String name, Lifecycle state, long startedUs) {
@@ -48,10 +48,10 @@
 
   private static Ledger ledger(long generation, ListedServer... servers) {
     java.util.Map<String, byte[]> store = new java.util.HashMap<>();
-    Ledger first = Ledger.of(store, RecoveryTrust.NONE, "n", 5, 1000, false);
-    first.listed(generation, false, List.of(servers));
-    pearusher.store.WriteBatch.of(first.end(5)).applyTo(store);
-    return Ledger.of(store, RecoveryTrust.NONE, "n", 6, 1000, false);
+    Ledger first = Ledger.of(store, RecoveryTrust.FULL, "n", 5, 1000, false);
+    first.onEndpointList(generation, false, List.of(servers));
+    pearusher.store.WriteBatch.ofChanges(first.endIteration(5)).applyTo(store);
+    return Ledger.of(store, RecoveryTrust.FULL, "n", 6, 1000, false);
   }
 
   private static RecoveredServerList merge(
@@ -65,7 +65,7 @@
   void theNewerListCountsAndNobodyIsRevivedByAnOlderOne() {
     ListedServer ready = server("a", Lifecycle.READY, 0);
     ListedServer draining = server("a", Lifecycle.DRAINING, 0);
-    ListedServer gone = server("a", Lifecycle.GONE, 0);
+    ListedServer gone = server("a", Lifecycle.REMOVED, 0);
     ListedServer restarted = server("a", Lifecycle.READY, 9);
     assertEquals(new RecoveredServerList(8, List.of(draining)), merge(7, ready, 8, draining));
     assertEquals(new RecoveredServerList(0, List.of(draining)), merge(7, draining, 8, ready));
@@ -76,6 +76,6 @@
     assertEquals(
         given,
         RecoveredServerList.merge(
-            given, Ledger.of(java.util.Map.of(), RecoveryTrust.NONE, "n", 5, 9, false)));
+            given, Ledger.of(java.util.Map.of(), RecoveryTrust.FULL, "n", 5, 9, false)));
   }
 }
--- a/src/test/java/pearusher/server/AssignerProcessTest.java
+++ b/src/test/java/pearusher/server/AssignerProcessTest.java
@@ -42,13 +42,13 @@
               System.getenv(),
               (settings, orders) -> {
                 boolean warmingUp = made.incrementAndGet() == 1;
-                orders.timer(0, 1);
+                orders.setTimer(0, 1);
                 return (AssignmentPolicy)
                     Proxy.newProxyInstance(
                         Failing.class.getClassLoader(),
                         new Class<?>[] {AssignmentPolicy.class},
                         (self, method, of) -> {
-                          if (method.getName().equals("timer") && !warmingUp) {
+                          if (method.getName().equals("onTimer") && !warmingUp) {
                             throw new IllegalStateException("no such weight");
                           }
                           return null;
@@ -195,7 +195,7 @@
           () ->
               log("log")
                   .contains(
-                      "WARN strangers refused: 1 so far, the last was a stranger: GARBAGE: not"
+                      "WARN strangers refused: 1 so far, the last was a stranger: MALFORMED: not"
                           + " RESP"));
       stranger.send(
           new DatagramPacket(
