--- a/src/main/java/pearusher/control/CommandDispatcher.java
+++ b/src/main/java/pearusher/control/CommandDispatcher.java
@@ -51,7 +51,7 @@
     }
   }
 
-  void withdraw(long nowUs, long server, boolean out) {
+  void setEjected(long nowUs, long server, boolean out) {
     tables.setEjected(server, out);
     if (durable != null) {
       durable.ledger().setEjected(names.apply(server), out, nowUs);
--- a/src/main/java/pearusher/control/Controller.java
+++ b/src/main/java/pearusher/control/Controller.java
@@ -383,8 +383,13 @@
   }
 
   @Override
-  public void withdraw(long server, boolean out) {
-    orders.withdraw(loop.nowUs(), server, out);
+  public void eject(long server) {
+    orders.setEjected(loop.nowUs(), server, true);
+  }
+
+  @Override
+  public void reinstate(long server) {
+    orders.setEjected(loop.nowUs(), server, false);
   }
 
   @Override
--- a/src/main/java/pearusher/policy/FaastPolicy.java
+++ b/src/main/java/pearusher/policy/FaastPolicy.java
@@ -1425,7 +1425,7 @@
             1,
             QUEUE_MOST);
     if (fits) {
-      to.withdraw(id, true);
+      to.eject(id);
     }
     return fits;
   }
@@ -1443,7 +1443,7 @@
           .headMap(zones)
           .forEach(
               (z, table) -> line(z, s.id, scale(table) * table.planned.getOrDefault(s.id, 0.0)));
-      to.withdraw(s.id, false);
+      to.reinstate(s.id);
     }
     return fits;
   }
--- a/src/main/java/pearusher/policy/PolicyCommands.java
+++ b/src/main/java/pearusher/policy/PolicyCommands.java
@@ -9,7 +9,11 @@
 
   void clearTable(int table);
 
-  void withdraw(long server, boolean out);
+  /** Proxies send nothing more to a server. */
+  void eject(long server);
+
+  /** Proxies may send to an ejected server again. */
+  void reinstate(long server);
 
   void bindProxy(int proxy, int table, int classBits);
 
--- a/src/main/java/pearusher/simulator/ReplyWriter.java
+++ b/src/main/java/pearusher/simulator/ReplyWriter.java
@@ -79,7 +79,16 @@
   }
 
   @Override
-  public void withdraw(long server, boolean out) {
+  public void eject(long server) {
+    setEjected(server, true);
+  }
+
+  @Override
+  public void reinstate(long server) {
+    setEjected(server, false);
+  }
+
+  private void setEjected(long server, boolean out) {
     ByteBuffer to = record(66, 7);
     task(to, server);
     to.put((byte) (out ? 1 : 0));
--- a/src/test/java/pearusher/control/StoredDataWriter.java
+++ b/src/test/java/pearusher/control/StoredDataWriter.java
@@ -132,15 +132,15 @@
       }
       site.ask(
           orders -> {
-            orders.withdraw(site.server(2), true);
-            orders.withdraw(site.server(4), true);
+            orders.eject(site.server(2));
+            orders.eject(site.server(4));
             orders.requestAck(2, false);
           });
       site.turn(STEP_US);
       site.answer(0, 2);
       site.ask(
           orders -> {
-            orders.withdraw(site.server(4), false);
+            orders.reinstate(site.server(4));
             orders.setWeight(SUBSET_TABLE, site.server(1), 1.25);
             orders.clearTable(SUBSET_TABLE);
             orders.setWeight(SUBSET_TABLE, site.server(3), 0.5);
@@ -190,7 +190,7 @@
       now += STEP_US;
       site.ask(
           orders -> {
-            orders.withdraw(site.server(1), true);
+            orders.eject(site.server(1));
             orders.setWeight(NORTH, site.server(1), 0);
             orders.setWeight(SOUTH, site.server(3), 0);
             orders.setAdmission(SOUTH, LOOKUP_BIT, 0.875, 1);
@@ -305,7 +305,7 @@
       List<String> out = new ArrayList<>(rejoin(site));
       site.ask(
           orders -> {
-            orders.withdraw(site.server(2), false);
+            orders.reinstate(site.server(2));
             orders.setWeight(NORTH, site.server(0), 0.25);
             orders.requestAck(1000, false);
           });
--- a/src/test/java/pearusher/policy/OrderRecorder.java
+++ b/src/test/java/pearusher/policy/OrderRecorder.java
@@ -116,7 +116,16 @@
   }
 
   @Override
-  public void withdraw(long server, boolean out) {
+  public void eject(long server) {
+    setEjected(server, true);
+  }
+
+  @Override
+  public void reinstate(long server) {
+    setEjected(server, false);
+  }
+
+  private void setEjected(long server, boolean out) {
     write("exclude", server, yesOrNo(out));
     if (out) {
       withdrawn.add(server);
--- a/src/test/java/pearusher/policy/RecordingCommands.java
+++ b/src/test/java/pearusher/policy/RecordingCommands.java
@@ -193,7 +193,16 @@
   }
 
   @Override
-  public void withdraw(long server, boolean out) {
+  public void eject(long server) {
+    setEjected(server, true);
+  }
+
+  @Override
+  public void reinstate(long server) {
+    setEjected(server, false);
+  }
+
+  private void setEjected(long server, boolean out) {
     orders.add("withdraw " + server + " " + out);
     if (out) {
       withdrawn.add(server);
--- a/src/test/java/pearusher/server/ProtocolTranscriptTest.java
+++ b/src/test/java/pearusher/server/ProtocolTranscriptTest.java
@@ -258,12 +258,12 @@
         "a level of all tables for all classes",
         to -> to.setAdmission(ALL_TABLES, ALL_CLASSES, 0.8, 0));
     record("a level of all tables for one class", to -> to.setAdmission(ALL_TABLES, 2, 12.25, 3));
-    record("a server withdrawn", to -> to.withdraw(0, true));
-    record("a server that comes back", to -> to.withdraw(0, false));
+    record("a server withdrawn", to -> to.eject(0));
+    record("a server that comes back", to -> to.reinstate(0));
     record(
         "a server withdrawn, and a mark for those concerned",
         to -> {
-          to.withdraw(1, true);
+          to.eject(1);
           to.requestAck(905, false);
         });
     record("a table bound late", to -> to.bindProxy(3, 0, ALL_CLASSES));
@@ -331,7 +331,7 @@
         "a server with a line that is withdrawn in the same turn",
         to -> {
           to.setWeight(2, 0, 0.5);
-          to.withdraw(0, true);
+          to.eject(0);
         });
     for (RawConnection proxy : proxies.values()) {
       proxy.close();
--- a/src/test/java/pearusher/simulator/SimulatorLoopTest.java
+++ b/src/test/java/pearusher/simulator/SimulatorLoopTest.java
@@ -166,7 +166,7 @@
               o.setAdmission(117, 2, 0.5, 1);
               o.setTimer(500_000, 77);
               o.clearTable(117);
-              o.withdraw(A, true);
+              o.eject(A);
               o.bindProxy(41, 117, 0);
               o.requestAck(9, true);
               o.watchEndpoints(true);
