--- a/src/main/java/pearusher/control/PersistenceOptions.java
+++ b/src/main/java/pearusher/control/PersistenceOptions.java
@@ -6,9 +6,9 @@
 /**
  * What the operators say of an assigner's memory on disk.
  *
- * @param patienceUs how long an order may wait for the disk, in microseconds
- * @param aliveUs longest time without a word in the store
- * @param trustUs longest silence after which the store is believed in what proxies hold
+ * @param maxCommitDelayUs how long an order may wait for the disk, in microseconds
+ * @param heartbeatUs longest time without a word in the store
+ * @param maxTrustedAgeUs longest silence after which the store is believed in what proxies hold
  */
 public record PersistenceOptions(
     Path directory,
--- a/src/main/java/pearusher/intake/Intake.java
+++ b/src/main/java/pearusher/intake/Intake.java
@@ -25,13 +25,13 @@
   /**
    * Bounds.
    *
-   * @param perS reports that the module hears in a second of a flood
-   * @param calm reports that may wait before it is a flood
-   * @param place most reports of one origin that wait in a flood, merged ones counted once
-   * @param sampled whether what can't be heard in a second is thinned; else it waits
+   * @param reportsPerSecond reports that the module hears in a second of a flood
+   * @param maxQueued reports that may wait before it is a flood
+   * @param maxPerOrigin most reports of one origin that wait in a flood, merged ones counted once
+   * @param samplingEnabled whether what can't be heard in a second is thinned; else it waits
    * @param seed of what is drawn
-   * @param oldestUs what is older when its turn comes is let go
-   * @param calmUs how long all places must have been empty until it is over
+   * @param maxAgeUs what is older when its turn comes is let go
+   * @param recoveryUs how long all places must have been empty until it is over
    */
   public record Bounds(
       double reportsPerSecond,
--- a/src/main/java/pearusher/intake/QueuedReport.java
+++ b/src/main/java/pearusher/intake/QueuedReport.java
@@ -4,7 +4,7 @@
  * A report that waits.
  *
  * @param origin who sent it: a proxy's number, or below 0 a collector's
- * @param about what its sums are of: reports of one origin about the same add up
+ * @param subject what its sums are of: reports of one origin about the same add up
  * @param ageUs how long ago its span ended, as it is let through
  */
 public record QueuedReport(int origin, Subject subject, ReportTotals totals, long ageUs) {
--- a/src/main/java/pearusher/intake/ReportTotals.java
+++ b/src/main/java/pearusher/intake/ReportTotals.java
@@ -6,7 +6,7 @@
  * What some tries brought, in a form that adds exactly: whole numbers, and the good tries' time as
  * a total in microseconds in place of its mean.
  *
- * @param lines how many reports it is made of
+ * @param reports how many reports it is made of
  * @param load the last load report among them; empty for none
  * @param variance of the tries as an estimate: 0 where nothing was left out. Those of several add
  *     up, since what is drawn for one tells nothing of another
--- a/src/main/java/pearusher/protocol/EndpointListLimits.java
+++ b/src/main/java/pearusher/protocol/EndpointListLimits.java
@@ -4,8 +4,8 @@
  * What a list of servers may hold, derived from the heap: a list beyond it is refused while the
  * last good one stays in force, where the virtual machine would end for want of memory.
  *
- * @param servers how many servers of zones in the settings one list may name
- * @param textLength the most characters of one text in a list, whether it is needed or passed over
+ * @param maxListed how many servers of zones in the settings one list may name
+ * @param maxTextLength the most characters of one text in a list, needed or passed over
  * @param heapBytes the heap that both are derived from
  */
 public record EndpointListLimits(int maxListed, int maxTextLength, long heapBytes) {
--- a/src/main/java/pearusher/server/OptionalFeatures.java
+++ b/src/main/java/pearusher/server/OptionalFeatures.java
@@ -6,8 +6,8 @@
 /**
  * What the operators switched on; null for what is off.
  *
- * @param keeping a memory on disk
- * @param intake bounds of the reports that wait
+ * @param persistence a memory on disk
+ * @param intakeBounds bounds of the reports that wait
  */
 public record OptionalFeatures(PersistenceOptions persistence, Intake.Bounds intakeBounds) {
   /** Everything off. */
--- a/src/main/java/pearusher/store/Store.java
+++ b/src/main/java/pearusher/store/Store.java
@@ -35,7 +35,7 @@
    * @param sequence the last batch they hold
    * @param damage what was lost though confirmed, empty for nothing
    * @param cutBytes bytes dropped at the end, none of them confirmed
-   * @param disowned what used the store went on without it
+   * @param abandoned what used the store went on without it
    */
   public record Recovered(
       Map<String, byte[]> state,
--- a/src/main/java/pearusher/store/StoreOptions.java
+++ b/src/main/java/pearusher/store/StoreOptions.java
@@ -9,7 +9,7 @@
  * @param segmentBytes a log file ends once it is longer
  * @param compactBytes least length of all logs, in bytes, at which they are compacted
  * @param compactTimes and least multiple of the last checkpoint's length
- * @param damage what a start does about bytes that were confirmed once and can't be read
+ * @param onDamage what a start does about bytes that were confirmed once and can't be read
  */
 public record StoreOptions(
     Policy policy,
