--- a/src/main/java/pearusher/control/CommandDispatcher.java
+++ b/src/main/java/pearusher/control/CommandDispatcher.java
@@ -37,14 +37,14 @@
     this.numbers = numbers;
   }
 
-  void line(int table, long server, double weight) {
+  void setWeight(int table, long server, double weight) {
     tables.setWeight(table, server, weight);
     if (durable != null) {
       durable.ledger().setWeight(table, names.apply(server), weight);
     }
   }
 
-  void clear(int table) {
+  void clearTable(int table) {
     tables.clearTable(table);
     if (durable != null) {
       durable.ledger().clearTable(table);
@@ -58,7 +58,7 @@
     }
   }
 
-  void bind(int proxy, int table, int classBits) {
+  void bindProxy(int proxy, int table, int classBits) {
     CatchUp lacks =
         durable == null ? null : durable.bound(proxy, table, tables.coversAllClasses(classBits));
     if (lacks == null) {
@@ -68,7 +68,7 @@
     tables.bindWithCatchUp(proxy, lacks, numbers.apply(lacks.ejections()));
   }
 
-  void admit(int table, int classBits, double level, int retry) {
+  void setAdmission(int table, int classBits, double level, int retry) {
     tables.setAdmission(table, classBits, level, retry);
     for (int k = 0; durable != null && k < classes; k++) {
       if ((classBits == 0 || (classBits >> k & 1) != 0) && table != PublishedTables.ALL_TABLES) {
@@ -77,7 +77,7 @@
     }
   }
 
-  void mark(int number, boolean toAll) {
+  void requestAck(int number, boolean toAll) {
     tables.requestAck(number, toAll);
     if (durable != null) {
       durable.ledger().lastAckNumber(number);
--- a/src/main/java/pearusher/control/Controller.java
+++ b/src/main/java/pearusher/control/Controller.java
@@ -41,27 +41,27 @@
   /** What a turn is made of. */
   private final class Turn implements EventLoop.Handler {
     @Override
-    public void pause() throws InterruptedException {
+    public void awaitTick() throws InterruptedException {
       Controller.this.awaitTick();
     }
 
     @Override
-    public boolean isFlooded() {
-      return reports.isFlooded();
+    public boolean isOverloaded() {
+      return reports.isOverloaded();
     }
 
     @Override
-    public void serveFlood() {
-      reports.serveFlood();
+    public void deliverDue() {
+      reports.deliverDue();
     }
 
     @Override
-    public void timer(long token) {
+    public void onTimer(long token) {
       module.onTimer(loop.nowUs(), token);
     }
 
     @Override
-    public void close() {
+    public void onIterationEnd() {
       Controller.this.close();
     }
   }
@@ -141,7 +141,7 @@
    * Starts the module with the list last known and takes its first turn, on the caller's thread.
    */
   public void start() {
-    loop.begin();
+    loop.start();
     module = maker.apply(config.settings(), this);
     EndpointList known = durable == null ? config.knownServers() : durable.mergedServerList();
     list(ListUpdateKind.CACHED, known);
@@ -162,7 +162,7 @@
 
   /** Waits for an event or a timer; what comes without a tick's pause is one turn. */
   public void runIteration() throws InterruptedException {
-    loop.turn();
+    loop.runIteration();
   }
 
   public void awaitTick() throws InterruptedException {
@@ -192,12 +192,12 @@
   }
 
   public int pendingEvents() {
-    return loop.waiting();
+    return loop.size();
   }
 
   /** A proxy's stream has said whose it is. */
   public void onProxyJoined(ProxyStream stream, Message.ProxyJoin what) {
-    execute(() -> streams.joined(stream, what));
+    execute(() -> streams.onProxyJoined(stream, what));
   }
 
   /** Servers by number, those that are still listed. */
@@ -214,12 +214,12 @@
 
   /** A stream ended; one whose proxy has joined anew since then unseats nobody. */
   public void onStreamClosed(ProxyStream stream, int proxy) {
-    execute(() -> streams.ended(stream, proxy));
+    execute(() -> streams.onStreamClosed(stream, proxy));
   }
 
   /** Counted with the reports: a proxy that answers without end fills no memory either. */
   public void onAcknowledgement(ProxyStream stream, Message.Acknowledgement what) {
-    queue.add(() -> streams.applied(stream, what));
+    queue.add(() -> streams.onAcknowledgement(stream, what));
   }
 
   /** A report on a server that no list has named yet is dropped: the proxies' list may be newer. */
@@ -229,7 +229,7 @@
 
   /** {@code origin}: the proxy, or a number below 0 that is the collector's own. */
   public void onLoadReport(Message.LoadReport what, int origin) {
-    reports.heard(what, origin);
+    reports.onLoadReport(what, origin);
   }
 
   public void onUsageReport(Message.UsageReport what) {
@@ -237,7 +237,7 @@
   }
 
   public void onUsageReport(Message.UsageReport what, int origin) {
-    reports.usage(what, origin);
+    reports.onUsageReport(what, origin);
   }
 
   /** Tells a test of each report that has its turn, on the decision thread. */
@@ -374,12 +374,12 @@
 
   @Override
   public void setWeight(int table, long server, double weight) {
-    orders.line(table, server, weight);
+    orders.setWeight(table, server, weight);
   }
 
   @Override
   public void clearTable(int table) {
-    orders.clear(table);
+    orders.clearTable(table);
   }
 
   @Override
@@ -394,7 +394,7 @@
 
   @Override
   public void bindProxy(int proxy, int table, int classBits) {
-    orders.bind(proxy, table, classBits);
+    orders.bindProxy(proxy, table, classBits);
   }
 
   @Override
@@ -409,12 +409,12 @@
 
   @Override
   public void setAdmission(int table, int classBits, double level, int retry) {
-    orders.admit(table, classBits, level, retry);
+    orders.setAdmission(table, classBits, level, retry);
   }
 
   @Override
   public void requestAck(int number, boolean toAll) {
-    orders.mark(number, toAll);
+    orders.requestAck(number, toAll);
   }
 
   @Override
--- a/src/main/java/pearusher/control/EventLoop.java
+++ b/src/main/java/pearusher/control/EventLoop.java
@@ -22,18 +22,18 @@
   /** What a turn is made of, besides its events. The decision thread calls it. */
   interface Handler {
     /** Waits for one tick. */
-    void pause() throws InterruptedException;
+    void awaitTick() throws InterruptedException;
 
     /** Whether reports wait outside of the queue, which no event announces. */
-    boolean isFlooded();
+    boolean isOverloaded();
 
     /** Handles those of them that are due. */
-    void serveFlood();
+    void deliverDue();
 
-    void timer(long token);
+    void onTimer(long token);
 
     /** The turn ends. */
-    void close();
+    void onIterationEnd();
   }
 
   private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
@@ -56,7 +56,7 @@
   }
 
   /** Events that wait. */
-  int waiting() {
+  int size() {
     return queue.size();
   }
 
@@ -66,7 +66,7 @@
   }
 
   /** Reads the clock before the first turn. */
-  void begin() {
+  void start() {
     nowUs = clock.getAsLong();
   }
 
@@ -84,7 +84,7 @@
   void run() {
     try {
       while (!Thread.currentThread().isInterrupted()) {
-        turn();
+        runIteration();
       }
     } catch (InterruptedException stopped) {
       Thread.currentThread().interrupt();
@@ -94,9 +94,9 @@
   }
 
   /** Waits for an event or a timer; what comes without a tick's pause is one turn. */
-  void turn() throws InterruptedException {
+  void runIteration() throws InterruptedException {
     long waitUs = timers.isEmpty() ? Long.MAX_VALUE : timers.nextDueUs() - clock.getAsLong();
-    boolean flooded = handler.isFlooded();
+    boolean flooded = handler.isOverloaded();
     waitUs = flooded ? Math.min(waitUs, SynchronizedIntake.SERVE_US) : waitUs;
     Runnable first = waitUs <= 0 ? queue.poll() : queue.poll(waitUs, TimeUnit.MICROSECONDS);
     if (first != null) {
@@ -110,15 +110,15 @@
       first = k < MOST_EVENTS ? queue.poll() : null;
     }
     if (flooded) {
-      handler.serveFlood();
+      handler.deliverDue();
       acted = true;
     }
     while (timers.isDue(nowUs)) {
-      handler.timer(timers.poll());
+      handler.onTimer(timers.poll());
       acted = true;
     }
     if (acted) {
-      handler.close();
+      handler.onIterationEnd();
     }
   }
 
@@ -132,7 +132,7 @@
     int before = -1;
     for (int tick = 0; tick < MOST_TICKS && queue.size() != before; tick++) {
       before = queue.size();
-      handler.pause();
+      handler.awaitTick();
     }
   }
 }
--- a/src/main/java/pearusher/control/ReportDispatcher.java
+++ b/src/main/java/pearusher/control/ReportDispatcher.java
@@ -51,7 +51,7 @@
    *
    * @param origin the proxy, or a number below 0 that is the collector's own
    */
-  void heard(Message.LoadReport what, int origin) {
+  void onLoadReport(Message.LoadReport what, int origin) {
     if (intake != null) {
       intake.offer(
           new QueuedReport(
@@ -82,7 +82,7 @@
   }
 
   /** Requests that came to a proxy; {@code origin} as in {@link #onLoadReport}. */
-  void usage(Message.UsageReport what, int origin) {
+  void onUsageReport(Message.UsageReport what, int origin) {
     if (intake != null) {
       // Those that failed may be more than came: there is no mean to be weighted by the good ones.
       intake.offer(
@@ -112,12 +112,12 @@
   }
 
   /** Whether the intake holds reports that no event announces. */
-  boolean isFlooded() {
+  boolean isOverloaded() {
     return intake != null && intake.flooded();
   }
 
   /** Hands the module what of a flood is due, on the decision thread. */
-  void serveFlood() {
+  void deliverDue() {
     intake.serve(loop.nowUs(), this::deliver);
   }
 
--- a/src/main/java/pearusher/control/StreamMembership.java
+++ b/src/main/java/pearusher/control/StreamMembership.java
@@ -59,7 +59,7 @@
    * right after it joined dials again, and both connections may be read at once. The dead one would
    * take the place of the good one, and its end would unseat the proxy.
    */
-  void joined(ProxyStream stream, Message.ProxyJoin what) {
+  void onProxyJoined(ProxyStream stream, Message.ProxyJoin what) {
     ProxyStream old = streams.get(what.proxy());
     if (old != null && old.acceptOrder() > stream.acceptOrder()) {
       stream.onReplaced();
@@ -83,7 +83,7 @@
   }
 
   /** A stream ended; one whose proxy has joined anew since then unseats nobody. */
-  void ended(ProxyStream stream, int proxy) {
+  void onStreamClosed(ProxyStream stream, int proxy) {
     if (streams.remove(proxy, stream)) {
       tables.removeProxy(proxy);
       module.get().onProxyLeft(loop.nowUs(), proxy);
@@ -97,7 +97,7 @@
    * A proxy answers a mark; one that another stream was sent, or that could not be, counts for
    * nothing.
    */
-  void applied(ProxyStream stream, Message.Acknowledgement what) {
+  void onAcknowledgement(ProxyStream stream, Message.Acknowledgement what) {
     if (streams.get(what.proxy()) != stream) {
       return;
     }
--- a/src/main/java/pearusher/operatorsettings/Units.java
+++ b/src/main/java/pearusher/operatorsettings/Units.java
@@ -5,7 +5,7 @@
 
 /** Numbers with units: times in microseconds, sizes in bytes. */
 final class Units {
-  /** Largest last, so that {@link #encodeUpdate} ends with the largest that fits. */
+  /** Largest last, so that {@link #write} ends with the largest that fits. */
   static final Map<String, Double> TIMES = new LinkedHashMap<>();
 
   static final Map<String, Double> SIZES = new LinkedHashMap<>();
--- a/src/main/java/pearusher/policy/PolicyCommands.java
+++ b/src/main/java/pearusher/policy/PolicyCommands.java
@@ -1,8 +1,8 @@
 package pearusher.policy;
 
 /**
- * Where orders go. What is ordered between two calls of {@link #onBatchEnd} becomes one message a
- * proxy.
+ * Where orders go. What is ordered between two calls of {@link AssignmentPolicy#onBatchEnd} becomes
+ * one message a proxy.
  */
 public interface PolicyCommands {
   void setWeight(int table, long server, double weight);
--- a/src/main/java/pearusher/transport/TerminationReason.java
+++ b/src/main/java/pearusher/transport/TerminationReason.java
@@ -9,8 +9,9 @@
 
 /**
  * Every way in which a connection can end, on either side, and what it means to the module: for a
- * probe by {@link #checkHealth}, for discovery by {@link #acknowledge}; a proxy's stream has been
- * left in every case. This is the one place of that mapping. It must never tell when to try again.
+ * probe by {@link #healthCheckResult}, for discovery by {@link #isCompleted}; a proxy's stream has
+ * been left in every case. This is the one place of that mapping. It must never tell when to try
+ * again.
  */
 public enum TerminationReason {
   /** An answer of status 200, whole. */
--- a/src/test/java/pearusher/control/StoredDataWriter.java
+++ b/src/test/java/pearusher/control/StoredDataWriter.java
@@ -244,6 +244,8 @@
     return out;
   }
 
+  // The order of the states is part of the stored format.
+  @SuppressWarnings("EnumOrdinal")
   private static String shown(ListedServer server) {
     return "server "
         + server.name()
--- a/src/test/java/pearusher/policy/PolicyScenarios.java
+++ b/src/test/java/pearusher/policy/PolicyScenarios.java
@@ -497,7 +497,7 @@
     for (int wave = 0; wave < failures.length; wave++) {
       history.failures = failures[wave];
       history.slowdown = 1 + wave % 2;
-      long first = 11 + 6 * wave;
+      long first = 11L + 6L * wave;
       history.addServers(first, 6, 2, history.now());
       history.listChanges(ids(first, first + 5));
       history.close();
@@ -539,10 +539,10 @@
     start(history, 30, 2, 8);
     history.run(6);
     for (int change = 0; change < 80; change++) {
-      long id = 1 + history.random.nextInt(30);
+      long id = 1L + history.random.nextInt(30);
       boolean ready = history.servers.get(id).state == Lifecycle.READY;
       history.change(ready ? Lifecycle.DRAINING : Lifecycle.READY, List.of(id));
-      long other = 1 + history.random.nextInt(30);
+      long other = 1L + history.random.nextInt(30);
       history.servers.get(other).meanMs = 60 + history.random.nextInt(800);
       history.close();
       history.run(0.1 + history.random.nextDouble() / 2);
@@ -766,7 +766,7 @@
   }
 
   private static void randomEvent(PolicyHistory history) {
-    long id = 1 + history.random.nextInt(history.servers.size());
+    long id = 1L + history.random.nextInt(history.servers.size());
     PolicyHistory.ServerModel server = history.servers.get(id);
     switch (history.random.nextInt(16)) {
       case 0, 1 -> history.change(Lifecycle.DRAINING, List.of(id));
@@ -774,7 +774,7 @@
       case 3, 4 -> history.change(Lifecycle.READY, List.of(id));
       case 5 -> history.restart(List.of(id));
       case 6 -> {
-        long next = history.servers.size() + 1;
+        long next = history.servers.size() + 1L;
         history.addServers(next, 2, history.settings.zones(), history.now());
         history.listChanges(ids(next, next + 1));
       }
