--- a/src/test/java/pearusher/simulator/WireTranscriptTest.java
+++ b/src/test/java/pearusher/simulator/WireTranscriptTest.java
@@ -227,9 +227,9 @@
   private static void addReports(
       List<String> records, SplittableRandom random, int zones, boolean jam) {
     for (int number = 1; number <= SERVERS; number++) {
-      long tries = 10 + random.nextInt(10);
+      long tries = 10L + random.nextInt(10);
       long failed = jam || number == 3 ? random.nextLong(tries) : 0;
-      long meanUs = (jam ? 600_000 : 100_000) + random.nextInt(100_000);
+      long meanUs = (jam ? 600_000L : 100_000L) + random.nextInt(100_000);
       records.add(WireEvents.heard(number, random.nextInt(zones), tries, failed, meanUs, 0.25));
     }
     for (int proxy = 0; proxy < PROXIES; proxy++) {
