--- a/src/test/java/pearusher/ArchitectureTest.java
+++ b/src/test/java/pearusher/ArchitectureTest.java
@@ -20,6 +20,7 @@
     "pearusher.policy..", "pearusher.recovery..", "pearusher.intake.."
   };
   private static final String[] INFRASTRUCTURE = {
+    "pearusher.logging..",
     "pearusher.store..",
     "pearusher.sitesettings..",
     "pearusher.protocol..",
@@ -125,6 +126,7 @@
             "pearusher.policy..",
             "pearusher.recovery..",
             "pearusher.intake..",
+            "pearusher.logging..",
             "pearusher.store..",
             "pearusher.simulator..")
         .should()
