--- a/Makefile
+++ b/Makefile
@@ -40,7 +40,7 @@
 bench-intake: bench-classes
 	java -Xmx1g -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.intake.IntakeBench $(QUICK)
 
-# Assigners, real and hollow, at a size, on loopback; ARGS are its options: --help tells them. QUICK=1 takes under two
+# Assigners, real and simulated, at a size, on loopback; ARGS are its options: --help tells them. QUICK=1 takes under two
 # minutes, the whole mix under fifteen; ROOT is the build that is measured.
 .PHONY: scale
 ROOT ?= .
@@ -57,4 +57,4 @@
 	java -Xmx1g -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.capacity.PickBench $(ARGS)
 
 capacity-floor: bench-classes
-	java -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.capacity.ProcessFloor $(ARGS)
+	java -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.capacity.IdleProcessBench $(ARGS)
--- a/src/bench/java/pearusher/capacity/AssignerLoad.java
+++ b/src/bench/java/pearusher/capacity/AssignerLoad.java
@@ -44,11 +44,11 @@
 
   /** List entries a second of the whole fleet on an ordinary day. */
   static double fleetEntriesPerS() {
-    double ofTasks = 1.0 * Target.TASKS / (Target.TASKS + Target.ASSIGNERS);
+    double ofTasks = 1.0 * CapacityTarget.TASKS / (CapacityTarget.TASKS + CapacityTarget.ASSIGNERS);
     return ofTasks
-        * (ENTRIES_PER_RESTART * Target.RESTARTS_PER_DAY
-            + ENTRIES_PER_FAILURE * Target.FAILURES_PER_DAY)
-        / Target.SECONDS_PER_DAY;
+        * (ENTRIES_PER_RESTART * CapacityTarget.RESTARTS_PER_DAY
+            + ENTRIES_PER_FAILURE * CapacityTarget.FAILURES_PER_DAY)
+        / CapacityTarget.SECONDS_PER_DAY;
   }
 
   static AssignerLoad of(TierMap.Tier tier, MessageSizes sizes) {
@@ -57,7 +57,7 @@
     double zones = zonesMet(tier.proxiesByZone(), proxies);
     double pairs = tier.listed() * zones;
     double lines = linesHeard(requests * TRIES_PER_REQUEST, pairs);
-    double entries = fleetEntriesPerS() * tier.listed() / Target.TASKS;
+    double entries = fleetEntriesPerS() * tier.listed() / CapacityTarget.TASKS;
     double usage = Math.min(requests, proxies * CLASSES / PERIOD_S);
     double probes = tier.listed() / PERIOD_S / tier.assigners();
     double in =
--- a/src/bench/java/pearusher/capacity/CapacityModel.java
+++ b/src/bench/java/pearusher/capacity/CapacityModel.java
@@ -93,7 +93,7 @@
         s -> 1,
         "zones");
     double[] tasksByZone = new double[fleet.zones().size()];
-    double[] tasksByRegion = new double[Target.REGIONS];
+    double[] tasksByRegion = new double[CapacityTarget.REGIONS];
     for (FleetModel.Service service : services) {
       for (int z = 0; z < tasksByZone.length; z++) {
         tasksByZone[z] += service.tasksByZone()[z];
@@ -126,19 +126,19 @@
         name + "core_ratio",
         tiers,
         sizes,
-        l -> l.heardLines() * Scenarios.CORE_S_PER_LINE / Target.CORE_SHARE,
+        l -> l.heardLines() * Scenarios.CORE_S_PER_LINE / CapacityTarget.CORE_SHARE,
         "of_limit");
     spreadLoad(
         name + "state_ratio",
         tiers,
         sizes,
-        l -> l.pairsKnown() * Scenarios.BYTES_PER_PAIR / Target.STATE_BYTES,
+        l -> l.pairsKnown() * Scenarios.BYTES_PER_PAIR / CapacityTarget.STATE_BYTES,
         "of_limit");
     spreadLoad(
         name + "state_in_scope_ratio",
         tiers,
         sizes,
-        l -> l.pairsInScope() * Scenarios.BYTES_PER_PAIR / Target.STATE_BYTES,
+        l -> l.pairsInScope() * Scenarios.BYTES_PER_PAIR / CapacityTarget.STATE_BYTES,
         "of_limit");
     spreadLoad(name + "bytes_in", tiers, sizes, AssignerLoad::bytesIn, "bytes/s");
     spreadLoad(name + "bytes_out", tiers, sizes, AssignerLoad::bytesOut, "bytes/s");
@@ -146,10 +146,11 @@
         name + "bytes_ratio",
         tiers,
         sizes,
-        l -> (l.bytesIn() + l.bytesOut()) / Target.BYTES_PER_S,
+        l -> (l.bytesIn() + l.bytesOut()) / CapacityTarget.BYTES_PER_S,
         "of_limit");
     spreadLoad(name + "list", tiers, sizes, AssignerLoad::listBytes, "bytes");
-    spreadLoad(name + "list_time", tiers, sizes, l -> l.listBytes() / Target.BYTES_PER_S, "s");
+    spreadLoad(
+        name + "list_time", tiers, sizes, l -> l.listBytes() / CapacityTarget.BYTES_PER_S, "s");
     spreadLoad(name + "bind", tiers, sizes, AssignerLoad::bindBytes, "bytes");
     spreadLoad(name + "list_entries", tiers, sizes, l -> 3600 * l.listEntries(), "/h");
     spreadLoad(name + "pairs_known", tiers, sizes, AssignerLoad::pairsKnown, "pairs");
@@ -159,7 +160,7 @@
             .filter(
                 t -> {
                   AssignerLoad load = AssignerLoad.of(t, sizes);
-                  return load.bytesIn() + load.bytesOut() > Target.BYTES_PER_S;
+                  return load.bytesIn() + load.bytesOut() > CapacityTarget.BYTES_PER_S;
                 })
             .mapToInt(TierMap.Tier::assigners)
             .sum();
@@ -169,7 +170,7 @@
             .filter(
                 t ->
                     AssignerLoad.of(t, sizes).pairsKnown() * Scenarios.BYTES_PER_PAIR
-                        > Target.STATE_BYTES)
+                        > CapacityTarget.STATE_BYTES)
             .mapToInt(TierMap.Tier::assigners)
             .sum();
     line(name + "assigners_over_state", overState, "assigners");
--- a/src/bench/java/pearusher/capacity/Target.java
+++ b/src/bench/java/pearusher/capacity/CapacityTarget.java
@@ -1,7 +1,7 @@
 package pearusher.capacity;
 
 /** The operators' figures: the size to plan for, and the limits. */
-final class Target {
+final class CapacityTarget {
   static final int ASSIGNERS = 3_100;
   static final int TASKS = 9_100;
   static final int SERVICES = 370;
@@ -19,5 +19,5 @@
 
   static final int SECONDS_PER_DAY = 86_400;
 
-  private Target() {}
+  private CapacityTarget() {}
 }
--- a/src/bench/java/pearusher/capacity/FleetModel.java
+++ b/src/bench/java/pearusher/capacity/FleetModel.java
@@ -50,9 +50,11 @@
     layOutZones();
     int[] tasks =
         Apportionment.split(
-            Target.TASKS, Apportionment.zipf(Target.SERVICES, skew.tasks()), LEAST_TASKS);
+            CapacityTarget.TASKS,
+            Apportionment.zipf(CapacityTarget.SERVICES, skew.tasks()),
+            LEAST_TASKS);
     double[] requests = requestsByService(random);
-    for (int rank = 0; rank < Target.SERVICES; rank++) {
+    for (int rank = 0; rank < CapacityTarget.SERVICES; rank++) {
       services.add(place(rank, tasks[rank], requests[rank], random));
     }
   }
@@ -67,10 +69,10 @@
 
   /** 98 zones in 25 regions: four each, three in the two smallest. */
   private void layOutZones() {
-    double[] regionWeights = Apportionment.zipf(Target.REGIONS, skew.regions());
-    int short3 = Target.REGIONS * ZONE_WEIGHTS.length - Target.ZONES;
-    for (int region = 0; region < Target.REGIONS; region++) {
-      int count = ZONE_WEIGHTS.length - (region >= Target.REGIONS - short3 ? 1 : 0);
+    double[] regionWeights = Apportionment.zipf(CapacityTarget.REGIONS, skew.regions());
+    int short3 = CapacityTarget.REGIONS * ZONE_WEIGHTS.length - CapacityTarget.ZONES;
+    for (int region = 0; region < CapacityTarget.REGIONS; region++) {
+      int count = ZONE_WEIGHTS.length - (region >= CapacityTarget.REGIONS - short3 ? 1 : 0);
       double sum = Arrays.stream(ZONE_WEIGHTS, 0, count).sum();
       for (int k = 0; k < count; k++) {
         zones.add(new Zone(region, regionWeights[region] * ZONE_WEIGHTS[k] / sum));
@@ -83,14 +85,14 @@
    * busiest.
    */
   private double[] requestsByService(SplittableRandom random) {
-    double[] requests = Apportionment.zipf(Target.SERVICES, skew.requests());
+    double[] requests = Apportionment.zipf(CapacityTarget.SERVICES, skew.requests());
     double sum = 0;
     for (int k = 0; k < requests.length; k++) {
       requests[k] *= Math.pow(2, 2 * random.nextDouble() - 1);
       sum += requests[k];
     }
     for (int k = 0; k < requests.length; k++) {
-      requests[k] *= Target.REQUESTS_PER_S / sum;
+      requests[k] *= CapacityTarget.REQUESTS_PER_S / sum;
     }
     return requests;
   }
@@ -115,10 +117,11 @@
 
   /** Drawn by weight without replacement (the keys of Efraimidis and Spirakis). */
   private boolean[] regions(int tasks, SplittableRandom random) {
-    int count = (int) Math.max(1, Math.min(Target.REGIONS, Math.round(tasks / TASKS_PER_REGION)));
-    double[] weights = Apportionment.zipf(Target.REGIONS, skew.regions());
+    int count =
+        (int) Math.max(1, Math.min(CapacityTarget.REGIONS, Math.round(tasks / TASKS_PER_REGION)));
+    double[] weights = Apportionment.zipf(CapacityTarget.REGIONS, skew.regions());
     double[] keys = Arrays.stream(weights).map(w -> Math.pow(random.nextDouble(), 1 / w)).toArray();
-    boolean[] chosen = new boolean[Target.REGIONS];
+    boolean[] chosen = new boolean[CapacityTarget.REGIONS];
     IntStream.range(0, keys.length)
         .boxed()
         .sorted(Comparator.comparingDouble(r -> -keys[r]))
--- a/src/bench/java/pearusher/capacity/ProcessFloor.java
+++ b/src/bench/java/pearusher/capacity/IdleProcessBench.java
@@ -25,7 +25,7 @@
  * from the project's root after {@code make build}.
  */
 @Command(name = "floor", mixinStandardHelpOptions = true, description = "Memory of idle processes.")
-final class ProcessFloor implements Callable<Integer> {
+final class IdleProcessBench implements Callable<Integer> {
   private static final int KIB = 1024;
   private static final int TICKS_PER_S = 100;
   private static final byte[] PING = "*1\r\n$4\r\nping\r\n".getBytes(StandardCharsets.ISO_8859_1);
@@ -34,7 +34,7 @@
   private int idleSeconds = 20;
 
   public static void main(String[] args) {
-    System.exit(new CommandLine(new ProcessFloor()).execute(args));
+    System.exit(new CommandLine(new IdleProcessBench()).execute(args));
   }
 
   @Override
--- a/src/bench/java/pearusher/capacity/Scenarios.java
+++ b/src/bench/java/pearusher/capacity/Scenarios.java
@@ -53,7 +53,7 @@
   void print() {
     ordinaryDay();
     changesOfConfiguration();
-    double rack = 1.0 * RACK / (Target.TASKS + Target.ASSIGNERS);
+    double rack = 1.0 * RACK / (CapacityTarget.TASKS + CapacityTarget.ASSIGNERS);
     double zone = share(z -> z == largestZone());
     double region = share(z -> fleet.zones().get(z).region() == 0);
     outage("rack", rack, rack);
@@ -79,7 +79,7 @@
                         .sum())
             .sum()
         * 1.0
-        / Target.TASKS;
+        / CapacityTarget.TASKS;
   }
 
   private int largestZone() {
@@ -91,9 +91,11 @@
 
   /** Lists' entries to each who watches, whole lists to each assigner that starts. */
   private void ordinaryDay() {
-    double ofAssigners = 1.0 * Target.ASSIGNERS / (Target.TASKS + Target.ASSIGNERS);
-    double starts = ofAssigners * (Target.RESTARTS_PER_DAY + Target.FAILURES_PER_DAY);
-    double entries = AssignerLoad.fleetEntriesPerS() * Target.SECONDS_PER_DAY;
+    double ofAssigners =
+        1.0 * CapacityTarget.ASSIGNERS / (CapacityTarget.TASKS + CapacityTarget.ASSIGNERS);
+    double starts =
+        ofAssigners * (CapacityTarget.RESTARTS_PER_DAY + CapacityTarget.FAILURES_PER_DAY);
+    double entries = AssignerLoad.fleetEntriesPerS() * CapacityTarget.SECONDS_PER_DAY;
     double told = entries * watchersPerTask();
     line("day.assigner_starts", starts, "/day");
     line("day.list_entries", entries, "/day");
@@ -101,20 +103,21 @@
     line("day.entries_told", told, "/day");
     line(
         "day.watch_bytes_a_control_machine",
-        told * sizes.listEntry() / Target.SECONDS_PER_DAY / Target.CONTROL_MACHINES,
+        told * sizes.listEntry() / CapacityTarget.SECONDS_PER_DAY / CapacityTarget.CONTROL_MACHINES,
         "bytes/s");
     line("day.whole_list_bytes", starts * meanList(), "bytes/day");
-    line("day.rejoining_proxies", starts * proxies() / Target.ASSIGNERS, "/day");
+    line("day.rejoining_proxies", starts * proxies() / CapacityTarget.ASSIGNERS, "/day");
   }
 
   /** Assigners that list one task, on average. */
   private double watchersPerTask() {
-    return tiers.stream().mapToDouble(t -> 1.0 * t.assigners() * t.listed()).sum() / Target.TASKS;
+    return tiers.stream().mapToDouble(t -> 1.0 * t.assigners() * t.listed()).sum()
+        / CapacityTarget.TASKS;
   }
 
   private double meanList() {
     return tiers.stream().mapToDouble(t -> t.assigners() * t.listed() * sizes.listEntry()).sum()
-        / Target.ASSIGNERS;
+        / CapacityTarget.ASSIGNERS;
   }
 
   private double proxies() {
@@ -123,25 +126,25 @@
 
   /** Read as a change of settings, which today needs a restart of each assigner of the tier. */
   private void changesOfConfiguration() {
-    double meanTier = 1.0 * Target.ASSIGNERS / tiers.size();
-    double restarts = Target.CHANGES_PER_DAY * meanTier;
-    line("change.peak_rate", Target.CHANGES_PER_DAY * PEAK_HOUR_SHARE / 3600, "/s");
+    double meanTier = 1.0 * CapacityTarget.ASSIGNERS / tiers.size();
+    double restarts = CapacityTarget.CHANGES_PER_DAY * meanTier;
+    line("change.peak_rate", CapacityTarget.CHANGES_PER_DAY * PEAK_HOUR_SHARE / 3600, "/s");
     line("change.restarts", restarts, "/day");
-    line("change.restarts_an_assigner", restarts / Target.ASSIGNERS, "/day");
+    line("change.restarts_an_assigner", restarts / CapacityTarget.ASSIGNERS, "/day");
     line("change.list_bytes", restarts * meanList(), "bytes/day");
     int largest = tiers.stream().mapToInt(TierMap.Tier::assigners).max().orElseThrow();
     line("change.one_by_one_mean", meanTier * (TERM_S + READY_S), "s");
     line("change.one_by_one_largest", largest * (TERM_S + READY_S), "s");
     line(
         "change.one_by_one_largest_ratio",
-        largest * (TERM_S + READY_S) / Target.IN_FORCE_S,
+        largest * (TERM_S + READY_S) / CapacityTarget.IN_FORCE_S,
         "of_limit");
     line(
         "change.at_once_largest",
-        Math.ceil(largest * (TERM_S + READY_S) / Target.IN_FORCE_S),
+        Math.ceil(largest * (TERM_S + READY_S) / CapacityTarget.IN_FORCE_S),
         "assigners");
     line("change.as_list_entry_bytes", meanTier * sizes.listEntry(), "bytes");
-    double peakRate = Target.CHANGES_PER_DAY * PEAK_HOUR_SHARE / 3600;
+    double peakRate = CapacityTarget.CHANGES_PER_DAY * PEAK_HOUR_SHARE / 3600;
     line("change.restarts_peak", peakRate * meanTier, "/s");
     line("change.rejoins_peak", peakRate * proxies() / tiers.size(), "/s");
   }
@@ -152,31 +155,37 @@
    */
   private void outage(String what, double part, double rejoining) {
     String at = what + ".";
-    double assigners = part * Target.ASSIGNERS;
+    double assigners = part * CapacityTarget.ASSIGNERS;
     double proxies = part * proxies();
-    line(at + "tasks", part * Target.TASKS, "tasks");
+    line(at + "tasks", part * CapacityTarget.TASKS, "tasks");
     line(at + "assigners", assigners, "assigners");
     line(at + "proxies", proxies, "proxies");
     line(at + "rejoining", rejoining * proxies(), "proxies");
-    line(at + "entries_told", part * Target.TASKS * watchersPerTask(), "entries");
+    line(at + "entries_told", part * CapacityTarget.TASKS * watchersPerTask(), "entries");
     line(at + "change_bytes_an_assigner_most", part * mostList(), "bytes");
-    line(at + "change_time_an_assigner_most", part * mostList() / Target.BYTES_PER_S, "s");
+    line(at + "change_time_an_assigner_most", part * mostList() / CapacityTarget.BYTES_PER_S, "s");
     double lists = assigners * meanList();
     line(at + "whole_lists", assigners, "lists");
     line(at + "whole_list_bytes", lists, "bytes");
-    line(at + "whole_list_bytes_a_control_machine", lists / Target.CONTROL_MACHINES, "bytes");
-    line(at + "control_network_time", lists / Target.CONTROL_MACHINES / CONTROL_BYTES_PER_S, "s");
-    line(at + "assigner_list_time_mean", meanList() / Target.BYTES_PER_S, "s");
-    line(at + "assigner_list_time_most", mostList() / Target.BYTES_PER_S, "s");
-    line(at + "assigner_bind_time_mean", meanBind() / Target.BYTES_PER_S, "s");
-    line(at + "assigner_bind_time_most", mostBind() / Target.BYTES_PER_S, "s");
+    line(
+        at + "whole_list_bytes_a_control_machine",
+        lists / CapacityTarget.CONTROL_MACHINES,
+        "bytes");
+    line(
+        at + "control_network_time",
+        lists / CapacityTarget.CONTROL_MACHINES / CONTROL_BYTES_PER_S,
+        "s");
+    line(at + "assigner_list_time_mean", meanList() / CapacityTarget.BYTES_PER_S, "s");
+    line(at + "assigner_list_time_most", mostList() / CapacityTarget.BYTES_PER_S, "s");
+    line(at + "assigner_bind_time_mean", meanBind() / CapacityTarget.BYTES_PER_S, "s");
+    line(at + "assigner_bind_time_most", mostBind() / CapacityTarget.BYTES_PER_S, "s");
     line(
         at + "list_and_bind_ratio_mean",
-        (meanList() + meanBind()) / Target.BYTES_PER_S / Target.IN_FORCE_S,
+        (meanList() + meanBind()) / CapacityTarget.BYTES_PER_S / CapacityTarget.IN_FORCE_S,
         "of_limit");
     line(
         at + "list_and_bind_ratio_most",
-        mostStart() / Target.BYTES_PER_S / Target.IN_FORCE_S,
+        mostStart() / CapacityTarget.BYTES_PER_S / CapacityTarget.IN_FORCE_S,
         "of_limit");
   }
 
@@ -200,6 +209,6 @@
     return tiers.stream()
             .mapToDouble(t -> t.assigners() * AssignerLoad.of(t, sizes).bindBytes())
             .sum()
-        / Target.ASSIGNERS;
+        / CapacityTarget.ASSIGNERS;
   }
 }
--- a/src/bench/java/pearusher/capacity/TierMap.java
+++ b/src/bench/java/pearusher/capacity/TierMap.java
@@ -16,7 +16,7 @@
     @Override
     List<Tier> tiers(FleetModel fleet) {
       double[] alike = fleet.services().stream().mapToDouble(s -> 1).toArray();
-      return services(fleet, Apportionment.split(Target.ASSIGNERS, alike, 1));
+      return services(fleet, Apportionment.split(CapacityTarget.ASSIGNERS, alike, 1));
     }
   },
   /** A tier for each service, two assigners at least and the others by requests. */
@@ -24,7 +24,7 @@
     @Override
     List<Tier> tiers(FleetModel fleet) {
       double[] load = fleet.services().stream().mapToDouble(FleetModel.Service::requests).toArray();
-      return services(fleet, Apportionment.split(Target.ASSIGNERS, load, LEAST_ASSIGNERS));
+      return services(fleet, Apportionment.split(CapacityTarget.ASSIGNERS, load, LEAST_ASSIGNERS));
     }
   },
   /** One tier for all: every assigner lists every task, proxies join anyone. */
@@ -32,8 +32,8 @@
     @Override
     List<Tier> tiers(FleetModel fleet) {
       return List.of(
-          Tier.of(fleet, fleet.services(), z -> true, Target.TASKS, Target.ZONES)
-              .with(Target.ASSIGNERS));
+          Tier.of(fleet, fleet.services(), z -> true, CapacityTarget.TASKS, CapacityTarget.ZONES)
+              .with(CapacityTarget.ASSIGNERS));
     }
   },
   /** A tier for each region's proxies, whose list holds all tasks of the fleet. */
@@ -56,7 +56,7 @@
     List<Tier> tiers(FleetModel fleet) {
       List<Tier> out = new ArrayList<>();
       for (FleetModel.Service service : fleet.services()) {
-        for (int r = 0; r < Target.REGIONS; r++) {
+        for (int r = 0; r < CapacityTarget.REGIONS; r++) {
           int region = r;
           IntPredicate here = z -> fleet.zones().get(z).region() == region;
           Tier tier = Tier.of(fleet, List.of(service), here, -1, -1);
@@ -131,15 +131,15 @@
 
   private static List<Tier> regions(FleetModel fleet, boolean allTasks) {
     List<Tier> out =
-        IntStream.range(0, Target.REGIONS)
+        IntStream.range(0, CapacityTarget.REGIONS)
             .mapToObj(
                 r ->
                     Tier.of(
                         fleet,
                         fleet.services(),
                         z -> fleet.zones().get(z).region() == r,
-                        allTasks ? Target.TASKS : -1,
-                        allTasks ? Target.ZONES : -1))
+                        allTasks ? CapacityTarget.TASKS : -1,
+                        allTasks ? CapacityTarget.ZONES : -1))
             .toList();
     return byLoad(out, LEAST_ASSIGNERS);
   }
@@ -147,7 +147,7 @@
   private static List<Tier> byLoad(List<Tier> tiers, int least) {
     int[] assigners =
         Apportionment.split(
-            Target.ASSIGNERS, tiers.stream().mapToDouble(Tier::requests).toArray(), least);
+            CapacityTarget.ASSIGNERS, tiers.stream().mapToDouble(Tier::requests).toArray(), least);
     return IntStream.range(0, assigners.length)
         .mapToObj(k -> tiers.get(k).with(assigners[k]))
         .toList();
--- a/src/bench/java/pearusher/scale/AssignerAddress.java
+++ b/src/bench/java/pearusher/scale/AssignerAddress.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 
 /**
- * Where an assigner, real or hollow, takes proxies and collectors, and where its traffic is
+ * Where an assigner, real or simulated, takes proxies and collectors, and where its traffic is
  * counted.
  */
-record AssignerAddress(InetSocketAddress address, Traffic traffic) {}
+record AssignerAddress(InetSocketAddress address, TrafficCounter traffic) {}
--- a/src/bench/java/pearusher/scale/AssignerConfig.java
+++ b/src/bench/java/pearusher/scale/AssignerConfig.java
@@ -86,7 +86,7 @@
     for (int k = 0; k < run.classes(); k++) {
       List<Map<String, Object>> examples = json.objects("settings", "grades");
       Map<String, Object> grade = examples.get(k % examples.size());
-      grade.put("name", Words.className(k));
+      grade.put("name", UpdateFieldReader.className(k));
       grades.add(grade);
       writes.add(k % 2 == 1);
       ownZone.add(false);
--- a/src/bench/java/pearusher/scale/AssignerProcess.java
+++ b/src/bench/java/pearusher/scale/AssignerProcess.java
@@ -53,7 +53,7 @@
   }
 
   static AssignerProcess start(
-      RunLine line, Path directory, InetSocketAddress listen, Map<String, String> environment)
+      RunCommand line, Path directory, InetSocketAddress listen, Map<String, String> environment)
       throws IOException {
     ProcessBuilder how =
         new ProcessBuilder("/bin/sh", "-c", line.command())
--- a/src/bench/java/pearusher/scale/ChangeFeed.java
+++ b/src/bench/java/pearusher/scale/ChangeFeed.java
@@ -23,10 +23,10 @@
 
   private record Draining(int server, long sinceNs) {}
 
-  private final StandInDiscovery discovery;
+  private final SimulatedDiscovery discovery;
   private final ServerCatalog catalog;
   private final Listener listener;
-  private final ChangeTimes times;
+  private final ChangeTimestamps times;
   private final SplittableRandom random;
   private final ArrayDeque<Draining> draining = new ArrayDeque<>();
   private final List<Integer> serving;
@@ -34,9 +34,9 @@
   private volatile long made;
 
   ChangeFeed(
-      StandInDiscovery discovery,
+      SimulatedDiscovery discovery,
       ServerCatalog catalog,
-      ChangeTimes times,
+      ChangeTimestamps times,
       Listener listener,
       long seed) {
     this.discovery = discovery;
--- a/src/bench/java/pearusher/scale/ChangeTimes.java
+++ b/src/bench/java/pearusher/scale/ChangeTimestamps.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /** When each generation of the list was told, for whoever measures how long it took to arrive. */
-final class ChangeTimes {
+final class ChangeTimestamps {
   private final Map<Long, Long> toldNs = new ConcurrentHashMap<>();
 
   void told(long generation, long nowNs) {
--- a/src/bench/java/pearusher/scale/Mix.java
+++ b/src/bench/java/pearusher/scale/DefaultRunMix.java
@@ -8,7 +8,7 @@
  * The run without options: a mix of sizes, failures, watchers, the comparison and a slope, within a
  * time.
  */
-final class Mix {
+final class DefaultRunMix {
   private static final List<String> SLOPE_FIGURES =
       List.of(
           "a0.live_heap",
@@ -54,8 +54,8 @@
           new Part("9100x98", "servers 9100 zones 98"),
           new Part(
               "tier",
-              "servers 300 assigners 4 hollow-assigners 20 proxies 480 hollow-updates 1 "
-                  + "hollow-lines 30"),
+              "servers 300 assigners 4 simulated-assigners 20 proxies 480 simulated-updates 1 "
+                  + "simulated-lines 30"),
           new Part(
               "failures",
               "servers 300 assigners 3 proxies 120 seconds 30 kill-at 2 zone-lost-at 10 "
@@ -70,7 +70,7 @@
   private final Report report = new Report();
   private final StringBuilder limits = new StringBuilder();
 
-  Mix(RunDescription base, Sweep.Runner runner, boolean quick, Path charts) {
+  DefaultRunMix(RunDescription base, Sweep.Runner runner, boolean quick, Path charts) {
     this.base = base;
     this.runner = runner;
     this.quick = quick;
--- a/src/bench/java/pearusher/scale/DrainClock.java
+++ b/src/bench/java/pearusher/scale/DrainTimer.java
@@ -12,7 +12,7 @@
  * and one for the change as a whole, when the last of them let it go. Belongs to the loop of the
  * proxies.
  */
-final class DrainClock {
+final class DrainTimer {
   private static final int DIGITS = 3;
 
   private static final class Drain {
--- a/src/bench/java/pearusher/scale/Failures.java
+++ b/src/bench/java/pearusher/scale/FailureInjector.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** Lets the window pass and makes in it the failures that the description asks for. */
-final class Failures {
+final class FailureInjector {
   private static final long POLL_MS = 20;
 
   /** A check that is made all the while. */
@@ -20,7 +20,7 @@
 
   private record Due(double atS, Step step) {}
 
-  private final Fleet fleet;
+  private final TestFleet fleet;
   private final Report report;
   private final List<Due> dues = new ArrayList<>();
   private List<Integer> lostServers = List.of();
@@ -28,7 +28,7 @@
   /** Watches before the cut. */
   private int watching;
 
-  Failures(Fleet fleet, Report report) {
+  FailureInjector(TestFleet fleet, Report report) {
     this.fleet = fleet;
     this.report = report;
     RunDescription run = fleet.run();
@@ -71,7 +71,7 @@
       throw new LimitReached("kill-at: there is no real assigner", "the run ended there");
     }
     long startNs = System.nanoTime();
-    Fleet.Member member = fleet.members().get(fleet.members().size() - 1);
+    TestFleet.Member member = fleet.members().get(fleet.members().size() - 1);
     long before = fleet.proxies().figures().bindUs().getTotalCount();
     int lost = fleet.proxies().boundAt(member.number());
     member.process().kill();
@@ -138,7 +138,7 @@
       throws InterruptedException, LimitReached {
     double mostS = fleet.run().get(RunKey.BIND_WAIT);
     int wanted = fleet.run().proxies();
-    HollowProxies.Figures now = fleet.proxies().figures();
+    SimulatedProxies.Figures now = fleet.proxies().figures();
     while (now.bound() < wanted || now.bindUs().getTotalCount() < binds) {
       if (System.nanoTime() - startNs > mostS * 1e9) {
         throw new LimitReached(
--- a/src/bench/java/pearusher/scale/Window.java
+++ b/src/bench/java/pearusher/scale/MeasurementWindow.java
@@ -9,12 +9,12 @@
  * The time that is measured: what each real assigner used, got and wrote between its begin and its
  * end.
  */
-final class Window {
+final class MeasurementWindow {
   private record Begin(
-      Fleet.Member member,
+      TestFleet.Member member,
       AssignerProcess process,
       long ticks,
-      Map<Traffic.Kind, Traffic.Count> traffic) {}
+      Map<TrafficCounter.Kind, TrafficCounter.Count> traffic) {}
 
   /** With more than this left unread, lines are not what was worked on. */
   private static final long MOST_UNREAD_BYTES = 64 << 10;
@@ -25,13 +25,13 @@
   private static final double MOST_CORE_PERCENT = 90;
 
   private final List<Begin> begins = new ArrayList<>();
-  private final List<Map<Traffic.Kind, Traffic.Count>> hollow = new ArrayList<>();
-  private final Fleet fleet;
+  private final List<Map<TrafficCounter.Kind, TrafficCounter.Count>> simulated = new ArrayList<>();
+  private final TestFleet fleet;
   private final long startNs;
 
-  Window(Fleet fleet) throws IOException {
+  MeasurementWindow(TestFleet fleet) throws IOException {
     this.fleet = fleet;
-    for (Fleet.Member member : fleet.members()) {
+    for (TestFleet.Member member : fleet.members()) {
       begins.add(
           new Begin(
               member,
@@ -39,7 +39,7 @@
               ProcessFigures.ticks(member.process().pid()),
               member.traffic().snapshot()));
     }
-    fleet.hollowAssigners().addresses().forEach(one -> hollow.add(one.traffic().snapshot()));
+    fleet.simulatedAssigners().addresses().forEach(one -> simulated.add(one.traffic().snapshot()));
     startNs = System.nanoTime();
   }
 
@@ -48,8 +48,8 @@
     report.add("window", seconds, "s");
     for (Begin begin : begins) {
       String name = "a" + begin.member().number() + ".";
-      Map<Traffic.Kind, Traffic.Count> traffic =
-          Traffic.difference(begin.member().traffic().snapshot(), begin.traffic());
+      Map<TrafficCounter.Kind, TrafficCounter.Count> traffic =
+          TrafficCounter.difference(begin.member().traffic().snapshot(), begin.traffic());
       traffic(report, name, traffic, seconds);
       // A process that was ended or started anew within the window has no processor time of the
       // window.
@@ -68,20 +68,23 @@
         }
       }
     }
-    List<AssignerAddress> addresses = fleet.hollowAssigners().addresses();
+    List<AssignerAddress> addresses = fleet.simulatedAssigners().addresses();
     for (int k = 0; k < addresses.size(); k++) {
-      Map<Traffic.Kind, Traffic.Count> now = addresses.get(k).traffic().snapshot();
-      traffic(report, "h" + k + ".", Traffic.difference(now, hollow.get(k)), seconds);
+      Map<TrafficCounter.Kind, TrafficCounter.Count> now = addresses.get(k).traffic().snapshot();
+      traffic(report, "h" + k + ".", TrafficCounter.difference(now, simulated.get(k)), seconds);
     }
   }
 
   private static void perMessage(
-      Report report, String name, double cpuMs, Map<Traffic.Kind, Traffic.Count> traffic) {
-    long heard = traffic.get(Traffic.Kind.HEARD).messages();
+      Report report,
+      String name,
+      double cpuMs,
+      Map<TrafficCounter.Kind, TrafficCounter.Count> traffic) {
+    long heard = traffic.get(TrafficCounter.Kind.HEARD).messages();
     long all =
         heard
-            + traffic.get(Traffic.Kind.USAGE).messages()
-            + traffic.get(Traffic.Kind.APPLIED).messages();
+            + traffic.get(TrafficCounter.Kind.USAGE).messages()
+            + traffic.get(TrafficCounter.Kind.APPLIED).messages();
     if (heard > 0) {
       report.add(name + "cpu_per_heard", 1000 * cpuMs / heard, "us");
     }
@@ -91,19 +94,22 @@
   }
 
   private static void traffic(
-      Report report, String name, Map<Traffic.Kind, Traffic.Count> traffic, double seconds) {
+      Report report,
+      String name,
+      Map<TrafficCounter.Kind, TrafficCounter.Count> traffic,
+      double seconds) {
     double in = 0;
     double out = 0;
-    for (Map.Entry<Traffic.Kind, Traffic.Count> entry : traffic.entrySet()) {
-      Traffic.Kind kind = entry.getKey();
-      Traffic.Count count = entry.getValue();
+    for (Map.Entry<TrafficCounter.Kind, TrafficCounter.Count> entry : traffic.entrySet()) {
+      TrafficCounter.Kind kind = entry.getKey();
+      TrafficCounter.Count count = entry.getValue();
       String at =
           name + (kind.in() ? "in." : "out.") + kind.name().toLowerCase(java.util.Locale.ROOT);
       report.add(at + "_bytes", count.bytes() / seconds, "B/s");
       report.add(at + "_messages", count.messages() / seconds, "1/s");
       in += kind.in() ? count.bytes() : 0;
       // Lines and names are parts of orders.
-      out += kind == Traffic.Kind.ORDER ? count.bytes() : 0;
+      out += kind == TrafficCounter.Kind.ORDER ? count.bytes() : 0;
     }
     report.add(name + "in_bytes", in / seconds, "B/s");
     report.add(name + "out_bytes", out / seconds, "B/s");
--- a/src/bench/java/pearusher/scale/RespWriter.java
+++ b/src/bench/java/pearusher/scale/RespWriter.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Writes RESP2 arrays of bulk strings, in ASCII, for the hollow side. */
+/** Writes RESP2 arrays of bulk strings, in ASCII, for the simulated side. */
 final class RespWriter {
   private RespWriter() {}
 
--- a/src/bench/java/pearusher/scale/RunLine.java
+++ b/src/bench/java/pearusher/scale/RunCommand.java
@@ -7,13 +7,13 @@
 import java.util.regex.Pattern;
 
 /** The command by which the operators start an assigner, as a build's deploy/balancer.toml says. */
-record RunLine(Path root, String command) {
+record RunCommand(Path root, String command) {
   private static final Pattern RUN = Pattern.compile("(?m)^run\\s*=\\s*\"(.*?)\"");
   private static final String JAR_OPTION = " -jar ";
   private static final String JAR = "target/pearusher.jar";
 
   /** Reads the line; a jar takes the place of the build's own, flags go last, so that they win. */
-  static RunLine read(Path root, Path jar, String flags) throws IOException {
+  static RunCommand read(Path root, Path jar, String flags) throws IOException {
     String text = Files.readString(root.resolve("deploy").resolve("balancer.toml"));
     Matcher matcher = RUN.matcher(text);
     if (!matcher.find()) {
@@ -30,6 +30,6 @@
     if (jar != null) {
       command = command.replace(JAR, jar.toAbsolutePath().toString());
     }
-    return new RunLine(root, command);
+    return new RunCommand(root, command);
   }
 }
--- a/src/bench/java/pearusher/scale/RunDescription.java
+++ b/src/bench/java/pearusher/scale/RunDescription.java
@@ -125,13 +125,13 @@
     return whole(RunKey.ASSIGNERS);
   }
 
-  int hollowAssigners() {
-    return whole(RunKey.HOLLOW_ASSIGNERS);
+  int simulatedAssigners() {
+    return whole(RunKey.SIMULATED_ASSIGNERS);
   }
 
-  /** Those that take proxies, real and hollow. */
+  /** Those that take proxies, real and simulated. */
   int assigners() {
-    return realAssigners() + hollowAssigners();
+    return realAssigners() + simulatedAssigners();
   }
 
   double reportsPerS() {
--- a/src/bench/java/pearusher/scale/RunKey.java
+++ b/src/bench/java/pearusher/scale/RunKey.java
@@ -11,9 +11,9 @@
   CLASSES("classes", "2", 1, 16, "request classes; one for each service of the tier"),
   PROXIES("proxies", "50", 0, 60_000, "proxies, shared evenly among the assigners"),
   ASSIGNERS("assigners", "1", 0, 250, "real assigners"),
-  HOLLOW_ASSIGNERS(
-      "hollow-assigners", "0", 0, 250, "hollow assigners that take proxies and collectors"),
-  WATCHERS("watchers", "0", 0, 5_000, "hollow assigners that only watch discovery"),
+  SIMULATED_ASSIGNERS(
+      "simulated-assigners", "0", 0, 250, "simulated assigners that take proxies and collectors"),
+  WATCHERS("watchers", "0", 0, 5_000, "simulated assigners that only watch discovery"),
   REPORTS(
       "reports",
       "-1",
@@ -46,9 +46,13 @@
   APPLY_MS("apply-ms", "300", 0, 10_000, "time in which a proxy applies a mark"),
   READY_WAIT("ready-wait", "60", 1, 600, "most seconds to the first pong"),
   BIND_WAIT("bind-wait", "30", 1, 600, "most seconds until all proxies are bound"),
-  HOLLOW_UPDATES(
-      "hollow-updates", "0", 0, 100, "updates a hollow assigner writes to a proxy each period"),
-  HOLLOW_LINES("hollow-lines", "1", 0, 1e6, "changed lines in each of those"),
+  SIMULATED_UPDATES(
+      "simulated-updates",
+      "0",
+      0,
+      100,
+      "updates a simulated assigner writes to a proxy each period"),
+  SIMULATED_LINES("simulated-lines", "1", 0, 1e6, "changed lines in each of those"),
   SEED("seed", "1", 0, Long.MAX_VALUE, "seed of all that is drawn");
 
   private final String key;
--- a/src/bench/java/pearusher/scale/ScaleCommand.java
+++ b/src/bench/java/pearusher/scale/ScaleCommand.java
@@ -19,7 +19,7 @@
     mixinStandardHelpOptions = true,
     sortOptions = false,
     description = {
-      "Run assigners, real and hollow, at a size, on loopback, and measure them.",
+      "Run assigners, real and simulated, at a size, on loopback, and measure them.",
       "Without a size it does a mix of them. Exit status: 0 done, 1 a limit was met, 2 used"
           + " wrongly."
     })
@@ -56,7 +56,7 @@
   @Option(names = "--quick", description = "The mix in under two minutes.")
   private boolean quick;
 
-  @Option(names = "--compare", description = "The same fleet all real and mostly hollow.")
+  @Option(names = "--compare", description = "The same fleet all real and mostly simulated.")
   private boolean compare;
 
   @Option(names = "--sweep", paramLabel = "KEY", description = "Slopes over sizes of this key.")
@@ -139,7 +139,7 @@
   private ScaleRun.Outcome execute()
       throws IOException, InterruptedException, RunDescription.Fault {
     RunDescription description = description();
-    RunLine line = RunLine.read(root.toAbsolutePath().normalize(), jar, flags);
+    RunCommand line = RunCommand.read(root.toAbsolutePath().normalize(), jar, flags);
     Sweep.Runner runner = one -> new ScaleRun(one, line).execute();
     if (sweep != null) {
       return new Sweep(description, plan(), runner).execute();
@@ -149,7 +149,7 @@
     }
     return sized()
         ? runner.run(description)
-        : new Mix(description, runner, quick, charts).execute();
+        : new DefaultRunMix(description, runner, quick, charts).execute();
   }
 
   private Sweep.Plan plan() throws RunDescription.Fault {
--- a/src/bench/java/pearusher/scale/ScaleRun.java
+++ b/src/bench/java/pearusher/scale/ScaleRun.java
@@ -22,10 +22,10 @@
   private static final double LIST_WAIT_S = 60;
 
   private final RunDescription run;
-  private final RunLine line;
+  private final RunCommand line;
   private final Report report = new Report();
 
-  ScaleRun(RunDescription run, RunLine line) {
+  ScaleRun(RunDescription run, RunCommand line) {
     this.run = run;
     this.line = line;
   }
@@ -39,7 +39,7 @@
 
   Outcome execute() throws IOException, InterruptedException {
     String limit = null;
-    try (Fleet fleet = new Fleet(run, line)) {
+    try (TestFleet fleet = new TestFleet(run, line)) {
       try {
         checkSize();
         measure(fleet);
@@ -56,7 +56,7 @@
     if (run.realAssigners() > MOST_PROCESSES) {
       throw new LimitReached("processes: " + MOST_PROCESSES, "none started");
     }
-    long streams = run.hollowAssigners() > 0 ? 2L * run.proxies() : run.proxies();
+    long streams = run.simulatedAssigners() > 0 ? 2L * run.proxies() : run.proxies();
     long needed =
         2L * run.whole(RunKey.WATCHERS)
             + streams
@@ -76,17 +76,17 @@
         : Long.MAX_VALUE;
   }
 
-  private void measure(Fleet fleet) throws IOException, InterruptedException, LimitReached {
+  private void measure(TestFleet fleet) throws IOException, InterruptedException, LimitReached {
     fleet.startAssigners();
-    fleet.makeHollow();
+    fleet.makeSimulated();
     watch(fleet);
     bind(fleet);
     fleet.collectors().report(true);
     pause(fleet, run.get(RunKey.SETTLE));
     betweenBeats(fleet);
-    Window window = new Window(fleet);
+    MeasurementWindow window = new MeasurementWindow(fleet);
     fleet.feed().start(run.get(RunKey.CHANGES));
-    new Failures(fleet, report).during(run.get(RunKey.SECONDS), () -> checkAlive(fleet));
+    new FailureInjector(fleet, report).during(run.get(RunKey.SECONDS), () -> checkAlive(fleet));
     window.end(report);
     fleet.feed().stop();
     awaitDrains(fleet);
@@ -99,7 +99,7 @@
    * The window has passed: were the proxies and lines a second that were asked for there to its
    * end?
    */
-  private void checkReached(Fleet fleet) throws IOException, LimitReached {
+  private void checkReached(TestFleet fleet) throws IOException, LimitReached {
     checkAlive(fleet);
     int bound = (int) report.value("proxies_bound");
     if (bound < run.proxies()) {
@@ -108,7 +108,7 @@
           bound + " of " + run.proxies() + " proxies" + complaints(fleet));
     }
     boolean undisturbed = run.get(RunKey.KILL_AT) < 0 && run.get(RunKey.CUT_AT) < 0;
-    for (Fleet.Member member : fleet.members()) {
+    for (TestFleet.Member member : fleet.members()) {
       double heard = report.value("a" + member.number() + ".in.heard_messages");
       double leastLines =
           LEAST_OF_REPORTS * run.reportsPerS() * report.value("window") - EDGE_LINES;
@@ -126,25 +126,27 @@
   }
 
   /** Windows of one length begin at one place between heartbeats, so that all have as many. */
-  private void betweenBeats(Fleet fleet) throws InterruptedException, LimitReached, IOException {
+  private void betweenBeats(TestFleet fleet)
+      throws InterruptedException, LimitReached, IOException {
     long sinceNs = System.nanoTime() - fleet.discovery().lastBeatNs();
-    long restNs = Math.floorMod(StandInDiscovery.BEAT_NS / 2 - sinceNs, StandInDiscovery.BEAT_NS);
+    long restNs =
+        Math.floorMod(SimulatedDiscovery.BEAT_NS / 2 - sinceNs, SimulatedDiscovery.BEAT_NS);
     pause(fleet, restNs / 1e9);
   }
 
-  private void watch(Fleet fleet) throws InterruptedException, LimitReached, IOException {
+  private void watch(TestFleet fleet) throws InterruptedException, LimitReached, IOException {
     int wanted = run.whole(RunKey.WATCHERS);
     fleet.watchers().watch();
     boolean all = until(LIST_WAIT_S, () -> figuresOf(fleet).listed() == wanted);
     if (!all) {
-      HollowWatchers.Figures so = figuresOf(fleet);
+      SimulatedWatchers.Figures so = figuresOf(fleet);
       throw new LimitReached(
           "watchers: " + (so.fault() == null ? "not all lists in 60 s" : so.fault()),
           so.listed() + " of " + wanted + " watchers");
     }
   }
 
-  private static HollowWatchers.Figures figuresOf(Fleet fleet) {
+  private static SimulatedWatchers.Figures figuresOf(TestFleet fleet) {
     try {
       return fleet.watchers().figures();
     } catch (InterruptedException e) {
@@ -152,7 +154,7 @@
     }
   }
 
-  private void bind(Fleet fleet) throws InterruptedException, LimitReached, IOException {
+  private void bind(TestFleet fleet) throws InterruptedException, LimitReached, IOException {
     fleet.collectors().connect();
     fleet.proxies().join();
     double endS = run.get(RunKey.BIND_WAIT);
@@ -176,9 +178,9 @@
     }
   }
 
-  private static String complaints(Fleet fleet) throws IOException {
+  private static String complaints(TestFleet fleet) throws IOException {
     StringBuilder out = new StringBuilder();
-    for (Fleet.Member member : fleet.members()) {
+    for (TestFleet.Member member : fleet.members()) {
       String complaint = member.process().complaint();
       out.append(
           complaint.isEmpty() ? "" : "; assigner " + member.number() + " says: " + complaint);
@@ -186,7 +188,7 @@
     return out.toString();
   }
 
-  private void pause(Fleet fleet, double seconds)
+  private void pause(TestFleet fleet, double seconds)
       throws InterruptedException, LimitReached, IOException {
     long endNs = System.nanoTime() + (long) (seconds * 1e9);
     while (System.nanoTime() < endNs) {
@@ -195,8 +197,8 @@
     }
   }
 
-  private static void checkAlive(Fleet fleet) throws LimitReached, IOException {
-    for (Fleet.Member member : fleet.members()) {
+  private static void checkAlive(TestFleet fleet) throws LimitReached, IOException {
+    for (TestFleet.Member member : fleet.members()) {
       if (member.process().died()) {
         throw new LimitReached(
             "process: assigner " + member.number() + " died: " + member.process().lastLine(),
@@ -208,7 +210,7 @@
     }
   }
 
-  private void awaitDrains(Fleet fleet) throws InterruptedException {
+  private void awaitDrains(TestFleet fleet) throws InterruptedException {
     until(
         DRAIN_WAIT_S,
         () -> {
@@ -232,8 +234,8 @@
     return true;
   }
 
-  private void figures(Fleet fleet) throws IOException, InterruptedException {
-    HollowProxies.Figures proxies = fleet.proxies().figures();
+  private void figures(TestFleet fleet) throws IOException, InterruptedException {
+    SimulatedProxies.Figures proxies = fleet.proxies().figures();
     report.add("proxies_bound", proxies.bound(), "1");
     report.add("streams_ended", proxies.streamsEnded(), "1");
     report.times("bind_time", proxies.bindUs(), 1000, "ms");
@@ -244,18 +246,18 @@
     report.add("drains_unfinished", proxies.drainsUnfinished(), "1");
     report.add("reports_not_sent", (double) fleet.collectors().notSent(), "1");
     if (run.whole(RunKey.WATCHERS) > 0) {
-      HollowWatchers.Figures watchers = fleet.watchers().figures();
+      SimulatedWatchers.Figures watchers = fleet.watchers().figures();
       report.add("watchers", watchers.listed(), "1");
       report.times("watcher_list", watchers.listUs(), 1000, "ms");
       report.times("watcher_change", watchers.changeUs(), 1000, "ms");
       report.add("watcher_bytes", (double) watchers.receivedBytes(), "B");
     }
-    for (Fleet.Member member : fleet.members()) {
+    for (TestFleet.Member member : fleet.members()) {
       processFigures(member);
     }
   }
 
-  private void processFigures(Fleet.Member member) throws IOException, InterruptedException {
+  private void processFigures(TestFleet.Member member) throws IOException, InterruptedException {
     AssignerProcess process = member.process();
     String name = "a" + member.number() + ".";
     if (process.died()) {
@@ -275,9 +277,11 @@
     } else {
       report.remark(name + "reports_dropped", "some, and dropping goes on: not counted");
     }
-    Map<Traffic.Kind, Traffic.Count> all = member.traffic().snapshot();
+    Map<TrafficCounter.Kind, TrafficCounter.Count> all = member.traffic().snapshot();
     report.add(
-        name + "list_whole_bytes_total", (double) all.get(Traffic.Kind.LIST_WHOLE).bytes(), "B");
+        name + "list_whole_bytes_total",
+        (double) all.get(TrafficCounter.Kind.LIST_WHOLE).bytes(),
+        "B");
     if (run.get(RunKey.HEAP) > 0) {
       long live = ProcessFigures.liveHeapBytes(process.pid());
       if (live >= 0) {
@@ -288,15 +292,15 @@
     }
   }
 
-  private void tellDeaths(Fleet fleet) throws IOException {
-    for (Fleet.Member member : fleet.members()) {
+  private void tellDeaths(TestFleet fleet) throws IOException {
+    for (TestFleet.Member member : fleet.members()) {
       if (member.process() != null && member.process().died()) {
         tellDeath(member);
       }
     }
   }
 
-  private void tellDeath(Fleet.Member member) throws IOException {
+  private void tellDeath(TestFleet.Member member) throws IOException {
     report.add("a" + member.number() + ".died", 1, "1");
     report.remark("a" + member.number() + ".cause", member.process().lastLine());
   }
--- a/src/bench/java/pearusher/scale/HollowAssigners.java
+++ b/src/bench/java/pearusher/scale/SimulatedAssigners.java
@@ -10,13 +10,13 @@
 import java.util.SplittableRandom;
 
 /**
- * Hollow assigners as proxies and collectors see them: they answer pings, take joinings, write a
+ * Simulated assigners as proxies and collectors see them: they answer pings, take joinings, write a
  * table of all servers at each bind, changed lines at a given pace, and withdrawals; they decide
  * nothing and keep no reports. Each watches discovery like a real one. All run on one loop.
  */
-final class HollowAssigners implements AutoCloseable {
-  private static final byte[] PING = Words.bytes("ping");
-  private static final byte[] JOINED = Words.bytes("joined");
+final class SimulatedAssigners implements AutoCloseable {
+  private static final byte[] PING = UpdateFieldReader.bytes("ping");
+  private static final byte[] JOINED = UpdateFieldReader.bytes("joined");
   private static final byte[] PONG = RespWriter.message("pong");
   private static final double WEIGHT_SPREAD = 1;
   private static final int SLICES = 20;
@@ -26,10 +26,10 @@
   record Shape(
       int count, double updatesPerPeriod, double linesPerUpdate, long periodNs, long seed) {}
 
-  private final EventLoop loop = new EventLoop("hollow-assigners");
+  private final EventLoop loop = new EventLoop("simulated-assigners");
   private final Shape shape;
   private final List<AssignerAddress> addresses = new ArrayList<>();
-  private final List<HollowWatchers> watchers = new ArrayList<>();
+  private final List<SimulatedWatchers> watchers = new ArrayList<>();
   private final Set<Peer> proxies = new LinkedHashSet<>();
   private final SplittableRandom random;
   private final int[] servers;
@@ -70,14 +70,15 @@
     }
   }
 
-  HollowAssigners(Shape shape, StandInDiscovery discovery, int[] servers) throws IOException {
+  SimulatedAssigners(Shape shape, SimulatedDiscovery discovery, int[] servers) throws IOException {
     this.shape = shape;
     this.servers = servers.clone();
     random = new SplittableRandom(shape.seed());
     for (int k = 0; k < shape.count(); k++) {
-      Traffic traffic = new Traffic();
+      TrafficCounter traffic = new TrafficCounter();
       addresses.add(new AssignerAddress(loop.listen(connection -> new Peer()), traffic));
-      HollowWatchers watcher = new HollowWatchers(1, discovery.listen(traffic), new ChangeTimes());
+      SimulatedWatchers watcher =
+          new SimulatedWatchers(1, discovery.listen(traffic), new ChangeTimestamps());
       watchers.add(watcher);
       watcher.watch();
     }
@@ -168,7 +169,7 @@
 
   @Override
   public void close() {
-    watchers.forEach(HollowWatchers::close);
+    watchers.forEach(SimulatedWatchers::close);
     loop.close();
   }
 }
--- a/src/bench/java/pearusher/scale/HollowCollectors.java
+++ b/src/bench/java/pearusher/scale/SimulatedCollectors.java
@@ -13,7 +13,7 @@
  * noisy, by the seed. A line that its connection has no room for is not sent and counted: no figure
  * is given for it.
  */
-final class HollowCollectors implements AutoCloseable {
+final class SimulatedCollectors implements AutoCloseable {
   private static final String LOAD = "inflight:7,util:0.61";
   private static final long TICK_NS = 10_000_000L;
   private static final long REDIAL_NS = 500_000_000L;
@@ -145,12 +145,13 @@
       };
       byte[] message =
           RespWriter.message(shape.load() ? words : Arrays.copyOf(words, words.length - 2));
-      assigner.traffic().add(Traffic.Kind.HEARD, 1, message.length);
+      assigner.traffic().add(TrafficCounter.Kind.HEARD, 1, message.length);
       connection.send(message);
     }
   }
 
-  HollowCollectors(Shape shape, List<AssignerAddress> assigners, int[] servers) throws IOException {
+  SimulatedCollectors(Shape shape, List<AssignerAddress> assigners, int[] servers)
+      throws IOException {
     this.shape = shape;
     this.servers = servers.clone();
     random = new SplittableRandom(shape.seed());
--- a/src/bench/java/pearusher/scale/StandInDiscovery.java
+++ b/src/bench/java/pearusher/scale/SimulatedDiscovery.java
@@ -14,7 +14,7 @@
  * each change is encoded once and shared by all watchers; all of it runs on one loop, which owns
  * the catalog.
  */
-final class StandInDiscovery implements AutoCloseable {
+final class SimulatedDiscovery implements AutoCloseable {
   static final long BEAT_NS = 2_000_000_000L;
   private static final byte[] BEAT = chunk(new byte[0]);
   private static final byte[] WATCH_HEAD =
@@ -39,10 +39,10 @@
   /** One connection, first a request, then perhaps a watch. */
   private final class Watch implements Connection.Handler {
     private final StringBuilder request = new StringBuilder();
-    private final Traffic traffic;
+    private final TrafficCounter traffic;
     private Connection connection;
 
-    Watch(Traffic traffic) {
+    Watch(TrafficCounter traffic) {
       this.traffic = traffic;
     }
 
@@ -76,7 +76,7 @@
                     + body.length
                     + "\r\n\r\n"));
         connection.send(body);
-        traffic.add(Traffic.Kind.LIST_WHOLE, 1, body.length);
+        traffic.add(TrafficCounter.Kind.LIST_WHOLE, 1, body.length);
         return;
       }
       connection.send(WATCH_HEAD);
@@ -84,14 +84,14 @@
       boolean recent =
           since >= catalog.generation() - changes.size() && since <= catalog.generation();
       if (since > 0 && recent) {
-        tell(chunk(catalog.changes(changedAfter(since))), Traffic.Kind.LIST_CHANGE);
+        tell(chunk(catalog.changes(changedAfter(since))), TrafficCounter.Kind.LIST_CHANGE);
       } else {
-        tell(whole(), Traffic.Kind.LIST_WHOLE);
+        tell(whole(), TrafficCounter.Kind.LIST_WHOLE);
       }
       watches.add(this);
     }
 
-    void tell(byte[] chunk, Traffic.Kind kind) {
+    void tell(byte[] chunk, TrafficCounter.Kind kind) {
       connection.send(ByteBuffer.wrap(chunk));
       traffic.add(kind, 1, chunk.length);
     }
@@ -103,13 +103,13 @@
     }
   }
 
-  StandInDiscovery(ServerCatalog catalog) throws IOException {
+  SimulatedDiscovery(ServerCatalog catalog) throws IOException {
     this.catalog = catalog;
     loop.every(BEAT_NS, this::beat);
   }
 
   /** An address of its own for whoever's bytes are counted together. */
-  InetSocketAddress listen(Traffic traffic) throws IOException {
+  InetSocketAddress listen(TrafficCounter traffic) throws IOException {
     return loop.listen(connection -> new Watch(traffic));
   }
 
@@ -133,7 +133,7 @@
   void changed(List<Integer> servers) {
     catalog.nextGeneration();
     changes.add(new Change(catalog.generation(), List.copyOf(servers)));
-    tellAll(chunk(catalog.changes(servers)), Traffic.Kind.LIST_CHANGE);
+    tellAll(chunk(catalog.changes(servers)), TrafficCounter.Kind.LIST_CHANGE);
   }
 
   /** From now on nothing is read or written; at the end of the cut all connections are reset. */
@@ -154,11 +154,11 @@
 
   private void beat() {
     lastBeatNs = System.nanoTime();
-    tellAll(BEAT, Traffic.Kind.LIST_BEAT);
+    tellAll(BEAT, TrafficCounter.Kind.LIST_BEAT);
   }
 
   /** During a cut nothing leaves, so nothing is counted. */
-  private void tellAll(byte[] chunk, Traffic.Kind kind) {
+  private void tellAll(byte[] chunk, TrafficCounter.Kind kind) {
     if (!cut) {
       for (Watch watch : List.copyOf(watches)) {
         watch.tell(chunk, kind);
--- a/src/bench/java/pearusher/scale/HollowProxies.java
+++ b/src/bench/java/pearusher/scale/SimulatedProxies.java
@@ -11,19 +11,19 @@
  * Proxies that join, answer marks and send usage, all on one loop. Of a table a proxy keeps a bit a
  * server and class: enough to tell when a server that drains is let go.
  */
-final class HollowProxies implements AutoCloseable {
+final class SimulatedProxies implements AutoCloseable {
   private static final int DIGITS = 3;
   private static final int SLICES = 20;
   private static final long REDIAL_NS = 200_000_000L;
   private static final double TOOK_OF_DELAY = 0.9;
-  private static final byte[] UPDATE = Words.bytes("update");
-  private static final byte[] CLASSES = Words.bytes("classes");
-  private static final byte[] WHOLE = Words.bytes("whole");
-  private static final byte[] LINES = Words.bytes("lines");
-  private static final byte[] OUT = Words.bytes("out");
-  private static final byte[] BACK = Words.bytes("back");
-  private static final byte[] TICKET = Words.bytes("ticket");
-  private static final byte[] MORE = Words.bytes("more");
+  private static final byte[] UPDATE = UpdateFieldReader.bytes("update");
+  private static final byte[] CLASSES = UpdateFieldReader.bytes("classes");
+  private static final byte[] WHOLE = UpdateFieldReader.bytes("whole");
+  private static final byte[] LINES = UpdateFieldReader.bytes("lines");
+  private static final byte[] OUT = UpdateFieldReader.bytes("out");
+  private static final byte[] BACK = UpdateFieldReader.bytes("back");
+  private static final byte[] TICKET = UpdateFieldReader.bytes("ticket");
+  private static final byte[] MORE = UpdateFieldReader.bytes("more");
 
   /** What proxies are like. */
   record Shape(
@@ -33,7 +33,7 @@
   private final Shape shape;
   private final List<AssignerAddress> assigners;
   private final List<Proxy> proxies = new ArrayList<>();
-  private final DrainClock drains = new DrainClock();
+  private final DrainTimer drains = new DrainTimer();
   private final Histogram bindUs = new Histogram(DIGITS);
   private final Histogram bindBytes = new Histogram(DIGITS);
   private final int allClasses;
@@ -98,15 +98,15 @@
               RespWriter.tenths(shape.requestsPerS() * shape.classes()),
               "fresh",
               fresh ? "1" : "0");
-      send(Traffic.Kind.JOINED, message);
+      send(TrafficCounter.Kind.JOINED, message);
     }
 
-    private void send(Traffic.Kind kind, byte[] message) {
+    private void send(TrafficCounter.Kind kind, byte[] message) {
       traffic().add(kind, 1, message.length);
       connection.send(message);
     }
 
-    private Traffic traffic() {
+    private TrafficCounter traffic() {
       return assigners.get(home).traffic();
     }
 
@@ -121,25 +121,29 @@
         return;
       }
       boolean last = view.value(MORE) < 0;
-      traffic().add(Traffic.Kind.ORDER, last ? 1 : 0, view.size());
-      int classes = Words.classes(view, view.value(CLASSES), allClasses);
+      traffic().add(TrafficCounter.Kind.ORDER, last ? 1 : 0, view.size());
+      int classes = UpdateFieldReader.classes(view, view.value(CLASSES), allClasses);
       if (view.value(WHOLE) >= 0) {
         startTable(classes);
       }
       int lines = view.value(LINES);
       if (lines >= 0) {
-        int count = Words.lines(view, lines, (server, zero) -> line(server, zero, classes));
-        traffic().add(Traffic.Kind.ORDER_LINE, count, view.length(lines));
+        int count =
+            UpdateFieldReader.lines(view, lines, (server, zero) -> line(server, zero, classes));
+        traffic().add(TrafficCounter.Kind.ORDER_LINE, count, view.length(lines));
       }
       int out = view.value(OUT);
       if (out >= 0) {
-        int count = Words.names(view, out, server -> line(server, true, allClasses));
-        traffic().add(Traffic.Kind.ORDER_OUT, count, view.length(out));
+        int count = UpdateFieldReader.names(view, out, server -> line(server, true, allClasses));
+        traffic().add(TrafficCounter.Kind.ORDER_OUT, count, view.length(out));
       }
       int back = view.value(BACK);
       if (back >= 0) {
         traffic()
-            .add(Traffic.Kind.ORDER_BACK, Words.names(view, back, server -> {}), view.length(back));
+            .add(
+                TrafficCounter.Kind.ORDER_BACK,
+                UpdateFieldReader.names(view, back, server -> {}),
+                view.length(back));
       }
       int ticket = view.value(TICKET);
       if (ticket >= 0) {
@@ -196,7 +200,7 @@
             if (on == connection && on.open()) {
               String tookMs = RespWriter.tenths(TOOK_OF_DELAY * shape.applyNs() / 1e6);
               send(
-                  Traffic.Kind.APPLIED,
+                  TrafficCounter.Kind.APPLIED,
                   RespWriter.message(
                       "applied",
                       "proxy",
@@ -223,13 +227,13 @@
       long tries = Math.round(shape.requestsPerS() * shape.periodNs() / 1e9);
       for (int k = 0; k < shape.classes(); k++) {
         send(
-            Traffic.Kind.USAGE,
+            TrafficCounter.Kind.USAGE,
             RespWriter.message(
                 "usage",
                 "proxy",
                 Integer.toString(number),
                 "class",
-                Words.className(k),
+                UpdateFieldReader.className(k),
                 "tries",
                 Long.toString(tries),
                 "failed",
@@ -266,7 +270,7 @@
     }
   }
 
-  HollowProxies(Shape shape, List<AssignerAddress> assigners) throws IOException {
+  SimulatedProxies(Shape shape, List<AssignerAddress> assigners) throws IOException {
     this.shape = shape;
     this.assigners = List.copyOf(assigners);
     allClasses = (1 << shape.classes()) - 1;
--- a/src/bench/java/pearusher/scale/HollowWatchers.java
+++ b/src/bench/java/pearusher/scale/SimulatedWatchers.java
@@ -9,11 +9,11 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Hollow assigners as discovery sees them: each watches the list, reads all that comes and keeps
+ * Simulated assigners as discovery sees them: each watches the list, reads all that comes and keeps
  * the generation that it holds. How long a whole list and a change took to arrive is measured; all
  * of them run on one loop.
  */
-final class HollowWatchers implements AutoCloseable {
+final class SimulatedWatchers implements AutoCloseable {
   private static final int DIGITS = 3;
   private static final int RECEIVE_BUFFER_BYTES = 128 << 10;
   private static final long REDIAL_NS = 500_000_000L;
@@ -26,7 +26,7 @@
 
   private final EventLoop loop = new EventLoop("watchers");
   private final InetSocketAddress discovery;
-  private final ChangeTimes times;
+  private final ChangeTimestamps times;
   private final List<Watcher> watchers = new ArrayList<>();
   private final Histogram listUs = new Histogram(DIGITS);
   private final Histogram changeUs = new Histogram(DIGITS);
@@ -143,7 +143,8 @@
     }
   }
 
-  HollowWatchers(int count, InetSocketAddress discovery, ChangeTimes times) throws IOException {
+  SimulatedWatchers(int count, InetSocketAddress discovery, ChangeTimestamps times)
+      throws IOException {
     this.discovery = discovery;
     this.times = times;
     for (int k = 0; k < count; k++) {
--- a/src/bench/java/pearusher/scale/Fleet.java
+++ b/src/bench/java/pearusher/scale/TestFleet.java
@@ -9,10 +9,10 @@
 import java.util.stream.Stream;
 
 /**
- * All parts of one run, real and hollow; closing it ends everything that it started and removes its
- * directory.
+ * All parts of one run, real and simulated; closing it ends everything that it started and removes
+ * its directory.
  */
-final class Fleet implements AutoCloseable {
+final class TestFleet implements AutoCloseable {
   private static final long MOST_MEMORY_KB = 12L << 20;
   private static final long SPARE_MEMORY_KB = 512 << 10;
 
@@ -20,7 +20,7 @@
   static final class Member {
     private final int number;
     private final AssignerConfig.Place place;
-    private final Traffic traffic;
+    private final TrafficCounter traffic;
     private final Path directory;
     private final Map<String, String> environment;
     private AssignerProcess process;
@@ -28,7 +28,7 @@
     Member(
         int number,
         AssignerConfig.Place place,
-        Traffic traffic,
+        TrafficCounter traffic,
         Path directory,
         Map<String, String> environment) {
       this.number = number;
@@ -42,7 +42,7 @@
       return number;
     }
 
-    Traffic traffic() {
+    TrafficCounter traffic() {
       return traffic;
     }
 
@@ -52,25 +52,25 @@
   }
 
   private final RunDescription run;
-  private final RunLine line;
+  private final RunCommand line;
   private final Path directory;
   private final ServerCatalog catalog;
-  private final StandInDiscovery discovery;
-  private final ChangeTimes times = new ChangeTimes();
+  private final SimulatedDiscovery discovery;
+  private final ChangeTimestamps times = new ChangeTimestamps();
   private final List<Member> members = new ArrayList<>();
-  private final Traffic watcherTraffic = new Traffic();
-  private HollowWatchers watchers;
-  private HollowAssigners hollowAssigners;
-  private HollowCollectors collectors;
-  private HollowProxies proxies;
+  private final TrafficCounter watcherTraffic = new TrafficCounter();
+  private SimulatedWatchers watchers;
+  private SimulatedAssigners simulatedAssigners;
+  private SimulatedCollectors collectors;
+  private SimulatedProxies proxies;
   private ChangeFeed feed;
 
-  Fleet(RunDescription run, RunLine line) throws IOException {
+  TestFleet(RunDescription run, RunCommand line) throws IOException {
     this.run = run;
     this.line = line;
     directory = Files.createTempDirectory("pearusher-scale");
     catalog = new ServerCatalog(run.servers(), run.zones());
-    discovery = new StandInDiscovery(catalog);
+    discovery = new SimulatedDiscovery(catalog);
   }
 
   /**
@@ -81,7 +81,7 @@
         new AssignerConfig(run, line.root().resolve("docs").resolve("example.json"));
     for (int number = 0; number < run.realAssigners(); number++) {
       checkMemory(number);
-      Traffic traffic = new Traffic();
+      TrafficCounter traffic = new TrafficCounter();
       AssignerConfig.Place place =
           new AssignerConfig.Place(
               number, AssignerProcess.freeAddress(), discovery.listen(traffic));
@@ -118,30 +118,30 @@
     }
   }
 
-  /** Makes the hollow parts, which do nothing yet. */
-  void makeHollow() throws IOException {
+  /** Makes the simulated parts, which do nothing yet. */
+  void makeSimulated() throws IOException {
     watchers =
-        new HollowWatchers(run.whole(RunKey.WATCHERS), discovery.listen(watcherTraffic), times);
+        new SimulatedWatchers(run.whole(RunKey.WATCHERS), discovery.listen(watcherTraffic), times);
     long periodNs = run.periodMs() * 1_000_000L;
     int[] servers = catalog.inService().stream().mapToInt(Integer::intValue).toArray();
     List<AssignerAddress> addresses = new ArrayList<>();
     members.forEach(one -> addresses.add(new AssignerAddress(one.place.listen(), one.traffic)));
-    hollowAssigners =
-        new HollowAssigners(
-            new HollowAssigners.Shape(
-                run.hollowAssigners(),
-                run.get(RunKey.HOLLOW_UPDATES),
-                run.get(RunKey.HOLLOW_LINES),
+    simulatedAssigners =
+        new SimulatedAssigners(
+            new SimulatedAssigners.Shape(
+                run.simulatedAssigners(),
+                run.get(RunKey.SIMULATED_UPDATES),
+                run.get(RunKey.SIMULATED_LINES),
                 periodNs,
                 run.seed()),
             discovery,
             servers);
-    addresses.addAll(hollowAssigners.addresses());
+    addresses.addAll(simulatedAssigners.addresses());
     double requests =
         run.proxies() * run.classes() * run.get(RunKey.REQUESTS) / Math.max(1, run.assigners());
     collectors =
-        new HollowCollectors(
-            new HollowCollectors.Shape(
+        new SimulatedCollectors(
+            new SimulatedCollectors.Shape(
                 run.proxyZones(),
                 run.reportsPerS(),
                 run.get(RunKey.NOISE),
@@ -152,8 +152,8 @@
             addresses,
             servers);
     proxies =
-        new HollowProxies(
-            new HollowProxies.Shape(
+        new SimulatedProxies(
+            new SimulatedProxies.Shape(
                 run.proxies(),
                 run.proxyZones(),
                 run.classes(),
@@ -170,7 +170,7 @@
               @Override
               public void drains(int server) {
                 proxies.drains(server);
-                hollowAssigners.drains(server);
+                simulatedAssigners.drains(server);
               }
 
               @Override
@@ -185,7 +185,7 @@
     return run;
   }
 
-  StandInDiscovery discovery() {
+  SimulatedDiscovery discovery() {
     return discovery;
   }
 
@@ -193,23 +193,23 @@
     return members;
   }
 
-  Traffic watcherTraffic() {
+  TrafficCounter watcherTraffic() {
     return watcherTraffic;
   }
 
-  HollowWatchers watchers() {
+  SimulatedWatchers watchers() {
     return watchers;
   }
 
-  HollowAssigners hollowAssigners() {
-    return hollowAssigners;
+  SimulatedAssigners simulatedAssigners() {
+    return simulatedAssigners;
   }
 
-  HollowCollectors collectors() {
+  SimulatedCollectors collectors() {
     return collectors;
   }
 
-  HollowProxies proxies() {
+  SimulatedProxies proxies() {
     return proxies;
   }
 
@@ -225,7 +225,7 @@
             proxies.loop(),
             collectors.loop(),
             watchers.loop(),
-            hollowAssigners.loop())) {
+            simulatedAssigners.loop())) {
       if (loop.failure() != null) {
         return loop + ": " + loop.failure();
       }
@@ -237,7 +237,7 @@
   public void close() throws IOException {
     closeQuietly(proxies);
     closeQuietly(collectors);
-    closeQuietly(hollowAssigners);
+    closeQuietly(simulatedAssigners);
     closeQuietly(watchers);
     closeQuietly(discovery);
     for (Member member : members) {
--- a/src/bench/java/pearusher/scale/Traffic.java
+++ b/src/bench/java/pearusher/scale/TrafficCounter.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Messages and bytes that one assigner, real or hollow, got and wrote, by kind; bytes of TCP's
+ * Messages and bytes that one assigner, real or simulated, got and wrote, by kind; bytes of TCP's
  * payload.
  */
-final class Traffic {
+final class TrafficCounter {
   /** What is counted; {@code in}: towards the assigner. */
   enum Kind {
     LIST_WHOLE(true),
@@ -48,7 +48,7 @@
   private final Map<Kind, LongAdder> messages = new EnumMap<>(Kind.class);
   private final Map<Kind, LongAdder> bytes = new EnumMap<>(Kind.class);
 
-  Traffic() {
+  TrafficCounter() {
     for (Kind kind : Kind.values()) {
       messages.put(kind, new LongAdder());
       bytes.put(kind, new LongAdder());
--- a/src/bench/java/pearusher/scale/Words.java
+++ b/src/bench/java/pearusher/scale/UpdateFieldReader.java
@@ -4,7 +4,7 @@
 import java.util.function.IntConsumer;
 
 /** Reads the values of orders out of a message's bytes, without strings. */
-final class Words {
+final class UpdateFieldReader {
   /** A server's name is two characters and eight digits. */
   private static final int NAME_BYTES = 10;
 
@@ -13,7 +13,7 @@
     void take(int server, boolean zero);
   }
 
-  private Words() {}
+  private UpdateFieldReader() {}
 
   static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.US_ASCII);
--- a/src/test/java/pearusher/capacity/FleetModelTest.java
+++ b/src/test/java/pearusher/capacity/FleetModelTest.java
@@ -19,16 +19,17 @@
   @Test
   void theFleetHasTheTargetsSize() {
     List<FleetModel.Service> services = fleet.services();
-    assertEquals(Target.SERVICES, services.size());
-    assertEquals(Target.ZONES, fleet.zones().size());
+    assertEquals(CapacityTarget.SERVICES, services.size());
+    assertEquals(CapacityTarget.ZONES, fleet.zones().size());
     assertEquals(
-        Target.REGIONS,
+        CapacityTarget.REGIONS,
         fleet.zones().stream().mapToInt(FleetModel.Zone::region).distinct().count());
-    assertEquals(Target.TASKS, services.stream().mapToInt(FleetModel.Service::tasks).sum());
+    assertEquals(CapacityTarget.TASKS, services.stream().mapToInt(FleetModel.Service::tasks).sum());
     assertEquals(
-        Target.TASKS, services.stream().mapToInt(s -> Arrays.stream(s.tasksByZone()).sum()).sum());
+        CapacityTarget.TASKS,
+        services.stream().mapToInt(s -> Arrays.stream(s.tasksByZone()).sum()).sum());
     assertEquals(
-        Target.REQUESTS_PER_S,
+        CapacityTarget.REQUESTS_PER_S,
         services.stream().mapToDouble(FleetModel.Service::requests).sum(),
         1e-3);
   }
@@ -36,8 +37,8 @@
   @Test
   void theSkewIsTheOneStated() {
     int[] tasks = fleet.services().stream().mapToInt(FleetModel.Service::tasks).toArray();
-    double[] zipf = Apportionment.zipf(Target.SERVICES, FleetModel.Skew.ASSUMED.tasks());
-    int free = Target.TASKS - Target.SERVICES * FleetModel.LEAST_TASKS;
+    double[] zipf = Apportionment.zipf(CapacityTarget.SERVICES, FleetModel.Skew.ASSUMED.tasks());
+    int free = CapacityTarget.TASKS - CapacityTarget.SERVICES * FleetModel.LEAST_TASKS;
     for (int k = 0; k < tasks.length; k++) {
       assertEquals(
           FleetModel.LEAST_TASKS + free * zipf[k] / Arrays.stream(zipf).sum(), tasks[k], 1);
@@ -59,9 +60,11 @@
   @EnumSource(TierMap.class)
   void everyMapUsesAllAssignersAndServesAllRequests(TierMap map) {
     List<TierMap.Tier> tiers = map.tiers(fleet);
-    assertEquals(Target.ASSIGNERS, tiers.stream().mapToInt(TierMap.Tier::assigners).sum());
+    assertEquals(CapacityTarget.ASSIGNERS, tiers.stream().mapToInt(TierMap.Tier::assigners).sum());
     assertEquals(
-        Target.REQUESTS_PER_S, tiers.stream().mapToDouble(TierMap.Tier::requests).sum(), 1e-3);
+        CapacityTarget.REQUESTS_PER_S,
+        tiers.stream().mapToDouble(TierMap.Tier::requests).sum(),
+        1e-3);
     assertTrue(tiers.stream().allMatch(t -> t.assigners() >= 1 && t.proxies() >= 1));
   }
 
--- a/src/test/java/pearusher/scale/CountingTest.java
+++ b/src/test/java/pearusher/scale/CountingTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the hollow side reads and counts. */
+/** What the simulated side reads and counts. */
 class CountingTest {
   private static final byte[] UPDATE =
       RespWriter.message(
@@ -50,25 +50,30 @@
         .take(
             ByteBuffer.wrap(UPDATE),
             view -> {
-              assertEquals(1 | 1 << 11, Words.classes(view, view.value(Words.bytes("classes")), 0));
+              assertEquals(
+                  1 | 1 << 11,
+                  UpdateFieldReader.classes(
+                      view, view.value(UpdateFieldReader.bytes("classes")), 0));
               assertEquals(
                   2,
-                  Words.lines(
+                  UpdateFieldReader.lines(
                       view,
-                      view.value(Words.bytes("lines")),
+                      view.value(UpdateFieldReader.bytes("lines")),
                       (server, zero) -> read.add(server + " " + zero)));
               assertEquals(
                   2,
-                  Words.names(
-                      view, view.value(Words.bytes("out")), server -> read.add("out " + server)));
-              assertEquals(-1, view.value(Words.bytes("more")));
+                  UpdateFieldReader.names(
+                      view,
+                      view.value(UpdateFieldReader.bytes("out")),
+                      server -> read.add("out " + server)));
+              assertEquals(-1, view.value(UpdateFieldReader.bytes("more")));
             });
     assertEquals(List.of("10 true", "65281 false", "out 3", "out 4"), read);
   }
 
   @Test
   void aDrainIsInForceOnceTheLastHolderLetGo() {
-    DrainClock clock = new DrainClock();
+    DrainTimer clock = new DrainTimer();
     BitSet holders = new BitSet();
     holders.set(0, 3);
     clock.start(7, holders, 0);
@@ -108,6 +113,6 @@
     String list = new String(catalog.whole(), StandardCharsets.US_ASCII);
     assertEquals(9, list.split("instanceId", -1).length - 1);
     assertFalse(list.contains(ServerCatalog.name(3)));
-    assertEquals(3, ServerCatalog.number(Words.bytes(ServerCatalog.name(3)), 0));
+    assertEquals(3, ServerCatalog.number(UpdateFieldReader.bytes(ServerCatalog.name(3)), 0));
   }
 }
--- a/src/test/java/pearusher/scale/SmallRunTest.java
+++ b/src/test/java/pearusher/scale/SmallRunTest.java
@@ -22,7 +22,7 @@
   @TempDir private Path directory;
 
   /** An assigner of this build's classes, as the package is not made when tests run. */
-  private RunLine line(String flags) throws Exception {
+  private RunCommand line(String flags) throws Exception {
     Path deploy = Files.createDirectories(directory.resolve("deploy"));
     Files.createDirectories(directory.resolve("docs"));
     Files.copy(Path.of("docs", "example.json"), directory.resolve("docs").resolve("example.json"));
@@ -30,8 +30,8 @@
     Files.writeString(
         deploy.resolve("balancer.toml"),
         "run = \"exec " + java + " -XX:TieredStopAtLevel=1 -jar target/pearusher.jar serve\"\n");
-    RunLine read = RunLine.read(directory, null, flags);
-    return new RunLine(
+    RunCommand read = RunCommand.read(directory, null, flags);
+    return new RunCommand(
         read.root(),
         read.command()
             .replace(
@@ -60,9 +60,9 @@
   }
 
   @Test
-  void hollowAssignersAndWatchersNeedNoProcess() throws Exception {
+  void simulatedAssignersAndWatchersNeedNoProcess() throws Exception {
     ScaleRun.Outcome outcome =
-        run(SMALL + "assigners 0 hollow-assigners 2 hollow-updates 2 " + "watchers 100", "");
+        run(SMALL + "assigners 0 simulated-assigners 2 simulated-updates 2 " + "watchers 100", "");
     Report report = outcome.report();
     assertNull(outcome.limit());
     assertEquals(6, report.value("proxies_bound"));
