--- a/src/main/java/pearusher/discovery/DiscoveryClient.java
+++ b/src/main/java/pearusher/discovery/DiscoveryClient.java
@@ -104,7 +104,8 @@
   public void checkHealth(long server, String hostPort) {
     boolean loads = config.settings().loadReportSource() != LoadReportSource.NONE;
     Call call = new Call(Purpose.PROBE, server, loads ? "/_load" : "/ping");
-    InetSocketAddress address = hostPort == null ? null : AssignerConfig.parseAddress(hostPort);
+    InetSocketAddress address =
+        hostPort == null ? null : pearusher.config.SocketAddresses.parse(hostPort).orElse(null);
     if (address == null) {
       call.finish(TerminationReason.UNREACHABLE);
     } else {
--- a/src/main/java/pearusher/server/AssignerServer.java
+++ b/src/main/java/pearusher/server/AssignerServer.java
@@ -14,6 +14,7 @@
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import org.tinylog.Logger;
 import pearusher.config.AssignerConfig;
+import pearusher.config.AssignerConfigReader;
 import pearusher.control.Controller;
 import pearusher.control.DurablePublisher;
 import pearusher.control.SynchronizedIntake;
@@ -147,7 +148,7 @@
     onHangUp(() -> reload.get().run());
     AssignerConfig config;
     try {
-      config = AssignerConfig.read(environment);
+      config = AssignerConfigReader.read(environment);
     } catch (SettingsException e) {
       System.err.println("pearusher: " + e.getMessage());
       return 2;
@@ -216,7 +217,7 @@
       // over.
       synchronized (this) {
         try {
-          AssignerConfig now = first.reload(environment);
+          AssignerConfig now = AssignerConfigReader.reload(first, environment);
           Logger.info("reload: discovery {}", text(now.discovery()));
           reload(now);
         } catch (SettingsException | RuntimeException e) {
--- a/src/main/java/pearusher/server/WarmUp.java
+++ b/src/main/java/pearusher/server/WarmUp.java
@@ -90,7 +90,7 @@
 
   static void run(
       AssignerConfig whole, BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker) {
-    AssignerConfig config = whole.withFewerKnown(MOST_SERVERS);
+    AssignerConfig config = whole.withKnownServersUpTo(MOST_SERVERS);
     AtomicLong clock = new AtomicLong(1_000_000_000_000_000L);
     Controller exchange = new Silent(config, maker, clock);
     long end = System.nanoTime() + MOST_NS;
--- a/src/main/java/pearusher/transport/PeerSocket.java
+++ b/src/main/java/pearusher/transport/PeerSocket.java
@@ -2,76 +2,98 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
+import java.net.SocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.channels.ClosedChannelException;
 import java.nio.channels.DatagramChannel;
+import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.Executor;
 import org.tinylog.Logger;
 import pearusher.config.AssignerConfig;
+import pearusher.config.PeerAddresses;
 import pearusher.control.Controller;
 import pearusher.control.PeerMessenger;
+import pearusher.logging.RepeatedEvent;
 
 /**
- * Datagrams between assigners. It passes on what comes from an address in the list and sends what
- * the module gives it, 256 bytes at most either way; anything else is dropped and counted. It must
- * never answer by itself nor open another way between assigners.
+ * Sends and receives datagrams between the assigners of a tier. Datagrams of unknown senders and
+ * those that are too long are dropped and counted. It has a receiving thread of its own and sends
+ * on the executor's threads; its size is constant.
  */
 public final class PeerSocket implements PeerMessenger, AutoCloseable {
-  static final int MOST = 256;
+  /** Maximum size of a datagram. */
+  static final int MAX_DATAGRAM_BYTES = 256;
+
+  /** The peer number that stands for all peers. */
+  private static final int ALL_PEERS = -1;
+
   private volatile AssignerConfig config;
-  private final Controller exchange;
+  private final Controller controller;
   private final Executor executor;
+  private final RepeatedEvent droppedDatagrams = new RepeatedEvent();
+
+  /** Null where the configuration has no peers. */
   private DatagramChannel channel;
-  private volatile long dropped;
 
-  public PeerSocket(AssignerConfig config, Controller exchange, Executor executor) {
+  /**
+   * Creates a socket, which is not open yet.
+   *
+   * @param config the addresses of the peers
+   * @param controller receives the messages of peers
+   * @param executor runs the sending
+   */
+  public PeerSocket(AssignerConfig config, Controller controller, Executor executor) {
     this.config = config;
-    this.exchange = exchange;
+    this.controller = controller;
     this.executor = executor;
   }
 
-  /** Listens, where the settings and the configuration allow it. */
+  /**
+   * Starts to receive, if the settings and the configuration allow peers.
+   *
+   * @throws IOException if the address is not available
+   */
   public void listen() throws IOException {
-    if (config.peerListen() != null) {
-      channel = DatagramChannel.open();
-      channel.bind(config.peerListen());
-      Thread receiver = new Thread(this::receive, "peers");
-      receiver.setDaemon(true);
-      receiver.start();
+    Optional<InetSocketAddress> address = config.peers().listen();
+    if (address.isEmpty()) {
+      return;
     }
+    channel = DatagramChannel.open();
+    channel.bind(address.get());
+    Thread receiver = new Thread(this::receiveAll, "peers");
+    receiver.setDaemon(true);
+    receiver.start();
   }
 
-  public void reload(AssignerConfig now) {
-    config = now;
+  /** Applies the peer addresses of a reloaded configuration. */
+  public void reload(AssignerConfig reloaded) {
+    config = reloaded;
   }
 
+  /**
+   * Returns the address that the open socket is bound to.
+   *
+   * @throws IOException if the socket was closed
+   */
   public InetSocketAddress address() throws IOException {
     return (InetSocketAddress) channel.getLocalAddress();
   }
 
-  public long dropped() {
-    return dropped;
+  /** Returns the number of datagrams dropped so far. */
+  public long droppedDatagrams() {
+    return droppedDatagrams.count();
   }
 
-  // Only the receiving thread writes the count.
-  @SuppressWarnings("NonAtomicVolatileUpdate")
-  private void receive() {
-    ByteBuffer buffer = ByteBuffer.allocate(MOST + 1);
+  private void receiveAll() {
+    ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES + 1);
     while (channel.isOpen()) {
       try {
         buffer.clear();
-        int from = config.peers().indexOf(channel.receive(buffer));
-        if (from < 0 || from == config.settings().instance() || buffer.flip().remaining() > MOST) {
-          dropped++;
-          if (Long.bitCount(dropped) == 1) {
-            Logger.warn("datagrams dropped: {} so far, of unknown senders or too long", dropped);
-          }
-          continue;
-        }
-        byte[] body = new byte[buffer.remaining()];
-        buffer.get(body);
-        exchange.onPeerMessage(from, body);
-      } catch (ClosedChannelException closed) {
+        SocketAddress sender = channel.receive(buffer);
+        buffer.flip();
+        process(sender, buffer);
+      } catch (ClosedChannelException e) {
         return;
       } catch (IOException e) {
         Logger.debug(e);
@@ -79,24 +101,47 @@
     }
   }
 
+  private void process(SocketAddress sender, ByteBuffer datagram) {
+    int peer = config.peers().assigners().indexOf(sender);
+    boolean isPeer = peer >= 0 && peer != config.settings().instance();
+    if (!isPeer || datagram.remaining() > MAX_DATAGRAM_BYTES) {
+      droppedDatagrams.record(
+          count ->
+              Logger.warn("datagrams dropped: {} so far, of unknown senders or too long", count));
+      return;
+    }
+    byte[] message = new byte[datagram.remaining()];
+    datagram.get(message);
+    controller.onPeerMessage(peer, message);
+  }
+
   @Override
-  public void send(int peer, byte[] body) {
-    InetSocketAddress to =
-        peer == -1
-            ? config.peerBroadcast()
-            : peer >= 0 && peer < config.peers().size() ? config.peers().get(peer) : null;
-    if (channel == null || to == null || body.length > MOST) {
+  public void send(int peer, byte[] message) {
+    Optional<InetSocketAddress> target = target(peer);
+    if (channel == null || target.isEmpty() || message.length > MAX_DATAGRAM_BYTES) {
       return;
     }
-    byte[] copy = body.clone();
-    executor.execute(
-        () -> {
-          try {
-            channel.send(ByteBuffer.wrap(copy), to);
-          } catch (IOException e) {
-            Logger.debug(e);
-          }
-        });
+    byte[] copy = message.clone();
+    executor.execute(() -> sendNow(copy, target.get()));
+  }
+
+  private Optional<InetSocketAddress> target(int peer) {
+    PeerAddresses peers = config.peers();
+    if (peer == ALL_PEERS) {
+      return peers.broadcast();
+    }
+    List<InetSocketAddress> assigners = peers.assigners();
+    return peer >= 0 && peer < assigners.size()
+        ? Optional.of(assigners.get(peer))
+        : Optional.empty();
+  }
+
+  private void sendNow(byte[] message, InetSocketAddress target) {
+    try {
+      channel.send(ByteBuffer.wrap(message), target);
+    } catch (IOException e) {
+      Logger.debug(e);
+    }
   }
 
   @Override
--- a/src/test/java/pearusher/config/AssignerConfigTest.java
+++ b/src/test/java/pearusher/config/AssignerConfigTest.java
@@ -1,7 +1,6 @@
 package pearusher.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -13,6 +12,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -38,23 +38,24 @@
 
   @Test
   void theExampleIsRead() throws Exception {
-    AssignerConfig c = new ExampleConfig().read(dir);
-    assertEquals("n0", c.name());
-    assertEquals(1024, c.maxDescriptors());
-    assertEquals(0x8c1f30d27a5be964L, c.settings().seed());
-    assertEquals(List.of("lookup", "order"), c.names().classes());
-    assertEquals(Map.of("north", 0, "south", 1), c.names().zones());
-    assertEquals(List.of("util", "inflight"), c.names().loadMetrics());
-    assertEquals(Idempotency.NOT_IDEMPOTENT, c.settings().requestClasses().get(1).idempotency());
-    assertTrue(c.settings().requestClasses().get(1).writes());
-    assertEquals(5900, c.settings().channel().maxBacklogLines());
-    assertEquals(41, c.knownServers().generation());
+    AssignerConfig config = new ExampleConfig().read(dir);
+    assertEquals("n0", config.name());
+    assertEquals(1024, config.maxDescriptors());
+    assertEquals(0x8c1f30d27a5be964L, config.settings().seed());
+    assertEquals(List.of("lookup", "order"), config.names().classes());
+    assertEquals(Map.of("north", 0, "south", 1), config.names().zones());
+    assertEquals(List.of("util", "inflight"), config.names().loadMetrics());
+    assertEquals(
+        Idempotency.NOT_IDEMPOTENT, config.settings().requestClasses().get(1).idempotency());
+    assertTrue(config.settings().requestClasses().get(1).writes());
+    assertEquals(5900, config.settings().channel().maxBacklogLines());
+    assertEquals(41, config.knownServers().generation());
     assertEquals(
         new Endpoint("s-0badcafe", "127.0.0.1:9002", 1, 0, 1, Lifecycle.READY, 1, 0),
-        c.knownServers().endpoints().get(1));
+        config.knownServers().endpoints().get(1));
   }
 
-  /** Nested JSON and the simulator's lines are the same settings. */
+  /** Nested JSON and the simulator's lines give the same settings. */
   @Test
   void jsonAndLinesAgree() throws Exception {
     StringBuilder lines = new StringBuilder();
@@ -68,35 +69,36 @@
     }
     assertEquals("a.b=1,2\na.c.count=2\na.c.0.d=true\na.c.1.d=false\na.e=\n", lines.toString());
     assertTrue(!json.has("a.f") && !json.has("a.b.count"));
-    PathValues given = PathValues.parseLines(lines.toString());
-    assertEquals(List.of("1", "2"), given.requireList("a.b"));
-    assertEquals(List.of(), given.requireList("a.e"));
+    PathValues fromLines = PathValues.parseLines(lines.toString());
+    assertEquals(List.of("1", "2"), fromLines.requireList("a.b"));
+    assertEquals(List.of(), fromLines.requireList("a.e"));
   }
 
   @Test
-  void unknownKeysArePassedOver() throws Exception {
+  void unknownKeysAreIgnored() throws Exception {
     AssignerConfig plain = new ExampleConfig().read(dir);
-    AssignerConfig more =
+    AssignerConfig extended =
         new ExampleConfig()
             .with("\"seed\"", "\"later\": {\"x\": [1, {\"y\": null}]}, \"seed\"")
             .with("\"zonal\": false", "\"zonal\": false, \"neu\": 3")
             .read(dir);
-    assertEquals(plain.settings(), more.settings());
+    assertEquals(plain.settings(), extended.settings());
   }
 
   @Test
-  void whatMayBeLeftOutHasDefaults() throws Exception {
-    AssignerConfig c =
+  void optionalKeysHaveDefaults() throws Exception {
+    AssignerConfig config =
         new ExampleConfig()
             .with("\"timeouts\"", "\"unused\"")
             .with("\"known\"", "\"unknown\"")
             .with("\"limits\"", "\"unlimited\"")
             .read(dir);
-    assertEquals(new Timeouts(1000, 3000, 5000, 2000), c.timeouts());
-    assertEquals(1024, c.maxDescriptors());
-    assertEquals(List.of(), c.knownServers().endpoints());
-    assertNull(
-        new ExampleConfig().with("\"peers\": true", "\"peers\": false").read(dir).peerListen());
+    assertEquals(new Timeouts(1000, 3000, 5000, 2000), config.timeouts());
+    assertEquals(1024, config.maxDescriptors());
+    assertEquals(List.of(), config.knownServers().endpoints());
+    assertEquals(
+        PeerAddresses.NONE,
+        new ExampleConfig().with("\"peers\": true", "\"peers\": false").read(dir).peers());
   }
 
   @ParameterizedTest
@@ -106,7 +108,8 @@
     environment.remove(variable);
     assertEquals(
         "the variable " + variable + " is missing",
-        assertThrows(SettingsException.class, () -> AssignerConfig.read(environment)).getMessage());
+        assertThrows(SettingsException.class, () -> AssignerConfigReader.read(environment))
+            .getMessage());
   }
 
   @Test
@@ -114,18 +117,18 @@
     Map<String, String> environment = new ExampleConfig().write(dir);
     Files.delete(Path.of(environment.get("EDGE_CONFIG")));
     assertTrue(
-        assertThrows(SettingsException.class, () -> AssignerConfig.read(environment))
+        assertThrows(SettingsException.class, () -> AssignerConfigReader.read(environment))
             .getMessage()
             .startsWith("EDGE_CONFIG: "));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "[]", "{", "{\"a\":1}}", "{\"a\" 1}", "nonsense"})
-  void malformedJsonIsSaid(String text) throws Exception {
+  void malformedJsonIsReported(String text) throws Exception {
     Map<String, String> environment = new ExampleConfig().write(dir);
     Files.writeString(Path.of(environment.get("EDGE_CONFIG")), text);
     assertTrue(
-        assertThrows(SettingsException.class, () -> AssignerConfig.read(environment))
+        assertThrows(SettingsException.class, () -> AssignerConfigReader.read(environment))
             .getMessage()
             .startsWith("configuration: "));
   }
@@ -155,10 +158,11 @@
         "\"peers_all\": \"127.0.0.1:7947\"|\"peers_all\": \"a.example:7947\"|peers_all",
         "\"lifecycle\": \"in_service\"|\"life\": \"in_service\"|known.instances.0.lifecycle"
       })
-  void aFaultyKeyIsNamed(String old, String now, String key) throws Exception {
-    ExampleConfig example = new ExampleConfig().with(old, now == null ? "" : now);
-    String said = fault(example);
-    assertTrue(said.startsWith("configuration: the key " + key + " "), said);
+  void aFaultyKeyIsNamed(String original, String replacement, String key) throws Exception {
+    ExampleConfig example =
+        new ExampleConfig().with(original, replacement == null ? "" : replacement);
+    String message = fault(example);
+    assertTrue(message.startsWith("configuration: the key " + key + " "), message);
   }
 
   @ParameterizedTest
@@ -167,15 +171,16 @@
     "EDGE_LISTEN,listen,127.0.0.1:9",
     "EDGE_DISCOVERY,discovery,127.0.0.1:9"
   })
-  void aContradictionBetweenVariableAndFileIsSaid(String variable, String key, String value)
+  void aContradictionBetweenVariableAndFileIsReported(String variable, String key, String value)
       throws Exception {
     Map<String, String> environment = new HashMap<>(new ExampleConfig().write(dir));
     environment.put(variable, value);
-    String said =
-        assertThrows(SettingsException.class, () -> AssignerConfig.read(environment)).getMessage();
+    String message =
+        assertThrows(SettingsException.class, () -> AssignerConfigReader.read(environment))
+            .getMessage();
     assertTrue(
-        said.startsWith("configuration: the key " + key + " is '") && said.contains(variable),
-        said);
+        message.startsWith("configuration: the key " + key + " is '") && message.contains(variable),
+        message);
   }
 
   @ParameterizedTest
@@ -188,12 +193,12 @@
         "1.2.3:80",
         "300.0.0.1:80"
       })
-  void onlyAddressesWithAPortAreAddresses(String text) {
-    assertNull(AssignerConfig.parseAddress(text));
+  void onlyNumericAddressesWithAPortAreAddresses(String text) {
+    assertEquals(Optional.empty(), SocketAddresses.parse(text));
   }
 
   @Test
-  void theAdapterReadsTheSameSettings() throws Exception {
+  void theSimulatorReadsTheSameSettings() throws Exception {
     PathValues all =
         PathValues.parseJson(
             "configuration", new ExampleConfig().json().getBytes(StandardCharsets.UTF_8));
@@ -202,43 +207,43 @@
         PolicySettingsReader.read(0x8c1f30d27a5be964L, all.below("settings.")));
   }
 
-  /** The list stands before the settings that it is read by or behind them, or twice. */
+  /** The list may stand before or after the settings that it depends on, or twice. */
   @Test
-  void theKnownListIsReadWhereverItStands() throws Exception {
+  void theKnownListIsReadAtAnyPosition() throws Exception {
     AssignerConfig first = new ExampleConfig().read(dir);
     String json = new ExampleConfig().json();
-    int from = json.indexOf("  \"known\"");
-    String known = json.substring(from, json.indexOf("  \"settings\""));
+    int start = json.indexOf("  \"known\"");
+    String known = json.substring(start, json.indexOf("  \"settings\""));
     ExampleConfig moved =
         new ExampleConfig().with(known, "").with("\"zonal\": false\n    }", "\"zonal\": false}");
-    String behind =
+    String settingsEnd =
         "\"drainGraceUs\": 3000000, \"fallUs\": 2000000,\n              "
             + "\"overloadFactor\": 2.5, \"rampTimeUs\": 17000000}\n  }";
     moved.with(
-        behind.substring(behind.indexOf("\"overloadFactor")),
-        behind.substring(behind.indexOf("\"overloadFactor"))
+        settingsEnd.substring(settingsEnd.indexOf("\"overloadFactor")),
+        settingsEnd.substring(settingsEnd.indexOf("\"overloadFactor"))
             + ","
             + known.strip().replaceFirst(",$", ""));
     assertEquals(first.knownServers(), moved.read(dir).knownServers());
-    ExampleConfig twice =
+    ExampleConfig repeated =
         new ExampleConfig().with(known, "\"known\": {\"generation\": 1}," + known);
-    assertEquals(first.knownServers(), twice.read(dir).knownServers());
-    for (String none :
+    assertEquals(first.knownServers(), repeated.read(dir).knownServers());
+    for (String absent :
         List.of("null", "[]", "[{\"generation\": 1}]", "7", "{}", "{\"reset\": 7}")) {
       assertEquals(
           EndpointList.EMPTY,
-          new ExampleConfig().with(known, "\"known\": " + none + ",").read(dir).knownServers(),
-          none);
+          new ExampleConfig().with(known, "\"known\": " + absent + ",").read(dir).knownServers(),
+          absent);
     }
   }
 
   @Test
   void aKnownListOverTheLimitNamesItsKey() throws Exception {
-    EndpointListLimits one = new EndpointListLimits(1, 1000, 40 << 20);
+    EndpointListLimits oneServer = new EndpointListLimits(1, 1000, 40 << 20);
     assertEquals(
         "configuration: the key known.instances names over 1 servers: the heap of 40 MB holds "
             + "no more",
-        fault(new ExampleConfig().lists(one)));
+        fault(new ExampleConfig().lists(oneServer)));
     assertEquals(
         2,
         new ExampleConfig()
@@ -247,17 +252,17 @@
             .knownServers()
             .endpoints()
             .size());
-    String said = fault(new ExampleConfig().with("s-5be2a07c", "x".repeat(256)));
+    String message = fault(new ExampleConfig().with("s-5be2a07c", "x".repeat(256)));
     assertTrue(
-        said.startsWith(
+        message.startsWith(
             "configuration: the key known.instances.0.instanceId is longer than 255 "
                 + "characters: 'xxx"),
-        said);
+        message);
   }
 
-  /** The file is not held as text: what it costs follows its servers. */
+  /** The file is not kept as text: its memory follows the number of its servers. */
   @Test
-  void aKnownListLeavesLittleBehindAsItIsRead() throws Exception {
+  void readingAKnownListAllocatesLittleMemory() throws Exception {
     StringBuilder servers = new StringBuilder();
     for (int k = 0; k < 9100; k++) {
       servers
@@ -273,18 +278,19 @@
     Map<String, String> environment =
         new ExampleConfig().with("\"instances\": [", "\"instances\": [" + servers).write(dir);
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-    AssignerConfig.read(environment);
+    AssignerConfigReader.read(environment);
     long before = threads.getThreadAllocatedBytes(Thread.currentThread().getId());
-    assertEquals(9102, AssignerConfig.read(environment).knownServers().endpoints().size());
+    assertEquals(9102, AssignerConfigReader.read(environment).knownServers().endpoints().size());
     long bytes = threads.getThreadAllocatedBytes(Thread.currentThread().getId()) - before;
     assertTrue(bytes < 2000L * 9102, bytes / 9102 + " bytes a server were allocated");
   }
 
   /**
-   * A reload takes over where others are and the limits; the settings stay, whatever the file says.
+   * A reload applies the addresses of others and the limits; the settings stay, whatever the file
+   * has.
    */
   @Test
-  void aReloadTakesOverAddressesAndLimitsOnly() throws Exception {
+  void aReloadAppliesAddressesAndLimitsOnly() throws Exception {
     AssignerConfig first = new ExampleConfig().read(dir);
     Map<String, String> environment = new HashMap<>(new ExampleConfig().write(dir));
     new ExampleConfig()
@@ -293,12 +299,12 @@
         .with("\"stranger_ms\": 2000", "\"stranger_ms\": 1500")
         .with("\"tickUs\": 5000", "\"tickUs\": 6000")
         .write(dir);
-    AssignerConfig now = first.reload(environment);
-    assertEquals(77, now.discovery().getPort());
-    assertEquals(256, now.maxDescriptors());
-    assertEquals(1500, now.timeouts().identificationMs());
-    assertEquals(first.settings(), now.settings());
-    assertEquals(first.knownServers(), now.knownServers());
+    AssignerConfig reloaded = AssignerConfigReader.reload(first, environment);
+    assertEquals(77, reloaded.discovery().getPort());
+    assertEquals(256, reloaded.maxDescriptors());
+    assertEquals(1500, reloaded.timeouts().identificationMs());
+    assertEquals(first.settings(), reloaded.settings());
+    assertEquals(first.knownServers(), reloaded.knownServers());
   }
 
   @ParameterizedTest
@@ -313,11 +319,13 @@
         "\"tickUs\": 5000|\"tickUs\": true|the key settings.tickUs is unreadable",
         "}|]|malformed JSON"
       })
-  void aFaultyReloadNamesTheKey(String old, String now, String said) throws Exception {
+  void aFaultyReloadNamesTheKey(String original, String replacement, String expected)
+      throws Exception {
     AssignerConfig first = new ExampleConfig().read(dir);
-    Map<String, String> environment = new ExampleConfig().with(old, now).write(dir);
-    String got =
-        assertThrows(SettingsException.class, () -> first.reload(environment)).getMessage();
-    assertTrue(got.contains(said), got);
+    Map<String, String> environment = new ExampleConfig().with(original, replacement).write(dir);
+    String message =
+        assertThrows(SettingsException.class, () -> AssignerConfigReader.reload(first, environment))
+            .getMessage();
+    assertTrue(message.contains(expected), message);
   }
 }
--- a/src/test/java/pearusher/config/EndpointListLimitsTest.java
+++ b/src/test/java/pearusher/discovery/EndpointListLimitsTest.java
@@ -1,4 +1,4 @@
-package pearusher.config;
+package pearusher.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,53 +14,52 @@
 import pearusher.server.TestPeers;
 
 /**
- * Lists over a limit, on sockets: refused with one line, as a failed call, and the last good list
+ * Lists that exceed a limit, on sockets: the call fails with one log line, and the last valid list
  * stays.
  */
 class EndpointListLimitsTest extends LoopbackFixture {
-  private static final String REFUSED =
-      "WARN discovery: a list of over 4 servers: the heap of 40 MB holds " + "no more";
+  private static final String REJECTED =
+      "WARN discovery: a list of over 4 servers: the heap of 40 MB holds no more";
 
   @BeforeEach
   void limits() {
     example.lists(new EndpointListLimits(4, 1000, 40 << 20));
   }
 
-  private static String list(int generation, boolean whole, int from, int to) {
+  private static String list(int generation, boolean complete, int first, int end) {
     return TestPeers.listing(
         generation,
-        whole,
-        IntStream.range(from, to)
+        complete,
+        IntStream.range(first, end)
             .mapToObj(k -> TestPeers.instance("s-" + k, "127.0.0.1:9", "north", "in_service", 0))
             .toArray(String[]::new));
   }
 
-  private long logged(String text, int times) throws InterruptedException {
+  private long countLogged(String text) throws InterruptedException {
     logged(text);
     synchronized (log) {
-      return log.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains(text)).count()
-          - times;
+      return log.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains(text)).count();
     }
   }
 
   @Test
-  void aWatchWithAListOverTheLimitHasFailed() throws Exception {
+  void aWatchWithAListOverTheLimitFails() throws Exception {
     TestPeers.Request watch = watch();
     module.hear("onEndpointList CACHED");
     watch.beginWatch();
     watch.line(list(43, true, 0, 4));
     module.hear("onEndpointList COMPLETE [ServerEntry[server=2,");
-    for (int time = 1; time <= 3; time++) {
-      // Refused at its fifth server: the line never ends.
+    for (int attempt = 1; attempt <= 3; attempt++) {
+      // Rejected at its fifth server: the line never ends.
       String text = list(50, true, 0, 5);
       watch.write("100000\r\n" + text.substring(0, text.length() - 2));
       module.hear("onEndpointList FAILED []");
       module.order(o -> o.watchEndpoints(true));
       watch = discovery.next();
-      assertEquals("/catalog/members?follow=1&since=43", watch.path(), "the last good list stays");
+      assertEquals("/catalog/members?follow=1&since=43", watch.path(), "the last valid list stays");
       watch.beginWatch();
     }
-    assertEquals(0, logged(REFUSED, 2), "told at 1, 2, 4, 8 ...");
+    assertEquals(2, countLogged(REJECTED), "logged at 1, 2, 4, 8 ...");
     logged("WARN discovery lost: WATCH ended: TOO_LONG");
     watch.line(list(51, true, 1, 4));
     module.hear("onEndpointList COMPLETE [ServerEntry[server=3,");
@@ -68,16 +67,16 @@
   }
 
   @Test
-  void aFetchedListOverTheLimitHasFailed() throws Exception {
+  void aFetchedListOverTheLimitFails() throws Exception {
     start();
     module.hear("onEndpointList CACHED");
     module.order(PolicyCommands::fetchEndpoints);
     discovery.next().answer(200, list(45, true, 0, 5));
     module.hear("onEndpointList FAILED []");
-    assertEquals(0, logged(REFUSED, 1));
+    assertEquals(1, countLogged(REJECTED));
     logged("WARN discovery lost: FETCH ended: TOO_LONG");
     assertFalse(
-        log.toString(StandardCharsets.UTF_8).contains("can't be read"), "one line tells it");
+        log.toString(StandardCharsets.UTF_8).contains("can't be read"), "one line is logged");
     module.order(PolicyCommands::fetchEndpoints);
     discovery.next().answer(200, list(45, true, 0, 4));
     module.hear("onEndpointList COMPLETE");
@@ -85,7 +84,7 @@
   }
 
   @Test
-  void anIdThatIsTooLongIsNamed() throws Exception {
+  void anIdThatIsTooLongIsReported() throws Exception {
     start();
     module.hear("onEndpointList CACHED");
     module.order(PolicyCommands::fetchEndpoints);
@@ -96,9 +95,9 @@
             + "255 characters: 'xxx");
   }
 
-  /** Changes that are short one by one must not make more known than the heap holds. */
+  /** Short changes must not make more servers known than the heap holds. */
   @Test
-  void changesThatNameNewServersWithoutEndAreRefused() throws Exception {
+  void changesThatKeepAddingServersAreRejected() throws Exception {
     TestPeers.Request watch = watch();
     module.hear("onEndpointList CACHED");
     watch.beginWatch();
@@ -111,23 +110,19 @@
     watch.line(list(48, false, 3, 5));
     module.hear("onEndpointList FAILED []");
     assertEquals(
-        0,
-        logged(
+        1,
+        countLogged(
             "WARN discovery: with the servers known before, a list of over 6 servers: the "
-                + "heap of 40 MB holds no more",
-            1));
+                + "heap of 40 MB holds no more"));
     module.order(o -> o.watchEndpoints(true));
     assertEquals("/catalog/members?follow=1&since=47", discovery.next().path());
     assertEquals(List.of(), module.told);
   }
 
-  /**
-   * One id twice in a list: both words reach the module, which takes the last; the address is the
-   * last.
-   */
+  /** Both entries of a repeated id reach the policy, which uses the last; so does the address. */
   @Test
-  void ofAServerThatIsListedTwiceTheLastCounts() throws Exception {
-    try (TestPeers.HttpStub task = new TestPeers.HttpStub()) {
+  void ofARepeatedServerTheLastEntryCounts() throws Exception {
+    try (TestPeers.HttpStub server = new TestPeers.HttpStub()) {
       TestPeers.Request watch = watch();
       module.hear("onEndpointList CACHED");
       watch.beginWatch();
@@ -136,13 +131,13 @@
               43,
               true,
               TestPeers.instance("s-0badcafe", "127.0.0.1:1", "north", "terminating", 0),
-              TestPeers.instance("s-0badcafe", task.address(), "south", "in_service", 0)));
+              TestPeers.instance("s-0badcafe", server.address(), "south", "in_service", 0)));
       module.hear(
           "onEndpointList COMPLETE [ServerEntry[server=1, zone=0, machineType=0, cell=0,"
               + " lifecycle=DRAINING, weight=1.0, startedUs=0], ServerEntry[server=1, zone=1,"
               + " machineType=0, cell=0, lifecycle=READY, weight=1.0, startedUs=0]]");
       module.order(o -> o.checkHealth(1));
-      task.next().answer(200, "TEXT util=0.5");
+      server.next().answer(200, "TEXT util=0.5");
       module.hear("onHealthCheckResult 1 OK");
     }
   }
--- a/src/test/java/pearusher/server/AssignerServerTest.java
+++ b/src/test/java/pearusher/server/AssignerServerTest.java
@@ -22,6 +22,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import pearusher.config.AssignerConfig;
+import pearusher.config.AssignerConfigReader;
 import pearusher.control.Controller;
 import pearusher.control.ProxyStream;
 import pearusher.policy.FaastPolicy;
@@ -489,7 +490,11 @@
     TestPeers.ProxyClient one = proxy(3);
     try (TestPeers.HttpStub elsewhere = new TestPeers.HttpStub()) {
       AssignerConfig first = example.read(dir);
-      running.get(0).reload(first.reload(example.discovery(elsewhere.address()).write(dir)));
+      running
+          .get(0)
+          .reload(
+              AssignerConfigReader.reload(
+                  first, example.discovery(elsewhere.address()).write(dir)));
       TestPeers.Request next = elsewhere.next();
       assertEquals("/catalog/members?follow=1&since=43", next.path());
       old.reset();
@@ -746,7 +751,7 @@
       InetSocketAddress to = serve.peers().address();
       stranger.send(new DatagramPacket(new byte[] {1}, 1, to));
       peer.send(new DatagramPacket(new byte[257], 257, to));
-      TestPeers.until("drops", () -> serve.peers().dropped() == 2);
+      TestPeers.until("drops", () -> serve.peers().droppedDatagrams() == 2);
       peer.send(new DatagramPacket(new byte[] {4, 5}, 2, to));
       module.hear("onPeerMessage 1 [4, 5]");
       module.order(
--- a/src/test/java/pearusher/server/ConfigurationValuesTest.java
+++ b/src/test/java/pearusher/server/ConfigurationValuesTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import pearusher.Recorded;
 import pearusher.config.AssignerConfig;
+import pearusher.config.AssignerConfigReader;
 import pearusher.policy.AdmissionMode;
 import pearusher.policy.ChannelSettings;
 import pearusher.policy.Costs;
@@ -102,9 +103,9 @@
     add("listen", text(config.listen()));
     add("discovery", text(config.discovery()));
     add("sockets", config.maxDescriptors());
-    add("peer listen", text(config.peerListen()));
-    add("peers", config.peers().stream().map(ConfigurationValuesTest::text).toList());
-    add("all peers", text(config.peerBroadcast()));
+    add("peer listen", text(config.peers().listen().orElse(null)));
+    add("peers", config.peers().assigners().stream().map(ConfigurationValuesTest::text).toList());
+    add("all peers", text(config.peers().broadcast().orElse(null)));
     add("connect timeout ms", config.timeouts().connectMs());
     add("answer timeout ms", config.timeouts().responseMs());
     add("silence timeout ms", config.timeouts().idleMs());
@@ -238,7 +239,7 @@
   private AssignerConfig read(String json, String name, String listen, String discovery)
       throws Exception {
     Path file = Files.writeString(dir.resolve("config.json"), json);
-    return AssignerConfig.read(
+    return AssignerConfigReader.read(
         Map.of(
             "EDGE_NAME",
             name,
--- a/src/test/java/pearusher/server/ExampleConfig.java
+++ b/src/test/java/pearusher/server/ExampleConfig.java
@@ -6,6 +6,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import pearusher.config.AssignerConfig;
+import pearusher.config.AssignerConfigReader;
 import pearusher.protocol.EndpointListLimits;
 import pearusher.sitesettings.SettingsException;
 
@@ -68,6 +69,6 @@
   }
 
   public AssignerConfig read(Path dir) throws IOException, SettingsException {
-    return AssignerConfig.read(write(dir), lists);
+    return AssignerConfigReader.read(write(dir), lists);
   }
 }
