--- a/src/main/java/pearusher/discovery/DiscoveryClient.java
+++ b/src/main/java/pearusher/discovery/DiscoveryClient.java
@@ -36,7 +36,7 @@
 import pearusher.protocol.EndpointList;
 import pearusher.protocol.EndpointListReader;
 import pearusher.protocol.EndpointListTooLongException;
-import pearusher.protocol.Message;
+import pearusher.protocol.LoadReportParser;
 import pearusher.sitesettings.SettingsException;
 import pearusher.transport.ResetAwareEndPoint;
 import pearusher.transport.TerminationReason;
@@ -104,7 +104,8 @@
   public void checkHealth(long server, String hostPort) {
     boolean loads = config.settings().loadReportSource() != LoadReportSource.NONE;
     Call call = new Call(Purpose.PROBE, server, loads ? "/_load" : "/ping");
-    InetSocketAddress address = hostPort == null ? null : AssignerConfig.parseAddress(hostPort);
+    InetSocketAddress address =
+        hostPort == null ? null : pearusher.config.SocketAddresses.parse(hostPort).orElse(null);
     if (address == null) {
       call.finish(TerminationReason.UNREACHABLE);
     } else {
@@ -425,7 +426,7 @@
     private void line() {
       lineDue();
       try {
-        EndpointList told = lists.endOfLine();
+        EndpointList told = lists.endOfLine().orElse(null);
         if (told == null && up) {
           return;
         }
@@ -466,7 +467,7 @@
           if (purpose == Purpose.FETCH) {
             list = lists.endOfBody();
           } else if (purpose == Purpose.PROBE) {
-            load = Message.decodeHealthCheckLoad(body.toByteArray(), config.names());
+            load = new LoadReportParser(config.names()).parseHealthCheckBody(body.toByteArray());
           } else {
             ending = TerminationReason.CLOSED;
           }
