--- a/src/main/java/pearusher/control/CommandDispatcher.java
+++ b/src/main/java/pearusher/control/CommandDispatcher.java
@@ -80,7 +80,7 @@
   void requestAck(int number, boolean toAll) {
     tables.requestAck(number, toAll);
     if (durable != null) {
-      durable.ledger().lastAckNumber(number);
+      durable.ledger().requestAck(number);
     }
   }
 }
--- a/src/main/java/pearusher/control/DurablePublisher.java
+++ b/src/main/java/pearusher/control/DurablePublisher.java
@@ -5,6 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.StringJoiner;
 import java.util.TreeSet;
@@ -20,9 +21,12 @@
 import pearusher.publish.PublishedTables;
 import pearusher.recovery.CatchUp;
 import pearusher.recovery.Ledger;
+import pearusher.recovery.LedgerChanges;
+import pearusher.recovery.LedgerRecovery;
 import pearusher.recovery.ListedServer;
 import pearusher.recovery.Outbox;
 import pearusher.recovery.RecoveredServerList;
+import pearusher.recovery.RecoveryConditions;
 import pearusher.recovery.RecoveryTrust;
 import pearusher.store.FileDisk;
 import pearusher.store.GroupCommitter;
@@ -71,13 +75,14 @@
             ? RecoveryTrust.RESTORED_COPY
             : found.abandoned() ? RecoveryTrust.ABANDONED : RecoveryTrust.FULL;
     ledger =
-        Ledger.of(
+        LedgerRecovery.recover(
             found.state(),
-            doubt,
-            names(config),
-            lastUs,
-            keeping.maxTrustedAgeUs(),
-            config.settings().instances() > 1);
+            new RecoveryConditions(
+                doubt,
+                names(config),
+                lastUs,
+                keeping.maxTrustedAgeUs(),
+                config.settings().instances() > 1));
     outbox = new Outbox<>(post -> post.to().send(post.message()), keeping.maxCommitDelayUs());
     aliveUs = keeping.heartbeatUs();
     committer =
@@ -191,7 +196,7 @@
       ServerDirectory servers,
       PublishedTables tables,
       AssignmentPolicy module) {
-    ledger.start(
+    ledger.onListRecovered(
         known.endpoints().stream()
             .filter(one -> one.lifecycle() != Lifecycle.REMOVED)
             .map(DurablePublisher::listedServer)
@@ -233,13 +238,11 @@
 
   // Events, on the decision thread.
 
-  /** What a joiner lacks; null where its table is to go whole. */
-  CatchUp joined(int proxy, boolean fresh) {
-    CatchUp out = ledger.onProxyJoined(proxy, fresh);
-    if (out != null) {
-      joining.put(proxy, out);
-    }
-    return out;
+  /** What a proxy that joins lacks of its table; empty where it needs the complete table. */
+  Optional<CatchUp> joined(int proxy, boolean fresh) {
+    Optional<CatchUp> catchUp = ledger.onProxyJoined(proxy, fresh);
+    catchUp.ifPresent(lacks -> joining.put(proxy, lacks));
+    return catchUp;
   }
 
   void left(int proxy) {
@@ -287,23 +290,31 @@
       // No message goes by a store, whatever ordered it.
       ledger.requestHeartbeat();
     }
-    Map<String, byte[]> changes = ledger.endIteration(now);
+    Optional<LedgerChanges> changes = ledger.endIteration(now);
     synchronized (lock) {
-      if (changes != null) {
+      if (changes.isPresent()) {
         lastUs = now;
-        long ticket = outbox.offer(posts, now);
-        if (ticket > 0 && owning) {
-          owning = false;
-          committer.submitAndClearAbandoned(WriteBatch.ofChanges(changes), () -> confirmed(ticket));
-        } else if (ticket > 0) {
-          committer.submit(WriteBatch.ofChanges(changes), () -> confirmed(ticket));
-        }
+        commit(changes.get(), outbox.offer(posts, now));
       }
       posts.clear();
       checkDeadline();
     }
   }
 
+  private void commit(LedgerChanges changes, long commitNumber) {
+    if (commitNumber == Outbox.SENT) {
+      return;
+    }
+    WriteBatch batch = new WriteBatch();
+    changes.forEach(batch::put, batch::delete);
+    if (owning) {
+      owning = false;
+      committer.submitAndClearAbandoned(batch, () -> confirmed(commitNumber));
+    } else {
+      committer.submit(batch, () -> confirmed(commitNumber));
+    }
+  }
+
   /** Called now and then, on any thread: a disk that hangs must not hold up a drain. */
   public void checkDeadline() {
     synchronized (lock) {
--- a/src/main/java/pearusher/control/StreamMembership.java
+++ b/src/main/java/pearusher/control/StreamMembership.java
@@ -75,7 +75,8 @@
         .get()
         .onProxyJoined(
             loop.nowUs(), what.proxy(), what.zone(), what.requestsPerSecond(), what.fresh());
-    CatchUp lacks = durable == null ? null : durable.joined(what.proxy(), what.fresh());
+    CatchUp lacks =
+        durable == null ? null : durable.joined(what.proxy(), what.fresh()).orElse(null);
     if (lacks != null) {
       tables.setAnnounced(what.proxy(), numbers.apply(lacks.announced()));
       module.get().onTableHeld(loop.nowUs(), what.proxy(), lacks.table(), lacks.cost());
--- a/src/main/java/pearusher/recovery/CatchUp.java
+++ b/src/main/java/pearusher/recovery/CatchUp.java
@@ -4,13 +4,14 @@
 import pearusher.policy.AdmissionLevel;
 
 /**
- * What a proxy that joins lacks of its table: lines with their weights (0: taken out), levels by
- * class, and which servers it must be told are out (true) or back. What is not named here it holds
- * as it was ordered.
+ * What a proxy that joins lacks of its table. It holds everything else as it was last ordered.
  *
- * @param table the table that it is bound to
- * @param announced of which servers it was told before that they are out (true), or back, or may
- *     believe so
+ * @param table the table that the proxy follows
+ * @param weights by server, 0: take the server out
+ * @param admissionLevels by request class
+ * @param ejections servers that the proxy must be notified of: ejected (true) or reinstated
+ * @param announced servers that the proxy was notified of before, or may have been: ejected (true)
+ *     or not
  */
 public record CatchUp(
     int table,
@@ -19,7 +20,7 @@
     Map<String, Boolean> ejections,
     Map<String, Boolean> announced) {
 
-  /** Lines of the channel that it takes to say so. */
+  /** How many entries the update holds that carries it. */
   public int cost() {
     return weights.size() + admissionLevels.size() + ejections.size();
   }
--- a/src/main/java/pearusher/recovery/Ledger.java
+++ b/src/main/java/pearusher/recovery/Ledger.java
@@ -1,386 +1,379 @@
 package pearusher.recovery;
 
-import java.io.IOException;
+import java.util.ArrayList;
+import java.util.Collection;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.Set;
 import pearusher.policy.AdmissionLevel;
 import pearusher.policy.Idempotency;
 import pearusher.policy.Lifecycle;
 
 /**
- * What this assigner has ordered, turn by turn, as it is to last: each table's lines and levels,
- * the servers that are out, whom each proxy follows and up to which turn it has answered, and the
- * list. Every change carries the turn that made it, so that what a proxy lacks since a turn can be
- * told without keeping old tables.
+ * The commands that this assigner has issued and what proxies have acknowledged of them, in the
+ * form that is made durable: weights and admission levels of each table, ejections, the table that
+ * each proxy follows, and the endpoint list. Each entry carries the event-loop iteration that set
+ * it, so what a proxy lacks since an iteration is known without keeping old tables.
  *
- * <p>One thread calls it. The changes of a turn go to the store together: whole or not at all. It
+ * <p>One thread calls it. The changes of an iteration become durable together or not at all. It
  * grows as {@link LedgerState} and {@link OutstandingAcks} do.
  */
 public final class Ledger {
-  private final LedgerState state = new LedgerState();
-  private final OutstandingAcks marks = new OutstandingAcks();
-  private final String settings;
+  private final LedgerState state;
+  private final OutstandingAcks outstandingAcks = new OutstandingAcks();
+  private final LedgerIteration current = new LedgerIteration();
+  private final RecoveryTrust trust;
+  private final String siteNames;
 
-  /**
-   * There are other assigners: who left may have followed one of them, and holds its tables then.
-   */
-  private final boolean shared;
+  /** Whether a proxy that left may have followed another assigner, and hold its tables now. */
+  private final boolean isFleetShared;
 
-  private long epoch = 1;
-  private long turn;
+  private final long epoch;
+  private long iteration;
   private long timeUs;
-  private int mark;
-  private RecoveryTrust doubt = RecoveryTrust.EMPTY;
-
-  /** Of the turn at hand: keys that changed, and whether anything was ordered. */
-  private final Set<String> changed = new LinkedHashSet<>();
-
-  private final Set<Integer> sent = new HashSet<>();
-  private boolean ordered;
-  private boolean alive;
-  private int marked = -1;
-
-  private Ledger(String settings, boolean shared) {
-    this.settings = settings;
-    this.shared = shared;
-  }
+  private int lastAckNumber;
 
   /**
-   * The ledger that a store's values make, and how far they are believed.
+   * The ledger of a start.
    *
-   * @param given what the store itself says against it: {@link RecoveryTrust#EMPTY} for nothing
-   * @param settings names that give positions their meaning: another text is another ledger
-   * @param nowUs Unix time in microseconds
-   * @param trustUs longest time since the store's last word
-   * @param shared there are other assigners that proxies may join
+   * @param stored the header of the last record of earlier processes
    */
-  public static Ledger of(
-      Map<String, byte[]> values,
-      RecoveryTrust given,
-      String settings,
-      long nowUs,
-      long trustUs,
-      boolean shared) {
-    Ledger out = new Ledger(settings, shared);
-    if (!values.containsKey(LedgerCodec.META)) {
-      return out;
-    }
-    long epoch = 0;
-    try {
-      LedgerCodec.Meta meta = LedgerCodec.read(values.get(LedgerCodec.META), LedgerCodec::meta);
-      epoch = meta.epoch();
-      out.turn = meta.turn();
-      out.timeUs = meta.timeUs();
-      out.mark = meta.mark();
-      out.doubt = given != RecoveryTrust.FULL ? given : out.doubtOf(meta, nowUs, trustUs);
-      for (Map.Entry<String, byte[]> one : values.entrySet()) {
-        out.state.load(one.getKey(), one.getValue());
-      }
-    } catch (IOException | RuntimeException e) {
-      out.doubt = RecoveryTrust.UNREADABLE;
-    }
-    out.epoch = epoch + 1;
-    if (!out.doubt.trustsTables()) {
-      out.forgetAll(values.keySet());
-    }
-    return out;
+  Ledger(
+      LedgerHeader stored, RecoveryTrust trust, LedgerState state, RecoveryConditions conditions) {
+    this.trust = trust;
+    this.state = state;
+    siteNames = conditions.siteNames();
+    isFleetShared = conditions.isFleetShared();
+    epoch = stored.epoch() + 1;
+    iteration = stored.iteration();
+    timeUs = stored.timeUs();
+    lastAckNumber = stored.lastAckNumber();
   }
 
-  /** What speaks against the store's values, by what they say of themselves. */
-  private RecoveryTrust doubtOf(LedgerCodec.Meta meta, long nowUs, long trustUs) {
-    if (!meta.settings().equals(settings)) {
-      return RecoveryTrust.OTHER_SETTINGS;
-    }
-    // A little of the future is two clocks of one machine; more is one that jumped.
-    if (meta.timeUs() - nowUs > trustUs / 10) {
-      return RecoveryTrust.CLOCK_SKEW;
-    }
-    if (nowUs - meta.timeUs() > trustUs) {
-      return RecoveryTrust.STALE;
-    }
-    return shared ? RecoveryTrust.SHARED_FLEET : RecoveryTrust.FULL;
+  /** Deletes stored values that this ledger has not taken over. */
+  void discard(Collection<LedgerKey> keys) {
+    keys.forEach(current::addChange);
   }
 
-  /** Nothing is taken over but what must only rise: the epoch, the turn and the mark. */
-  private void forgetAll(Set<String> keys) {
-    state.clear();
-    keys.stream().filter(k -> !k.equals(LedgerCodec.META)).forEach(changed::add);
-  }
-
-  // What was found, for a start.
+  // What was recovered.
 
   public RecoveryTrust trust() {
-    return doubt;
+    return trust;
   }
 
+  /** The number of this process: one more with each start. */
   public long epoch() {
     return epoch;
   }
 
+  /** The number of the last event-loop iteration that issued a command. */
   public long iteration() {
-    return turn;
+    return iteration;
   }
 
-  /** The last mark that was ordered: the next must not be taken for one of an earlier process. */
+  /**
+   * The number of the last acknowledgement that was requested, by an earlier process perhaps; later
+   * requests must have higher ones.
+   */
   public int lastAckNumber() {
-    return mark;
+    return lastAckNumber;
   }
 
+  /** The generation of the endpoint list. */
   public long generation() {
-    return state.generation;
+    return state.listGeneration;
   }
 
+  /** The servers of the endpoint list by name. */
   public Map<String, ListedServer> servers() {
     return Map.copyOf(state.servers);
   }
 
+  /** The numbers of all tables. */
   public Set<Integer> tables() {
     return Set.copyOf(state.tables.keySet());
   }
 
-  /** A table's lines by server, without those taken out. */
-  public Map<String, Double> weights(int number) {
-    return state.table(number).weights();
+  /** A table's weights by server, without servers that were taken out. */
+  public Map<String, Double> weights(int table) {
+    return state.table(table).listedWeights();
   }
 
-  /** A table's levels by class. A way to repeat what must never run twice is not taken over. */
-  public Map<Integer, AdmissionLevel> admissionLevels(int number, List<Idempotency> effects) {
-    return state.table(number).levels(effects);
+  /**
+   * A table's admission levels by request class, with retries limited to what is safe for the
+   * class.
+   *
+   * @param idempotencies by request class
+   */
+  public Map<Integer, AdmissionLevel> admissionLevels(int table, List<Idempotency> idempotencies) {
+    return state.table(table).safeAdmissionLevels(idempotencies);
   }
 
-  /** Servers that are out, as last ordered. */
+  /** The names of the servers that are ejected. */
   public Set<String> ejectedServers() {
-    Set<String> out = new HashSet<>();
+    Set<String> ejected = new HashSet<>();
     state.ejections.forEach(
         (server, ejection) -> {
-          if (ejection.out()) {
-            out.add(server);
+          if (ejection.isEjected()) {
+            ejected.add(server);
           }
         });
-    return out;
+    return ejected;
   }
 
   // Events.
 
-  /** What a proxy that joins lacks; null where it must get its table whole. */
-  public CatchUp onProxyJoined(int proxy, boolean fresh) {
-    marks.forget(proxy);
-    LedgerCodec.Proxy known = state.proxies.get(proxy);
-    if (known == null || fresh || shared) {
-      // Its own word wins: a fresh one holds nothing, whatever was ordered.
-      if (state.proxies.remove(proxy) != null) {
-        changed.add(LedgerCodec.PROXY + proxy);
-      }
-      return null;
+  /**
+   * A proxy has joined.
+   *
+   * @param isFresh the proxy says that it holds no table
+   * @return what it lacks of the table that it holds; empty where it needs the complete table
+   */
+  public Optional<CatchUp> onProxyJoined(int proxy, boolean isFresh) {
+    outstandingAcks.forget(proxy);
+    ProxyEntry entry = state.proxies.get(proxy);
+    if (entry == null) {
+      return Optional.empty();
+    }
+    if (isFresh || isFleetShared) {
+      state.proxies.remove(proxy);
+      current.addChange(LedgerKey.ofProxy(proxy));
+      return Optional.empty();
+    }
+    return CatchUpBuilder.build(state, entry);
+  }
+
+  /** A proxy has left: acknowledgements that it owes will not arrive. */
+  public void onProxyLeft(int proxy) {
+    outstandingAcks.forget(proxy);
+  }
+
+  /** A proxy has acknowledged a request and all before it; one that it was not sent is ignored. */
+  public void onAcknowledgement(int proxy, int number) {
+    ProxyEntry entry = state.proxies.get(proxy);
+    if (entry == null) {
+      return;
+    }
+    OptionalLong acknowledged = outstandingAcks.acknowledge(proxy, number);
+    if (acknowledged.isPresent()) {
+      state.proxies.put(
+          proxy,
+          new ProxyEntry(entry.table(), entry.completeIteration(), acknowledged.getAsLong()));
+      current.addChange(LedgerKey.ofProxy(proxy));
     }
-    return CatchUpBuilder.of(state, known);
   }
 
   /**
-   * A start takes the list as it is merged, in a turn of its own, so that who holds something else
-   * hears of it: lines of servers that it does not name are taken out, and a server that is back is
-   * let in again.
+   * A start has merged its endpoint list. Servers that it does not name are taken out of all
+   * tables, and ready ones are reinstated, so that proxies which hold something else are notified.
    */
-  public void start(Iterable<ListedServer> list, long nowUs) {
-    Set<String> named = new HashSet<>();
-    list.forEach(
-        server -> {
-          named.add(server.name());
-          if (server.lifecycle() == Lifecycle.READY && state.ejections.containsKey(server.name())) {
-            setEjected(server.name(), false, nowUs);
-          }
-        });
-    for (int number : tables()) {
-      weights(number).keySet().stream()
-          .filter(s -> !named.contains(s))
-          .forEach(s -> setWeight(number, s, 0));
+  public void onListRecovered(Iterable<ListedServer> servers, long nowUs) {
+    Set<String> listed = new HashSet<>();
+    for (ListedServer server : servers) {
+      listed.add(server.name());
+      if (server.lifecycle() == Lifecycle.READY && state.ejections.containsKey(server.name())) {
+        setEjected(server.name(), false, nowUs);
+      }
+    }
+    for (int table : tables()) {
+      weights(table).keySet().stream()
+          .filter(server -> !listed.contains(server))
+          .forEach(server -> setWeight(table, server, 0));
     }
-    Set<String> unknown = new HashSet<>(state.ejections.keySet());
-    unknown.addAll(state.servers.keySet());
-    unknown.removeAll(named);
-    unknown.forEach(this::forgetServer);
-    ordered = true;
+    Set<String> unlisted = new HashSet<>(state.ejections.keySet());
+    unlisted.addAll(state.servers.keySet());
+    unlisted.removeAll(listed);
+    unlisted.forEach(this::forgetServer);
+    current.addCommand();
   }
 
   /**
-   * What the list says now; a whole one says of servers that it does not name that they are gone.
+   * The endpoint list has changed.
+   *
+   * @param isComplete whether servers that are not named are removed
    */
-  public void onEndpointList(long listGeneration, boolean whole, List<ListedServer> said) {
-    if (whole) {
-      Set<String> missing = new HashSet<>(state.servers.keySet());
-      said.forEach(one -> missing.remove(one.name()));
-      state.servers.keySet().removeAll(missing);
-      missing.forEach(name -> changed.add(LedgerCodec.SERVER + name));
+  public void onEndpointList(long generation, boolean isComplete, List<ListedServer> servers) {
+    if (isComplete) {
+      removeServersExcept(servers);
     }
-    if (listGeneration != state.generation) {
-      state.generation = listGeneration;
-      changed.add(LedgerCodec.LIST);
+    if (generation != state.listGeneration) {
+      state.listGeneration = generation;
+      current.addChange(LedgerKey.LIST_GENERATION);
     }
-    for (ListedServer one : said) {
-      if (!one.equals(state.servers.put(one.name(), one))) {
-        changed.add(LedgerCodec.SERVER + one.name());
+    for (ListedServer server : servers) {
+      if (!server.equals(state.servers.put(server.name(), server))) {
+        current.addChange(LedgerKey.ofServer(server.name()));
       }
     }
   }
 
+  private void removeServersExcept(List<ListedServer> listed) {
+    Set<String> missing = new HashSet<>(state.servers.keySet());
+    listed.forEach(server -> missing.remove(server.name()));
+    state.servers.keySet().removeAll(missing);
+    missing.forEach(server -> current.addChange(LedgerKey.ofServer(server)));
+  }
+
+  /** Forgets a server that was removed from the endpoint list. */
   public void forgetServer(String server) {
     if (state.servers.remove(server) != null) {
-      changed.add(LedgerCodec.SERVER + server);
+      current.addChange(LedgerKey.ofServer(server));
     }
     if (state.ejections.remove(server) != null) {
-      changed.add(LedgerCodec.EJECTION + server);
-    }
-  }
-
-  public void onProxyLeft(int proxy) {
-    marks.forget(proxy);
-  }
-
-  /** A proxy has applied all up to a mark. */
-  public void onAcknowledgement(int proxy, int number) {
-    LedgerCodec.Proxy known = state.proxies.get(proxy);
-    long at = known == null ? OutstandingAcks.NOT_SENT : marks.answer(proxy, number);
-    if (at != OutstandingAcks.NOT_SENT) {
-      state.proxies.put(proxy, new LedgerCodec.Proxy(known.table(), known.whole(), at));
-      changed.add(LedgerCodec.PROXY + proxy);
+      current.addChange(LedgerKey.ofEjection(server));
     }
   }
 
-  // Orders.
+  // Commands.
 
-  public void setWeight(int number, String server, double weight) {
-    LedgerTable table = state.table(number);
-    if (weight > 0 || table.lines.containsKey(server)) {
-      table.lines.put(server, new LedgerCodec.Line(Math.max(0, weight), turn + 1));
-      changed.add(LedgerCodec.lineKey(number, server));
-      ordered = true;
+  /** Sets the weight of a server in a table; 0 takes it out. */
+  public void setWeight(int table, String server, double weight) {
+    Map<String, WeightEntry> weights = state.table(table).weights;
+    if (weight > 0 || weights.containsKey(server)) {
+      weights.put(server, new WeightEntry(Math.max(0, weight), iteration + 1));
+      current.addCommand(LedgerKey.ofWeight(table, server));
     }
   }
 
+  /** Takes all servers and admission levels out of a table. */
   public void clearTable(int number) {
     weights(number).keySet().forEach(server -> setWeight(number, server, 0));
     LedgerTable table = state.table(number);
-    table.levels.keySet().forEach(grade -> changed.add(LedgerCodec.levelKey(number, grade)));
-    table.levels.clear();
-    // That levels are gone can't be told a proxy by its lines: it gets the table whole.
-    floor(number, table, turn + 1);
-    ordered = true;
-  }
-
-  private void floor(int number, LedgerTable table, long at) {
-    table.floor = at;
-    changed.add(LedgerCodec.floorKey(number));
-  }
-
-  /** A server is out, or back; what was said already is not said again. */
-  public void setEjected(String server, boolean out, long nowUs) {
-    LedgerCodec.Ejection old = state.ejections.get(server);
-    if (old != null && old.out() == out) {
+    table
+        .admissions
+        .keySet()
+        .forEach(
+            requestClass -> current.addChange(LedgerKey.ofAdmissionLevel(number, requestClass)));
+    table.admissions.clear();
+    // No update says that an admission level is gone: proxies need the complete table.
+    setHistoryStart(number, table, iteration + 1);
+    current.addCommand();
+  }
+
+  private void setHistoryStart(int number, LedgerTable table, long start) {
+    table.historyStart = start;
+    current.addChange(LedgerKey.ofHistoryStart(number));
+  }
+
+  /** Ejects or reinstates a server; no change where it is in that state already. */
+  public void setEjected(String server, boolean isEjected, long nowUs) {
+    EjectionEntry old = state.ejections.get(server);
+    if (old != null && old.isEjected() == isEjected) {
       return;
     }
-    state.ejections.put(server, new LedgerCodec.Ejection(out, turn + 1, nowUs));
-    changed.add(LedgerCodec.EJECTION + server);
-    ordered = true;
+    state.ejections.put(server, new EjectionEntry(isEjected, iteration + 1, nowUs));
+    current.addCommand(LedgerKey.ofEjection(server));
   }
 
-  /** A proxy is bound for all classes to one table; {@code whole}: it is sent all of it. */
-  public void bindProxy(int proxy, int number, boolean whole) {
-    LedgerCodec.Proxy known = state.proxies.get(proxy);
-    state.proxies.put(
-        proxy, whole || known == null ? new LedgerCodec.Proxy(number, turn + 1, 0) : known);
-    changed.add(LedgerCodec.PROXY + proxy);
-    ordered = true;
+  /**
+   * Binds a proxy to one table for all request classes.
+   *
+   * @param isSentComplete whether it is sent the complete table
+   */
+  public void bindProxy(int proxy, int table, boolean isSentComplete) {
+    ProxyEntry old = state.proxies.get(proxy);
+    if (isSentComplete || old == null) {
+      state.proxies.put(proxy, new ProxyEntry(table, iteration + 1, 0));
+    }
+    current.addCommand(LedgerKey.ofProxy(proxy));
   }
 
-  /** A proxy is bound in another way than this ledger can tell: it always gets its tables whole. */
+  /** A proxy follows several tables, which the ledger does not track: it gets complete ones. */
   public void unbindProxy(int proxy) {
     state.proxies.remove(proxy);
-    changed.add(LedgerCodec.PROXY + proxy);
+    current.addChange(LedgerKey.ofProxy(proxy));
   }
 
-  public void setAdmission(int number, int grade, AdmissionLevel level) {
-    state.table(number).levels.put(grade, new LedgerCodec.LevelAt(level, turn + 1));
-    changed.add(LedgerCodec.levelKey(number, grade));
-    ordered = true;
+  /** Sets a table's admission level for one request class. */
+  public void setAdmission(int table, int requestClass, AdmissionLevel level) {
+    state.table(table).admissions.put(requestClass, new AdmissionEntry(level, iteration + 1));
+    current.addCommand(LedgerKey.ofAdmissionLevel(table, requestClass));
   }
 
-  public void lastAckNumber(int number) {
-    mark = number;
-    marked = number;
-    ordered = true;
+  /** The messages of this iteration request an acknowledgement. */
+  public void requestAck(int number) {
+    lastAckNumber = number;
+    current.addAckRequest(number);
   }
 
-  /** A message of this turn goes to a proxy. */
+  // The end of an iteration.
+
+  /** A message of this iteration is sent to a proxy. */
   public void onMessageSent(int proxy) {
-    sent.add(proxy);
+    current.addRecipient(proxy);
   }
 
-  /** A sign of life is due: without it a calm assigner's store would look as if left long ago. */
+  /** Makes this iteration store a record even if nothing changed, as proof of a running process. */
   public void requestHeartbeat() {
-    alive = true;
+    current.requestHeartbeat();
   }
 
   /**
-   * Ends the turn.
+   * Ends the iteration.
    *
-   * @return its changes by key, null for one that is gone; null where there are none
+   * @return what is to be made durable; empty for nothing
    */
-  public Map<String, byte[]> endIteration(long nowUs) {
-    if (ordered) {
-      turn++;
-      for (int proxy : marked >= 0 ? sent : Set.<Integer>of()) {
-        marks.add(proxy, marked, turn);
-      }
+  public Optional<LedgerChanges> endIteration(long nowUs) {
+    if (current.hasCommands()) {
+      iteration++;
+      current.requestedAck().ifPresent(this::addOutstandingAcks);
     }
-    boolean due = ordered;
-    ordered = false;
-    marked = -1;
-    sent.clear();
-    due |= alive;
-    alive = false;
-    if (changed.isEmpty() && !due) {
-      return null;
+    if (!current.isRecordDue()) {
+      current.clear();
+      return Optional.empty();
     }
-    prune();
+    pruneTables();
     timeUs = Math.max(timeUs, nowUs);
-    Map<String, byte[]> out = new LinkedHashMap<>();
-    changed.remove(LedgerCodec.META);
-    for (String key : changed) {
-      out.put(key, state.value(key));
+    LedgerChanges changes = collectChanges();
+    current.clear();
+    return Optional.of(changes);
+  }
+
+  private void addOutstandingAcks(int number) {
+    current.recipients().forEach(proxy -> outstandingAcks.add(proxy, number, iteration));
+  }
+
+  private LedgerChanges collectChanges() {
+    List<LedgerChanges.Change> changes = new ArrayList<>();
+    for (LedgerKey key : current.changedKeys()) {
+      changes.add(new LedgerChanges.Change(key.text(), state.encodedValue(key)));
     }
-    changed.clear();
-    out.put(
-        LedgerCodec.META,
-        LedgerCodec.of(new LedgerCodec.Meta(epoch, turn, timeUs, mark, settings)));
-    return out;
+    LedgerHeader header = new LedgerHeader(epoch, iteration, timeUs, lastAckNumber, siteNames);
+    changes.add(
+        new LedgerChanges.Change(LedgerKey.HEADER.text(), Optional.of(LedgerCodec.encode(header))));
+    return new LedgerChanges(changes);
   }
 
-  /**
-   * Lines that were taken out go once every proxy of the table has answered for it, or are too
-   * many: then who has not answered since the youngest that went gets its table whole. Else each
-   * server that ever was would stay.
-   */
-  private void prune() {
+  private void pruneTables() {
     state.tables.forEach(
         (number, table) -> {
-          if (!table.isToBePruned()) {
-            return;
-          }
-          long answered =
-              state.proxies.values().stream()
-                  .filter(p -> p.table() == number)
-                  .mapToLong(LedgerCodec.Proxy::applied)
-                  .min()
-                  .orElse(turn);
-          long upTo = table.pruneTurn(answered);
-          if (upTo > answered) {
-            floor(number, table, Math.max(table.floor, upTo));
+          if (table.needsPruning()) {
+            prune(number, table);
           }
-          table.prune(upTo).forEach(server -> changed.add(LedgerCodec.lineKey(number, server)));
         });
   }
+
+  /**
+   * Drops entries of servers that were taken out, once all proxies of the table have acknowledged
+   * that or the entries are too many. In the second case, proxies that lag behind will get the
+   * complete table.
+   */
+  private void prune(int number, LedgerTable table) {
+    long acknowledgedByAll =
+        state.proxies.values().stream()
+            .filter(proxy -> proxy.table() == number)
+            .mapToLong(ProxyEntry::acknowledgedIteration)
+            .min()
+            .orElse(iteration);
+    long limit = table.pruneLimit(acknowledgedByAll);
+    if (limit > acknowledgedByAll) {
+      setHistoryStart(number, table, Math.max(table.historyStart, limit));
+    }
+    for (String server : table.prune(limit)) {
+      current.addChange(LedgerKey.ofWeight(number, server));
+    }
+  }
 }
--- /dev/null
+++ b/src/main/java/pearusher/recovery/LedgerChanges.java
@@ -0,0 +1,31 @@
+package pearusher.recovery;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.function.BiConsumer;
+import java.util.function.Consumer;
+
+/**
+ * The changes of one event-loop iteration, which become durable together or not at all.
+ *
+ * @param changes in the order in which the keys were first changed; the header is the last
+ */
+public record LedgerChanges(List<Change> changes) {
+
+  /**
+   * The new value of a key.
+   *
+   * @param value empty: the key is deleted
+   */
+  public record Change(String key, Optional<byte[]> value) {}
+
+  /** Calls one of two methods for each change, in order. */
+  public void forEach(BiConsumer<String, byte[]> put, Consumer<String> delete) {
+    for (Change change : changes) {
+      change
+          .value()
+          .ifPresentOrElse(
+              value -> put.accept(change.key(), value), () -> delete.accept(change.key()));
+    }
+  }
+}
--- a/src/main/java/pearusher/recovery/LedgerCodec.java
+++ b/src/main/java/pearusher/recovery/LedgerCodec.java
@@ -9,239 +9,160 @@
 import pearusher.policy.AdmissionLevel;
 import pearusher.policy.Lifecycle;
 
-/**
- * The store's keys and the bytes of their values, specified in docs/store.md; the one place that
- * knows them.
- */
+/** Encodes and decodes the stored values of the ledger, as docs/store.md specifies them. */
 final class LedgerCodec {
-  static final String META = "m";
-  static final String LIST = "g";
-  static final String SERVER = "s/";
-  static final String EJECTION = "w/";
-  static final String PROXY = "p/";
-  static final String TABLE = "t/";
-  static final String LINE = "/l/";
-  static final String LEVEL = "/v/";
-  static final String FLOOR = "/f";
-
-  /** What a key names. */
-  enum Kind {
-    LINE,
-    LEVEL,
-    FLOOR,
-    OTHER_OF_TABLE,
-    EJECTION,
-    PROXY,
-    SERVER,
-    LIST,
-    OTHER
+  /** Writes the fields of one value. */
+  private interface FieldWriter {
+    void writeTo(DataOutputStream output) throws IOException;
   }
 
+  /** Reads the fields of one value. */
+  interface FieldReader<T> {
+    T readFrom(DataInputStream input) throws IOException;
+  }
+
+  private static final int USUAL_VALUE_BYTES = 32;
+
+  private LedgerCodec() {}
+
   /**
-   * A key, read.
+   * Decodes a value.
    *
-   * @param table the table's number, of the first four kinds
-   * @param name what follows: a server's name, or the number of a proxy or class
+   * @throws IOException if the bytes are too few or too many
    */
-  record Key(Kind kind, int table, String name) {
-    static Key of(String key) {
-      if (key.startsWith(TABLE)) {
-        return ofTable(key);
+  static <T> T decode(byte[] bytes, FieldReader<T> reader) throws IOException {
+    try (DataInputStream input = new DataInputStream(new ByteArrayInputStream(bytes))) {
+      T value = reader.readFrom(input);
+      if (input.available() > 0) {
+        throw new IOException(input.available() + " bytes too many");
       }
-      if (key.startsWith(EJECTION)) {
-        return new Key(Kind.EJECTION, 0, key.substring(EJECTION.length()));
-      }
-      if (key.startsWith(PROXY)) {
-        return new Key(Kind.PROXY, 0, key.substring(PROXY.length()));
-      }
-      if (key.startsWith(SERVER)) {
-        return new Key(Kind.SERVER, 0, key.substring(SERVER.length()));
-      }
-      return new Key(key.equals(LIST) ? Kind.LIST : Kind.OTHER, 0, "");
-    }
-
-    private static Key ofTable(String key) {
-      int end = key.indexOf('/', TABLE.length());
-      int table = Integer.parseInt(key.substring(TABLE.length(), end));
-      String rest = key.substring(end);
-      if (rest.startsWith(LINE)) {
-        return new Key(Kind.LINE, table, rest.substring(LINE.length()));
-      }
-      if (rest.startsWith(LEVEL)) {
-        return new Key(Kind.LEVEL, table, rest.substring(LEVEL.length()));
-      }
-      return new Key(rest.equals(FLOOR) ? Kind.FLOOR : Kind.OTHER_OF_TABLE, table, "");
-    }
-
-    int number() {
-      return Integer.parseInt(name);
+      return value;
     }
   }
 
-  static String lineKey(int table, String server) {
-    return TABLE + table + LINE + server;
-  }
-
-  static String levelKey(int table, int grade) {
-    return TABLE + table + LEVEL + grade;
-  }
-
-  static String floorKey(int table) {
-    return TABLE + table + FLOOR;
-  }
-
-  /** The ledger as a whole. {@code settings}: names of the assigner, zones and classes. */
-  record Meta(long epoch, long turn, long timeUs, int mark, String settings) {}
-
-  record Line(double weight, long turn) {}
-
-  record LevelAt(AdmissionLevel level, long turn) {}
-
-  /** A server that is out or back. */
-  record Ejection(boolean out, long turn, long timeUs) {}
-
-  /** A proxy: its table, the turn that brought it whole, and the last one it has answered for. */
-  record Proxy(int table, long whole, long applied) {}
-
-  private interface Body {
-    void write(DataOutputStream to) throws IOException;
-  }
-
-  /** Reads a value. */
-  interface Reader<T> {
-    T read(DataInputStream from) throws IOException;
-  }
-
-  private LedgerCodec() {}
-
-  private static byte[] bytes(Body body) {
-    ByteArrayOutputStream out = new ByteArrayOutputStream(32);
-    try (DataOutputStream to = new DataOutputStream(out)) {
-      body.write(to);
+  private static byte[] encode(FieldWriter writer) {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_VALUE_BYTES);
+    try (DataOutputStream output = new DataOutputStream(bytes)) {
+      writer.writeTo(output);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    return out.toByteArray();
+    return bytes.toByteArray();
   }
 
-  /** Reads a value that must be there whole and no longer. */
-  static <T> T read(byte[] bytes, Reader<T> reader) throws IOException {
-    try (DataInputStream from = new DataInputStream(new ByteArrayInputStream(bytes))) {
-      T out = reader.read(from);
-      if (from.available() > 0) {
-        throw new IOException(from.available() + " bytes too many");
-      }
-      return out;
-    }
+  static byte[] encode(long number) {
+    return encode(output -> output.writeLong(number));
   }
 
-  static byte[] of(Meta m) {
-    return bytes(
-        to -> {
-          to.writeLong(m.epoch());
-          to.writeLong(m.turn());
-          to.writeLong(m.timeUs());
-          to.writeInt(m.mark());
-          to.writeUTF(m.settings());
+  static byte[] encode(LedgerHeader header) {
+    return encode(
+        output -> {
+          output.writeLong(header.epoch());
+          output.writeLong(header.iteration());
+          output.writeLong(header.timeUs());
+          output.writeInt(header.lastAckNumber());
+          output.writeUTF(header.siteNames());
         });
   }
 
-  static Meta meta(DataInputStream from) throws IOException {
-    return new Meta(
-        from.readLong(), from.readLong(), from.readLong(), from.readInt(), from.readUTF());
+  static LedgerHeader readHeader(DataInputStream input) throws IOException {
+    return new LedgerHeader(
+        input.readLong(), input.readLong(), input.readLong(), input.readInt(), input.readUTF());
   }
 
-  static byte[] of(Line l) {
-    return bytes(
-        to -> {
-          to.writeDouble(l.weight());
-          to.writeLong(l.turn());
+  static byte[] encode(WeightEntry entry) {
+    return encode(
+        output -> {
+          output.writeDouble(entry.weight());
+          output.writeLong(entry.iteration());
         });
   }
 
-  static Line line(DataInputStream from) throws IOException {
-    return new Line(from.readDouble(), from.readLong());
+  static WeightEntry readWeight(DataInputStream input) throws IOException {
+    return new WeightEntry(input.readDouble(), input.readLong());
   }
 
-  static byte[] of(LevelAt l) {
-    return bytes(
-        to -> {
-          to.writeDouble(l.level().probabilityOrRate());
-          to.writeByte(l.level().retry());
-          to.writeLong(l.turn());
+  static byte[] encode(AdmissionEntry entry) {
+    return encode(
+        output -> {
+          output.writeDouble(entry.level().probabilityOrRate());
+          output.writeByte(entry.level().retry());
+          output.writeLong(entry.iteration());
         });
   }
 
-  static LevelAt level(DataInputStream from) throws IOException {
-    return new LevelAt(new AdmissionLevel(from.readDouble(), from.readByte()), from.readLong());
+  static AdmissionEntry readAdmission(DataInputStream input) throws IOException {
+    AdmissionLevel level = new AdmissionLevel(input.readDouble(), input.readByte());
+    return new AdmissionEntry(level, input.readLong());
   }
 
-  static byte[] of(Ejection e) {
-    return bytes(
-        to -> {
-          to.writeBoolean(e.out());
-          to.writeLong(e.turn());
-          to.writeLong(e.timeUs());
+  static byte[] encode(EjectionEntry entry) {
+    return encode(
+        output -> {
+          output.writeBoolean(entry.isEjected());
+          output.writeLong(entry.iteration());
+          output.writeLong(entry.timeUs());
         });
   }
 
-  static Ejection ejection(DataInputStream from) throws IOException {
-    return new Ejection(from.readBoolean(), from.readLong(), from.readLong());
+  static EjectionEntry readEjection(DataInputStream input) throws IOException {
+    return new EjectionEntry(input.readBoolean(), input.readLong(), input.readLong());
   }
 
-  static byte[] of(Proxy p) {
-    return bytes(
-        to -> {
-          to.writeInt(p.table());
-          to.writeLong(p.whole());
-          to.writeLong(p.applied());
+  static byte[] encode(ProxyEntry entry) {
+    return encode(
+        output -> {
+          output.writeInt(entry.table());
+          output.writeLong(entry.completeIteration());
+          output.writeLong(entry.acknowledgedIteration());
         });
   }
 
-  static Proxy proxy(DataInputStream from) throws IOException {
-    return new Proxy(from.readInt(), from.readLong(), from.readLong());
+  static ProxyEntry readProxy(DataInputStream input) throws IOException {
+    return new ProxyEntry(input.readInt(), input.readLong(), input.readLong());
   }
 
-  // The order of the states is part of the stored format: new ones go to the end.
+  // The order of the lifecycle states is part of the stored format: new ones go to the end.
   @SuppressWarnings("EnumOrdinal")
-  static byte[] of(ListedServer s) {
-    return bytes(
-        to -> {
-          to.writeBoolean(s.hostPort() != null);
-          to.writeUTF(s.hostPort() == null ? "" : s.hostPort());
-          to.writeInt(s.zone());
-          to.writeInt(s.machineType());
-          to.writeInt(s.cell());
-          to.writeByte(s.lifecycle().ordinal());
-          to.writeDouble(s.weight());
-          to.writeLong(s.startedUs());
+  static byte[] encode(ListedServer server) {
+    return encode(
+        output -> {
+          output.writeBoolean(server.hostPort() != null);
+          output.writeUTF(server.hostPort() == null ? "" : server.hostPort());
+          output.writeInt(server.zone());
+          output.writeInt(server.machineType());
+          output.writeInt(server.cell());
+          output.writeByte(server.lifecycle().ordinal());
+          output.writeDouble(server.weight());
+          output.writeLong(server.startedUs());
         });
   }
 
-  // As above: the order of the states is part of the stored format.
-  @SuppressWarnings("EnumOrdinal")
-  static ListedServer server(String name, DataInputStream from) throws IOException {
-    boolean addressed = from.readBoolean();
-    String hostPort = from.readUTF();
-    int zone = from.readInt();
-    int kind = from.readInt();
-    int cell = from.readInt();
-    int state = from.readByte();
-    if (state < 0 || state >= Lifecycle.values().length) {
-      throw new IOException("no state " + state);
-    }
+  static ListedServer readServer(String name, DataInputStream input) throws IOException {
+    boolean hasAddress = input.readBoolean();
+    String hostPort = input.readUTF();
+    int zone = input.readInt();
+    int machineType = input.readInt();
+    int cell = input.readInt();
+    Lifecycle lifecycle = readLifecycle(input);
     return new ListedServer(
         name,
-        addressed ? hostPort : null,
+        hasAddress ? hostPort : null,
         zone,
-        kind,
+        machineType,
         cell,
-        Lifecycle.values()[state],
-        from.readDouble(),
-        from.readLong());
+        lifecycle,
+        input.readDouble(),
+        input.readLong());
   }
 
-  static byte[] of(long number) {
-    return bytes(to -> to.writeLong(number));
+  // As above: the order of the lifecycle states is part of the stored format.
+  @SuppressWarnings("EnumOrdinal")
+  private static Lifecycle readLifecycle(DataInputStream input) throws IOException {
+    int ordinal = input.readByte();
+    if (ordinal < 0 || ordinal >= Lifecycle.values().length) {
+      throw new IOException("no state " + ordinal);
+    }
+    return Lifecycle.values()[ordinal];
   }
 }
--- /dev/null
+++ b/src/main/java/pearusher/recovery/LedgerRecovery.java
@@ -0,0 +1,54 @@
+package pearusher.recovery;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+
+/** Makes the ledger of a start from the stored values, as far as they are trusted. */
+public final class LedgerRecovery {
+  private LedgerRecovery() {}
+
+  /**
+   * Makes a ledger from the values that a store holds. Values that are not trusted are deleted by
+   * the ledger's first iteration; the epoch, the iteration and the acknowledgement number go on
+   * from the stored ones all the same, since they must only rise.
+   *
+   * @param values by key as stored
+   */
+  public static Ledger recover(Map<String, byte[]> values, RecoveryConditions conditions) {
+    byte[] storedHeader = values.get(LedgerKey.HEADER.text());
+    LedgerHeader header = new LedgerHeader(0, 0, 0, 0, conditions.siteNames());
+    if (storedHeader == null) {
+      return new Ledger(header, RecoveryTrust.EMPTY, new LedgerState(), conditions);
+    }
+    LedgerState state = new LedgerState();
+    RecoveryTrust trust;
+    try {
+      header = LedgerCodec.decode(storedHeader, LedgerCodec::readHeader);
+      trust = conditions.assess(header);
+      for (Map.Entry<String, byte[]> stored : values.entrySet()) {
+        state.load(LedgerKey.parse(stored.getKey()), stored.getValue());
+      }
+    } catch (IOException | RuntimeException e) {
+      trust = RecoveryTrust.UNREADABLE;
+    }
+    if (trust.trustsTables()) {
+      return new Ledger(header, trust, state, conditions);
+    }
+    Ledger ledger = new Ledger(header, trust, new LedgerState(), conditions);
+    ledger.discard(keysWithoutHeader(values));
+    return ledger;
+  }
+
+  private static List<LedgerKey> keysWithoutHeader(Map<String, byte[]> values) {
+    List<LedgerKey> keys = new ArrayList<>();
+    for (String text : values.keySet()) {
+      LedgerKey key = LedgerKey.parseLeniently(text);
+      if (key.kind() != LedgerKey.Kind.HEADER) {
+        keys.add(key);
+      }
+    }
+    return keys;
+  }
+}
--- a/src/main/java/pearusher/recovery/LedgerTable.java
+++ b/src/main/java/pearusher/recovery/LedgerTable.java
@@ -4,91 +4,95 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.stream.Stream;
 import pearusher.policy.AdmissionLevel;
 import pearusher.policy.Idempotency;
 
 /**
- * One table of the ledger: its lines, also those taken out as long as proxies may hold them, and
- * its levels, each with the turn that ordered it. It grows with the servers that the table lists,
- * and with {@link #SPARE_LINES}.
+ * One table of the ledger: weight entries, also of servers that were taken out as long as proxies
+ * may hold them, and admission levels. Owned by the ledger's thread. It grows with the servers that
+ * the table lists, plus {@link #MAX_REMOVED_ENTRIES}.
  */
 final class LedgerTable {
-  /**
-   * Lines that were taken out are kept, so long as proxies may hold them, up to so many beside each
-   * table.
-   */
-  private static final int SPARE_LINES = 64;
+  /** Entries of servers that were taken out, above which a table is pruned. */
+  private static final int MAX_REMOVED_ENTRIES = 64;
 
   /**
-   * After a proof that the first try never ran a repeat is safe for every class; other ways are
-   * not.
+   * The highest retry mode that is safe for every request class: it retries only where the first
+   * attempt provably never ran.
    */
-  private static final int SAFE_RETRY = 1;
+  private static final int MAX_SAFE_RETRY = 1;
 
-  final Map<String, LedgerCodec.Line> lines = new TreeMap<>();
-  final Map<Integer, LedgerCodec.LevelAt> levels = new TreeMap<>();
+  final Map<String, WeightEntry> weights = new TreeMap<>();
+  final Map<Integer, AdmissionEntry> admissions = new TreeMap<>();
 
-  /** What a proxy lacks is known from this turn on only. */
-  long floor;
+  /** The iteration since which changes of the table are known; older history was dropped. */
+  long historyStart;
 
-  /** The weights by server, without lines taken out. */
-  Map<String, Double> weights() {
-    Map<String, Double> out = new TreeMap<>();
-    lines.forEach(
-        (server, line) -> {
-          if (line.weight() > 0) {
-            out.put(server, line.weight());
+  /** The weights by server, without servers that were taken out. */
+  Map<String, Double> listedWeights() {
+    Map<String, Double> listed = new TreeMap<>();
+    weights.forEach(
+        (server, entry) -> {
+          if (entry.isListed()) {
+            listed.put(server, entry.weight());
           }
         });
-    return out;
+    return listed;
   }
 
-  /** The levels by class. A way to repeat what must never run twice is not taken over. */
-  Map<Integer, AdmissionLevel> levels(List<Idempotency> effects) {
-    Map<Integer, AdmissionLevel> out = new TreeMap<>();
-    levels.forEach(
-        (grade, at) -> {
-          int retry =
-              effects.get(grade) == Idempotency.NOT_IDEMPOTENT
-                  ? Math.min(SAFE_RETRY, at.level().retry())
-                  : at.level().retry();
-          out.put(grade, new AdmissionLevel(at.level().probabilityOrRate(), retry));
-        });
-    return out;
+  /**
+   * The admission levels by request class, with retries limited to what is safe for the class.
+   *
+   * @param idempotencies by request class
+   */
+  Map<Integer, AdmissionLevel> safeAdmissionLevels(List<Idempotency> idempotencies) {
+    Map<Integer, AdmissionLevel> levels = new TreeMap<>();
+    admissions.forEach(
+        (requestClass, entry) ->
+            levels.put(requestClass, safeLevel(entry.level(), idempotencies.get(requestClass))));
+    return levels;
+  }
+
+  private static AdmissionLevel safeLevel(AdmissionLevel level, Idempotency idempotency) {
+    if (idempotency != Idempotency.NOT_IDEMPOTENT) {
+      return level;
+    }
+    int retry = Math.min(MAX_SAFE_RETRY, level.retry());
+    return new AdmissionLevel(level.probabilityOrRate(), retry);
   }
 
-  /** Whether more lines that were taken out are kept than may be. */
-  boolean isToBePruned() {
-    return lines.values().stream().filter(l -> l.weight() <= 0).count() > SPARE_LINES;
+  private Stream<WeightEntry> removedEntries() {
+    return weights.values().stream().filter(entry -> !entry.isListed());
+  }
+
+  boolean needsPruning() {
+    return removedEntries().count() > MAX_REMOVED_ENTRIES;
   }
 
   /**
-   * Up to which turn lines that were taken out are to go: those for which every proxy has answered,
-   * and the older half in any case.
+   * The iteration up to which removed entries are to be pruned: those that every proxy has
+   * acknowledged, and the older half in any case. There must be removed entries.
    */
-  long pruneTurn(long answeredTurn) {
-    long[] turns =
-        lines.values().stream()
-            .filter(l -> l.weight() <= 0)
-            .mapToLong(LedgerCodec.Line::turn)
-            .sorted()
-            .toArray();
-    return Math.max(answeredTurn, turns[turns.length / 2]);
+  long pruneLimit(long acknowledgedByAll) {
+    long[] iterations = removedEntries().mapToLong(WeightEntry::iteration).sorted().toArray();
+    return Math.max(acknowledgedByAll, iterations[iterations.length / 2]);
   }
 
-  /** Drops the lines that were taken out up to a turn, and returns their servers. */
-  List<String> prune(long upTo) {
-    List<String> out = new ArrayList<>();
-    lines
-        .entrySet()
-        .removeIf(
-            e -> {
-              boolean old = e.getValue().weight() <= 0 && e.getValue().turn() <= upTo;
-              if (old) {
-                out.add(e.getKey());
-              }
-              return old;
-            });
-    return out;
+  /**
+   * Drops the entries of servers that were taken out up to an iteration.
+   *
+   * @return the servers whose entries were dropped
+   */
+  List<String> prune(long upToIteration) {
+    List<String> pruned = new ArrayList<>();
+    weights.forEach(
+        (server, entry) -> {
+          if (!entry.isListed() && entry.iteration() <= upToIteration) {
+            pruned.add(server);
+          }
+        });
+    weights.keySet().removeAll(pruned);
+    return pruned;
   }
 }
--- a/src/main/java/pearusher/recovery/ListedServer.java
+++ b/src/main/java/pearusher/recovery/ListedServer.java
@@ -4,7 +4,10 @@
 import pearusher.policy.Lifecycle;
 
 /**
- * What the list last said of a server; positions and times as in {@link AssignmentPolicy.Entry}.
+ * The last entry of the endpoint list for a server; positions and times as in {@link
+ * AssignmentPolicy.Entry}.
+ *
+ * @param hostPort null where the list gives no address
  */
 public record ListedServer(
     String name,
@@ -14,4 +17,9 @@
     int cell,
     Lifecycle lifecycle,
     double weight,
-    long startedUs) {}
+    long startedUs) {
+
+  ListedServer withLifecycle(Lifecycle other) {
+    return new ListedServer(name, hostPort, zone, machineType, cell, other, weight, startedUs);
+  }
+}
--- a/src/main/java/pearusher/recovery/Outbox.java
+++ b/src/main/java/pearusher/recovery/Outbox.java
@@ -5,60 +5,73 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps orders back until they are durable, and lets them go in the order in which they were given.
- * Once it is given up, since the disk failed or takes too long, all goes at once and nothing is
- * kept any more: a drain that waits for a disk would break its rule, a lost record only costs the
- * next start a whole table.
+ * Holds messages back until the commands in them are durable, and sends them in the order in which
+ * they were offered. Once the store is abandoned, since it failed or takes too long, everything is
+ * sent at once: a server that drains must not wait for a disk, and a lost record only costs the
+ * next start a complete table for each proxy.
  *
- * @param <M> an order on its way; callers guard it by a lock of theirs
+ * <p>Not thread-safe: callers guard it by a lock of theirs. It grows with the messages that wait.
+ *
+ * @param <M> a message
  */
 public final class Outbox<M> {
-  private record Held<M>(long ticket, long sinceUs, List<M> messages) {}
+  private record HeldMessages<M>(long commitNumber, long offeredUs, List<M> messages) {}
+
+  /** What {@link #offer} returns for messages that were sent at once. */
+  public static final long SENT = 0;
 
-  private final ArrayDeque<Held<M>> held = new ArrayDeque<>();
-  private final Consumer<M> out;
-  private final long patienceUs;
-  private long tickets;
-  private boolean open;
+  private final ArrayDeque<HeldMessages<M>> held = new ArrayDeque<>();
+  private final Consumer<M> sender;
+  private final long maxDelayUs;
+  private long lastCommitNumber;
+  private boolean isAbandoned;
 
-  public Outbox(Consumer<M> out, long patienceUs) {
-    this.out = out;
-    this.patienceUs = patienceUs;
+  /**
+   * An outbox that holds messages back.
+   *
+   * @param sender called with each message that may be sent
+   * @param maxDelayUs the longest time in microseconds that messages should be held back
+   */
+  public Outbox(Consumer<M> sender, long maxDelayUs) {
+    this.sender = sender;
+    this.maxDelayUs = maxDelayUs;
   }
 
   /**
-   * Takes a turn's messages.
+   * Takes the messages of one event-loop iteration.
    *
-   * @return the ticket that lets them go once it is confirmed; 0 if they went at once
+   * @return the commit number to {@linkplain #release release} them by, or {@link #SENT}
    */
   public long offer(List<M> messages, long nowUs) {
-    if (open) {
-      messages.forEach(out);
-      return 0;
+    if (isAbandoned) {
+      messages.forEach(sender);
+      return SENT;
     }
-    held.add(new Held<>(++tickets, nowUs, List.copyOf(messages)));
-    return tickets;
+    lastCommitNumber++;
+    held.add(new HeldMessages<>(lastCommitNumber, nowUs, List.copyOf(messages)));
+    return lastCommitNumber;
   }
 
-  /** All up to this ticket is durable. */
-  public void release(long ticket) {
-    while (!held.isEmpty() && held.peek().ticket() <= ticket) {
-      held.poll().messages().forEach(out);
+  /** Sends all messages up to a commit number, which are durable now. */
+  public void release(long commitNumber) {
+    while (!held.isEmpty() && held.peek().commitNumber() <= commitNumber) {
+      held.poll().messages().forEach(sender);
     }
   }
 
-  /** Whether something has waited for longer than it may. */
+  /** Whether messages were held back for longer than they should be. */
   public boolean isOverdue(long nowUs) {
-    return !held.isEmpty() && nowUs - held.peek().sinceUs() > patienceUs;
+    return !held.isEmpty() && nowUs - held.peek().offeredUs() > maxDelayUs;
   }
 
+  /** The number of iterations whose messages are held back. */
   public int size() {
     return held.size();
   }
 
-  /** The store is given up for good; what waits goes now. */
+  /** Sends what is held back, and from now on everything at once. */
   public void abandon() {
-    open = true;
+    isAbandoned = true;
     release(Long.MAX_VALUE);
   }
 }
--- a/src/main/java/pearusher/recovery/RecoveredServerList.java
+++ b/src/main/java/pearusher/recovery/RecoveredServerList.java
@@ -7,51 +7,52 @@
 import pearusher.policy.Lifecycle;
 
 /**
- * The list of servers that a start begins with, made of the one it was given and the one in the
- * store.
+ * The endpoint list that a start begins with, merged from the configured and the stored one.
  *
- * @param generation from which discovery is asked for changes; 0: for the whole list
+ * @param generation the one since which discovery is asked for changes; 0: it is asked for the
+ *     complete list
  */
 public record RecoveredServerList(long generation, List<ListedServer> servers) {
 
   /**
-   * The newer of two lists. Where the older one says of a server, in the same life of it, that it
-   * drains or is gone, that holds: a list's number may have begun anew, and a server is rather
-   * missed for a moment than revived. Discovery then is asked for the whole list, which settles it.
+   * Merges the newer of two lists with what the older one says of draining and removed servers.
+   * Where the older list calls the same incarnation of a server draining or removed, that stays: a
+   * list's generation may have begun anew, and missing a server for a moment is better than using
+   * one that is gone. Discovery is then asked for the complete list.
    */
-  public static RecoveredServerList merge(RecoveredServerList given, Ledger ledger) {
+  public static RecoveredServerList merge(RecoveredServerList configured, Ledger ledger) {
     if (!ledger.trust().trustsTables() || ledger.servers().isEmpty()) {
-      return given;
+      return configured;
     }
     RecoveredServerList stored =
         new RecoveredServerList(ledger.generation(), List.copyOf(ledger.servers().values()));
-    boolean newer = stored.generation() >= given.generation();
-    RecoveredServerList base = newer ? stored : given;
-    Map<String, ListedServer> other = new HashMap<>();
-    (newer ? given : stored).servers().forEach(s -> other.put(s.name(), s));
-    List<ListedServer> out = new ArrayList<>();
-    boolean settled = true;
-    for (ListedServer one : base.servers()) {
-      ListedServer old = other.get(one.name());
-      boolean worse =
-          old != null
-              && one.lifecycle() == Lifecycle.READY
-              && old.lifecycle() != one.lifecycle()
-              && old.startedUs() >= one.startedUs();
-      settled &= !worse;
-      out.add(
-          !worse
-              ? one
-              : new ListedServer(
-                  one.name(),
-                  one.hostPort(),
-                  one.zone(),
-                  one.machineType(),
-                  one.cell(),
-                  old.lifecycle(),
-                  one.weight(),
-                  one.startedUs()));
+    return stored.generation() >= configured.generation()
+        ? mergeInto(stored, configured)
+        : mergeInto(configured, stored);
+  }
+
+  private static RecoveredServerList mergeInto(
+      RecoveredServerList newer, RecoveredServerList older) {
+    Map<String, ListedServer> olderByName = new HashMap<>();
+    older.servers().forEach(server -> olderByName.put(server.name(), server));
+    List<ListedServer> merged = new ArrayList<>();
+    boolean isConsistent = true;
+    for (ListedServer server : newer.servers()) {
+      ListedServer olderEntry = olderByName.get(server.name());
+      if (olderEntry != null && wouldRevive(server, olderEntry)) {
+        merged.add(server.withLifecycle(olderEntry.lifecycle()));
+        isConsistent = false;
+      } else {
+        merged.add(server);
+      }
     }
-    return new RecoveredServerList(settled ? base.generation() : 0, out);
+    return new RecoveredServerList(isConsistent ? newer.generation() : 0, merged);
+  }
+
+  /** Whether a server is ready by the newer list only, in an incarnation that the older knows. */
+  private static boolean wouldRevive(ListedServer newer, ListedServer older) {
+    return newer.lifecycle() == Lifecycle.READY
+        && older.lifecycle() != Lifecycle.READY
+        && older.startedUs() >= newer.startedUs();
   }
 }
--- a/src/main/java/pearusher/recovery/package-info.java
+++ b/src/main/java/pearusher/recovery/package-info.java
@@ -1,7 +1,8 @@
 /**
- * What of an assigner's orders becomes durable, when it may be sent, and what a start makes of it.
- * It is free of I/O, threads and clocks: times are arguments, files are the store's. It must never
- * order anything: what it found goes to the module, which has the last word, and what it knows of a
- * proxy gives way to the proxy's own.
+ * Recovery after a restart: the ledger of commands that is made durable, the outbox that holds
+ * messages back until it is, and what a start may take over from it. The package is free of I/O,
+ * threads and clocks: times are arguments, and storing the changes is the caller's. It issues no
+ * commands: the policy decides what to do with what was recovered, and where a proxy reports what
+ * it holds, its report has precedence.
  */
 package pearusher.recovery;
