--- a/src/bench/java/pearusher/store/StoreBench.java
+++ b/src/bench/java/pearusher/store/StoreBench.java
@@ -152,7 +152,7 @@
     return new Engine() {
       @Override
       public void append(WriteBatch batch) {
-        batch.changes().forEach(map::put);
+        batch.changes().forEach((key, value) -> map.put(key, value.orElseThrow()));
       }
 
       @Override
@@ -187,7 +187,7 @@
       @Override
       public void append(WriteBatch batch) throws IOException {
         log.append(batch);
-        batch.changes().forEach(map::put);
+        batch.changes().forEach((key, value) -> map.put(key, value.orElseThrow()));
         if (++appends % 1000 == 0) {
           store.commit();
         }
@@ -294,7 +294,7 @@
         long before = used();
         long start = System.nanoTime();
         try (Store store = Store.open(new FileDisk(dir), StoreOptions.DEFAULT)) {
-          Store.Recovered found = store.recovered();
+          Store.Recovered found = store.takeRecovered();
           best = Math.min(best, System.nanoTime() - start);
           System.gc();
           memory = used() - before;
--- a/src/main/java/pearusher/cli/StoreCommand.java
+++ b/src/main/java/pearusher/cli/StoreCommand.java
@@ -11,6 +11,7 @@
 import pearusher.store.FileDisk;
 import pearusher.store.Inspection;
 import pearusher.store.Store;
+import pearusher.store.StoreCopy;
 import pearusher.store.StoreOptions;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -187,7 +188,7 @@
     public Integer call() throws IOException {
       FileDisk into = new FileDisk(to);
       into.createDirectory();
-      out().println("copied up to record " + Store.copy(disk(), into));
+      out().println("copied up to record " + StoreCopy.write(disk(), into));
       out().flush();
       return 0;
     }
@@ -208,7 +209,7 @@
     public Integer call() throws IOException {
       FileDisk into = disk();
       into.createDirectory();
-      out().println("restored up to record " + Store.copy(new FileDisk(from), into));
+      out().println("restored up to record " + StoreCopy.write(new FileDisk(from), into));
       out().flush();
       return 0;
     }
--- a/src/main/java/pearusher/control/DurablePublisher.java
+++ b/src/main/java/pearusher/control/DurablePublisher.java
@@ -31,6 +31,7 @@
 import pearusher.store.FileDisk;
 import pearusher.store.GroupCommitter;
 import pearusher.store.Store;
+import pearusher.store.StoreCopy;
 import pearusher.store.WriteBatch;
 
 /**
@@ -67,13 +68,13 @@
       AssignerConfig config, PersistenceOptions keeping, Store store, LongSupplier clock) {
     this.config = config;
     this.clock = clock;
-    Store.Recovered found = store.recovered();
+    Store.Recovered found = store.takeRecovered();
     lastUs = clock.getAsLong();
-    owning = found.abandoned();
+    owning = found.wasAbandoned();
     RecoveryTrust doubt =
-        found.state().containsKey(Store.COPIED)
+        found.state().containsKey(StoreCopy.MARKER_KEY)
             ? RecoveryTrust.RESTORED_COPY
-            : found.abandoned() ? RecoveryTrust.ABANDONED : RecoveryTrust.FULL;
+            : found.wasAbandoned() ? RecoveryTrust.ABANDONED : RecoveryTrust.FULL;
     ledger =
         LedgerRecovery.recover(
             found.state(),
@@ -91,12 +92,12 @@
             keeping.storeOptions(),
             new GroupCommitter.Events() {
               @Override
-              public void failed(IOException why) {
+              public void onFailed(IOException why) {
                 giveUp(why.getMessage());
               }
 
               @Override
-              public void notDisowned(IOException why) {
+              public void onMarkAbandonedFailed(IOException why) {
                 Logger.error(
                     "store not marked as given up, begin the next start with an empty directory: "
                         + "cause=\"{}\"",
@@ -104,24 +105,24 @@
               }
 
               @Override
-              public void compacted(long tookMs, long logBytes) {
+              public void onCompacted(long tookMs, long logBytes) {
                 Logger.info("store compacted: took_ms={} log_bytes={}", tookMs, logBytes);
               }
 
               @Override
-              public void notCompacted(IOException why) {
+              public void onCompactionFailed(IOException why) {
                 Logger.warn("store not compacted: cause=\"{}\"", why.getMessage());
               }
             });
     if (!found.damage().isEmpty()) {
       Logger.warn("store damaged: sequence={} lost=\"{}\"", found.sequence(), found.damage());
     }
-    if (found.cutBytes() > 0) {
+    if (found.truncatedBytes() > 0) {
       Logger.info(
           "store end cut: sequence={} bytes={} records={}",
           found.sequence(),
-          found.cutBytes(),
-          found.cutFrames());
+          found.truncatedBytes(),
+          found.truncatedRecords());
     }
     Logger.info(
         "store open: sequence={} epoch={} turn={} keys={} closed={} belief=\"{}\"",
@@ -129,7 +130,7 @@
         ledger.epoch(),
         ledger.iteration(),
         found.state().size(),
-        found.closed() ? "yes" : "no",
+        found.wasClosed() ? "yes" : "no",
         ledger.trust().description());
   }
 
--- a/src/main/java/pearusher/store/GroupCommitter.java
+++ b/src/main/java/pearusher/store/GroupCommitter.java
@@ -8,36 +8,42 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * The one thread that writes to a store. What waits while a sync runs shares the next one.
- * Compactions run on a second thread, one at a time. After the first failure it takes nothing more
- * and says so once.
+ * Commits batches to a store on a thread of its own. Batches that arrive while a sync runs share
+ * the next one. Compactions run on a second thread, one at a time. After the first failure no batch
+ * is accepted any more, which is reported once. It grows with the batches that wait.
  */
 public final class GroupCommitter implements AutoCloseable {
 
-  /** What happens now and then, for the log. */
+  /** Receives what happens to the store, on the committer's threads. */
   public interface Events {
-    /** The store can't be written any more. */
-    void failed(IOException why);
+    /** A batch can't be committed, and none will be any more. */
+    void onFailed(IOException cause);
 
-    void compacted(long tookMs, long logBytes);
+    /** A compaction is done. */
+    void onCompacted(long tookMs, long logBytes);
 
-    /** The store could not be marked as left behind. */
-    void notDisowned(IOException why);
+    /** The store could not be marked as abandoned. */
+    void onMarkAbandonedFailed(IOException cause);
 
-    /** A compaction failed; the store goes on with its logs. */
-    void notCompacted(IOException why);
+    /** A compaction failed; commits go on. */
+    void onCompactionFailed(IOException cause);
   }
 
-  private record Entry(WriteBatch batch, Runnable done) {}
+  /** A batch with what to run once it is durable. */
+  private record Commit(WriteBatch batch, Runnable onDurable) {}
+
+  private static final long POLL_MS = 100;
+  private static final long CLOSE_TIMEOUT_MS = 5000;
 
   private final Store store;
   private final StoreOptions options;
   private final Events events;
-  private final LinkedBlockingQueue<Entry> queue = new LinkedBlockingQueue<>();
-  private final AtomicBoolean compacting = new AtomicBoolean();
+  private final LinkedBlockingQueue<Commit> queue = new LinkedBlockingQueue<>();
+  private final AtomicBoolean isCompacting = new AtomicBoolean();
   private final Thread thread = new Thread(this::run, "store");
-  private volatile boolean stopped;
+  private volatile boolean isStopped;
 
+  /** A committer that is not started yet. */
   public GroupCommitter(Store store, StoreOptions options, Events events) {
     this.store = store;
     this.options = options;
@@ -45,115 +51,126 @@
     thread.setDaemon(true);
   }
 
+  /** Starts the committing thread. */
   public void start() {
     thread.start();
   }
 
-  /** The next batch makes a store that was left behind whole again. */
-  public void submitAndClearAbandoned(WriteBatch batch, Runnable done) {
+  /** Submits the first batch to a store that was abandoned: it holds everything that counts. */
+  public void submitAndClearAbandoned(WriteBatch batch, Runnable onDurable) {
     submit(
         batch,
         () -> {
           try {
             store.clearAbandoned();
           } catch (IOException e) {
-            events.failed(e);
+            events.onFailed(e);
           }
-          done.run();
+          onDurable.run();
         });
   }
 
   /**
-   * Hands over a batch without waiting; {@code done} runs on the store's thread once it is durable.
+   * Submits a batch without waiting; from any thread.
+   *
+   * @param onDurable runs on the committing thread once the batch is durable
    */
-  public void submit(WriteBatch batch, Runnable done) {
-    if (!stopped) {
-      queue.add(new Entry(batch, done));
+  public void submit(WriteBatch batch, Runnable onDurable) {
+    if (!isStopped) {
+      queue.add(new Commit(batch, onDurable));
     }
   }
 
-  /** Marks the store as left behind, on a thread of its own: the disk may hang. */
+  /** Marks the store as abandoned, on a thread of its own since the disk may hang. */
   public void markAbandoned() {
-    Thread marking =
-        new Thread(
-            () -> {
-              try {
-                store.markAbandoned();
-              } catch (IOException e) {
-                events.notDisowned(e);
-              }
-            },
-            "store-mark");
-    marking.setDaemon(true);
-    marking.start();
+    startDaemon(
+        "store-mark",
+        () -> {
+          try {
+            store.markAbandoned();
+          } catch (IOException e) {
+            events.onMarkAbandonedFailed(e);
+          }
+        });
   }
 
-  /** Its thread is at work. */
+  /** Whether the committing thread is alive. */
   public boolean isRunning() {
     return thread.isAlive();
   }
 
   private void run() {
-    List<Entry> group = new ArrayList<>();
     try {
-      while (!stopped || !queue.isEmpty()) {
-        Entry first = queue.poll(100, TimeUnit.MILLISECONDS);
-        if (first == null) {
-          continue;
-        }
-        if (options.policy() == StoreOptions.Policy.INTERVAL && !stopped) {
-          TimeUnit.MICROSECONDS.sleep(options.intervalUs());
-        }
-        group.add(first);
-        queue.drainTo(group);
-        for (Entry one : group) {
-          store.append(one.batch());
-        }
-        if (options.policy() == StoreOptions.Policy.NONE) {
-          store.write();
-        } else {
-          store.sync();
-        }
-        group.forEach(one -> one.done().run());
-        group.clear();
-        if (store.needsCompaction() && compacting.compareAndSet(false, true)) {
-          compact(store.seal());
+      while (!isStopped || !queue.isEmpty()) {
+        Commit first = queue.poll(POLL_MS, TimeUnit.MILLISECONDS);
+        if (first != null) {
+          commit(collectGroup(first));
+          startCompactionIfNeeded();
         }
       }
     } catch (IOException e) {
-      stopped = true;
+      isStopped = true;
       queue.clear();
-      events.failed(e);
+      events.onFailed(e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
+  private List<Commit> collectGroup(Commit first) throws InterruptedException {
+    if (options.policy() == StoreOptions.Policy.INTERVAL && !isStopped) {
+      TimeUnit.MICROSECONDS.sleep(options.intervalUs());
+    }
+    List<Commit> group = new ArrayList<>();
+    group.add(first);
+    queue.drainTo(group);
+    return group;
+  }
+
+  private void commit(List<Commit> group) throws IOException {
+    for (Commit commit : group) {
+      store.append(commit.batch());
+    }
+    if (options.policy() == StoreOptions.Policy.NONE) {
+      store.write();
+    } else {
+      store.sync();
+    }
+    group.forEach(commit -> commit.onDurable().run());
+  }
+
+  private void startCompactionIfNeeded() throws IOException {
+    if (store.needsCompaction() && isCompacting.compareAndSet(false, true)) {
+      Store.Sealed sealed = store.seal();
+      startDaemon("store-compaction", () -> compact(sealed));
+    }
+  }
+
   private void compact(Store.Sealed sealed) {
-    Thread folding =
-        new Thread(
-            () -> {
-              long start = System.nanoTime();
-              try {
-                store.compact(sealed);
-                events.compacted((System.nanoTime() - start) / 1_000_000, store.logBytes());
-              } catch (IOException e) {
-                events.notCompacted(e);
-              } finally {
-                compacting.set(false);
-              }
-            },
-            "store-compaction");
-    folding.setDaemon(true);
-    folding.start();
+    long startNs = System.nanoTime();
+    try {
+      store.compact(sealed);
+      long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs);
+      events.onCompacted(tookMs, store.logBytes());
+    } catch (IOException e) {
+      events.onCompactionFailed(e);
+    } finally {
+      isCompacting.set(false);
+    }
+  }
+
+  private static void startDaemon(String name, Runnable task) {
+    Thread daemon = new Thread(task, name);
+    daemon.setDaemon(true);
+    daemon.start();
   }
 
-  /** Writes what waits and ends the store in order. */
+  /** Commits what was submitted and closes the store, unless the disk hangs. */
   @Override
   public void close() throws IOException {
-    stopped = true;
+    isStopped = true;
     try {
-      thread.join(5000);
+      thread.join(CLOSE_TIMEOUT_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/pearusher/store/Inspection.java
+++ b/src/main/java/pearusher/store/Inspection.java
@@ -7,7 +7,10 @@
 /**
  * What a directory holds, read without its lock and without a change.
  *
- * @param damage empty for none
+ * @param state all values by key
+ * @param sequence the last batch that they hold
+ * @param damage what was confirmed and can't be read, empty for nothing
+ * @param fields figures and texts by name, in the order in which they are shown
  */
 public record Inspection(
     Map<String, byte[]> state, long sequence, String damage, Map<String, Object> fields) {
@@ -18,25 +21,30 @@
    * @throws StoreException if there is no store, or one of a newer program
    */
   public static Inspection of(Disk disk) throws IOException {
-    SegmentedLog.Found found = SegmentedLog.readWhileOpen(disk);
-    if (found.store() == 0 && found.damage().isEmpty()) {
+    StoreContents contents = StoreReader.readWhileOpen(disk);
+    if (!contents.hasStore() && !contents.isDamaged()) {
       throw new StoreException(StoreException.Reason.ABSENT, "no store in " + disk.describe());
     }
-    Map<String, Object> out = new LinkedHashMap<>();
-    out.put("store", String.format("%016x", found.store()));
-    out.put("format", LogRecord.FORMAT);
-    out.put("sequence", found.sequence());
-    out.put("confirmed", found.confirmed());
-    out.put("keys", found.state().size());
-    out.put("checkpoints", found.checkpoints().size());
-    out.put("logs", found.logs().size());
-    out.put("log_bytes", found.logs().stream().mapToLong(SegmentedLog.Part::bytes).sum());
-    out.put("log_batches", found.batches());
-    out.put("closed", found.closed() ? "in order" : "no: in use, or killed");
-    out.put("cut_bytes", found.cutBytes());
-    out.put("cut_records", found.cutFrames());
-    out.put("copy", found.state().containsKey(Store.COPIED) ? "yes" : "no");
-    out.put("damage", found.damage().isEmpty() ? "none" : found.damage());
-    return new Inspection(found.state(), found.sequence(), found.damage(), out);
+    return new Inspection(
+        contents.state(), contents.sequence(), contents.damage(), fields(contents));
+  }
+
+  private static Map<String, Object> fields(StoreContents contents) {
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("store", String.format("%016x", contents.storeId()));
+    fields.put("format", FilePreamble.FORMAT);
+    fields.put("sequence", contents.sequence());
+    fields.put("confirmed", contents.confirmed());
+    fields.put("keys", contents.state().size());
+    fields.put("checkpoints", contents.checkpoints().size());
+    fields.put("logs", contents.logs().size());
+    fields.put("log_bytes", contents.logBytes());
+    fields.put("log_batches", contents.batches());
+    fields.put("closed", contents.isClosed() ? "in order" : "no: in use, or killed");
+    fields.put("cut_bytes", contents.truncation().bytes());
+    fields.put("cut_records", contents.truncation().records());
+    fields.put("copy", contents.state().containsKey(StoreCopy.MARKER_KEY) ? "yes" : "no");
+    fields.put("damage", contents.isDamaged() ? contents.damage() : "none");
+    return fields;
   }
 }
--- a/src/main/java/pearusher/store/LogRecord.java
+++ b/src/main/java/pearusher/store/LogRecord.java
@@ -3,119 +3,119 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.ByteBuffer;
-import java.util.zip.CRC32C;
+import java.util.Optional;
 
 /**
- * The bytes of the store's files, specified in docs/store.md. A file begins with a preamble, 36
- * bytes: magic (8), format (4), kind (4), store id (8), first sequence (8), CRC32C of these (4).
- * Then frames: length of the payload (4), type (1), sequence (8), confirmed (8), CRC32C of all else
- * (4), payload. All numbers big-endian.
+ * One record of a log or checkpoint, as docs/store.md specifies it: a header and a payload, with a
+ * checksum over both.
  *
- * @param confirmed the highest sequence known to be synced when this frame was written
+ * @param sequence number of a batch; in a checkpoint the index of the record
+ * @param confirmed the highest sequence known to be synced when this record was written
  */
-record LogRecord(byte type, long sequence, long confirmed, byte[] payload) {
-  static final byte BATCH = 1;
-  static final byte ENTRY = 2;
-  static final byte END = 3;
-  static final byte CLOSE = 4;
+record LogRecord(Type type, long sequence, long confirmed, byte[] payload) {
+  /** Length of the header in bytes. */
+  static final int HEADER_LENGTH = 25;
 
-  static final int FORMAT = 1;
-  static final int LOG = 1;
-  static final int CHECKPOINT = 2;
+  /** Guards the memory against a damaged length; no batch of an iteration comes near it. */
+  private static final int MAX_PAYLOAD_BYTES = 64 << 20;
 
-  static final int PREAMBLE = 36;
-  static final int HEAD = 25;
+  private static final int CHECKSUM_OFFSET = HEADER_LENGTH - Integer.BYTES;
 
-  /** Guards the memory against a length that was flipped; no batch of a turn comes near it. */
-  static final int MOST_PAYLOAD = 64 << 20;
+  /** What a record holds. */
+  enum Type {
+    /** A type that this program does not know. */
+    UNKNOWN(0),
+    /** Changes that were appended to a log together. */
+    BATCH(1),
+    /** Some of the keys and values of a checkpoint. */
+    ENTRY(2),
+    /** The end of a checkpoint. */
+    END(3),
+    /** The orderly end of a log. */
+    CLOSE(4);
 
-  private static final long MAGIC = 0x5045415253544F52L;
+    private final byte code;
 
-  /** What a file says of itself. */
-  record Preamble(int format, int kind, long store, long first) {
-    byte[] encode() {
-      ByteBuffer out = ByteBuffer.allocate(PREAMBLE);
-      out.putLong(MAGIC).putInt(format).putInt(kind).putLong(store).putLong(first);
-      return out.putInt(crc(out.array(), 0, PREAMBLE - 4, null)).array();
+    Type(int code) {
+      this.code = (byte) code;
     }
 
-    /** Null where the bytes are no preamble. */
-    static Preamble decode(byte[] bytes) {
-      if (bytes.length < PREAMBLE) {
-        return null;
+    private static Type of(byte code) {
+      for (Type type : values()) {
+        if (type.code == code) {
+          return type;
+        }
       }
-      ByteBuffer in = ByteBuffer.wrap(bytes);
-      if (in.getLong() != MAGIC || in.getInt(PREAMBLE - 4) != crc(bytes, 0, PREAMBLE - 4, null)) {
-        return null;
-      }
-      return new Preamble(in.getInt(), in.getInt(), in.getLong(), in.getLong());
-    }
-  }
-
-  static int crc(byte[] bytes, int from, int length, byte[] more) {
-    CRC32C crc = new CRC32C();
-    crc.update(bytes, from, length);
-    if (more != null) {
-      crc.update(more, 0, more.length);
+      return UNKNOWN;
     }
-    return (int) crc.getValue();
   }
 
-  int bytes() {
-    return HEAD + payload.length;
+  /** Length in bytes. */
+  int length() {
+    return HEADER_LENGTH + payload.length;
   }
 
-  void encode(ByteBuffer out) {
-    int at = out.position();
-    out.putInt(payload.length).put(type).putLong(sequence).putLong(confirmed);
-    byte[] head = new byte[HEAD - 4];
-    out.get(at, head);
-    out.putInt(crc(head, 0, head.length, payload)).put(payload);
+  void encode(ByteBuffer output) {
+    int start = output.position();
+    output.putInt(payload.length).put(type.code).putLong(sequence).putLong(confirmed);
+    byte[] header = new byte[CHECKSUM_OFFSET];
+    output.get(start, header);
+    output.putInt(Checksum.of(header, 0, header.length, payload)).put(payload);
   }
 
   /**
-   * The next frame of a stream of which {@code left} bytes are left; null where none can be read.
+   * Reads the next record of a stream.
+   *
+   * @param remaining bytes that are left in the stream
+   * @return empty where the next bytes are no record
    */
-  static LogRecord read(InputStream in, long left) throws IOException {
-    byte[] head = in.readNBytes(HEAD);
-    if (head.length < HEAD) {
-      return null;
+  static Optional<LogRecord> read(InputStream input, long remaining) throws IOException {
+    byte[] header = input.readNBytes(HEADER_LENGTH);
+    if (header.length < HEADER_LENGTH) {
+      return Optional.empty();
     }
-    ByteBuffer at = ByteBuffer.wrap(head);
-    int length = at.getInt();
-    if (length < 0 || length > MOST_PAYLOAD || length > left - HEAD) {
-      return null;
+    ByteBuffer fields = ByteBuffer.wrap(header);
+    int length = fields.getInt();
+    if (length < 0 || length > MAX_PAYLOAD_BYTES || length > remaining - HEADER_LENGTH) {
+      return Optional.empty();
     }
-    byte[] payload = in.readNBytes(length);
-    if (payload.length < length || at.getInt(HEAD - 4) != crc(head, 0, HEAD - 4, payload)) {
-      return null;
+    byte[] payload = input.readNBytes(length);
+    if (payload.length < length
+        || fields.getInt(CHECKSUM_OFFSET) != Checksum.of(header, 0, CHECKSUM_OFFSET, payload)) {
+      return Optional.empty();
     }
-    return new LogRecord(at.get(), at.getLong(), at.getLong(), payload);
+    return Optional.of(
+        new LogRecord(Type.of(fields.get()), fields.getLong(), fields.getLong(), payload));
   }
 
-  /** The frame that stands at a place of some bytes, or null. */
-  static LogRecord at(byte[] bytes, int from, long least) {
-    if (from + HEAD > bytes.length) {
-      return null;
+  /**
+   * Decodes the record at an offset of some bytes.
+   *
+   * @param minSequence lowest sequence that the record may have
+   * @return empty where there is none
+   */
+  static Optional<LogRecord> decodeAt(byte[] bytes, int offset, long minSequence) {
+    if (offset + HEADER_LENGTH > bytes.length) {
+      return Optional.empty();
     }
-    ByteBuffer in = ByteBuffer.wrap(bytes, from, bytes.length - from);
-    int length = in.getInt();
-    byte type = in.get();
-    long sequence = in.getLong();
-    // Cheap looks first: what follows a damaged frame is searched byte by byte.
+    ByteBuffer input = ByteBuffer.wrap(bytes, offset, bytes.length - offset);
+    int length = input.getInt();
+    Type type = Type.of(input.get());
+    long sequence = input.getLong();
+    // Cheap checks come first: what follows a damaged record is searched byte by byte.
     if (length < 0
-        || length > bytes.length - from - HEAD
-        || type < BATCH
-        || type > CLOSE
-        || sequence < least) {
-      return null;
+        || length > bytes.length - offset - HEADER_LENGTH
+        || type == Type.UNKNOWN
+        || sequence < minSequence) {
+      return Optional.empty();
     }
-    long confirmed = in.getLong();
-    int crc = in.getInt();
+    long confirmed = input.getLong();
+    int checksum = input.getInt();
     byte[] payload = new byte[length];
-    in.get(payload);
-    return crc == crc(bytes, from, HEAD - 4, payload)
-        ? new LogRecord(type, sequence, confirmed, payload)
-        : null;
+    input.get(payload);
+    if (checksum != Checksum.of(bytes, offset, CHECKSUM_OFFSET, payload)) {
+      return Optional.empty();
+    }
+    return Optional.of(new LogRecord(type, sequence, confirmed, payload));
   }
 }
--- a/src/main/java/pearusher/store/WriteBatch.java
+++ b/src/main/java/pearusher/store/WriteBatch.java
@@ -8,28 +8,29 @@
 import java.io.UncheckedIOException;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * Changes that take effect together: keys with their new values, null for a key that is deleted.
+ * Changes that take effect together, in the order in which their keys were first named. Not
+ * thread-safe.
  */
 public final class WriteBatch {
-  private final Map<String, byte[]> changes = new LinkedHashMap<>();
+  /** The stored length of a value that stands for a deleted key. */
+  private static final int DELETED = -1;
 
-  /** Changes by key, null for one that is deleted; the map and its values are not copied. */
-  public static WriteBatch ofChanges(Map<String, byte[]> changes) {
-    WriteBatch out = new WriteBatch();
-    out.changes.putAll(changes);
-    return out;
-  }
+  private static final int USUAL_CHANGE_BYTES = 32;
+
+  private final Map<String, Optional<byte[]>> changes = new LinkedHashMap<>();
 
   /** Sets a key; the value is not copied. */
   public WriteBatch put(String key, byte[] value) {
-    changes.put(key, value);
+    changes.put(key, Optional.of(value));
     return this;
   }
 
+  /** Deletes a key. */
   public WriteBatch delete(String key) {
-    changes.put(key, null);
+    changes.put(key, Optional.empty());
     return this;
   }
 
@@ -37,35 +38,27 @@
     return changes.isEmpty();
   }
 
-  public Map<String, byte[]> changes() {
+  /** The new values by key; empty for a key that is deleted. */
+  public Map<String, Optional<byte[]>> changes() {
     return changes;
   }
 
-  /** Brings a map of all values up to date. */
+  /** Applies the changes to a map of all values. */
   public void applyTo(Map<String, byte[]> state) {
     changes.forEach(
-        (key, value) -> {
-          if (value == null) {
-            state.remove(key);
-          } else {
-            state.put(key, value);
-          }
-        });
+        (key, value) ->
+            value.ifPresentOrElse(bytes -> state.put(key, bytes), () -> state.remove(key)));
   }
 
-  /**
-   * Count (4 bytes), then each key (2 bytes of length, modified UTF-8), length or -1 (4 bytes),
-   * value.
-   */
+  /** Encodes the changes as docs/store.md specifies them. */
   byte[] encode() {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream(32 + 32 * changes.size());
-    try (DataOutputStream out = new DataOutputStream(bytes)) {
-      out.writeInt(changes.size());
-      for (Map.Entry<String, byte[]> one : changes.entrySet()) {
-        out.writeUTF(one.getKey());
-        byte[] value = one.getValue();
-        out.writeInt(value == null ? -1 : value.length);
-        out.write(value == null ? new byte[0] : value);
+    int expectedBytes = USUAL_CHANGE_BYTES + USUAL_CHANGE_BYTES * changes.size();
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream(expectedBytes);
+    try (DataOutputStream output = new DataOutputStream(bytes)) {
+      output.writeInt(changes.size());
+      for (Map.Entry<String, Optional<byte[]>> change : changes.entrySet()) {
+        output.writeUTF(change.getKey());
+        writeValue(output, change.getValue());
       }
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -73,24 +66,41 @@
     return bytes.toByteArray();
   }
 
-  /** Reads what {@link #encode} wrote; no length is believed beyond the bytes that are there. */
+  private static void writeValue(DataOutputStream output, Optional<byte[]> value)
+      throws IOException {
+    if (value.isEmpty()) {
+      output.writeInt(DELETED);
+      return;
+    }
+    output.writeInt(value.get().length);
+    output.write(value.get());
+  }
+
+  /**
+   * Decodes what {@link #encode} wrote.
+   *
+   * @throws IOException if the bytes are too few or too many
+   */
   static WriteBatch decode(byte[] payload) throws IOException {
-    WriteBatch out = new WriteBatch();
-    try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(payload))) {
-      int count = in.readInt();
+    WriteBatch batch = new WriteBatch();
+    try (DataInputStream input = new DataInputStream(new ByteArrayInputStream(payload))) {
+      int count = input.readInt();
       for (int k = 0; k < count; k++) {
-        String key = in.readUTF();
-        int length = in.readInt();
-        if (length > in.available() || length < -1) {
-          throw new IOException(
-              "a value of " + length + " bytes where " + in.available() + " are left");
-        }
-        out.changes.put(key, length < 0 ? null : in.readNBytes(length));
+        batch.changes.put(input.readUTF(), readValue(input));
       }
-      if (in.available() > 0) {
-        throw new IOException(in.available() + " bytes after the last change");
+      if (input.available() > 0) {
+        throw new IOException(input.available() + " bytes after the last change");
       }
     }
-    return out;
+    return batch;
+  }
+
+  private static Optional<byte[]> readValue(DataInputStream input) throws IOException {
+    int length = input.readInt();
+    if (length > input.available() || length < DELETED) {
+      throw new IOException(
+          "a value of " + length + " bytes where " + input.available() + " are left");
+    }
+    return length == DELETED ? Optional.empty() : Optional.of(input.readNBytes(length));
   }
 }
--- a/src/test/java/pearusher/cli/CliTest.java
+++ b/src/test/java/pearusher/cli/CliTest.java
@@ -126,7 +126,7 @@
       assertTrue(err.toString().contains("is in use by another process"), err.toString());
       // Looking and copying need no lock.
       assertEquals(0, run("store", "inspect", at.toString()));
-      assertEquals(2, held.recovered().sequence());
+      assertEquals(2, held.takeRecovered().sequence());
     }
     Path log;
     try (var files = Files.list(at)) {
--- a/src/test/java/pearusher/store/PowerCutTest.java
+++ b/src/test/java/pearusher/store/PowerCutTest.java
@@ -28,7 +28,7 @@
       disk.cutAt = round < rounds ? call : -1;
       try {
         Store store = Store.open(disk, SMALL);
-        String wrong = work.check(store.recovered());
+        String wrong = work.check(store.takeRecovered());
         if (wrong != null) {
           return "round " + round + ": " + wrong;
         }
--- a/src/test/java/pearusher/store/SimDisk.java
+++ b/src/test/java/pearusher/store/SimDisk.java
@@ -202,7 +202,7 @@
 
   private synchronized void sync(String name, Node node) throws IOException {
     call("sync", name);
-    boolean unfinished = name.endsWith(SegmentedLog.UNFINISHED);
+    boolean unfinished = StoreFiles.isUnfinished(name);
     if (!lies.contains(Lie.SYNC) && !(unfinished && lies.contains(Lie.SYNC_UNFINISHED))) {
       settle(node);
     }
--- a/src/test/java/pearusher/store/StoreTest.java
+++ b/src/test/java/pearusher/store/StoreTest.java
@@ -56,14 +56,14 @@
     Workload work = new Workload(1);
     SimDisk disk = sample(work, true);
     try (Store store = Store.open(disk, SMALL)) {
-      Store.Recovered found = store.recovered();
-      assertTrue(found.closed());
+      Store.Recovered found = store.takeRecovered();
+      assertTrue(found.wasClosed());
       assertEquals(work.last(), found.sequence());
       assertNull(work.check(found));
       work.run(store, 3, false);
     }
     try (Store store = Store.open(disk, SMALL)) {
-      assertNull(work.check(store.recovered()));
+      assertNull(work.check(store.takeRecovered()));
     }
   }
 
@@ -81,7 +81,7 @@
         for (int length = 0; length < whole.length; length++) {
           try (Store store =
               Store.open(disk.with(name, java.util.Arrays.copyOf(whole, length)), SMALL)) {
-            assertNull(made.wrong(store.recovered()), name + " cut at " + length);
+            assertNull(made.wrong(store.takeRecovered()), name + " cut at " + length);
             earlier++;
           } catch (StoreException e) {
             assertEquals(StoreException.Reason.DAMAGED, e.reason());
@@ -109,7 +109,7 @@
         byte[] flipped = whole.clone();
         flipped[at] ^= 0x10;
         try (Store store = Store.open(disk.with(name, flipped), SMALL)) {
-          Store.Recovered found = store.recovered();
+          Store.Recovered found = store.takeRecovered();
           assertTrue(
               found.sequence() == made.last(),
               name
@@ -137,20 +137,20 @@
     String log =
         disk.list().stream().filter(n -> n.startsWith("log-")).reduce((a, b) -> b).orElseThrow();
     byte[] bytes = disk.bytes(log);
-    int from = LogRecord.PREAMBLE;
-    LogRecord frame = LogRecord.at(bytes, from, 1);
+    int from = FilePreamble.LENGTH;
+    LogRecord frame = LogRecord.decodeAt(bytes, from, 1).orElseThrow();
     while (frame.payload().length == 0 || frame.payload()[frame.payload().length - 1] != 'x') {
-      from += frame.bytes();
-      frame = LogRecord.at(bytes, from, 1);
+      from += frame.length();
+      frame = LogRecord.decodeAt(bytes, from, 1).orElseThrow();
     }
     // The last byte of a value; then the checksum that belongs to it.
     frame.payload()[frame.payload().length - 1] = 'y';
-    ByteBuffer forged = ByteBuffer.allocate(frame.bytes());
+    ByteBuffer forged = ByteBuffer.allocate(frame.length());
     frame.encode(forged);
-    System.arraycopy(forged.array(), 0, bytes, from, frame.bytes());
+    System.arraycopy(forged.array(), 0, bytes, from, frame.length());
     String found;
     try (Store store = Store.open(disk.with(log, bytes), SMALL)) {
-      found = work.check(store.recovered());
+      found = work.check(store.takeRecovered());
     } catch (IOException e) {
       found = e.getMessage();
     }
@@ -167,15 +167,15 @@
     SimDisk disk = sample(work, true);
     String log = disk.list().stream().filter(n -> n.startsWith("log-")).findFirst().orElseThrow();
     byte[] bytes = disk.bytes(log);
-    bytes[LogRecord.PREAMBLE + LogRecord.HEAD + 3] ^= 1;
+    bytes[FilePreamble.LENGTH + LogRecord.HEADER_LENGTH + 3] ^= 1;
     SimDisk hurt = disk.with(log, bytes);
     assertTrue(
-        refused(hurt).getMessage().contains(log + " at byte " + LogRecord.PREAMBLE + ": record "),
+        refused(hurt).getMessage().contains(log + " at byte " + FilePreamble.LENGTH + ": record "),
         refused(hurt).getMessage());
     work.confirmed = 0;
     int last;
     try (Store store = Store.open(hurt, STOPPING)) {
-      Store.Recovered found = store.recovered();
+      Store.Recovered found = store.takeRecovered();
       assertTrue(found.damage().contains("can't be read"), found.damage());
       assertTrue(found.sequence() < work.last());
       assertNull(work.check(found));
@@ -184,7 +184,7 @@
     }
     // What was given up stays so: the next start finds a whole store, with nothing of the old rest.
     try (Store store = Store.open(hurt, SMALL)) {
-      Store.Recovered found = store.recovered();
+      Store.Recovered found = store.takeRecovered();
       assertEquals(last, found.sequence());
       assertNull(work.check(found));
     }
@@ -210,7 +210,7 @@
     assertEquals(before, disk.calls, "a store that failed writes no more");
     disk.kill();
     try (Store again = Store.open(disk.afterPowerCut(new java.util.Random(1)), SMALL)) {
-      assertNull(work.check(again.recovered()));
+      assertNull(work.check(again.takeRecovered()));
     }
   }
 
@@ -234,16 +234,16 @@
     store.close();
     long full = disk.size();
     // Not one byte more than it takes now, and the new log's preamble.
-    disk.room = full + 2 * LogRecord.PREAMBLE;
+    disk.room = full + 2 * FilePreamble.LENGTH;
     Store again = Store.open(disk, SMALL);
-    assertNull(work.check(again.recovered()));
+    assertNull(work.check(again.takeRecovered()));
     again.compact(again.seal());
     assertTrue(disk.size() < full, disk.size() + " of " + full);
     disk.room = Long.MAX_VALUE;
     work.run(again, 3, false);
     again.close();
     try (Store third = Store.open(disk, SMALL)) {
-      assertNull(work.check(third.recovered()));
+      assertNull(work.check(third.takeRecovered()));
     }
   }
 
@@ -267,7 +267,7 @@
       work.sync(store);
       disk.kill();
       try (Store again = Store.open(disk, SMALL)) {
-        assertNull(work.check(again.recovered()), "call " + call);
+        assertNull(work.check(again.takeRecovered()), "call " + call);
       }
     }
   }
@@ -284,15 +284,18 @@
           second.getMessage().contains(dir + " is in use by another process"), second.getMessage());
     }
     try (Store store = Store.open(disk, SMALL)) {
-      assertEquals(Map.of("a", "1"), Workload.text(store.recovered().state()));
+      assertEquals(Map.of("a", "1"), Workload.text(store.takeRecovered().state()));
     }
   }
 
+  private static FilePreamble preambleOfNewerFormat() {
+    int logKind = FilePreamble.of(FilePreamble.Kind.LOG, 5, 1).kindCode();
+    return new FilePreamble(FilePreamble.FORMAT + 1, logKind, 5, 1);
+  }
+
   @Test
   void aNewerFormatAMissingAndAnEmptyDirectory(@TempDir Path dir) throws IOException {
-    Files.write(
-        dir.resolve(SegmentedLog.log(7)),
-        new LogRecord.Preamble(LogRecord.FORMAT + 1, LogRecord.LOG, 5, 1).encode());
+    Files.write(dir.resolve(StoreFiles.log(7)), preambleOfNewerFormat().encode());
     StoreException newer = refused(new FileDisk(dir));
     assertEquals(StoreException.Reason.NEWER, newer.reason());
     assertTrue(
@@ -303,7 +306,7 @@
     FileDisk made = new FileDisk(dir.resolve("new").resolve("deep"));
     made.createDirectory();
     try (Store store = Store.open(made, SMALL)) {
-      assertEquals(0, store.recovered().sequence());
+      assertEquals(0, store.takeRecovered().sequence());
     }
     Path file = Files.createFile(dir.resolve("file"));
     assertEquals(StoreException.Reason.ABSENT, refused(new FileDisk(file)).reason());
@@ -315,11 +318,7 @@
     String log = disk.list().stream().filter(n -> n.startsWith("log-")).findFirst().orElseThrow();
     byte[] bytes = disk.bytes(log);
     System.arraycopy(
-        new LogRecord.Preamble(LogRecord.FORMAT, LogRecord.LOG, 99, 1).encode(),
-        0,
-        bytes,
-        0,
-        LogRecord.PREAMBLE);
+        FilePreamble.of(FilePreamble.Kind.LOG, 99, 1).encode(), 0, bytes, 0, FilePreamble.LENGTH);
     assertTrue(refused(disk.with(log, bytes)).getMessage().contains("belongs to another store"));
   }
 
@@ -333,13 +332,13 @@
     try (Store store = Store.open(live, SMALL)) {
       work.run(store, 30, true);
       work.sync(store);
-      long last = Store.copy(live, copy);
+      long last = StoreCopy.write(live, copy);
       assertEquals(work.last(), last);
-      assertThrows(StoreException.class, () -> Store.copy(live, copy), "not empty");
+      assertThrows(StoreException.class, () -> StoreCopy.write(live, copy), "not empty");
     }
     try (Store store = Store.open(copy, SMALL)) {
-      Store.Recovered found = store.recovered();
-      assertTrue(found.state().remove(Store.COPIED) != null);
+      Store.Recovered found = store.takeRecovered();
+      assertTrue(found.state().remove(StoreCopy.MARKER_KEY) != null);
       assertNull(work.check(found));
     }
   }
@@ -384,11 +383,11 @@
       store.write();
       disk.kill();
       Store second = Store.open(disk, SMALL);
-      assertNull(work.check(second.recovered()));
+      assertNull(work.check(second.takeRecovered()));
       boolean gap = false;
       for (long seed = 0; seed < 20; seed++) {
         try (Store third = Store.open(disk.afterPowerCut(new java.util.Random(seed)), SMALL)) {
-          third.recovered();
+          third.takeRecovered();
         } catch (StoreException e) {
           gap = true;
         }
--- a/src/test/java/pearusher/store/Workload.java
+++ b/src/test/java/pearusher/store/Workload.java
@@ -55,13 +55,10 @@
     batch
         .changes()
         .forEach(
-            (k, v) -> {
-              if (v == null) {
-                state.remove(k);
-              } else {
-                state.put(k, new String(v, StandardCharsets.UTF_8));
-              }
-            });
+            (key, value) ->
+                value.ifPresentOrElse(
+                    bytes -> state.put(key, new String(bytes, StandardCharsets.UTF_8)),
+                    () -> state.remove(key)));
     states.add(state);
     long sequence = store.append(batch);
     if (sequence != states.size() - 1) {
