--- a/src/main/java/pearusher/control/DurablePublisher.java
+++ b/src/main/java/pearusher/control/DurablePublisher.java
@@ -5,6 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.StringJoiner;
 import java.util.TreeSet;
@@ -20,13 +21,17 @@
 import pearusher.publish.PublishedTables;
 import pearusher.recovery.CatchUp;
 import pearusher.recovery.Ledger;
+import pearusher.recovery.LedgerChanges;
+import pearusher.recovery.LedgerRecovery;
 import pearusher.recovery.ListedServer;
 import pearusher.recovery.Outbox;
 import pearusher.recovery.RecoveredServerList;
+import pearusher.recovery.RecoveryConditions;
 import pearusher.recovery.RecoveryTrust;
 import pearusher.store.FileDisk;
 import pearusher.store.GroupCommitter;
 import pearusher.store.Store;
+import pearusher.store.StoreCopy;
 import pearusher.store.WriteBatch;
 
 /**
@@ -63,21 +68,22 @@
       AssignerConfig config, PersistenceOptions keeping, Store store, LongSupplier clock) {
     this.config = config;
     this.clock = clock;
-    Store.Recovered found = store.recovered();
+    Store.Recovered found = store.takeRecovered();
     lastUs = clock.getAsLong();
-    owning = found.abandoned();
+    owning = found.wasAbandoned();
     RecoveryTrust doubt =
-        found.state().containsKey(Store.COPIED)
+        found.state().containsKey(StoreCopy.MARKER_KEY)
             ? RecoveryTrust.RESTORED_COPY
-            : found.abandoned() ? RecoveryTrust.ABANDONED : RecoveryTrust.FULL;
+            : found.wasAbandoned() ? RecoveryTrust.ABANDONED : RecoveryTrust.FULL;
     ledger =
-        Ledger.of(
+        LedgerRecovery.recover(
             found.state(),
-            doubt,
-            names(config),
-            lastUs,
-            keeping.maxTrustedAgeUs(),
-            config.settings().instances() > 1);
+            new RecoveryConditions(
+                doubt,
+                names(config),
+                lastUs,
+                keeping.maxTrustedAgeUs(),
+                config.settings().instances() > 1));
     outbox = new Outbox<>(post -> post.to().send(post.message()), keeping.maxCommitDelayUs());
     aliveUs = keeping.heartbeatUs();
     committer =
@@ -86,12 +92,12 @@
             keeping.storeOptions(),
             new GroupCommitter.Events() {
               @Override
-              public void failed(IOException why) {
+              public void onFailed(IOException why) {
                 giveUp(why.getMessage());
               }
 
               @Override
-              public void notDisowned(IOException why) {
+              public void onMarkAbandonedFailed(IOException why) {
                 Logger.error(
                     "store not marked as given up, begin the next start with an empty directory: "
                         + "cause=\"{}\"",
@@ -99,24 +105,24 @@
               }
 
               @Override
-              public void compacted(long tookMs, long logBytes) {
+              public void onCompacted(long tookMs, long logBytes) {
                 Logger.info("store compacted: took_ms={} log_bytes={}", tookMs, logBytes);
               }
 
               @Override
-              public void notCompacted(IOException why) {
+              public void onCompactionFailed(IOException why) {
                 Logger.warn("store not compacted: cause=\"{}\"", why.getMessage());
               }
             });
     if (!found.damage().isEmpty()) {
       Logger.warn("store damaged: sequence={} lost=\"{}\"", found.sequence(), found.damage());
     }
-    if (found.cutBytes() > 0) {
+    if (found.truncatedBytes() > 0) {
       Logger.info(
           "store end cut: sequence={} bytes={} records={}",
           found.sequence(),
-          found.cutBytes(),
-          found.cutFrames());
+          found.truncatedBytes(),
+          found.truncatedRecords());
     }
     Logger.info(
         "store open: sequence={} epoch={} turn={} keys={} closed={} belief=\"{}\"",
@@ -124,7 +130,7 @@
         ledger.epoch(),
         ledger.iteration(),
         found.state().size(),
-        found.closed() ? "yes" : "no",
+        found.wasClosed() ? "yes" : "no",
         ledger.trust().description());
   }
 
@@ -191,7 +197,7 @@
       ServerDirectory servers,
       PublishedTables tables,
       AssignmentPolicy module) {
-    ledger.start(
+    ledger.onListRecovered(
         known.endpoints().stream()
             .filter(one -> one.lifecycle() != Lifecycle.REMOVED)
             .map(DurablePublisher::listedServer)
@@ -233,13 +239,11 @@
 
   // Events, on the decision thread.
 
-  /** What a joiner lacks; null where its table is to go whole. */
-  CatchUp joined(int proxy, boolean fresh) {
-    CatchUp out = ledger.onProxyJoined(proxy, fresh);
-    if (out != null) {
-      joining.put(proxy, out);
-    }
-    return out;
+  /** What a proxy that joins lacks of its table; empty where it needs the complete table. */
+  Optional<CatchUp> joined(int proxy, boolean fresh) {
+    Optional<CatchUp> catchUp = ledger.onProxyJoined(proxy, fresh);
+    catchUp.ifPresent(lacks -> joining.put(proxy, lacks));
+    return catchUp;
   }
 
   void left(int proxy) {
@@ -287,23 +291,31 @@
       // No message goes by a store, whatever ordered it.
       ledger.requestHeartbeat();
     }
-    Map<String, byte[]> changes = ledger.endIteration(now);
+    Optional<LedgerChanges> changes = ledger.endIteration(now);
     synchronized (lock) {
-      if (changes != null) {
+      if (changes.isPresent()) {
         lastUs = now;
-        long ticket = outbox.offer(posts, now);
-        if (ticket > 0 && owning) {
-          owning = false;
-          committer.submitAndClearAbandoned(WriteBatch.ofChanges(changes), () -> confirmed(ticket));
-        } else if (ticket > 0) {
-          committer.submit(WriteBatch.ofChanges(changes), () -> confirmed(ticket));
-        }
+        commit(changes.get(), outbox.offer(posts, now));
       }
       posts.clear();
       checkDeadline();
     }
   }
 
+  private void commit(LedgerChanges changes, long commitNumber) {
+    if (commitNumber == Outbox.SENT) {
+      return;
+    }
+    WriteBatch batch = new WriteBatch();
+    changes.forEach(batch::put, batch::delete);
+    if (owning) {
+      owning = false;
+      committer.submitAndClearAbandoned(batch, () -> confirmed(commitNumber));
+    } else {
+      committer.submit(batch, () -> confirmed(commitNumber));
+    }
+  }
+
   /** Called now and then, on any thread: a disk that hangs must not hold up a drain. */
   public void checkDeadline() {
     synchronized (lock) {
