--- a/src/bench/java/pearusher/scale/TestFleet.java
+++ b/src/bench/java/pearusher/scale/TestFleet.java
@@ -126,16 +126,7 @@
     int[] servers = catalog.inService().stream().mapToInt(Integer::intValue).toArray();
     List<AssignerAddress> addresses = new ArrayList<>();
     members.forEach(one -> addresses.add(new AssignerAddress(one.place.listen(), one.traffic)));
-    simulatedAssigners =
-        new SimulatedAssigners(
-            new SimulatedAssigners.Shape(
-                run.simulatedAssigners(),
-                run.get(RunKey.SIMULATED_UPDATES),
-                run.get(RunKey.SIMULATED_LINES),
-                periodNs,
-                run.seed()),
-            discovery,
-            servers);
+    simulatedAssigners = makeSimulatedAssigners(servers, periodNs);
     addresses.addAll(simulatedAssigners.addresses());
     double requests =
         run.proxies() * run.classes() * run.get(RunKey.REQUESTS) / Math.max(1, run.assigners());
@@ -161,24 +152,40 @@
                 (long) (run.get(RunKey.APPLY_MS) * 1e6),
                 periodNs),
             addresses);
-    feed =
-        new ChangeFeed(
-            discovery,
-            catalog,
-            times,
-            new ChangeFeed.Listener() {
-              @Override
-              public void drains(int server) {
-                proxies.drains(server);
-                simulatedAssigners.drains(server);
-              }
+    feed = makeChangeFeed();
+  }
+
+  private SimulatedAssigners makeSimulatedAssigners(int[] servers, long periodNs)
+      throws IOException {
+    return new SimulatedAssigners(
+        new SimulatedAssigners.Shape(
+            run.simulatedAssigners(),
+            run.get(RunKey.SIMULATED_UPDATES),
+            run.get(RunKey.SIMULATED_LINES),
+            periodNs,
+            run.seed()),
+        discovery,
+        servers);
+  }
+
+  private ChangeFeed makeChangeFeed() {
+    return new ChangeFeed(
+        discovery,
+        catalog,
+        times,
+        new ChangeFeed.Listener() {
+          @Override
+          public void drains(int server) {
+            proxies.drains(server);
+            simulatedAssigners.drains(server);
+          }
 
-              @Override
-              public void inService(int[] now) {
-                collectors.servers(now);
-              }
-            },
-            run.seed());
+          @Override
+          public void inService(int[] now) {
+            collectors.servers(now);
+          }
+        },
+        run.seed());
   }
 
   RunDescription run() {
