--- a/src/test/java/pearusher/server/AssignerServerTest.java
+++ b/src/test/java/pearusher/server/AssignerServerTest.java
@@ -639,18 +639,18 @@
   @ParameterizedTest
   @CsvSource({
     "200,OK",
-    "503,TURNED_AWAY",
+    "503,REJECTED",
     "500,ERROR",
     "404,ERROR",
-    "hang,NO_ANSWER",
-    "reset,BROKEN",
-    "close,BROKEN",
-    "cut,BROKEN",
-    "garbage,BROKEN",
-    "long,BROKEN",
-    "refused,DOWN",
-    "nowhere,DOWN",
-    "full,DOWN"
+    "hang,TIMED_OUT",
+    "reset,DISCONNECTED",
+    "close,DISCONNECTED",
+    "cut,DISCONNECTED",
+    "garbage,DISCONNECTED",
+    "long,DISCONNECTED",
+    "refused,UNREACHABLE",
+    "nowhere,UNREACHABLE",
+    "full,UNREACHABLE"
   })
   void aProbeEndsOnceInOneOutcome(String how, String outcome) throws Exception {
     example
