--- a/src/bench/java/pearusher/server/CrashRecoveryBench.java
+++ b/src/bench/java/pearusher/server/CrashRecoveryBench.java
@@ -8,6 +8,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.StringJoiner;
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.Histogram;
@@ -158,7 +159,8 @@
               clock::get);
     }
     exchange =
-        new Controller(config, FaastPolicy::new, clock::get, failure -> {}, durable, null) {
+        new Controller(
+            config, FaastPolicy::new, clock::get, failure -> {}, durable, Optional.empty()) {
           @Override
           public void awaitTick() {}
         };
--- a/src/main/java/pearusher/control/CommandDispatcher.java
+++ b/src/main/java/pearusher/control/CommandDispatcher.java
@@ -1,86 +1,146 @@
 package pearusher.control;
 
-import java.util.Map;
-import java.util.function.Function;
-import java.util.function.LongFunction;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
 import pearusher.policy.AdmissionLevel;
+import pearusher.policy.PolicyCommands;
+import pearusher.publish.ClassSet;
 import pearusher.publish.PublishedTables;
-import pearusher.recovery.CatchUp;
 
 /**
- * The module's orders on tables, proxies and servers: each goes to the tables and, where a store is
- * on, by the server's name to the ledger. Only the decision thread uses it. It keeps nothing
- * itself.
+ * Executes the policy's commands: those on tables, proxies and servers go to the published tables
+ * and, by the server's name, to the persistence; the others go to the event loop, the endpoint list
+ * or the outbound ports. Only the event-loop thread uses it. It holds no state.
  */
-final class CommandDispatcher {
+final class CommandDispatcher implements PolicyCommands {
+  private final EventLoop loop;
+  private final ServerDirectory servers;
   private final PublishedTables tables;
+  private final Persistence persistence;
+  private final EndpointListHandler endpointLists;
+  private final Supplier<OutboundPorts> outbound;
+  private final Consumer<String> logger;
 
-  /** What lasts, where the operators switched it on; else null. */
-  private final DurablePublisher durable;
-
-  private final int classes;
-  private final LongFunction<String> names;
-
-  /** The same map by the numbers of the servers that are still listed. */
-  private final Function<Map<String, Boolean>, Map<Long, Boolean>> numbers;
-
+  /**
+   * @param logger takes the policy's log texts, with the names of servers
+   */
   CommandDispatcher(
+      EventLoop loop,
+      ServerDirectory servers,
       PublishedTables tables,
-      DurablePublisher durable,
-      int classes,
-      LongFunction<String> names,
-      Function<Map<String, Boolean>, Map<Long, Boolean>> numbers) {
+      Persistence persistence,
+      EndpointListHandler endpointLists,
+      Supplier<OutboundPorts> outbound,
+      Consumer<String> logger) {
+    this.loop = loop;
+    this.servers = servers;
     this.tables = tables;
-    this.durable = durable;
-    this.classes = classes;
-    this.names = names;
-    this.numbers = numbers;
+    this.persistence = persistence;
+    this.endpointLists = endpointLists;
+    this.outbound = outbound;
+    this.logger = logger;
   }
 
-  void setWeight(int table, long server, double weight) {
+  @Override
+  public void setWeight(int table, long server, double weight) {
     tables.setWeight(table, server, weight);
-    if (durable != null) {
-      durable.ledger().setWeight(table, names.apply(server), weight);
-    }
+    persistence.setWeight(table, servers.name(server), weight);
   }
 
-  void clearTable(int table) {
+  @Override
+  public void clearTable(int table) {
     tables.clearTable(table);
-    if (durable != null) {
-      durable.ledger().clearTable(table);
-    }
+    persistence.clearTable(table);
   }
 
-  void setEjected(long nowUs, long server, boolean out) {
-    tables.setEjected(server, out);
-    if (durable != null) {
-      durable.ledger().setEjected(names.apply(server), out, nowUs);
-    }
+  @Override
+  public void eject(long server) {
+    setEjected(server, true);
   }
 
-  void bindProxy(int proxy, int table, int classBits) {
-    CatchUp lacks =
-        durable == null ? null : durable.bound(proxy, table, tables.coversAllClasses(classBits));
-    if (lacks == null) {
-      tables.bindProxy(proxy, table, classBits);
-      return;
-    }
-    tables.bindWithCatchUp(proxy, lacks, numbers.apply(lacks.ejections()));
+  @Override
+  public void reinstate(long server) {
+    setEjected(server, false);
+  }
+
+  private void setEjected(long server, boolean isEjected) {
+    tables.setEjected(server, isEjected);
+    persistence.setEjected(servers.name(server), isEjected, loop.nowUs());
+  }
+
+  @Override
+  public void bindProxy(int proxy, int table, int classBits) {
+    ClassSet classes = tables.classes(classBits);
+    persistence
+        .bindProxy(proxy, table, tables.coversAllClasses(classes))
+        .ifPresentOrElse(
+            lacking ->
+                tables.bindWithCatchUp(proxy, lacking, servers.byNumber(lacking.ejections())),
+            () -> tables.bindProxy(proxy, table, classes));
+  }
+
+  @Override
+  public void confirmProxy(int proxy) {
+    tables.confirmProxy(proxy);
+  }
+
+  @Override
+  public void suspectEjection(long server, boolean all) {
+    tables.suspectEjection(server, all);
   }
 
-  void setAdmission(int table, int classBits, double level, int retry) {
-    tables.setAdmission(table, classBits, level, retry);
-    for (int k = 0; durable != null && k < classes; k++) {
-      if ((classBits == 0 || (classBits >> k & 1) != 0) && table != PublishedTables.ALL_TABLES) {
-        durable.ledger().setAdmission(table, k, new AdmissionLevel(level, retry));
-      }
+  @Override
+  public void setAdmission(int table, int classBits, double level, int retry) {
+    ClassSet classes = tables.classes(classBits);
+    AdmissionLevel admission = new AdmissionLevel(level, retry);
+    tables.setAdmission(table, classes, admission);
+    if (table != PublishedTables.ALL_TABLES) {
+      classes.forEach(requestClass -> persistence.setAdmission(table, requestClass, admission));
     }
   }
 
-  void requestAck(int number, boolean toAll) {
+  @Override
+  public void requestAck(int number, boolean toAll) {
     tables.requestAck(number, toAll);
-    if (durable != null) {
-      durable.ledger().lastAckNumber(number);
-    }
+    persistence.requestAck(number);
+  }
+
+  /** Every server is replaced in time: what is stored about one is removed with it. */
+  @Override
+  public void forgetServer(long server) {
+    servers.findName(server).ifPresent(persistence::forgetServer);
+    servers.forget(server);
+    tables.forgetServer(server);
+  }
+
+  @Override
+  public void watchEndpoints(boolean isOn) {
+    endpointLists.setWatching(isOn);
+  }
+
+  @Override
+  public void fetchEndpoints() {
+    outbound.get().calls().fetchEndpoints();
+  }
+
+  @Override
+  public void checkHealth(long server) {
+    outbound.get().calls().checkHealth(server, servers.hostPort(server));
+  }
+
+  @Override
+  public void setTimer(long delayUs, long token) {
+    loop.setTimer(delayUs, token);
+  }
+
+  @Override
+  public void sendToPeer(long peer, byte[] body) {
+    outbound.get().peers().send((int) peer, body);
+  }
+
+  /** The policy refers to servers by number, the log by name. */
+  @Override
+  public void log(String text) {
+    logger.accept(servers.replaceNumbers(text));
   }
 }
--- a/src/main/java/pearusher/control/DurablePublisher.java
+++ b/src/main/java/pearusher/control/DurablePublisher.java
@@ -5,19 +5,16 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
+import java.util.Optional;
 import java.util.StringJoiner;
-import java.util.TreeSet;
+import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import org.tinylog.Logger;
 import pearusher.config.AssignerConfig;
 import pearusher.policy.AdmissionLevel;
-import pearusher.policy.AssignmentPolicy;
 import pearusher.policy.Lifecycle;
-import pearusher.policy.RequestClass;
 import pearusher.protocol.Endpoint;
 import pearusher.protocol.EndpointList;
-import pearusher.publish.PublishedTables;
 import pearusher.recovery.CatchUp;
 import pearusher.recovery.Ledger;
 import pearusher.recovery.ListedServer;
@@ -30,309 +27,271 @@
 import pearusher.store.WriteBatch;
 
 /**
- * The assigner's memory on disk, where the operators switched it on: it hands the ledger's turns to
- * the store and keeps each message back until the turn that made it is durable. All but the release
- * of messages runs on the decision thread, which never waits for the disk. It must never decide
- * what a proxy gets: the ledger says what one lacks, the module whether it is bound.
+ * The persistence of an assigner with a store: it submits the ledger's changes of each iteration to
+ * the store and holds every message back until the iteration that made it is durable. After a fault
+ * of the store it gives the store up and sends at once.
+ *
+ * <p>Messages are released on the store's thread, all else runs on the event-loop thread, which
+ * never waits for the disk. It grows with the messages that wait for the disk, and with the ledger.
  */
-public final class DurablePublisher implements AutoCloseable {
+public final class DurablePublisher implements Persistence, AutoCloseable {
 
-  /** A message on its way to a stream. */
-  private record Post(ProxyStream to, byte[] message) {}
+  /** A message that waits for its iteration to become durable. */
+  private record PendingMessage(ProxyStream stream, byte[] message) {
+    void send() {
+      stream.send(message);
+    }
+  }
 
   private final LongSupplier clock;
   private final GroupCommitter committer;
-  private final Outbox<Post> outbox;
-  private final Object lock = new Object();
   private final Ledger ledger;
-  private final AssignerConfig config;
-  private final List<Post> posts = new ArrayList<>();
+  private final long heartbeatUs;
 
-  /** Of this turn: what joiners lack, until they are bound. */
-  private final Map<Integer, CatchUp> joining = new HashMap<>();
+  /** Messages of this iteration. */
+  private final List<PendingMessage> messages = new ArrayList<>();
 
-  private final long aliveUs;
-  private boolean givenUp;
+  /** What the proxies that joined in this iteration lack, until they are bound. */
+  private final Map<Integer, CatchUp> catchUpByJoiner = new HashMap<>();
 
-  /** The store was left behind by an earlier process; the first turn makes it whole. */
-  private boolean owning;
+  private long lastCommitUs;
+
+  private final Object lock = new Object();
 
-  private long lastUs;
+  // All below is guarded by the lock.
 
+  private final Outbox<PendingMessage> outbox;
+  private boolean hasGivenUp;
+
+  /** Whether an earlier process gave the store up; the first commit makes it complete again. */
+  private boolean isStoreAbandoned;
+
+  /**
+   * Takes over an open store.
+   *
+   * @param clock gives microseconds of Unix time
+   */
   public DurablePublisher(
-      AssignerConfig config, PersistenceOptions keeping, Store store, LongSupplier clock) {
-    this.config = config;
+      AssignerConfig config, PersistenceOptions options, Store store, LongSupplier clock) {
     this.clock = clock;
     Store.Recovered found = store.recovered();
-    lastUs = clock.getAsLong();
-    owning = found.abandoned();
-    RecoveryTrust doubt =
-        found.state().containsKey(Store.COPIED)
-            ? RecoveryTrust.RESTORED_COPY
-            : found.abandoned() ? RecoveryTrust.ABANDONED : RecoveryTrust.FULL;
+    lastCommitUs = clock.getAsLong();
+    isStoreAbandoned = found.abandoned();
+    heartbeatUs = options.heartbeatUs();
     ledger =
         Ledger.of(
             found.state(),
-            doubt,
-            names(config),
-            lastUs,
-            keeping.maxTrustedAgeUs(),
+            trustIn(found),
+            settingsFingerprint(config),
+            lastCommitUs,
+            options.maxTrustedAgeUs(),
             config.settings().instances() > 1);
-    outbox = new Outbox<>(post -> post.to().send(post.message()), keeping.maxCommitDelayUs());
-    aliveUs = keeping.heartbeatUs();
+    outbox = new Outbox<>(PendingMessage::send, options.maxCommitDelayUs());
     committer =
-        new GroupCommitter(
-            store,
-            keeping.storeOptions(),
-            new GroupCommitter.Events() {
-              @Override
-              public void failed(IOException why) {
-                giveUp(why.getMessage());
-              }
-
-              @Override
-              public void notDisowned(IOException why) {
-                Logger.error(
-                    "store not marked as given up, begin the next start with an empty directory: "
-                        + "cause=\"{}\"",
-                    why.getMessage());
-              }
-
-              @Override
-              public void compacted(long tookMs, long logBytes) {
-                Logger.info("store compacted: took_ms={} log_bytes={}", tookMs, logBytes);
-              }
-
-              @Override
-              public void notCompacted(IOException why) {
-                Logger.warn("store not compacted: cause=\"{}\"", why.getMessage());
-              }
-            });
-    if (!found.damage().isEmpty()) {
-      Logger.warn("store damaged: sequence={} lost=\"{}\"", found.sequence(), found.damage());
-    }
-    if (found.cutBytes() > 0) {
-      Logger.info(
-          "store end cut: sequence={} bytes={} records={}",
-          found.sequence(),
-          found.cutBytes(),
-          found.cutFrames());
-    }
-    Logger.info(
-        "store open: sequence={} epoch={} turn={} keys={} closed={} belief=\"{}\"",
-        found.sequence(),
-        ledger.epoch(),
-        ledger.iteration(),
-        found.state().size(),
-        found.closed() ? "yes" : "no",
-        ledger.trust().description());
+        new GroupCommitter(store, options.storeOptions(), new StoreEventLog(this::giveUpStore));
+    StoreEventLog.logRecovery(found, ledger);
   }
 
-  /** Opens the store that the settings name. */
+  /**
+   * Opens the store that the settings name.
+   *
+   * @throws IOException if it cannot be opened, or is damaged and the settings refuse that
+   */
   public static DurablePublisher open(
-      AssignerConfig config, PersistenceOptions keeping, LongSupplier clock) throws IOException {
-    FileDisk disk = new FileDisk(keeping.directory());
+      AssignerConfig config, PersistenceOptions options, LongSupplier clock) throws IOException {
+    FileDisk disk = new FileDisk(options.directory());
     disk.createDirectory();
-    return new DurablePublisher(config, keeping, Store.open(disk, keeping.storeOptions()), clock);
+    return new DurablePublisher(config, options, Store.open(disk, options.storeOptions()), clock);
   }
 
-  /** What gives numbers in the store their meaning. */
-  private static String names(AssignerConfig config) {
-    StringJoiner out = new StringJoiner(" ");
-    out.add(config.name()).add(String.join(",", config.names().classes()));
-    String[] zones = new String[config.names().zones().size()];
-    config.names().zones().forEach((name, at) -> zones[at] = name);
-    return out.add(String.join(",", zones)).toString();
+  private static RecoveryTrust trustIn(Store.Recovered found) {
+    if (found.state().containsKey(Store.COPIED)) {
+      return RecoveryTrust.RESTORED_COPY;
+    }
+    return found.abandoned() ? RecoveryTrust.ABANDONED : RecoveryTrust.FULL;
   }
 
-  // The start.
-
-  /** The list to begin with. */
-  EndpointList mergedServerList() {
-    List<ListedServer> given =
-        config.knownServers().endpoints().stream().map(DurablePublisher::listedServer).toList();
-    RecoveredServerList merged =
-        RecoveredServerList.merge(
-            new RecoveredServerList(config.knownServers().generation(), given), ledger);
-    return new EndpointList(
-        merged.generation(),
-        true,
-        merged.servers().stream()
-            .map(
-                s ->
-                    new Endpoint(
-                        s.name(),
-                        s.hostPort(),
-                        s.zone(),
-                        s.machineType(),
-                        s.cell(),
-                        s.lifecycle(),
-                        s.weight(),
-                        s.startedUs()))
-            .toList());
+  /** Returns the names that give the numbers in the store their meaning. */
+  private static String settingsFingerprint(AssignerConfig config) {
+    String[] zones = new String[config.names().zones().size()];
+    config.names().zones().forEach((name, position) -> zones[position] = name);
+    return new StringJoiner(" ")
+        .add(config.name())
+        .add(String.join(",", config.names().classes()))
+        .add(String.join(",", zones))
+        .toString();
   }
 
-  private static ListedServer listedServer(Endpoint one) {
-    return new ListedServer(
-        one.server(),
-        one.hostPort(),
-        one.zone(),
-        one.machineType(),
-        one.cell(),
-        one.lifecycle(),
-        one.weight(),
-        one.startedUs());
+  /** Starts the store's thread. */
+  public void start() {
+    committer.start();
   }
 
-  /** Hands the module and the tables what an earlier process had ordered; names become numbers. */
-  void restore(
-      long now,
-      EndpointList known,
-      ServerDirectory servers,
-      PublishedTables tables,
-      AssignmentPolicy module) {
-    ledger.start(
-        known.endpoints().stream()
-            .filter(one -> one.lifecycle() != Lifecycle.REMOVED)
-            .map(DurablePublisher::listedServer)
-            .toList(),
-        now);
-    Set<String> out = ledger.ejectedServers();
-    out.stream()
-        .filter(servers::knows)
-        .forEach(name -> tables.restoreEjection(servers.number(name)));
-    // With no table there is a mark at least: a proxy must not take a new one for one that it
-    // answered.
-    Set<Integer> numbers = new TreeSet<>(ledger.tables());
-    numbers.add(0);
-    for (int number : numbers) {
-      Map<Long, Double> weights = new HashMap<>();
-      ledger.weights(number).forEach((name, weight) -> weights.put(servers.number(name), weight));
-      Map<Integer, AdmissionLevel> levels =
-          ledger.admissionLevels(
-              number,
-              config.settings().requestClasses().stream().map(RequestClass::idempotency).toList());
-      Map<Integer, AdmissionLevel> orders = new HashMap<>();
-      levels.forEach(
-          (k, level) ->
-              orders.put(k, new AdmissionLevel(level.probabilityOrRate(), level.retry())));
-      tables.restoreTable(number, weights, orders);
-      double[] level = new double[config.names().classes().size()];
-      int[] retry = new int[level.length];
-      for (int k = 0; k < level.length; k++) {
-        level[k] = levels.containsKey(k) ? levels.get(k).probabilityOrRate() : 0;
-        retry[k] = levels.containsKey(k) ? levels.get(k).retry() : -1;
-      }
-      module.onTableRestored(now, number, weights, level, retry, ledger.lastAckNumber());
-    }
+  // Start.
+
+  @Override
+  public EndpointList initialEndpointList(EndpointList configured) {
+    RecoveredServerList given =
+        new RecoveredServerList(configured.generation(), ListedServers.of(configured.endpoints()));
+    RecoveredServerList merged = RecoveredServerList.merge(given, ledger);
+    List<Endpoint> endpoints = merged.servers().stream().map(ListedServers::toEndpoint).toList();
+    return new EndpointList(merged.generation(), true, endpoints);
   }
 
-  public void start() {
-    committer.start();
+  @Override
+  public void recover(long nowUs, EndpointList known, Consumer<Ledger> restorer) {
+    List<ListedServer> servers =
+        known.endpoints().stream()
+            .filter(endpoint -> endpoint.lifecycle() != Lifecycle.REMOVED)
+            .map(ListedServers::of)
+            .toList();
+    ledger.start(servers, nowUs);
+    restorer.accept(ledger);
   }
 
-  // Events, on the decision thread.
+  // Events, on the event-loop thread.
 
-  /** What a joiner lacks; null where its table is to go whole. */
-  CatchUp joined(int proxy, boolean fresh) {
-    CatchUp out = ledger.onProxyJoined(proxy, fresh);
-    if (out != null) {
-      joining.put(proxy, out);
-    }
-    return out;
+  @Override
+  public Optional<CatchUp> onProxyJoined(int proxy, boolean fresh) {
+    Optional<CatchUp> catchUp = Optional.ofNullable(ledger.onProxyJoined(proxy, fresh));
+    catchUp.ifPresent(lacking -> catchUpByJoiner.put(proxy, lacking));
+    return catchUp;
   }
 
-  void left(int proxy) {
+  @Override
+  public void onProxyLeft(int proxy) {
     ledger.onProxyLeft(proxy);
   }
 
-  void applied(int proxy, int mark) {
-    ledger.onAcknowledgement(proxy, mark);
+  @Override
+  public void onAcknowledgement(int proxy, int number) {
+    ledger.onAcknowledgement(proxy, number);
   }
 
-  void listed(EndpointList what) {
-    List<ListedServer> servers =
-        what.endpoints().stream().map(DurablePublisher::listedServer).toList();
-    ledger.onEndpointList(what.generation(), what.complete(), servers);
+  @Override
+  public void onEndpointList(EndpointList list) {
+    ledger.onEndpointList(list.generation(), list.complete(), ListedServers.of(list.endpoints()));
   }
 
-  Ledger ledger() {
-    return ledger;
-  }
+  // Commands of the policy.
 
-  /** A binding: what the proxy lacks if it is bound in the turn in which it joined, else null. */
-  CatchUp bound(int proxy, int number, boolean allClasses) {
-    CatchUp lacks = joining.remove(proxy);
+  @Override
+  public Optional<CatchUp> bindProxy(int proxy, int table, boolean allClasses) {
+    CatchUp lacking = catchUpByJoiner.remove(proxy);
     if (!allClasses) {
       ledger.unbindProxy(proxy);
-      return null;
+      return Optional.empty();
     }
-    boolean whole = lacks == null || lacks.table() != number;
-    ledger.bindProxy(proxy, number, whole);
-    return whole ? null : lacks;
+    boolean needsCompleteTable = lacking == null || lacking.table() != table;
+    ledger.bindProxy(proxy, table, needsCompleteTable);
+    return needsCompleteTable ? Optional.empty() : Optional.of(lacking);
   }
 
-  void send(int proxy, ProxyStream to, byte[] message) {
+  @Override
+  public void setWeight(int table, String server, double weight) {
+    ledger.setWeight(table, server, weight);
+  }
+
+  @Override
+  public void clearTable(int table) {
+    ledger.clearTable(table);
+  }
+
+  @Override
+  public void setEjected(String server, boolean isEjected, long nowUs) {
+    ledger.setEjected(server, isEjected, nowUs);
+  }
+
+  @Override
+  public void setAdmission(int table, int requestClass, AdmissionLevel level) {
+    ledger.setAdmission(table, requestClass, level);
+  }
+
+  @Override
+  public void requestAck(int number) {
+    ledger.lastAckNumber(number);
+  }
+
+  @Override
+  public void forgetServer(String server) {
+    ledger.forgetServer(server);
+  }
+
+  // End of an iteration.
+
+  @Override
+  public void send(int proxy, ProxyStream stream, byte[] message) {
     ledger.onMessageSent(proxy);
-    posts.add(new Post(to, message));
+    messages.add(new PendingMessage(stream, message));
   }
 
-  /** The end of a turn: its changes go to the store, its messages wait for that. */
-  void commitIteration(long now) {
-    joining.clear();
-    if (now - lastUs >= aliveUs) {
-      ledger.requestHeartbeat();
-    }
-    if (!posts.isEmpty()) {
-      // No message goes by a store, whatever ordered it.
+  @Override
+  public void commitIteration(long nowUs) {
+    catchUpByJoiner.clear();
+    // No message is sent without a record in the store, whatever caused it.
+    if (!messages.isEmpty() || nowUs - lastCommitUs >= heartbeatUs) {
       ledger.requestHeartbeat();
     }
-    Map<String, byte[]> changes = ledger.endIteration(now);
+    Map<String, byte[]> changes = ledger.endIteration(nowUs);
     synchronized (lock) {
       if (changes != null) {
-        lastUs = now;
-        long ticket = outbox.offer(posts, now);
-        if (ticket > 0 && owning) {
-          owning = false;
-          committer.submitAndClearAbandoned(WriteBatch.ofChanges(changes), () -> confirmed(ticket));
-        } else if (ticket > 0) {
-          committer.submit(WriteBatch.ofChanges(changes), () -> confirmed(ticket));
-        }
+        lastCommitUs = nowUs;
+        submit(changes, nowUs);
       }
-      posts.clear();
+      messages.clear();
       checkDeadline();
     }
   }
 
-  /** Called now and then, on any thread: a disk that hangs must not hold up a drain. */
-  public void checkDeadline() {
-    synchronized (lock) {
-      if (!givenUp && outbox.isOverdue(clock.getAsLong())) {
-        giveUp("an order waited for the disk longer than store.patience");
-      }
+  private void submit(Map<String, byte[]> changes, long nowUs) {
+    long ticket = outbox.offer(messages, nowUs);
+    if (ticket == 0) {
+      // The store was given up: the messages are sent already.
+      return;
+    }
+    WriteBatch batch = WriteBatch.ofChanges(changes);
+    if (isStoreAbandoned) {
+      isStoreAbandoned = false;
+      committer.submitAndClearAbandoned(batch, () -> onDurable(ticket));
+    } else {
+      committer.submit(batch, () -> onDurable(ticket));
     }
   }
 
-  private void confirmed(long ticket) {
+  private void onDurable(long ticket) {
     synchronized (lock) {
       outbox.release(ticket);
     }
   }
 
-  /** Said once: from here on the assigner is as without a store. */
-  private void giveUp(String why) {
+  /**
+   * Gives the store up if a message has waited for it for too long, so that a disk that hangs does
+   * not hold up an ejection. To be called regularly, on any thread.
+   */
+  public void checkDeadline() {
+    synchronized (lock) {
+      if (!hasGivenUp && outbox.isOverdue(clock.getAsLong())) {
+        giveUpStore("a message waited for the disk longer than store.patience");
+      }
+    }
+  }
+
+  /** From here on the assigner runs as without a store. */
+  private void giveUpStore(String cause) {
     synchronized (lock) {
-      if (!givenUp) {
-        givenUp = true;
-        Logger.error("store given up: waiting={} cause=\"{}\"", outbox.size(), why);
-        // Begun first, not waited for: orders may be out before it is durable (docs/ROADMAP.md).
-        committer.markAbandoned();
-        outbox.abandon();
+      if (hasGivenUp) {
+        return;
       }
+      hasGivenUp = true;
+      Logger.error("store given up: waiting={} cause=\"{}\"", outbox.size(), cause);
+      // Started before the messages are sent, but not waited for: they may be sent before the mark
+      // is durable (docs/ROADMAP.md).
+      committer.markAbandoned();
+      outbox.abandon();
     }
   }
 
-  /** An orderly end: what waits is written; a fault here is said and ends nothing. */
+  /** Closes the store as {@link #close} does; a fault is logged. */
   public void closeQuietly() {
     try {
       close();
@@ -341,18 +300,23 @@
     }
   }
 
-  /** The store's thread is there. */
-  boolean running() {
+  /** Whether the store's thread is running. */
+  boolean isRunning() {
     return committer.isRunning();
   }
 
-  /** Turns whose messages wait for the disk. */
+  /** Returns the number of iterations whose messages wait for the disk. */
   public int pendingIterations() {
     synchronized (lock) {
       return outbox.size();
     }
   }
 
+  /**
+   * Writes what was submitted and closes the store.
+   *
+   * @throws IOException if the last writes fail
+   */
   @Override
   public void close() throws IOException {
     committer.close();
--- a/src/main/java/pearusher/control/EndpointListState.java
+++ b/src/main/java/pearusher/control/EndpointListState.java
@@ -1,87 +1,93 @@
 package pearusher.control;
 
+import java.util.OptionalLong;
 import org.tinylog.Logger;
 import pearusher.protocol.EndpointList;
 
 /**
- * The version of the server list that is held, whether a watch of discovery runs, and what an older
- * list means. Only the decision thread uses it. Its size is constant.
+ * The version of the endpoint list in force, whether a watch of discovery is running, and what to
+ * make of an older list. Only the event-loop thread uses it. Its size is constant.
  */
 final class EndpointListState {
-  /** How a list compares with the one held. */
+  /** How a list compares with the one in force. */
   enum Freshness {
-    /** Not older: it counts. */
+    /** Not older: it takes effect. */
     CURRENT,
-    /** Older, but not what a watch begins with: it says only that discovery is there. */
+    /** Older, but not the first of a watch: it only shows that discovery is alive. */
     OUTDATED,
-    /** A watch began with an older whole list: it is passed over, and the watch has failed. */
+    /** A watch started with an older complete list: it is ignored, and the watch has failed. */
     LAGGING,
     /**
-     * As before, for as long as an assigner may go without asking: discovery started anew. It
-     * counts.
+     * Lagging for as long as an assigner may go without polling: discovery restarted with other
+     * versions. The list takes effect.
      */
     RESTARTED
   }
 
-  private final long askWithinUs;
+  private final long maxPollIntervalUs;
   private long generation;
 
-  /** Since when discovery has begun its watches with older lists only; -1: it does not. */
-  private long olderSinceUs = -1;
+  /** Since when discovery has started its watches with older lists only; empty if it does not. */
+  private OptionalLong laggingSinceUs = OptionalLong.empty();
 
-  /** The module has asked for a watch that has not failed since. */
-  private boolean watching;
+  /** Whether the policy asked for a watch that has not failed since. */
+  private boolean isWatching;
 
-  /** {@code askWithinUs}: how long an assigner may go without asking discovery. */
-  EndpointListState(long askWithinUs) {
-    this.askWithinUs = askWithinUs;
+  /**
+   * @param maxPollIntervalUs how long an assigner may go without polling discovery
+   */
+  EndpointListState(long maxPollIntervalUs) {
+    this.maxPollIntervalUs = maxPollIntervalUs;
   }
 
-  /** The version of the list that is held. */
+  /** Returns the version of the list in force. */
   long generation() {
     return generation;
   }
 
-  /** A list of this version is held from now on. */
-  void hold(long version) {
-    generation = version;
+  void setGeneration(long generation) {
+    this.generation = generation;
   }
 
   boolean isWatching() {
-    return watching;
+    return isWatching;
   }
 
-  void setWatching(boolean on) {
-    watching = on;
+  void setWatching(boolean isWatching) {
+    this.isWatching = isWatching;
   }
 
-  /** Compares a list with the one held; {@code begins}: it is the first line of a watch. */
-  Freshness compare(EndpointList what, boolean begins, long nowUs) {
-    boolean old = what.generation() < generation;
-    if (old && what.complete() && begins) {
-      return older(what, nowUs);
+  /**
+   * Compares a list with the one in force.
+   *
+   * @param startsWatch whether it is the first list of a watch
+   */
+  Freshness compare(EndpointList list, boolean startsWatch, long nowUs) {
+    if (list.generation() >= generation) {
+      laggingSinceUs = OptionalLong.empty();
+      return Freshness.CURRENT;
     }
-    olderSinceUs = old ? olderSinceUs : -1;
-    return old ? Freshness.OUTDATED : Freshness.CURRENT;
+    return list.complete() && startsWatch ? onOlderWatch(list, nowUs) : Freshness.OUTDATED;
   }
 
   /**
-   * A new watch begins with a whole list that is older than the one held: a discovery that lags,
-   * whose list would let drained servers in again, or one that lost its count. The last good list
-   * stays and it is asked again; who says nothing newer for as long as an assigner may go without
-   * asking has started anew.
+   * A watch starts with a complete list that is older than the one in force: discovery is either
+   * lagging, and its list would reinstate drained servers, or has lost its version counter. The
+   * last good list stays in force until this has lasted for as long as an assigner may go without
+   * polling.
    */
-  private Freshness older(EndpointList what, long nowUs) {
-    olderSinceUs = olderSinceUs < 0 ? nowUs : olderSinceUs;
-    if (nowUs - olderSinceUs >= askWithinUs) {
-      Logger.warn("discovery began anew: generation {} after {}", what.generation(), generation);
-      olderSinceUs = -1;
+  private Freshness onOlderWatch(EndpointList list, long nowUs) {
+    long sinceUs = laggingSinceUs.orElse(nowUs);
+    if (nowUs - sinceUs >= maxPollIntervalUs) {
+      Logger.warn("discovery restarted: generation {} after {}", list.generation(), generation);
+      laggingSinceUs = OptionalLong.empty();
       return Freshness.RESTARTED;
     }
-    if (olderSinceUs == nowUs) {
+    if (sinceUs == nowUs) {
       Logger.warn(
-          "discovery older: generation {} after {}, passed over", what.generation(), generation);
+          "discovery lagging: generation {} after {}, ignored", list.generation(), generation);
     }
+    laggingSinceUs = OptionalLong.of(sinceUs);
     return Freshness.LAGGING;
   }
 }
--- a/src/main/java/pearusher/control/EventLoop.java
+++ b/src/main/java/pearusher/control/EventLoop.java
@@ -6,133 +6,158 @@
 import java.util.function.LongSupplier;
 
 /**
- * The event loop of the decision thread, with its clock and its timers. Events wait in a queue;
- * those that come without a tick's pause make one turn, which has one time, runs the timers that
- * are due after the events, and is closed once. Any thread may add an event; all else belongs to
- * the decision thread. The queue grows with the events that no turn has taken yet: reports are
- * bounded by {@link BoundedReportQueue}, other events are not.
+ * The controller's event loop, with its clock and timers. Events that arrive without a pause of a
+ * tick make one iteration, which has a single time, fires the timers that are due after its events,
+ * and ends once. Any thread may add an event, all else belongs to the event-loop thread.
+ *
+ * <p>The queue grows with the events that no iteration has taken yet: reports are bounded by {@link
+ * BoundedReportQueue}, other events are not.
  */
 final class EventLoop {
-  /** Most ticks of the settings for which a turn waits for more of a burst. */
-  private static final int MOST_TICKS = 4;
+  /** Most ticks for which an iteration waits for the rest of a burst. */
+  private static final int MAX_GATHER_TICKS = 4;
 
-  /** Most events of one turn. */
-  private static final int MOST_EVENTS = BoundedReportQueue.MOST_REPORTS;
+  /** Most events of one iteration, so that a flood of them cannot hold up timers and updates. */
+  private static final int MAX_EVENTS = BoundedReportQueue.CAPACITY;
 
-  /** What a turn is made of, besides its events. The decision thread calls it. */
+  /** Longest wait while the intake is overloaded, in microseconds. */
+  private static final long OVERLOADED_WAIT_US = 20_000;
+
+  /** Handles the parts of an iteration besides its events, on the event-loop thread. */
   interface Handler {
     /** Waits for one tick. */
     void awaitTick() throws InterruptedException;
 
-    /** Whether reports wait outside of the queue, which no event announces. */
+    /** Whether reports wait outside of the queue that no event announces. */
     boolean isOverloaded();
 
-    /** Handles those of them that are due. */
+    /** Handles those of the unannounced reports that are due. */
     void deliverDue();
 
+    /** A timer is due. */
     void onTimer(long token);
 
-    /** The turn ends. */
+    /** The iteration ends. */
     void onIterationEnd();
   }
 
-  private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<Runnable> events = new LinkedBlockingQueue<>();
   private final TimerQueue timers = new TimerQueue();
   private final LongSupplier clock;
-  private final Consumer<Throwable> failed;
+  private final Consumer<Throwable> failureHandler;
   private final Handler handler;
   private long nowUs;
 
-  /** {@code failed} hears what ended the loop, if an event, a timer or the close threw it. */
-  EventLoop(LongSupplier clock, Consumer<Throwable> failed, Handler handler) {
+  /**
+   * @param clock gives microseconds; it must not run back by itself
+   * @param failureHandler called with what an event, a timer or the end of an iteration threw,
+   *     which ends the loop
+   */
+  EventLoop(LongSupplier clock, Consumer<Throwable> failureHandler, Handler handler) {
     this.clock = clock;
-    this.failed = failed;
+    this.failureHandler = failureHandler;
     this.handler = handler;
   }
 
-  /** Adds an event for the next turn, from any thread. */
+  /** Adds an event, from any thread. */
   void add(Runnable event) {
-    queue.add(event);
+    events.add(event);
   }
 
-  /** Events that wait. */
-  int size() {
-    return queue.size();
+  /** Returns the number of events that wait. */
+  int pendingEvents() {
+    return events.size();
   }
 
-  /** The time of the turn. */
+  /** Returns the time of the iteration. */
   long nowUs() {
     return nowUs;
   }
 
-  /** Reads the clock before the first turn. */
+  /** Reads the clock before the first iteration. */
   void start() {
     nowUs = clock.getAsLong();
   }
 
-  /** Sets a timer, counted from the time of the turn. */
+  /** Sets a timer, counted from the time of the iteration. */
   void setTimer(long delayUs, long token) {
     timers.add(nowUs + Math.max(0, delayUs), token);
   }
 
-  /** Timers that are set. */
-  int timers() {
+  /** Returns the number of timers that are set. */
+  int timerCount() {
     return timers.size();
   }
 
-  /** Makes turns until the thread is interrupted or a turn fails. */
+  /** Runs iterations until the thread is interrupted or one of them fails. */
   void run() {
     try {
       while (!Thread.currentThread().isInterrupted()) {
         runIteration();
       }
-    } catch (InterruptedException stopped) {
+    } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (RuntimeException | Error failure) {
-      failed.accept(failure);
+      failureHandler.accept(failure);
     }
   }
 
-  /** Waits for an event or a timer; what comes without a tick's pause is one turn. */
+  /** Waits for an event or a timer, and runs one iteration. */
   void runIteration() throws InterruptedException {
-    long waitUs = timers.isEmpty() ? Long.MAX_VALUE : timers.nextDueUs() - clock.getAsLong();
-    boolean flooded = handler.isOverloaded();
-    waitUs = flooded ? Math.min(waitUs, SynchronizedIntake.SERVE_US) : waitUs;
-    Runnable first = waitUs <= 0 ? queue.poll() : queue.poll(waitUs, TimeUnit.MICROSECONDS);
-    if (first != null) {
-      gather();
+    boolean isOverloaded = handler.isOverloaded();
+    Runnable firstEvent = awaitEvent(isOverloaded);
+    if (firstEvent != null) {
+      gatherBurst();
     }
-    boolean acted = first != null;
     nowUs = Math.max(nowUs, clock.getAsLong());
-    // A flood makes several turns, so that timers and orders are not held up by it.
-    for (int k = 1; first != null; k++) {
-      first.run();
-      first = k < MOST_EVENTS ? queue.poll() : null;
-    }
-    if (flooded) {
+    boolean hasActed = runEvents(firstEvent);
+    if (isOverloaded) {
       handler.deliverDue();
-      acted = true;
+      hasActed = true;
     }
-    while (timers.isDue(nowUs)) {
-      handler.onTimer(timers.poll());
-      acted = true;
-    }
-    if (acted) {
+    hasActed |= fireTimers();
+    if (hasActed) {
       handler.onIterationEnd();
     }
   }
 
+  /** Returns the first event, or null if a timer is due or the wait is over before one arrives. */
+  private Runnable awaitEvent(boolean isOverloaded) throws InterruptedException {
+    long waitUs = timers.isEmpty() ? Long.MAX_VALUE : timers.nextDueUs() - clock.getAsLong();
+    if (isOverloaded) {
+      waitUs = Math.min(waitUs, OVERLOADED_WAIT_US);
+    }
+    return waitUs <= 0 ? events.poll() : events.poll(waitUs, TimeUnit.MICROSECONDS);
+  }
+
   /**
-   * Lets the rest of a burst come: the reports of one instant reach the simulator's module in one
-   * batch, here by several connections within some milliseconds. Guards against a pass that sees a
-   * part of a period's reports and keeps the others for the next. While events keep coming it ends
-   * after a few ticks.
+   * Waits for the rest of a burst, up to a few ticks. The reports of one instant arrive over
+   * several connections within some milliseconds, and a control period should not see only a part
+   * of them.
    */
-  private void gather() throws InterruptedException {
-    int before = -1;
-    for (int tick = 0; tick < MOST_TICKS && queue.size() != before; tick++) {
-      before = queue.size();
+  private void gatherBurst() throws InterruptedException {
+    int previousSize = -1;
+    for (int tick = 0; tick < MAX_GATHER_TICKS && events.size() != previousSize; tick++) {
+      previousSize = events.size();
       handler.awaitTick();
     }
   }
+
+  private boolean runEvents(Runnable firstEvent) {
+    Runnable event = firstEvent;
+    for (int count = 1; event != null; count++) {
+      event.run();
+      event = count < MAX_EVENTS ? events.poll() : null;
+    }
+    return firstEvent != null;
+  }
+
+  private boolean fireTimers() {
+    boolean hasFired = false;
+    while (timers.isDue(nowUs)) {
+      handler.onTimer(timers.remove());
+      hasFired = true;
+    }
+    return hasFired;
+  }
 }
--- /dev/null
+++ b/src/main/java/pearusher/control/IntakeReportDispatcher.java
@@ -0,0 +1,136 @@
+package pearusher.control;
+
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import pearusher.intake.QueuedReport;
+import pearusher.intake.ReportTotals;
+import pearusher.policy.AssignmentPolicy;
+import pearusher.protocol.Message;
+
+/**
+ * Queues reports in the intake, which merges and samples them under overload, and hands the policy
+ * those that are due. It holds no state; what waits is the intake's.
+ */
+final class IntakeReportDispatcher implements ReportDispatcher {
+  /** Control periods after which a usage report is too old to say anything about the present. */
+  private static final int MAX_USAGE_AGE_PERIODS = 2;
+
+  private static final float[] NO_LOAD = {};
+
+  private final EventLoop loop;
+  private final SynchronizedIntake intake;
+  private final ServerDirectory servers;
+  private final Supplier<AssignmentPolicy> policy;
+  private final long maxUsageAgeUs;
+
+  private volatile Consumer<QueuedReport> listener = report -> {};
+
+  IntakeReportDispatcher(
+      EventLoop loop,
+      SynchronizedIntake intake,
+      ServerDirectory servers,
+      Supplier<AssignmentPolicy> policy,
+      long controlPeriodUs) {
+    this.loop = loop;
+    this.intake = intake;
+    this.servers = servers;
+    this.policy = policy;
+    maxUsageAgeUs = MAX_USAGE_AGE_PERIODS * controlPeriodUs;
+  }
+
+  /** Sets what is called with each report that is due, on the event-loop thread. */
+  void setListener(Consumer<QueuedReport> listener) {
+    this.listener = listener;
+  }
+
+  @Override
+  public void onLoadReport(Message.LoadReport report, int origin) {
+    ReportTotals totals =
+        ReportTotals.of(
+            report.attempts(), report.failed(), report.meanUs(), report.spanUs(), report.load());
+    QueuedReport.Subject subject = new QueuedReport.ServerAttempts(report.server(), report.zone());
+    intake.offer(new QueuedReport(origin, subject, totals), this::announce);
+  }
+
+  @Override
+  public void onUsageReport(Message.UsageReport report, int origin) {
+    // More requests may have failed than arrived: successes must not be derived from the two, so
+    // the totals are made without a mean.
+    ReportTotals totals =
+        new ReportTotals(report.requests(), report.failed(), 0, report.spanUs(), 1, NO_LOAD, 0);
+    QueuedReport.Subject subject =
+        new QueuedReport.ProxyRequests(report.proxy(), report.requestClass());
+    intake.offer(new QueuedReport(origin, subject, totals), this::announce);
+  }
+
+  private void announce() {
+    loop.add(() -> intake.pollOldest(loop.nowUs(), this::deliver));
+  }
+
+  @Override
+  public boolean isOverloaded() {
+    return intake.isOverloaded();
+  }
+
+  @Override
+  public void deliverDue() {
+    intake.pollDue(loop.nowUs(), this::deliver);
+  }
+
+  private void deliver(QueuedReport report) {
+    listener.accept(report);
+    if (report.subject() instanceof QueuedReport.ProxyRequests requests) {
+      deliver(report, requests);
+    } else if (report.subject() instanceof QueuedReport.ServerAttempts attempts) {
+      servers
+          .number(attempts.server())
+          .ifPresent(server -> deliver(report, server, attempts.zone()));
+    }
+  }
+
+  private void deliver(QueuedReport report, QueuedReport.ProxyRequests requests) {
+    if (report.ageUs() > maxUsageAgeUs) {
+      return;
+    }
+    ReportTotals totals = report.totals();
+    policy
+        .get()
+        .onUsageReport(
+            loop.nowUs(),
+            requests.proxy(),
+            requests.requestClass(),
+            totals.attempts(),
+            totals.failed(),
+            totals.spanUs());
+  }
+
+  private void deliver(QueuedReport report, long server, int zone) {
+    ReportTotals totals = report.totals();
+    if (report.ageUs() == 0) {
+      policy
+          .get()
+          .onLoadReport(
+              loop.nowUs(),
+              server,
+              zone,
+              totals.attempts(),
+              totals.failed(),
+              totals.spanUs(),
+              totals.meanUs(),
+              totals.load());
+      return;
+    }
+    policy
+        .get()
+        .onLoadReport(
+            loop.nowUs(),
+            server,
+            zone,
+            totals.attempts(),
+            totals.failed(),
+            totals.spanUs(),
+            totals.meanUs(),
+            totals.load(),
+            report.ageUs());
+  }
+}
--- a/src/main/java/pearusher/control/PersistenceOptions.java
+++ b/src/main/java/pearusher/control/PersistenceOptions.java
@@ -4,11 +4,14 @@
 import pearusher.store.StoreOptions;
 
 /**
- * What the operators say of an assigner's memory on disk.
+ * The operators' settings of an assigner's store.
  *
- * @param maxCommitDelayUs how long an order may wait for the disk, in microseconds
- * @param heartbeatUs longest time without a word in the store
- * @param maxTrustedAgeUs longest silence after which the store is believed in what proxies hold
+ * @param directory where the store is
+ * @param storeOptions options of the store itself
+ * @param maxCommitDelayUs how long a message may wait for the disk, in microseconds
+ * @param heartbeatUs longest time without a record in the store, in microseconds
+ * @param maxTrustedAgeUs longest age of the last record at which a start trusts what the store says
+ *     about proxies, in microseconds
  */
 public record PersistenceOptions(
     Path directory,
--- a/src/main/java/pearusher/control/ProxyStream.java
+++ b/src/main/java/pearusher/control/ProxyStream.java
@@ -1,13 +1,17 @@
 package pearusher.control;
 
-/** A proxy's stream, on the server side. Calls come from the decision thread and must not block. */
+/**
+ * The connection over which a proxy receives updates. The event-loop thread or the store's thread
+ * calls it; no method blocks.
+ */
 public interface ProxyStream {
+  /** Queues an encoded message. */
   void send(byte[] message);
 
-  /** A newer stream of the same proxy took its place. */
+  /** A newer stream of the same proxy took the place of this one. */
   void onReplaced();
 
-  /** Its place among all connections taken: of two of a proxy the later one is the newer. */
+  /** Returns the position among all accepted connections: the higher of two is the newer. */
   default long acceptOrder() {
     return 0;
   }
--- a/src/main/java/pearusher/control/StreamMembership.java
+++ b/src/main/java/pearusher/control/StreamMembership.java
@@ -2,50 +2,43 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import java.util.function.Function;
 import java.util.function.Supplier;
 import org.tinylog.Logger;
+import pearusher.logging.RepeatedEvent;
 import pearusher.policy.AssignmentPolicy;
 import pearusher.protocol.Message;
 import pearusher.publish.PublishedTables;
 import pearusher.recovery.CatchUp;
 
 /**
- * Which stream speaks for which proxy: joinings, ends and answers to marks, told to the module, the
- * tables and the store. Only the decision thread uses it. It grows with the proxies that are joined
- * here.
+ * Tracks which stream belongs to which proxy, and passes joins, ends of streams and
+ * acknowledgements on to the policy, the published tables and the persistence. Only the event-loop
+ * thread uses it. It grows with the proxies that are joined here.
  */
 final class StreamMembership {
   private final EventLoop loop;
+  private final ServerDirectory servers;
   private final PublishedTables tables;
-
-  /** What lasts, where the operators switched it on; else null. */
-  private final DurablePublisher durable;
-
-  private final Supplier<AssignmentPolicy> module;
-
-  /** The same map by the numbers of the servers that are still listed. */
-  private final Function<Map<String, Boolean>, Map<Long, Boolean>> numbers;
+  private final Persistence persistence;
+  private final Supplier<AssignmentPolicy> policy;
 
   private final Map<Integer, ProxyStream> streams = new HashMap<>();
-
-  /** Answers to marks that could not be. */
-  private long impossibleAnswers;
+  private final RepeatedEvent impossibleAcknowledgements = new RepeatedEvent();
 
   StreamMembership(
       EventLoop loop,
+      ServerDirectory servers,
       PublishedTables tables,
-      DurablePublisher durable,
-      Supplier<AssignmentPolicy> module,
-      Function<Map<String, Boolean>, Map<Long, Boolean>> numbers) {
+      Persistence persistence,
+      Supplier<AssignmentPolicy> policy) {
     this.loop = loop;
+    this.servers = servers;
     this.tables = tables;
-    this.durable = durable;
-    this.module = module;
-    this.numbers = numbers;
+    this.persistence = persistence;
+    this.policy = policy;
   }
 
-  /** The stream of a proxy that is joined. */
+  /** Returns the stream of a proxy that is joined. */
   ProxyStream stream(int proxy) {
     return streams.get(proxy);
   }
@@ -55,66 +48,70 @@
   }
 
   /**
-   * Guards against joinings that are read in another order than they came: a proxy that was cut off
-   * right after it joined dials again, and both connections may be read at once. The dead one would
-   * take the place of the good one, and its end would unseat the proxy.
+   * A stream identified its proxy. Joins may be read in another order than their connections were
+   * accepted: a proxy that was cut off right after it joined reconnects, and both connections may
+   * be read at once. The older one must not replace the newer one.
    */
-  void onProxyJoined(ProxyStream stream, Message.ProxyJoin what) {
-    ProxyStream old = streams.get(what.proxy());
-    if (old != null && old.acceptOrder() > stream.acceptOrder()) {
+  void onProxyJoined(ProxyStream stream, Message.ProxyJoin join) {
+    int proxy = join.proxy();
+    ProxyStream previous = streams.get(proxy);
+    if (previous != null && previous.acceptOrder() > stream.acceptOrder()) {
       stream.onReplaced();
       return;
     }
-    streams.put(what.proxy(), stream);
-    if (old != null) {
-      module.get().onProxyLeft(loop.nowUs(), what.proxy());
-      old.onReplaced();
+    streams.put(proxy, stream);
+    if (previous != null) {
+      policy.get().onProxyLeft(loop.nowUs(), proxy);
+      previous.onReplaced();
     }
-    tables.addProxy(what.proxy());
-    module
+    tables.addProxy(proxy);
+    policy
         .get()
-        .onProxyJoined(
-            loop.nowUs(), what.proxy(), what.zone(), what.requestsPerSecond(), what.fresh());
-    CatchUp lacks = durable == null ? null : durable.joined(what.proxy(), what.fresh());
-    if (lacks != null) {
-      tables.setAnnounced(what.proxy(), numbers.apply(lacks.announced()));
-      module.get().onTableHeld(loop.nowUs(), what.proxy(), lacks.table(), lacks.cost());
-    }
+        .onProxyJoined(loop.nowUs(), proxy, join.zone(), join.requestsPerSecond(), join.fresh());
+    persistence
+        .onProxyJoined(proxy, join.fresh())
+        .ifPresent(lacking -> onTableHeld(proxy, lacking));
   }
 
-  /** A stream ended; one whose proxy has joined anew since then unseats nobody. */
+  /** A joining proxy holds a table that an earlier process sent, all but what it lacks. */
+  private void onTableHeld(int proxy, CatchUp lacking) {
+    tables.setAnnounced(proxy, servers.byNumber(lacking.announced()));
+    policy.get().onTableHeld(loop.nowUs(), proxy, lacking.table(), lacking.cost());
+  }
+
+  /** A stream ended; ignored if a newer stream of the proxy took its place. */
   void onStreamClosed(ProxyStream stream, int proxy) {
     if (streams.remove(proxy, stream)) {
       tables.removeProxy(proxy);
-      module.get().onProxyLeft(loop.nowUs(), proxy);
-      if (durable != null) {
-        durable.left(proxy);
-      }
+      policy.get().onProxyLeft(loop.nowUs(), proxy);
+      persistence.onProxyLeft(proxy);
     }
   }
 
   /**
-   * A proxy answers a mark; one that another stream was sent, or that could not be, counts for
-   * nothing.
+   * A proxy acknowledged an update; ignored if the request went to another stream, or if the
+   * acknowledgement is impossible.
    */
-  void onAcknowledgement(ProxyStream stream, Message.Acknowledgement what) {
-    if (streams.get(what.proxy()) != stream) {
+  void onAcknowledgement(ProxyStream stream, Message.Acknowledgement acknowledgement) {
+    int proxy = acknowledgement.proxy();
+    int number = acknowledgement.number();
+    if (streams.get(proxy) != stream) {
       return;
     }
-    if (!tables.acknowledge(loop.nowUs(), what.proxy(), what.number(), what.tookUs())) {
-      if (Long.bitCount(++impossibleAnswers) == 1) {
-        Logger.warn(
-            "answers dropped: {} so far, the last of proxy {}: no mark {} is {} us old",
-            impossibleAnswers,
-            what.proxy(),
-            what.number(),
-            what.tookUs());
-      }
+    if (!tables.acknowledge(loop.nowUs(), proxy, number, acknowledgement.tookUs())) {
+      impossibleAcknowledgements.record(count -> logDropped(count, acknowledgement));
       return;
     }
-    if (durable != null) {
-      durable.applied(what.proxy(), what.number());
-    }
-    module.get().onAcknowledgement(loop.nowUs(), what.proxy(), what.number(), what.tookUs());
+    persistence.onAcknowledgement(proxy, number);
+    policy.get().onAcknowledgement(loop.nowUs(), proxy, number, acknowledgement.tookUs());
+  }
+
+  private static void logDropped(long count, Message.Acknowledgement last) {
+    Logger.warn(
+        "acknowledgements dropped: {} so far, the last of proxy {}: no request {} is {} us old",
+        count,
+        last.proxy(),
+        last.number(),
+        last.tookUs());
   }
 }
--- a/src/main/java/pearusher/control/SynchronizedIntake.java
+++ b/src/main/java/pearusher/control/SynchronizedIntake.java
@@ -3,109 +3,73 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import org.tinylog.Logger;
 import pearusher.intake.Intake;
 import pearusher.intake.QueuedReport;
 
 /**
- * The intake behind a lock: streams put reports in on their threads, the decision thread takes them
- * out. It says when a flood begins and ends. It must never hold the lock while the module works.
+ * An intake behind a lock: connections add reports on their threads, the event-loop thread takes
+ * them out. The lock is not held while reports are delivered. It grows with the reports that wait,
+ * within the bounds of the intake.
  */
 public final class SynchronizedIntake {
-  /** How long the decision thread sleeps at most while reports of a flood wait, in microseconds. */
-  static final long SERVE_US = 20_000;
-
-  /** Periods after which what came for a proxy is not told any more. */
-  static final int OLD_USAGE_PERIODS = 2;
+  private final Object lock = new Object();
 
+  /** Guarded by the lock. */
   private final Intake intake;
-  private final List<QueuedReport> items = new ArrayList<>();
-
-  public SynchronizedIntake(Intake.Bounds bounds) {
-    intake =
-        new Intake(
-            bounds,
-            new Intake.Events() {
-              @Override
-              public void onOverloadStarted(int origin, double part) {
-                Logger.warn(
-                    "flood of reports: origin=\"{}\" part={}", name(origin), hundredths(part));
-              }
-
-              private long thinned;
-              private long expired;
 
-              @Override
-              public void onExpired(QueuedReport item) {
-                if (Long.bitCount(++expired) == 1) {
-                  Logger.warn(
-                      "reports expired: count={} origin=\"{}\"", expired, name(item.origin()));
-                }
-              }
-
-              @Override
-              public void onSampled(double kept, double error) {
-                if (Long.bitCount(++thinned) == 1) {
-                  Logger.warn(
-                      "reports sampled: times={} kept={} error={}",
-                      thinned,
-                      hundredths(kept),
-                      hundredths(error));
-                }
-              }
-
-              @Override
-              public void onOverloadEnded(long merged, long refused) {
-                Logger.info("flood of reports over: merged={} refused={}", merged, refused);
-              }
-            });
-  }
+  /** Reports on their way from the intake to the consumer; event-loop thread only. */
+  private final List<QueuedReport> polled = new ArrayList<>();
 
-  private static String name(int origin) {
-    return origin < 0 ? "collector " + -origin : "proxy " + origin;
-  }
-
-  private static double hundredths(double value) {
-    return Math.round(100 * value) / 100.0;
+  /** Makes an empty intake that logs when it is overloaded. */
+  public SynchronizedIntake(Intake.Bounds bounds) {
+    intake = new Intake(bounds, new IntakeEventLog());
   }
 
   /**
-   * Takes a report; outside of a flood {@code wake} asks for its turn, in the order of the reports.
+   * Adds a report.
+   *
+   * @param announce called if the report was queued and the intake is not overloaded, in the order
+   *     of the reports; it must lead to one {@link #pollOldest}
    */
-  public void offer(QueuedReport item, Runnable wake) {
-    synchronized (intake) {
-      if (intake.offer(item) && !intake.isOverloaded()) {
-        wake.run();
+  public void offer(QueuedReport report, Runnable announce) {
+    synchronized (lock) {
+      if (intake.offer(report) && !intake.isOverloaded()) {
+        announce.run();
       }
     }
   }
 
-  /** The oldest report, outside of a flood. */
-  public void next(long nowUs, Consumer<QueuedReport> out) {
-    take(() -> intake.pollOldest(nowUs, items::add), out);
+  /** Hands over the oldest report, unless the intake is overloaded. */
+  public void pollOldest(long nowUs, Consumer<QueuedReport> consumer) {
+    synchronized (lock) {
+      intake.pollOldest(nowUs, polled::add);
+    }
+    deliver(consumer);
   }
 
-  /** In a flood: what is due. */
-  public void serve(long nowUs, Consumer<QueuedReport> out) {
-    take(() -> intake.serve(nowUs, items::add), out);
+  /** Hands over the reports that are due while the intake is overloaded. */
+  public void pollDue(long nowUs, Consumer<QueuedReport> consumer) {
+    synchronized (lock) {
+      intake.serve(nowUs, polled::add);
+    }
+    deliver(consumer);
   }
 
-  private void take(Runnable how, Consumer<QueuedReport> out) {
-    synchronized (intake) {
-      how.run();
-    }
-    items.forEach(out);
-    items.clear();
+  private void deliver(Consumer<QueuedReport> consumer) {
+    polled.forEach(consumer);
+    polled.clear();
   }
 
-  public boolean flooded() {
-    synchronized (intake) {
+  /** Whether more reports wait than the policy can take at once. */
+  public boolean isOverloaded() {
+    synchronized (lock) {
       return intake.isOverloaded();
     }
   }
 
-  public int waiting() {
-    synchronized (intake) {
+  /** Returns the number of reports that wait. */
+  public int size() {
+    synchronized (lock) {
       return intake.size();
     }
   }
--- a/src/main/java/pearusher/control/TimerQueue.java
+++ b/src/main/java/pearusher/control/TimerQueue.java
@@ -1,25 +1,23 @@
 package pearusher.control;
 
+import java.util.Comparator;
 import java.util.PriorityQueue;
 
 /**
- * The module's timers, by the time at which they are due; those of one instant in the order in
- * which they were set. Only the decision thread uses it. It grows with the timers that are set and
- * not yet due.
+ * The policy's timers, ordered by due time; those due at the same time fire in the order in which
+ * they were set. Only the event-loop thread uses it. It grows with the timers that are not yet due.
  */
 final class TimerQueue {
-  private record Timer(long dueUs, long order, long token) {}
+  private record Timer(long dueUs, long sequence, long token) {
+    static final Comparator<Timer> BY_DUE_TIME =
+        Comparator.comparingLong(Timer::dueUs).thenComparingLong(Timer::sequence);
+  }
 
-  private final PriorityQueue<Timer> timers =
-      new PriorityQueue<>(
-          (a, b) ->
-              a.dueUs() != b.dueUs()
-                  ? Long.compare(a.dueUs(), b.dueUs())
-                  : Long.compare(a.order(), b.order()));
-  private long made;
+  private final PriorityQueue<Timer> timers = new PriorityQueue<>(Timer.BY_DUE_TIME);
+  private long nextSequence;
 
   void add(long dueUs, long token) {
-    timers.add(new Timer(dueUs, made++, token));
+    timers.add(new Timer(dueUs, nextSequence++, token));
   }
 
   boolean isEmpty() {
@@ -30,17 +28,17 @@
     return timers.size();
   }
 
-  /** When the next timer is due; there must be one. */
+  /** Returns when the next timer is due; there must be one. */
   long nextDueUs() {
-    return timers.peek().dueUs();
+    return timers.element().dueUs();
   }
 
   boolean isDue(long nowUs) {
-    return !timers.isEmpty() && timers.peek().dueUs() <= nowUs;
+    return !timers.isEmpty() && nextDueUs() <= nowUs;
   }
 
   /** Removes the next timer and returns its token; there must be one. */
-  long poll() {
-    return timers.poll().token();
+  long remove() {
+    return timers.remove().token();
   }
 }
--- a/src/main/java/pearusher/publish/EjectionState.java
+++ b/src/main/java/pearusher/publish/EjectionState.java
@@ -7,42 +7,51 @@
 import java.util.TreeMap;
 
 /**
- * Which servers are ejected (withdrawn by the module), which were ejected or reinstated this turn,
- * and of which a proxy may believe that they are ejected. Only the decision thread uses it. It
- * grows with the servers that the module has not forgotten.
+ * Which servers are ejected, which were ejected or reinstated in this iteration, and which of them
+ * a proxy may wrongly believe to be ejected. Only the event-loop thread uses it. It grows with the
+ * servers that the policy has not forgotten.
  */
 final class EjectionState {
+  /** Which proxies may believe that a server is ejected. */
+  private enum Suspicion {
+    UNCONFIRMED_PROXIES,
+    ALL_PROXIES
+  }
+
   private final Set<Long> ejected = new HashSet<>();
 
-  /**
-   * Servers that some assigner may have ejected, as the module says: at any proxy, or where not
-   * sure.
-   */
-  private final Map<Long, Boolean> doubted = new HashMap<>();
+  /** Servers that some assigner may have ejected, as the policy says. */
+  private final Map<Long, Suspicion> suspected = new HashMap<>();
 
+  /** Servers that were ejected (true) or reinstated in this iteration. */
   private final Map<Long, Boolean> changed = new TreeMap<>();
 
   /** Ejects a server, or reinstates it. */
-  void order(long server, boolean out) {
-    if (out) {
+  void set(long server, boolean isEjected) {
+    if (isEjected) {
       ejected.add(server);
     } else {
       ejected.remove(server);
     }
-    changed.put(server, out);
+    changed.put(server, isEjected);
   }
 
-  /** A server that an earlier process ejected, and that still is out. */
+  /** Restores a server that an earlier process ejected. */
   void restore(long server) {
     ejected.add(server);
   }
 
-  void doubt(long server, boolean all) {
-    doubted.put(server, all);
+  /**
+   * Some assigner may have ejected a server.
+   *
+   * @param all whether confirmed proxies may believe so too
+   */
+  void suspect(long server, boolean all) {
+    suspected.put(server, all ? Suspicion.ALL_PROXIES : Suspicion.UNCONFIRMED_PROXIES);
   }
 
   void forget(long server) {
-    doubted.remove(server);
+    suspected.remove(server);
     ejected.remove(server);
   }
 
@@ -50,23 +59,31 @@
     return ejected.contains(server);
   }
 
-  /** Whether a proxy to which a table brings this server must be told how it stands. */
-  boolean mustBeSaid(long server, boolean sure) {
-    return ejected.contains(server)
-        || (doubted.containsKey(server) && (doubted.get(server) || !sure));
+  /**
+   * Whether the state of a server must be announced to a proxy whose table gains it.
+   *
+   * @param isConfirmed whether the policy confirmed the proxy
+   */
+  boolean needsAnnouncement(long server, boolean isConfirmed) {
+    if (ejected.contains(server)) {
+      return true;
+    }
+    Suspicion suspicion = suspected.get(server);
+    return suspicion == Suspicion.ALL_PROXIES
+        || (suspicion == Suspicion.UNCONFIRMED_PROXIES && !isConfirmed);
   }
 
-  /** Servers that were ejected (true) or reinstated this turn. */
+  /** Returns the servers that were ejected (true) or reinstated in this iteration. */
   Map<Long, Boolean> changed() {
     return changed;
   }
 
-  void endTurn() {
+  void endIteration() {
     changed.clear();
   }
 
-  /** What is kept, by server. */
+  /** Returns the number of entries by server. */
   int size() {
-    return doubted.size() + ejected.size() + changed.size();
+    return suspected.size() + ejected.size() + changed.size();
   }
 }
--- a/src/main/java/pearusher/publish/GlobalAdmissionLevels.java
+++ b/src/main/java/pearusher/publish/GlobalAdmissionLevels.java
@@ -1,57 +1,50 @@
 package pearusher.publish;
 
+import java.util.Optional;
 import pearusher.policy.AdmissionLevel;
 
 /**
- * The levels that were ordered for all tables, by class, and which of them changed this turn. Only
- * the decision thread uses it. It grows with the classes.
+ * The admission levels that hold for all tables, by request class, and which of them were set in
+ * this iteration. Only the event-loop thread uses it. It grows with the request classes.
  */
 final class GlobalAdmissionLevels {
   private final AdmissionLevel[] levels;
-  private int changed;
+  private ClassSet changed = ClassSet.EMPTY;
 
-  GlobalAdmissionLevels(int classes) {
-    levels = new AdmissionLevel[classes];
+  GlobalAdmissionLevels(int classCount) {
+    levels = new AdmissionLevel[classCount];
   }
 
-  void order(int which, AdmissionLevel level) {
-    set(levels, which, level);
-    changed |= which;
+  void set(ClassSet classes, AdmissionLevel level) {
+    classes.forEach(requestClass -> levels[requestClass] = level);
+    changed = changed.union(classes);
   }
 
-  /** Sets the level of each class of a set. */
-  static void set(AdmissionLevel[] levels, int which, AdmissionLevel level) {
-    for (int k = 0; k < levels.length; k++) {
-      levels[k] = (which >> k & 1) != 0 ? level : levels[k];
-    }
-  }
-
-  /** The level for all of a class; null where none was ordered. */
-  AdmissionLevel get(int grade) {
-    return levels[grade];
+  /** Returns the level of a class, if one was set. */
+  Optional<AdmissionLevel> get(int requestClass) {
+    return Optional.ofNullable(levels[requestClass]);
   }
 
-  /** Classes whose level for all was ordered this turn. */
-  int changed() {
+  /** Returns the classes whose level was set in this iteration. */
+  ClassSet changed() {
     return changed;
   }
 
   /**
-   * What holds for a class: of a table's level and that for all the lower, with the table's own
-   * retry.
+   * Returns the level that is in force for a class of a table: the lower of the table's own and the
+   * global one, with the table's own retry policy.
    */
-  AdmissionLevel effective(PublishedTable table, int grade) {
-    AdmissionLevel own = table == null ? null : table.levels[grade];
-    AdmissionLevel all = levels[grade];
-    return own == null
-        ? all
-        : all == null
-            ? own
-            : new AdmissionLevel(
-                Math.min(own.probabilityOrRate(), all.probabilityOrRate()), own.retry());
+  Optional<AdmissionLevel> effective(PublishedTable table, int requestClass) {
+    AdmissionLevel own = table.level(requestClass);
+    AdmissionLevel global = levels[requestClass];
+    if (own == null || global == null) {
+      return Optional.ofNullable(own == null ? global : own);
+    }
+    double lower = Math.min(own.probabilityOrRate(), global.probabilityOrRate());
+    return Optional.of(new AdmissionLevel(lower, own.retry()));
   }
 
-  void endTurn() {
-    changed = 0;
+  void endIteration() {
+    changed = ClassSet.EMPTY;
   }
 }
--- a/src/main/java/pearusher/publish/ProxyStreamState.java
+++ b/src/main/java/pearusher/publish/ProxyStreamState.java
@@ -1,121 +1,144 @@
 package pearusher.publish;
 
-import java.util.ArrayDeque;
 import java.util.Arrays;
 import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalInt;
 import java.util.TreeMap;
 import pearusher.recovery.CatchUp;
 
 /**
- * What one proxy's stream follows, what it was told of servers that are out or back, and the marks
- * to which it owes answers. Only the decision thread uses it. It grows with the servers that it was
- * told of, and with the marks up to {@link #MOST_MARKS}.
+ * What one proxy's stream is bound to, which ejections and reinstatements were announced on it, and
+ * its pending acknowledgements. Only the event-loop thread uses it. It grows with the servers that
+ * were announced, and with the pending acknowledgements.
  */
 final class ProxyStreamState {
-  /** No table of ours covers a class. */
-  static final int UNBOUND = -1;
+  /** By request class; empty where the proxy is bound to no table of this assigner. */
+  private final OptionalInt[] tables;
 
-  /** Marks kept of a proxy that answers none. */
-  private static final int MOST_MARKS = 1000;
+  /** Classes that were bound in this iteration and are sent their complete table. */
+  private ClassSet classesToReplace = ClassSet.EMPTY;
 
-  /** A mark that was ordered and is not answered yet. */
-  private record OutstandingMark(int number, long orderedUs) {
-    boolean canBeAnsweredBy(int answered, long tookUs, long nowUs) {
-      return number == answered && tookUs <= nowUs - orderedUs;
-    }
+  /** What the proxy is sent in place of its complete table, if it was bound so this iteration. */
+  private Optional<CatchUp> catchUp = Optional.empty();
+
+  /** Ejections (true) and reinstatements that belong to the catch-up. */
+  private Map<Long, Boolean> catchUpEjections = Map.of();
+
+  /** Servers that were announced as ejected (true) or reinstated on this stream. */
+  private final Map<Long, Boolean> announced = new TreeMap<>();
+
+  /** Whether only servers that are suspected at all proxies may be ejected at this one. */
+  private boolean isConfirmed;
+
+  /** Classes whose global admission level was announced while they were not bound. */
+  private ClassSet announcedGlobalLevels = ClassSet.EMPTY;
+
+  private final AckTracker acks = new AckTracker();
+
+  ProxyStreamState(int classCount) {
+    tables = new OptionalInt[classCount];
+    Arrays.fill(tables, OptionalInt.empty());
+  }
+
+  /** Binds classes to a table, which is sent to the proxy completely. */
+  void bind(ClassSet classes, int table) {
+    classes.forEach(requestClass -> tables[requestClass] = OptionalInt.of(table));
+    classesToReplace = classesToReplace.union(classes);
+  }
+
+  /** Binds all classes to a table of which the proxy lacks only a part. */
+  void bindWithCatchUp(CatchUp lacking, Map<Long, Boolean> ejections) {
+    Arrays.fill(tables, OptionalInt.of(lacking.table()));
+    catchUp = Optional.of(lacking);
+    catchUpEjections = ejections;
   }
 
-  /** By class: the table bound, and whether that was this turn. */
-  final int[] table;
+  /** Returns the table to which a class is bound. */
+  OptionalInt table(int requestClass) {
+    return tables[requestClass];
+  }
 
-  final boolean[] whole;
+  /** Whether a class was bound in this iteration and needs its complete table. */
+  boolean needsCompleteTable(int requestClass) {
+    return classesToReplace.contains(requestClass);
+  }
 
-  /** Servers that this stream was told are out (true) or back; no entry: not known. */
-  final Map<Long, Boolean> announced = new TreeMap<>();
+  Optional<CatchUp> catchUp() {
+    return catchUp;
+  }
+
+  Map<Long, Boolean> catchUpEjections() {
+    return catchUpEjections;
+  }
 
-  /** Only servers doubted at all may be shut out there: the module is sure of the others. */
-  boolean sure;
+  /** Whether some class is not bound. */
+  boolean hasUnboundClass() {
+    return Arrays.stream(tables).anyMatch(OptionalInt::isEmpty);
+  }
 
-  /** Bound this turn by what it lacks of its table, not by the whole of it. */
-  CatchUp lacks;
+  /** Whether some class is bound to a table. */
+  boolean isBoundTo(int table) {
+    return Arrays.stream(tables).anyMatch(bound -> bound.isPresent() && bound.getAsInt() == table);
+  }
 
-  /** And which servers it must be told are out (true) or back. */
-  Map<Long, Boolean> lacksEjections = Map.of();
+  /** Whether a class was bound in this iteration, in either way. */
+  boolean wasBound() {
+    return catchUp.isPresent() || !classesToReplace.isEmpty();
+  }
 
-  /** Classes told the levels for all, as long as no table of ours covers them. */
-  int announcedForAll;
+  void confirm() {
+    isConfirmed = true;
+  }
 
-  private final ArrayDeque<OutstandingMark> marks = new ArrayDeque<>();
+  boolean isConfirmed() {
+    return isConfirmed;
+  }
 
-  ProxyStreamState(int classes) {
-    table = new int[classes];
-    Arrays.fill(table, UNBOUND);
-    whole = new boolean[classes];
+  /** Notes that a server is announced as ejected or reinstated. */
+  void onAnnounced(long server, boolean isEjected) {
+    announced.put(server, isEjected);
   }
 
-  /** Binds a class to a table, which goes to the proxy whole. */
-  void bind(int grade, int number) {
-    table[grade] = number;
-    whole[grade] = true;
+  /** Notes what was announced to the proxy on an earlier stream. */
+  void setAnnounced(Map<Long, Boolean> ejections) {
+    announced.putAll(ejections);
   }
 
-  /** Binds all classes to a table that the proxy holds but for what it lacks. */
-  void adopt(CatchUp rejoin, Map<Long, Boolean> ejections) {
-    lacksEjections = ejections;
-    Arrays.fill(table, rejoin.table());
-    lacks = rejoin;
+  /** Whether the last announcement of a server was this one. */
+  boolean isAnnounced(long server, boolean isEjected) {
+    return Boolean.valueOf(isEjected).equals(announced.get(server));
   }
 
-  /** Whether no table of ours covers some class. */
-  boolean isUnbound() {
-    return Arrays.stream(table).anyMatch(t -> t == UNBOUND);
+  void forgetServer(long server) {
+    announced.remove(server);
   }
 
-  /** Whether some class follows a table. */
-  boolean follows(int number) {
-    return Arrays.stream(table).anyMatch(t -> t == number);
+  boolean isGlobalLevelAnnounced(int requestClass) {
+    return announcedGlobalLevels.contains(requestClass);
   }
 
-  /** Whether it was bound this turn, in either way. */
-  boolean isBoundAnew() {
-    if (lacks != null) {
-      return true;
-    }
-    for (boolean anew : whole) {
-      if (anew) {
-        return true;
-      }
-    }
-    return false;
+  void onGlobalLevelAnnounced(int requestClass) {
+    announcedGlobalLevels = announcedGlobalLevels.union(ClassSet.of(requestClass));
   }
 
-  /** A message with this mark goes to it. */
-  void owe(int mark, long nowUs) {
-    marks.add(new OutstandingMark(mark, nowUs));
-    if (marks.size() > MOST_MARKS) {
-      marks.poll();
-    }
+  void onGlobalLevelsChanged(ClassSet classes) {
+    announcedGlobalLevels = announcedGlobalLevels.minus(classes);
   }
 
-  /** Takes an answer to a mark and all before it; false where that mark can't be answered so. */
-  boolean answer(long nowUs, int number, long tookUs) {
-    if (marks.stream().noneMatch(mark -> mark.canBeAnsweredBy(number, tookUs, nowUs))) {
-      return false;
-    }
-    while (marks.poll().number() != number) {
-      // Marks before this one are settled with it.
-    }
-    return true;
+  /** Returns the pending acknowledgements of this stream. */
+  AckTracker acks() {
+    return acks;
   }
 
-  void endTurn() {
-    Arrays.fill(whole, false);
-    lacks = null;
-    lacksEjections = Map.of();
+  void endIteration() {
+    classesToReplace = ClassSet.EMPTY;
+    catchUp = Optional.empty();
+    catchUpEjections = Map.of();
   }
 
-  /** What is kept: itself, the servers that it was told of, and marks. */
+  /** Returns the size of what is stored: itself, announcements and pending acknowledgements. */
   int size() {
-    return 1 + announced.size() + marks.size();
+    return 1 + announced.size() + acks.size();
   }
 }
--- a/src/main/java/pearusher/publish/PublishedTable.java
+++ b/src/main/java/pearusher/publish/PublishedTable.java
@@ -1,6 +1,7 @@
 package pearusher.publish;
 
 import java.util.Arrays;
+import java.util.Collections;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
@@ -8,57 +9,97 @@
 import pearusher.policy.AdmissionLevel;
 
 /**
- * One table as it is ordered: its lines, its levels, and what of them changed this turn. Only the
- * decision thread uses it. It grows with the servers that the table lists.
+ * One table as the policy set it: weights, admission levels, and what of them was set in this
+ * iteration. Only the event-loop thread uses it. It grows with the servers of the table.
  */
 final class PublishedTable {
-  /** Weights by server. */
-  final Map<Long, Double> lines = new TreeMap<>();
+  /** By server; all above 0. */
+  private final Map<Long, Double> weights = new TreeMap<>();
 
-  /** By class; null where none was ordered. */
-  final AdmissionLevel[] levels;
+  /** By request class; null where none was set. */
+  private final AdmissionLevel[] levels;
 
-  /** Servers whose lines were ordered this turn, also those taken out. */
-  final Set<Long> changed = new TreeSet<>();
+  private final Set<Long> changedServers = new TreeSet<>();
+  private ClassSet changedLevels = ClassSet.EMPTY;
+  private boolean isCleared;
 
-  /** Classes whose levels were ordered this turn. */
-  int changedLevels;
-
-  /** It was begun anew this turn. */
-  boolean cleared;
+  PublishedTable(int classCount) {
+    levels = new AdmissionLevel[classCount];
+  }
 
-  PublishedTable(int classes) {
-    levels = new AdmissionLevel[classes];
+  /** Restores what an earlier process had set; it does not count as a change. */
+  void restore(Map<Long, Double> restoredWeights, Map<Integer, AdmissionLevel> restoredLevels) {
+    weights.putAll(restoredWeights);
+    restoredLevels.forEach((requestClass, level) -> levels[requestClass] = level);
   }
 
-  void line(long server, double weight) {
+  /** Sets the weight of a server; 0 removes it. */
+  void setWeight(long server, double weight) {
     if (weight > 0) {
-      lines.put(server, weight);
+      weights.put(server, weight);
     } else {
-      lines.remove(server);
+      weights.remove(server);
     }
-    changed.add(server);
+    changedServers.add(server);
+  }
+
+  void setLevel(ClassSet classes, AdmissionLevel level) {
+    classes.forEach(requestClass -> levels[requestClass] = level);
+    changedLevels = changedLevels.union(classes);
   }
 
   void clear() {
-    lines.clear();
+    weights.clear();
     Arrays.fill(levels, null);
-    cleared = true;
+    isCleared = true;
+  }
+
+  boolean contains(long server) {
+    return weights.containsKey(server);
+  }
+
+  Set<Long> servers() {
+    return Collections.unmodifiableSet(weights.keySet());
+  }
+
+  /** Returns the weight of a server, 0 if the table does not contain it. */
+  double weight(long server) {
+    return weights.getOrDefault(server, 0.0);
+  }
+
+  /** Returns the admission level of a class, or null if none was set. */
+  AdmissionLevel level(int requestClass) {
+    return levels[requestClass];
+  }
+
+  /** Returns the servers whose weights were set in this iteration, removed ones included. */
+  Set<Long> changedServers() {
+    return Collections.unmodifiableSet(changedServers);
+  }
+
+  /** Returns the classes whose levels were set in this iteration. */
+  ClassSet changedLevels() {
+    return changedLevels;
+  }
+
+  /** Whether the table was cleared in this iteration. */
+  boolean isCleared() {
+    return isCleared;
   }
 
-  /** Whether anything of it was ordered this turn. */
-  boolean isTouched() {
-    return cleared || changedLevels != 0 || !changed.isEmpty();
+  /** Whether anything was set in this iteration. */
+  boolean isChanged() {
+    return isCleared || !changedLevels.isEmpty() || !changedServers.isEmpty();
   }
 
-  /** Whether it was begun anew this turn and nothing was put into it since. */
+  /** Whether the table was cleared in this iteration and is empty since. */
   boolean isEmptied() {
-    return cleared && lines.isEmpty();
+    return isCleared && weights.isEmpty();
   }
 
-  void endTurn() {
-    changed.clear();
-    changedLevels = 0;
-    cleared = false;
+  void endIteration() {
+    changedServers.clear();
+    changedLevels = ClassSet.EMPTY;
+    isCleared = false;
   }
 }
--- a/src/main/java/pearusher/publish/PublishedTables.java
+++ b/src/main/java/pearusher/publish/PublishedTables.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
-import java.util.function.BiConsumer;
 import java.util.function.LongFunction;
 import pearusher.policy.AdmissionLevel;
 import pearusher.protocol.Message;
@@ -12,181 +12,234 @@
 import pearusher.recovery.CatchUp;
 
 /**
- * What is ordered: each table's lines and levels, the levels for all, the withdrawals, who is bound
- * to what and what each proxy was told on its stream. It turns the orders of one turn into one
- * message a proxy, as WIRE says orders take effect. It must never judge: nothing is ordered, held
- * back or changed here. Only the decision thread uses it. It grows with the tables and their lines,
- * and with the proxies and the servers that each was told of.
+ * The state that proxies are sent: tables with weights and admission levels, global admission
+ * levels, ejections, bindings, and what was announced to each proxy on its stream. It turns the
+ * policy's commands of one iteration into one update per proxy and changes nothing about them.
+ *
+ * <p>Only the event-loop thread uses it. It grows with the tables and their servers, and with the
+ * proxies and the servers that were announced to each.
  */
 public final class PublishedTables {
-  /** The table number that stands for all of them, in levels. */
+  /** The table number that stands for all tables in {@link #setAdmission}. */
   public static final int ALL_TABLES = 65535;
 
-  private final RequestClasses classes;
+  /** Sends a proxy its update. */
+  @FunctionalInterface
+  public interface UpdateSender {
+    /** Sends an encoded update. */
+    void send(int proxy, byte[] message);
+  }
+
+  private final RequestClasses requestClasses;
   private final Map<Integer, PublishedTable> tables = new TreeMap<>();
   private final Map<Integer, ProxyStreamState> proxies = new TreeMap<>();
-  private final GlobalAdmissionLevels forAll;
+  private final GlobalAdmissionLevels globalLevels;
   private final EjectionState ejections = new EjectionState();
   private final UpdateComposer composer;
 
-  /** Of this turn; null for none. */
-  private UpdateComposer.MarkOrder mark;
+  /** The request of this iteration. */
+  private Optional<AckRequest> ackRequest = Optional.empty();
+
+  /**
+   * Makes an empty state.
+   *
+   * @param classNames the names of the request classes, in the order of the settings
+   * @param serverNames gives the name of a server by its number
+   */
+  public PublishedTables(List<String> classNames, LongFunction<String> serverNames) {
+    requestClasses = new RequestClasses(classNames);
+    globalLevels = new GlobalAdmissionLevels(classNames.size());
+    composer = new UpdateComposer(requestClasses, serverNames, tables, globalLevels, ejections);
+  }
+
+  /** Returns the set of classes that a command means: a bit for each by position, 0 for all. */
+  public ClassSet classes(int classBits) {
+    return new ClassSet(requestClasses.bits(classBits));
+  }
 
-  public PublishedTables(List<String> classes, LongFunction<String> names) {
-    this.classes = new RequestClasses(classes);
-    forAll = new GlobalAdmissionLevels(classes.size());
-    composer = new UpdateComposer(this.classes, names, tables, forAll, ejections);
+  /** Whether a set contains all request classes. */
+  public boolean coversAllClasses(ClassSet classes) {
+    return requestClasses.coversAll(classes.bits());
   }
 
-  /** A table as an earlier process left it: who is bound gets it, nobody hears of it by itself. */
+  // State of an earlier process, before the first iteration.
+
+  /** Restores a table; it is sent to the proxies that are bound to it from now on. */
   public void restoreTable(
-      int number, Map<Long, Double> lines, Map<Integer, AdmissionLevel> levels) {
-    table(number).lines.putAll(lines);
-    levels.forEach((k, level) -> table(number).levels[k] = level);
+      int table, Map<Long, Double> weights, Map<Integer, AdmissionLevel> levels) {
+    table(table).restore(weights, levels);
   }
 
-  /** A server that an earlier process withdrew, and that still is out. */
+  /** Restores a server that was ejected. */
   public void restoreEjection(long server) {
     ejections.restore(server);
   }
 
-  /** A stream whose proxy holds a table of ours: it was told before how these servers stand. */
-  public void setAnnounced(int proxy, Map<Long, Boolean> out) {
-    proxies.get(proxy).announced.putAll(out);
+  // Proxies.
+
+  /** A proxy joined: it is not bound, and its ejections are not known. */
+  public void addProxy(int proxy) {
+    proxies.put(proxy, new ProxyStreamState(requestClasses.count()));
   }
 
-  /** Binds a proxy that holds the table but for what is named: that alone goes to it. */
-  public void bindWithCatchUp(int proxy, CatchUp lacks, Map<Long, Boolean> ejected) {
-    table(lacks.table());
-    proxies.get(proxy).adopt(lacks, ejected);
+  /** A proxy left. */
+  public void removeProxy(int proxy) {
+    proxies.remove(proxy);
   }
 
-  /**
-   * A stream begins: what the proxy holds of withdrawals is not known, and no table of ours is its.
-   */
-  public void addProxy(int proxy) {
-    proxies.put(proxy, new ProxyStreamState(classes.count()));
+  /** Notes which servers were announced to a joined proxy on an earlier stream. */
+  public void setAnnounced(int proxy, Map<Long, Boolean> ejections) {
+    proxies.get(proxy).setAnnounced(ejections);
   }
 
-  /** The proxy shuts out no server but those in doubt at all. */
+  /** Notes that a proxy has ejected no server but those that are suspected at all proxies. */
   public void confirmProxy(int proxy) {
-    proxies.get(proxy).sure = true;
+    proxies.get(proxy).confirm();
   }
 
-  public void suspectEjection(long server, boolean all) {
-    ejections.doubt(server, all);
+  /** Binds classes of a proxy to a table, which it is sent completely; ignored if it has left. */
+  public void bindProxy(int proxy, int table, ClassSet classes) {
+    ProxyStreamState stream = proxies.get(proxy);
+    if (stream != null) {
+      createIfAbsent(table);
+      stream.bind(classes, table);
+    }
   }
 
-  public void forgetServer(long server) {
-    ejections.forget(server);
-    proxies.values().forEach(p -> p.announced.remove(server));
+  /**
+   * Binds all classes of a joined proxy to a table of which it is sent only what it lacks.
+   *
+   * @param ejections servers to announce as ejected (true) or reinstated
+   */
+  public void bindWithCatchUp(int proxy, CatchUp lacking, Map<Long, Boolean> ejections) {
+    createIfAbsent(lacking.table());
+    proxies.get(proxy).bindWithCatchUp(lacking, ejections);
   }
 
-  /** What is kept by server and proxy, lines of tables aside. */
-  public int size() {
-    return ejections.size() + proxies.values().stream().mapToInt(ProxyStreamState::size).sum();
+  /**
+   * Takes a proxy's acknowledgement. A wrong one would distort the policy's update budget, which
+   * relies on it.
+   *
+   * @return false if none with this number is pending on the proxy's stream, or the request is not
+   *     as old as the time that the proxy says it took
+   */
+  public boolean acknowledge(long nowUs, int proxy, int number, long tookUs) {
+    ProxyStreamState stream = proxies.get(proxy);
+    return stream != null && stream.acks().onAcknowledged(number, tookUs, nowUs);
   }
 
-  public void removeProxy(int proxy) {
-    proxies.remove(proxy);
-  }
+  // Tables, levels and ejections.
 
   private PublishedTable table(int number) {
-    return tables.computeIfAbsent(number, n -> new PublishedTable(classes.count()));
+    return tables.computeIfAbsent(number, n -> new PublishedTable(requestClasses.count()));
   }
 
-  public void setWeight(int number, long server, double weight) {
-    table(number).line(server, weight);
+  private void createIfAbsent(int number) {
+    table(number);
   }
 
-  public void clearTable(int number) {
-    table(number).clear();
+  /** Sets the weight of a server in a table; 0 removes it. */
+  public void setWeight(int table, long server, double weight) {
+    table(table).setWeight(server, weight);
   }
 
-  public void setEjected(long server, boolean out) {
-    ejections.order(server, out);
+  /** Empties a table, its admission levels included. */
+  public void clearTable(int table) {
+    table(table).clear();
   }
 
-  /** Whether these are all classes. */
-  public boolean coversAllClasses(int classBits) {
-    return classes.coversAll(classBits);
+  /** Sets the admission level of classes, in one table or {@link #ALL_TABLES}. */
+  public void setAdmission(int table, ClassSet classes, AdmissionLevel level) {
+    if (table == ALL_TABLES) {
+      globalLevels.set(classes, level);
+    } else {
+      table(table).setLevel(classes, level);
+    }
   }
 
-  public void bindProxy(int proxy, int number, int classBits) {
-    ProxyStreamState p = proxies.get(proxy);
-    if (p == null) {
-      return;
-    }
-    table(number);
-    for (int k = 0; k < classes.count(); k++) {
-      if ((classes.bits(classBits) >> k & 1) != 0) {
-        p.bind(k, number);
-      }
-    }
+  /** Ejects a server, or reinstates it. */
+  public void setEjected(long server, boolean isEjected) {
+    ejections.set(server, isEjected);
   }
 
-  public void setAdmission(int number, int classBits, double level, int retry) {
-    AdmissionLevel to = new AdmissionLevel(level, retry);
-    int which = classes.bits(classBits);
-    if (number == ALL_TABLES) {
-      forAll.order(which, to);
-      return;
-    }
-    PublishedTable table = table(number);
-    GlobalAdmissionLevels.set(table.levels, which, to);
-    table.changedLevels |= which;
+  /**
+   * Notes that other assigners may have ejected a server: its state is announced with its weight.
+   *
+   * @param all whether to all proxies, or only to those that are not confirmed
+   */
+  public void suspectEjection(long server, boolean all) {
+    ejections.suspect(server, all);
   }
 
-  /** A number below 0 is no mark. */
+  /** Drops all that is stored about a server which no table contains any more. */
+  public void forgetServer(long server) {
+    ejections.forget(server);
+    proxies.values().forEach(proxy -> proxy.forgetServer(server));
+  }
+
+  /** Requests an acknowledgement of this iteration's updates; a number below 0 requests none. */
   public void requestAck(int number, boolean toAll) {
-    mark = number < 0 ? null : new UpdateComposer.MarkOrder(number, toAll);
+    ackRequest = number < 0 ? Optional.empty() : Optional.of(new AckRequest(number, toAll));
   }
 
-  /** Gives each proxy's message of the turn, and starts the next turn. */
-  public void publish(long now, BiConsumer<Integer, byte[]> send) {
-    boolean quiet =
-        ejections.changed().isEmpty()
-            && forAll.changed() == 0
-            && mark == null
-            && tables.values().stream().noneMatch(PublishedTable::isTouched);
+  // End of an iteration.
+
+  /** Sends each proxy its update of this iteration, and begins the next iteration. */
+  public void publish(long nowUs, UpdateSender sender) {
+    boolean isChanged = isChanged();
     proxies.forEach(
-        (id, p) -> {
-          p.announcedForAll &= ~forAll.changed();
-          List<UpdatePart> parts =
-              quiet && !p.isBoundAnew() ? List.of() : composer.compose(p, mark);
-          if (!parts.isEmpty()) {
-            if (parts.stream().anyMatch(part -> part.ackNumber() >= 0)) {
-              p.owe(mark.number(), now);
-            }
-            send.accept(id, Message.encodeUpdate(parts));
+        (proxy, stream) -> {
+          stream.onGlobalLevelsChanged(globalLevels.changed());
+          if (isChanged || stream.wasBound()) {
+            publishTo(proxy, stream, nowUs, sender);
           }
-          p.endTurn();
+          stream.endIteration();
         });
-    tables
-        .entrySet()
-        .removeIf(entry -> entry.getValue().isEmptied() && !isFollowed(entry.getKey()));
-    tables.values().forEach(PublishedTable::endTurn);
-    ejections.endTurn();
-    forAll.endTurn();
-    mark = null;
+    endIteration();
   }
 
-  private boolean isFollowed(int number) {
-    return proxies.values().stream().anyMatch(proxy -> proxy.follows(number));
+  /** Whether the policy set anything in this iteration besides bindings. */
+  private boolean isChanged() {
+    return !ejections.changed().isEmpty()
+        || !globalLevels.changed().isEmpty()
+        || ackRequest.isPresent()
+        || tables.values().stream().anyMatch(PublishedTable::isChanged);
   }
 
-  /** Tables that are kept, for tests of what must not grow. */
-  int tableCount() {
-    return tables.size();
+  private void publishTo(int proxy, ProxyStreamState stream, long nowUs, UpdateSender sender) {
+    List<UpdatePart> parts = composer.compose(stream, ackRequest);
+    if (parts.isEmpty()) {
+      return;
+    }
+    if (parts.stream().anyMatch(UpdateParts::requestsAck)) {
+      stream.acks().onRequested(ackRequest.orElseThrow().number(), nowUs);
+    }
+    sender.send(proxy, Message.encodeUpdate(parts));
   }
 
-  /**
-   * Takes a proxy's answer to a mark: false where that mark was not ordered on its stream, was
-   * answered before, or would have taken longer than it is out. Guards the pace of the channel
-   * against spoilt answers, which the module takes at their word.
-   */
-  public boolean acknowledge(long now, int proxy, int number, long tookUs) {
-    ProxyStreamState p = proxies.get(proxy);
-    return p != null && p.answer(now, number, tookUs);
+  private void endIteration() {
+    tables.entrySet().removeIf(entry -> isUnused(entry.getKey(), entry.getValue()));
+    tables.values().forEach(PublishedTable::endIteration);
+    ejections.endIteration();
+    globalLevels.endIteration();
+    ackRequest = Optional.empty();
+  }
+
+  /** Whether a table was emptied and no proxy is bound to it, as of a zone that was removed. */
+  private boolean isUnused(int number, PublishedTable table) {
+    return table.isEmptied()
+        && proxies.values().stream().noneMatch(proxy -> proxy.isBoundTo(number));
+  }
+
+  // Sizes, for tests of what must not grow without end.
+
+  /** Returns the number of entries by server and proxy, besides the contents of tables. */
+  public int size() {
+    return ejections.size() + proxies.values().stream().mapToInt(ProxyStreamState::size).sum();
+  }
+
+  /** Returns the number of tables. */
+  int tableCount() {
+    return tables.size();
   }
 }
--- a/src/main/java/pearusher/publish/UpdateComposer.java
+++ b/src/main/java/pearusher/publish/UpdateComposer.java
@@ -4,233 +4,187 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
-import java.util.TreeMap;
+import java.util.Optional;
+import java.util.OptionalInt;
 import java.util.function.LongFunction;
 import pearusher.policy.AdmissionLevel;
 import pearusher.protocol.RequestClasses;
 import pearusher.protocol.UpdatePart;
+import pearusher.recovery.CatchUp;
 
 /**
- * Composes the one message that a proxy gets of a turn, from what was ordered and what its stream
- * was told before, and notes there what it is told now. Only the decision thread uses it. It keeps
- * nothing itself.
+ * Composes the one update that a proxy is sent in an iteration, from what the policy set and what
+ * was announced on the proxy's stream before, and notes there what is announced now. Only the
+ * event-loop thread uses it. It holds no state of its own.
  */
 final class UpdateComposer {
-  /** Most lines of one part: it stays far below the most bytes of a message. */
-  private static final int PART_LINES = 8192;
+  /** Most weights of one part, which stays far below the largest message of the protocol. */
+  private static final int MAX_WEIGHTS_PER_PART = 8192;
 
-  /** A mark of the turn: for those who get something, or for all. */
-  record MarkOrder(int number, boolean toAll) {}
+  /** Classes with the same table and the same need of it share parts. */
+  private record TableNeed(int table, boolean isComplete) {}
 
-  /** Classes with the same table and the same need of it share their lines. */
-  private record TableNeed(int number, boolean whole) {}
-
-  private final RequestClasses classes;
-  private final LongFunction<String> names;
+  private final int classCount;
+  private final LongFunction<String> serverNames;
   private final Map<Integer, PublishedTable> tables;
-  private final GlobalAdmissionLevels forAll;
-  private final EjectionState ejections;
+  private final GlobalAdmissionLevels globalLevels;
+  private final EjectionSelector ejections;
+  private final UpdateParts updateParts;
 
   UpdateComposer(
-      RequestClasses classes,
-      LongFunction<String> names,
+      RequestClasses requestClasses,
+      LongFunction<String> serverNames,
       Map<Integer, PublishedTable> tables,
-      GlobalAdmissionLevels forAll,
+      GlobalAdmissionLevels globalLevels,
       EjectionState ejections) {
-    this.classes = classes;
-    this.names = names;
+    classCount = requestClasses.count();
+    this.serverNames = serverNames;
     this.tables = tables;
-    this.forAll = forAll;
-    this.ejections = ejections;
+    this.globalLevels = globalLevels;
+    this.ejections = new EjectionSelector(classCount, tables, ejections);
+    updateParts = new UpdateParts(requestClasses);
   }
 
-  /**
-   * The parts of a proxy's message; none where there is nothing to say. {@code mark}: null for
-   * none.
-   */
-  List<UpdatePart> compose(ProxyStreamState proxy, MarkOrder mark) {
-    List<UpdatePart> out = new ArrayList<>();
-    needs(proxy).forEach((need, which) -> tableParts(out, proxy, which, need));
-    addEjections(out, proxy, mark);
-    // Levels for all go along with the next message to who has not heard them.
-    if (!out.isEmpty() || forAll.changed() != 0) {
-      addLevelsForAll(out, proxy);
+  /** Returns the parts of a proxy's update; none if there is nothing to send. */
+  List<UpdatePart> compose(ProxyStreamState proxy, Optional<AckRequest> ackRequest) {
+    List<UpdatePart> parts = new ArrayList<>();
+    tableNeeds(proxy).forEach((need, classes) -> addTable(parts, proxy, classes, need));
+    addEjections(parts, proxy, ackRequest);
+    // Global levels that were not announced yet go along with the next update.
+    if (!parts.isEmpty() || !globalLevels.changed().isEmpty()) {
+      addGlobalLevels(parts, proxy);
     }
-    return out;
+    return parts;
   }
 
-  private Map<TableNeed, Integer> needs(ProxyStreamState proxy) {
-    Map<TableNeed, Integer> out = new LinkedHashMap<>();
-    for (int k = 0; k < classes.count(); k++) {
-      PublishedTable table = bound(proxy, k);
-      boolean whole = table != null && (proxy.whole[k] || table.cleared);
-      out.merge(new TableNeed(proxy.table[k], whole), 1 << k, (a, b) -> a | b);
+  private Map<TableNeed, ClassSet> tableNeeds(ProxyStreamState proxy) {
+    Map<TableNeed, ClassSet> needs = new LinkedHashMap<>();
+    for (int requestClass = 0; requestClass < classCount; requestClass++) {
+      OptionalInt table = proxy.table(requestClass);
+      if (table.isPresent()) {
+        int number = table.getAsInt();
+        boolean isComplete =
+            proxy.needsCompleteTable(requestClass) || tables.get(number).isCleared();
+        needs.merge(new TableNeed(number, isComplete), ClassSet.of(requestClass), ClassSet::union);
+      }
     }
-    return out;
-  }
-
-  private PublishedTable bound(ProxyStreamState proxy, int grade) {
-    int number = proxy.table[grade];
-    return number == ProxyStreamState.UNBOUND ? null : tables.get(number);
+    return needs;
   }
 
-  /** The lines of one table, and the levels of its classes, for the classes that share them. */
-  private void tableParts(List<UpdatePart> out, ProxyStreamState proxy, int which, TableNeed need) {
-    if (need.number() == ProxyStreamState.UNBOUND) {
-      return;
-    }
-    PublishedTable table = tables.get(need.number());
-    boolean whole = need.whole();
-    Map<AdmissionLevel, Integer> levels = levels(proxy, table, which, whole);
-    boolean one = levels.size() == 1 && levels.containsValue(which);
-    AdmissionLevel with = one ? levels.keySet().iterator().next() : null;
-    List<Map<String, Double>> pieces = pieces(lines(proxy, table, whole));
-    for (int i = 0; i < pieces.size(); i++) {
-      boolean last = i == pieces.size() - 1;
-      if ((whole && i == 0) || !pieces.get(i).isEmpty() || with != null) {
-        out.add(
-            new UpdatePart(
-                classes.names(which),
-                whole && i == 0,
-                pieces.get(i),
-                last ? with : null,
-                List.of(),
-                List.of(),
-                -1));
+  /** Adds the weights of one table and the admission levels of the classes that share them. */
+  private void addTable(
+      List<UpdatePart> parts, ProxyStreamState proxy, ClassSet classes, TableNeed need) {
+    PublishedTable table = tables.get(need.table());
+    Optional<CatchUp> catchUp = need.isComplete() ? Optional.empty() : proxy.catchUp();
+    Map<AdmissionLevel, ClassSet> levels = dueLevels(table, classes, need, catchUp);
+    Optional<AdmissionLevel> commonLevel = commonLevel(levels, classes);
+    List<Map<String, Double>> chunks = chunks(dueWeights(table, need, catchUp));
+    for (int i = 0; i < chunks.size(); i++) {
+      boolean replacesTable = need.isComplete() && i == 0;
+      boolean isLast = i == chunks.size() - 1;
+      if (replacesTable || !chunks.get(i).isEmpty() || commonLevel.isPresent()) {
+        AdmissionLevel level = isLast ? commonLevel.orElse(null) : null;
+        parts.add(updateParts.weights(classes, replacesTable, chunks.get(i), level));
       }
     }
-    if (!one) {
-      levels.forEach((level, bits) -> out.add(levelPart(level, bits)));
+    if (commonLevel.isEmpty()) {
+      levels.forEach(
+          (level, classesOfLevel) -> parts.add(updateParts.admission(classesOfLevel, level)));
     }
   }
 
-  private Map<String, Double> lines(ProxyStreamState proxy, PublishedTable table, boolean whole) {
-    Map<String, Double> out = new LinkedHashMap<>();
-    if (!whole && proxy.lacks != null) {
-      out.putAll(proxy.lacks.weights());
-    }
-    for (long server : whole ? table.lines.keySet() : table.changed) {
-      out.put(names.apply(server), table.lines.getOrDefault(server, 0.0));
-    }
-    return out;
+  /** Returns the level that is due for all the classes, if it is the same for all of them. */
+  private static Optional<AdmissionLevel> commonLevel(
+      Map<AdmissionLevel, ClassSet> levels, ClassSet classes) {
+    return levels.entrySet().stream()
+        .filter(entry -> entry.getValue().equals(classes))
+        .map(Map.Entry::getKey)
+        .findFirst();
   }
 
-  /** The classes by the level that is due for them. */
-  private Map<AdmissionLevel, Integer> levels(
-      ProxyStreamState proxy, PublishedTable table, int which, boolean whole) {
-    Map<AdmissionLevel, Integer> out = new LinkedHashMap<>();
-    boolean lacks = !whole && proxy.lacks != null;
-    for (int k = 0; k < classes.count(); k++) {
-      boolean due =
-          whole
-              || (lacks && proxy.lacks.admissionLevels().containsKey(k))
-              || ((table.changedLevels | forAll.changed()) >> k & 1) != 0;
-      AdmissionLevel level = (which >> k & 1) != 0 && due ? forAll.effective(table, k) : null;
-      if (level != null) {
-        out.merge(level, 1 << k, (a, b) -> a | b);
-      }
+  /** Returns the weights to send by the names of the servers; 0 removes a server. */
+  private Map<String, Double> dueWeights(
+      PublishedTable table, TableNeed need, Optional<CatchUp> catchUp) {
+    Map<String, Double> weights = new LinkedHashMap<>();
+    catchUp.ifPresent(lacking -> weights.putAll(lacking.weights()));
+    for (long server : need.isComplete() ? table.servers() : table.changedServers()) {
+      weights.put(serverNames.apply(server), table.weight(server));
     }
-    return out;
-  }
-
-  private UpdatePart levelPart(AdmissionLevel level, int which) {
-    return new UpdatePart(classes.names(which), false, Map.of(), level, List.of(), List.of(), -1);
+    return weights;
   }
 
-  private static List<Map<String, Double>> pieces(Map<String, Double> lines) {
-    List<Map<String, Double>> out = new ArrayList<>(List.of(new LinkedHashMap<>()));
-    lines.forEach(
-        (server, weight) -> {
-          if (out.get(out.size() - 1).size() == PART_LINES) {
-            out.add(new LinkedHashMap<>());
+  /** Returns the admission levels to send, each with its classes. */
+  private Map<AdmissionLevel, ClassSet> dueLevels(
+      PublishedTable table, ClassSet classes, TableNeed need, Optional<CatchUp> catchUp) {
+    ClassSet changed = table.changedLevels().union(globalLevels.changed());
+    Map<AdmissionLevel, ClassSet> levels = new LinkedHashMap<>();
+    classes.forEach(
+        requestClass -> {
+          boolean isLacking =
+              catchUp.isPresent() && catchUp.get().admissionLevels().containsKey(requestClass);
+          if (need.isComplete() || isLacking || changed.contains(requestClass)) {
+            globalLevels
+                .effective(table, requestClass)
+                .ifPresent(
+                    level -> levels.merge(level, ClassSet.of(requestClass), ClassSet::union));
           }
-          out.get(out.size() - 1).put(server, weight);
         });
-    return out;
+    return levels;
   }
 
-  /** Ejections, reinstatements and the mark go into the last part. */
-  private void addEjections(List<UpdatePart> out, ProxyStreamState proxy, MarkOrder mark) {
-    List<String> shut = new ArrayList<>();
-    List<String> back = new ArrayList<>();
-    ejections(proxy)
-        .forEach(
-            (server, isOut) -> {
-              (isOut ? shut : back).add(names.apply(server));
-              proxy.announced.put(server, isOut);
-            });
-    boolean said = !shut.isEmpty() || !back.isEmpty();
-    boolean marked = mark != null && (mark.toAll() || !out.isEmpty() || said);
-    if (marked || said) {
-      UpdatePart last =
-          out.isEmpty()
-              ? new UpdatePart(null, false, Map.of(), null, shut, back, -1)
-              : out.remove(out.size() - 1);
-      out.add(
-          new UpdatePart(
-              last.classes(),
-              last.replacesTable(),
-              last.weights(),
-              last.admission(),
-              shut,
-              back,
-              marked ? mark.number() : -1));
+  /** Returns the weights in chunks of the size of a part; one empty chunk if there are none. */
+  private static List<Map<String, Double>> chunks(Map<String, Double> weights) {
+    List<Map<String, Double>> chunks = new ArrayList<>();
+    Map<String, Double> chunk = new LinkedHashMap<>();
+    chunks.add(chunk);
+    for (Map.Entry<String, Double> entry : weights.entrySet()) {
+      if (chunk.size() == MAX_WEIGHTS_PER_PART) {
+        chunk = new LinkedHashMap<>();
+        chunks.add(chunk);
+      }
+      chunk.put(entry.getKey(), entry.getValue());
     }
+    return chunks;
   }
 
-  /**
-   * What the proxy must hear of ejections this turn: those ordered now, where they concern it, and
-   * for each server that a table of ours brings it now, how that one stands. A proxy keeps
-   * ejections over streams and over our restarts: without a reinstatement, a server shut out long
-   * ago would stay so. Where the module is sure of a proxy these go for doubted servers only: they
-   * count in the queue.
-   */
-  private Map<Long, Boolean> ejections(ProxyStreamState proxy) {
-    Map<Long, Boolean> out = new TreeMap<>();
-    out.putAll(proxy.lacksEjections);
-    boolean unbound = proxy.isUnbound();
+  /** Adds ejections, reinstatements and the request of an acknowledgement to the last part. */
+  private void addEjections(
+      List<UpdatePart> parts, ProxyStreamState proxy, Optional<AckRequest> ackRequest) {
+    List<String> ejected = new ArrayList<>();
+    List<String> reinstated = new ArrayList<>();
     ejections
-        .changed()
+        .select(proxy)
         .forEach(
-            (server, isOut) -> {
-              // Who holds it by no table hears once a table brings it; the module counts no line
-              // for them.
-              boolean holds = unbound;
-              for (int number : proxy.table) {
-                holds |=
-                    number != ProxyStreamState.UNBOUND
-                        && tables.get(number).lines.containsKey(server);
-              }
-              if (holds) {
-                out.put(server, isOut);
-              }
+            (server, isEjected) -> {
+              List<String> names = isEjected ? ejected : reinstated;
+              names.add(serverNames.apply(server));
+              proxy.onAnnounced(server, isEjected);
             });
-    for (int k = 0; k < proxy.table.length; k++) {
-      PublishedTable table = bound(proxy, k);
-      if (table != null) {
-        Set<Long> brought = proxy.whole[k] ? table.lines.keySet() : table.changed;
-        brought.stream()
-            .filter(table.lines::containsKey)
-            .filter(s -> ejections.mustBeSaid(s, proxy.sure))
-            .forEach(s -> out.put(s, ejections.isEjected(s)));
-      }
+    boolean hasEjections = !ejected.isEmpty() || !reinstated.isEmpty();
+    boolean hasContent = hasEjections || !parts.isEmpty();
+    OptionalInt ackNumber =
+        ackRequest
+            .filter(request -> request.toAll() || hasContent)
+            .map(request -> OptionalInt.of(request.number()))
+            .orElse(OptionalInt.empty());
+    if (hasEjections || ackNumber.isPresent()) {
+      UpdatePart last = parts.isEmpty() ? updateParts.empty() : parts.remove(parts.size() - 1);
+      parts.add(updateParts.withEjections(last, ejected, reinstated, ackNumber));
     }
-    out.entrySet().removeIf(e -> e.getValue().equals(proxy.announced.get(e.getKey())));
-    return out;
   }
 
-  /** Levels for all, for classes for which the proxy goes by what it brought along. */
-  private void addLevelsForAll(List<UpdatePart> out, ProxyStreamState proxy) {
-    Map<AdmissionLevel, Integer> levels = new LinkedHashMap<>();
-    for (int k = 0; k < classes.count(); k++) {
-      if (proxy.table[k] == ProxyStreamState.UNBOUND
-          && forAll.get(k) != null
-          && (proxy.announcedForAll >> k & 1) == 0) {
-        levels.merge(forAll.get(k), 1 << k, (a, b) -> a | b);
-        proxy.announcedForAll |= 1 << k;
+  /** Adds global levels for classes that no table of this assigner serves. */
+  private void addGlobalLevels(List<UpdatePart> parts, ProxyStreamState proxy) {
+    Map<AdmissionLevel, ClassSet> levels = new LinkedHashMap<>();
+    for (int requestClass = 0; requestClass < classCount; requestClass++) {
+      Optional<AdmissionLevel> level = globalLevels.get(requestClass);
+      if (level.isPresent()
+          && proxy.table(requestClass).isEmpty()
+          && !proxy.isGlobalLevelAnnounced(requestClass)) {
+        levels.merge(level.get(), ClassSet.of(requestClass), ClassSet::union);
+        proxy.onGlobalLevelAnnounced(requestClass);
       }
     }
-    levels.forEach((level, bits) -> out.add(0, levelPart(level, bits)));
+    levels.forEach((level, classes) -> parts.add(0, updateParts.admission(classes, level)));
   }
 }
--- /dev/null
+++ b/src/main/java/pearusher/publish/UpdateParts.java
@@ -0,0 +1,64 @@
+package pearusher.publish;
+
+import java.util.List;
+import java.util.Map;
+import java.util.OptionalInt;
+import pearusher.policy.AdmissionLevel;
+import pearusher.protocol.RequestClasses;
+import pearusher.protocol.UpdatePart;
+
+/** Makes the parts of updates. It holds no state but the names of the request classes. */
+final class UpdateParts {
+  /** Stands for no request of an acknowledgement in an {@link UpdatePart}. */
+  private static final int NO_ACK = -1;
+
+  private final RequestClasses requestClasses;
+
+  UpdateParts(RequestClasses requestClasses) {
+    this.requestClasses = requestClasses;
+  }
+
+  /**
+   * Returns a part with weights.
+   *
+   * @param level the admission level of all the classes, or null to leave it as it is
+   */
+  UpdatePart weights(
+      ClassSet classes, boolean replacesTable, Map<String, Double> weights, AdmissionLevel level) {
+    return new UpdatePart(
+        requestClasses.names(classes.bits()),
+        replacesTable,
+        weights,
+        level,
+        List.of(),
+        List.of(),
+        NO_ACK);
+  }
+
+  /** Returns a part with an admission level alone. */
+  UpdatePart admission(ClassSet classes, AdmissionLevel level) {
+    return weights(classes, false, Map.of(), level);
+  }
+
+  /** Returns a part without any content, for all classes. */
+  UpdatePart empty() {
+    return new UpdatePart(null, false, Map.of(), null, List.of(), List.of(), NO_ACK);
+  }
+
+  /** Returns a part with ejections, reinstatements and a request of an acknowledgement added. */
+  UpdatePart withEjections(
+      UpdatePart part, List<String> ejected, List<String> reinstated, OptionalInt ackNumber) {
+    return new UpdatePart(
+        part.classes(),
+        part.replacesTable(),
+        part.weights(),
+        part.admission(),
+        ejected,
+        reinstated,
+        ackNumber.orElse(NO_ACK));
+  }
+
+  static boolean requestsAck(UpdatePart part) {
+    return part.ackNumber() != NO_ACK;
+  }
+}
--- a/src/main/java/pearusher/server/AssignerServer.java
+++ b/src/main/java/pearusher/server/AssignerServer.java
@@ -4,6 +4,7 @@
 import java.lang.reflect.Proxy;
 import java.net.InetSocketAddress;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
@@ -16,6 +17,7 @@
 import pearusher.config.AssignerConfig;
 import pearusher.control.Controller;
 import pearusher.control.DurablePublisher;
+import pearusher.control.Persistence;
 import pearusher.control.SynchronizedIntake;
 import pearusher.discovery.DiscoveryClient;
 import pearusher.policy.AssignmentPolicy;
@@ -64,7 +66,9 @@
     this.durable = durable;
     threads.setName("io");
     threads.setDaemon(true);
-    exchange = new Controller(config, maker, clock, failed, durable, intake);
+    Persistence persistence = durable == null ? Persistence.none() : durable;
+    exchange =
+        new Controller(config, maker, clock, failed, persistence, Optional.ofNullable(intake));
     streams = new StreamServer(config, exchange, threads, scheduler);
     outbound = new DiscoveryClient(config, exchange, threads, scheduler);
     peers = new PeerSocket(config, exchange, threads);
--- /dev/null
+++ b/src/test/java/pearusher/control/DecodedUpdate.java
@@ -0,0 +1,25 @@
+package pearusher.control;
+
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.List;
+import pearusher.protocol.RespCodec;
+
+/** Decodes the updates that proxies are sent. */
+public final class DecodedUpdate {
+  private DecodedUpdate() {}
+
+  /** Returns the parts of an update, each as the strings of its message. */
+  public static List<List<String>> parts(byte[] message) {
+    List<List<String>> parts = new ArrayList<>();
+    try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES)) {
+      ByteBuffer buffer = ByteBuffer.wrap(message);
+      for (List<String> part = reader.next(buffer); part != null; part = reader.next(buffer)) {
+        parts.add(part);
+      }
+    } catch (RespCodec.Fault e) {
+      throw new IllegalStateException(e);
+    }
+    return parts;
+  }
+}
--- a/src/test/java/pearusher/control/DurablePublisherTest.java
+++ b/src/test/java/pearusher/control/DurablePublisherTest.java
@@ -11,6 +11,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicLong;
@@ -107,7 +108,8 @@
         new PersistenceOptions(dir, EACH, 30_000_000, 5_000_000, 600_000_000);
     durable = new DurablePublisher(config, keeping, Store.open(disk, EACH), clock::get);
     exchange =
-        new Controller(config, FaastPolicy::new, clock::get, failure -> {}, durable, null) {
+        new Controller(
+            config, FaastPolicy::new, clock::get, failure -> {}, durable, Optional.empty()) {
           @Override
           public void awaitTick() {}
         };
@@ -135,7 +137,7 @@
   /** Waits until the disk has done with the turn; false once the power went. */
   private boolean settle() throws InterruptedException {
     while (durable.pendingIterations() > 0) {
-      if (disk.gone && !durable.running()) {
+      if (disk.gone && !durable.isRunning()) {
         return false;
       }
       Thread.sleep(0, 50_000);
--- a/src/test/java/pearusher/control/ScriptedPolicy.java
+++ b/src/test/java/pearusher/control/ScriptedPolicy.java
@@ -14,59 +14,87 @@
 import pearusher.server.TestPeers;
 
 /**
- * A module that writes down what it is told and orders what a test asks for, at the end of a turn.
+ * A policy that records its events as texts, and gives the commands that a test asks for at the end
+ * of an iteration. A text is the name of the method of {@link AssignmentPolicy} and its arguments
+ * without the time, separated by spaces.
  */
 public final class ScriptedPolicy
     implements BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> {
+  private static final String BATCH_END = "onBatchEnd";
+  private static final String PROXY_JOINED = "onProxyJoined";
+
+  /** Positions among the arguments of {@link AssignmentPolicy#onProxyJoined}. */
+  private static final int JOINED_PROXY = 1;
+
+  private static final int JOINED_FRESH = 4;
+
+  /** The events so far, without those that {@link #hear} has passed. */
   public final List<String> told = new CopyOnWriteArrayList<>();
-  private final LinkedBlockingQueue<Consumer<PolicyCommands>> asked = new LinkedBlockingQueue<>();
-  private volatile Controller exchange;
+
+  private final LinkedBlockingQueue<Consumer<PolicyCommands>> scripts = new LinkedBlockingQueue<>();
+  private volatile Controller controller;
 
   @Override
-  public AssignmentPolicy apply(PolicySettings settings, PolicyCommands orders) {
+  public AssignmentPolicy apply(PolicySettings settings, PolicyCommands commands) {
     return (AssignmentPolicy)
         Proxy.newProxyInstance(
             ScriptedPolicy.class.getClassLoader(),
             new Class<?>[] {AssignmentPolicy.class},
-            (self, method, args) -> {
-              if (method.getName().equals("onBatchEnd")) {
-                for (Consumer<PolicyCommands> a = asked.poll(); a != null; a = asked.poll()) {
-                  a.accept(orders);
-                }
-                return null;
-              }
-              if (method.getName().equals("onProxyJoined") && (Boolean) args[4]) {
-                orders.confirmProxy((Integer) args[1]);
-              }
-              List<String> words = new ArrayList<>(List.of(method.getName()));
-              for (int k = 1; k < args.length; k++) {
-                words.add(
-                    args[k] instanceof float[] f
-                        ? Arrays.toString(f)
-                        : args[k] instanceof byte[] b
-                            ? Arrays.toString(b)
-                            : String.valueOf(args[k]));
-              }
-              told.add(String.join(" ", words));
+            (self, method, arguments) -> {
+              onEvent(method.getName(), arguments, commands);
               return null;
             });
   }
 
-  public void on(Controller what) {
-    exchange = what;
+  private void onEvent(String name, Object[] arguments, PolicyCommands commands) {
+    if (name.equals(BATCH_END)) {
+      runScripts(commands);
+      return;
+    }
+    if (name.equals(PROXY_JOINED) && (Boolean) arguments[JOINED_FRESH]) {
+      commands.confirmProxy((Integer) arguments[JOINED_PROXY]);
+    }
+    told.add(describe(name, arguments));
+  }
+
+  private void runScripts(PolicyCommands commands) {
+    Consumer<PolicyCommands> script = scripts.poll();
+    while (script != null) {
+      script.accept(commands);
+      script = scripts.poll();
+    }
+  }
+
+  private static String describe(String name, Object[] arguments) {
+    List<String> texts = new ArrayList<>(List.of(name));
+    Arrays.stream(arguments).skip(1).map(ScriptedPolicy::describe).forEach(texts::add);
+    return String.join(" ", texts);
+  }
+
+  private static String describe(Object argument) {
+    if (argument instanceof float[] numbers) {
+      return Arrays.toString(numbers);
+    }
+    return argument instanceof byte[] bytes ? Arrays.toString(bytes) : String.valueOf(argument);
+  }
+
+  /** Sets the controller of this policy. */
+  public void on(Controller of) {
+    controller = of;
   }
 
-  /** Gives orders in a turn of their own. */
-  public void order(Consumer<PolicyCommands> what) {
-    asked.add(what);
-    exchange.execute(() -> {});
+  /** Gives commands at the end of the next iteration, and causes one. */
+  public void order(Consumer<PolicyCommands> script) {
+    scripts.add(script);
+    controller.execute(() -> {});
   }
 
-  /** Waits until the module was told this, and forgets all up to then. */
+  /** Waits for an event that starts with a text, and removes all events up to it. */
   public void hear(String start) throws InterruptedException {
-    TestPeers.until(start + " in " + told, () -> told.stream().anyMatch(t -> t.startsWith(start)));
+    TestPeers.until(
+        start + " in " + told, () -> told.stream().anyMatch(event -> event.startsWith(start)));
     while (!told.remove(0).startsWith(start)) {
-      // What came before is dropped.
+      // Events before it are dropped.
     }
   }
 }
--- a/src/test/java/pearusher/control/StoredDataSite.java
+++ b/src/test/java/pearusher/control/StoredDataSite.java
@@ -10,6 +10,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Queue;
 import java.util.TreeMap;
 import java.util.concurrent.atomic.AtomicLong;
@@ -190,7 +191,7 @@
             clock::get,
             failure -> {},
             durable,
-            null) {
+            Optional.empty()) {
           @Override
           public void awaitTick() {}
         };
--- /dev/null
+++ b/src/test/java/pearusher/publish/PublishedTablesFixture.java
@@ -0,0 +1,82 @@
+package pearusher.publish;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.stream.LongStream;
+import pearusher.control.DecodedUpdate;
+import pearusher.policy.AdmissionLevel;
+import pearusher.server.TestPeers;
+
+/** Published tables whose updates are applied to proxies at the end of each iteration. */
+final class PublishedTablesFixture {
+  /** The time of every iteration. */
+  static final long NOW_US = 1_000_000;
+
+  private static final List<String> CLASSES = List.of("read", "write", "list");
+
+  /** Servers below this number are suspected to be ejected at unconfirmed proxies. */
+  private static final int SUSPECTED_SERVERS = 9;
+
+  final PublishedTables tables = new PublishedTables(CLASSES, number -> "s" + number);
+  private final Map<Integer, TestPeers.AppliedUpdates> proxies = new TreeMap<>();
+  private final Map<Integer, Integer> updateCounts = new TreeMap<>();
+  private final Map<Integer, List<List<String>>> lastUpdates = new TreeMap<>();
+
+  PublishedTablesFixture() {
+    LongStream.range(0, SUSPECTED_SERVERS).forEach(server -> tables.suspectEjection(server, false));
+  }
+
+  TestPeers.AppliedUpdates join(int proxy) {
+    return join(proxy, false);
+  }
+
+  TestPeers.AppliedUpdates join(int proxy, boolean isConfirmed) {
+    tables.addProxy(proxy);
+    if (isConfirmed) {
+      tables.confirmProxy(proxy);
+    }
+    return proxies.computeIfAbsent(proxy, p -> new TestPeers.AppliedUpdates(CLASSES));
+  }
+
+  void bindProxy(int proxy, int table, int classBits) {
+    tables.bindProxy(proxy, table, tables.classes(classBits));
+  }
+
+  void setAdmission(int table, int classBits, double level, int retry) {
+    tables.setAdmission(table, tables.classes(classBits), new AdmissionLevel(level, retry));
+  }
+
+  /** Ends the iteration: each proxy applies its update, of which there may be one. */
+  void publish() {
+    lastUpdates.clear();
+    Map<Integer, byte[]> sent = new TreeMap<>();
+    tables.publish(
+        NOW_US,
+        (proxy, message) -> assertNull(sent.put(proxy, message), "two updates in an iteration"));
+    for (Map.Entry<Integer, byte[]> entry : sent.entrySet()) {
+      apply(entry.getKey(), entry.getValue());
+    }
+  }
+
+  private void apply(int proxy, byte[] message) {
+    updateCounts.merge(proxy, 1, Integer::sum);
+    List<List<String>> parts = DecodedUpdate.parts(message);
+    parts.forEach(proxies.get(proxy)::update);
+    lastUpdates.put(proxy, parts);
+    assertEquals(List.of(), proxies.get(proxy).faults);
+  }
+
+  /** Returns the parts that a proxy was sent in the last iteration, or null if it was sent none. */
+  List<List<String>> lastUpdate(int proxy) {
+    return lastUpdates.get(proxy);
+  }
+
+  /** Returns the number of updates by proxy, of those that were sent any. */
+  Map<Integer, Integer> updateCounts() {
+    return updateCounts;
+  }
+}
--- a/src/test/java/pearusher/publish/PublishedTablesTest.java
+++ b/src/test/java/pearusher/publish/PublishedTablesTest.java
@@ -4,257 +4,204 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.nio.ByteBuffer;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 import java.util.TreeSet;
-import java.util.stream.LongStream;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import pearusher.protocol.RespCodec;
 import pearusher.server.TestPeers;
 
-/** Orders as WIRE means them, against proxies that apply updates as PROTOCOL says. */
+/** Commands as WIRE defines them, against proxies that apply updates as PROTOCOL says. */
 class PublishedTablesTest {
-  private static final List<String> CLASSES = List.of("read", "write", "list");
-  private PublishedTables tables;
-  private final Map<Integer, TestPeers.AppliedUpdates> proxies = new TreeMap<>();
-  private final Map<Integer, Integer> messages = new TreeMap<>();
-  private final Map<Integer, List<List<String>>> last = new TreeMap<>();
-
-  @BeforeEach
-  void fresh() {
-    tables = new PublishedTables(CLASSES, id -> "s" + id);
-    LongStream.range(0, 9).forEach(server -> tables.suspectEjection(server, false));
-  }
-
-  private TestPeers.AppliedUpdates join(int proxy) {
-    return join(proxy, false);
-  }
-
-  private TestPeers.AppliedUpdates join(int proxy, boolean fresh) {
-    tables.addProxy(proxy);
-    if (fresh) {
-      tables.confirmProxy(proxy);
-    }
-    return proxies.computeIfAbsent(proxy, p -> new TestPeers.AppliedUpdates(CLASSES));
-  }
-
-  private void turn() throws Exception {
-    last.clear();
-    Map<Integer, byte[]> sent = new TreeMap<>();
-    tables.publish(
-        1_000_000,
-        (proxy, message) -> assertEquals(null, sent.put(proxy, message), "two messages in a turn"));
-    for (Map.Entry<Integer, byte[]> e : sent.entrySet()) {
-      messages.merge(e.getKey(), 1, Integer::sum);
-      RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES);
-      ByteBuffer from = ByteBuffer.wrap(e.getValue());
-      List<List<String>> parts = new ArrayList<>();
-      for (List<String> words = reader.next(from); words != null; words = reader.next(from)) {
-        parts.add(words);
-        proxies.get(e.getKey()).update(words);
-      }
-      last.put(e.getKey(), parts);
-      assertEquals(List.of(), proxies.get(e.getKey()).faults);
-    }
-  }
+  private final PublishedTablesFixture site = new PublishedTablesFixture();
 
   @Test
-  void aBindBringsTheWholeTableAndThenItsChangesOnly() throws Exception {
-    TestPeers.AppliedUpdates one = join(1);
-    tables.setWeight(0, 5, 0.5);
-    tables.setWeight(0, 6, 0.25);
-    tables.bindProxy(1, 0, 0);
-    turn();
-    assertEquals(Map.of("s5", 0.5f, "s6", 0.25f), one.open("read"));
-    assertEquals(one.open("read"), one.open("list"));
-    tables.setWeight(0, 5, 0);
-    tables.setWeight(0, 7, 0.125);
-    turn();
-    assertEquals(Map.of("s6", 0.25f, "s7", 0.125f), one.open("write"));
-    assertEquals(List.of(List.of("update", "lines", "s5:0.0,s7:0.125", "back", "s7")), last.get(1));
-    turn();
-    assertEquals(2, messages.get(1));
+  void aBoundProxyReceivesTheCompleteTableAndThenOnlyChanges() {
+    TestPeers.AppliedUpdates proxy = site.join(1);
+    site.tables.setWeight(0, 5, 0.5);
+    site.tables.setWeight(0, 6, 0.25);
+    site.bindProxy(1, 0, 0);
+    site.publish();
+    assertEquals(Map.of("s5", 0.5f, "s6", 0.25f), proxy.open("read"));
+    assertEquals(proxy.open("read"), proxy.open("list"));
+    site.tables.setWeight(0, 5, 0);
+    site.tables.setWeight(0, 7, 0.125);
+    site.publish();
+    assertEquals(Map.of("s6", 0.25f, "s7", 0.125f), proxy.open("write"));
+    assertEquals(
+        List.of(List.of("update", "lines", "s5:0.0,s7:0.125", "back", "s7")), site.lastUpdate(1));
+    site.publish();
+    assertEquals(2, site.updateCounts().get(1));
   }
 
-  /** Class bits name classes by position; tables of several classes go as parts of one message. */
+  /** Class bits name classes by position; several tables are sent as parts of one update. */
   @Test
-  void classesMaySitOnDifferentTables() throws Exception {
-    TestPeers.AppliedUpdates one = join(1);
-    tables.setWeight(3, 5, 0.5);
-    tables.setWeight(4, 6, 0.25);
-    tables.bindProxy(1, 3, 1 | 4);
-    tables.bindProxy(1, 4, 2);
-    tables.setAdmission(3, 1, 0.5, 1);
-    turn();
-    assertEquals(Map.of("s5", 0.5f), one.open("read"));
-    assertEquals(Map.of("s6", 0.25f), one.open("write"));
-    assertEquals(Map.of("s5", 0.5f), one.open("list"));
-    assertEquals(0.5f, one.by.get("read").level);
-    assertEquals(null, one.by.get("list").level);
-    assertEquals(1, one.messages);
-    assertTrue(last.get(1).size() >= 2);
+  void classesBoundToDifferentTablesReceiveTheirOwnWeightsInOneUpdate() {
+    TestPeers.AppliedUpdates proxy = site.join(1);
+    site.tables.setWeight(3, 5, 0.5);
+    site.tables.setWeight(4, 6, 0.25);
+    site.bindProxy(1, 3, 1 | 4);
+    site.bindProxy(1, 4, 2);
+    site.setAdmission(3, 1, 0.5, 1);
+    site.publish();
+    assertEquals(Map.of("s5", 0.5f), proxy.open("read"));
+    assertEquals(Map.of("s6", 0.25f), proxy.open("write"));
+    assertEquals(Map.of("s5", 0.5f), proxy.open("list"));
+    assertEquals(0.5f, proxy.by.get("read").level);
+    assertEquals(null, proxy.by.get("list").level);
+    assertEquals(1, proxy.messages);
+    assertTrue(site.lastUpdate(1).size() >= 2);
   }
 
-  /** Guards against a whole table that would lift the levels ordered before. */
+  /** Guards against a complete table that would reset the admission levels set before. */
   @Test
-  void levelsOutlastAWholeTable() throws Exception {
-    TestPeers.AppliedUpdates one = join(1);
-    tables.setWeight(0, 5, 0.5);
-    tables.setAdmission(0, 2, 0.25, 0);
-    tables.bindProxy(1, 0, 0);
-    turn();
-    assertEquals(0.25f, one.by.get("write").level);
-    tables.bindProxy(1, 0, 0);
-    turn();
-    assertEquals(0.25f, one.by.get("write").level);
-    assertEquals(null, one.by.get("read").level);
+  void admissionLevelsRemainInForceWhenACompleteTableIsSentAgain() {
+    TestPeers.AppliedUpdates proxy = site.join(1);
+    site.tables.setWeight(0, 5, 0.5);
+    site.setAdmission(0, 2, 0.25, 0);
+    site.bindProxy(1, 0, 0);
+    site.publish();
+    assertEquals(0.25f, proxy.by.get("write").level);
+    site.bindProxy(1, 0, 0);
+    site.publish();
+    assertEquals(0.25f, proxy.by.get("write").level);
+    assertEquals(null, proxy.by.get("read").level);
   }
 
   @Test
-  void clearingForgetsLinesAndLevels() throws Exception {
-    TestPeers.AppliedUpdates one = join(1);
-    tables.setWeight(0, 5, 0.5);
-    tables.setAdmission(0, 0, 0.25, 0);
-    tables.bindProxy(1, 0, 0);
-    turn();
-    tables.clearTable(0);
-    tables.setWeight(0, 6, 0.75);
-    turn();
-    assertEquals(Map.of("s6", 0.75f), one.open("read"));
-    assertEquals(null, one.by.get("read").level);
+  void clearingATableRemovesItsWeightsAndLevels() {
+    TestPeers.AppliedUpdates proxy = site.join(1);
+    site.tables.setWeight(0, 5, 0.5);
+    site.setAdmission(0, 0, 0.25, 0);
+    site.bindProxy(1, 0, 0);
+    site.publish();
+    site.tables.clearTable(0);
+    site.tables.setWeight(0, 6, 0.75);
+    site.publish();
+    assertEquals(Map.of("s6", 0.75f), proxy.open("read"));
+    assertEquals(null, proxy.by.get("read").level);
   }
 
-  /**
-   * A table that is cleared while nobody follows it is not kept: zones come and go over the years.
-   */
+  /** Zones are added and removed over the years: their tables must not accumulate. */
   @Test
-  void aClearedTableOfNobodyIsNotKept() throws Exception {
-    TestPeers.AppliedUpdates one = join(1);
-    tables.setWeight(0, 5, 0.5);
-    tables.setWeight(7, 5, 0.5);
-    tables.bindProxy(1, 0, 0);
-    turn();
-    tables.clearTable(0);
-    tables.clearTable(7);
-    turn();
-    assertEquals(1, tables.tableCount());
-    tables.setWeight(0, 6, 0.75);
-    turn();
-    assertEquals(Map.of("s6", 0.75f), one.open("read"));
-    tables.removeProxy(1);
-    tables.clearTable(0);
-    turn();
-    assertEquals(0, tables.tableCount());
+  void aClearedTableWithoutBoundProxiesIsRemoved() {
+    TestPeers.AppliedUpdates proxy = site.join(1);
+    site.tables.setWeight(0, 5, 0.5);
+    site.tables.setWeight(7, 5, 0.5);
+    site.bindProxy(1, 0, 0);
+    site.publish();
+    site.tables.clearTable(0);
+    site.tables.clearTable(7);
+    site.publish();
+    assertEquals(1, site.tables.tableCount());
+    site.tables.setWeight(0, 6, 0.75);
+    site.publish();
+    assertEquals(Map.of("s6", 0.75f), proxy.open("read"));
+    site.tables.removeProxy(1);
+    site.tables.clearTable(0);
+    site.publish();
+    assertEquals(0, site.tables.tableCount());
   }
 
-  /**
-   * Of the level for all and the table's own the lower prevails, with the table's own way of
-   * retrying.
-   */
   @Test
-  void levelsCombine() throws Exception {
-    TestPeers.AppliedUpdates bound = join(1);
-    TestPeers.AppliedUpdates unbound = join(2);
-    tables.setWeight(0, 5, 0.5);
-    tables.bindProxy(1, 0, 0);
-    tables.setAdmission(0, 0, 0.5, 3);
-    tables.setAdmission(PublishedTables.ALL_TABLES, 1, 0.25, 1);
-    tables.setAdmission(PublishedTables.ALL_TABLES, 2, 0.75, 1);
-    turn();
+  void theLowerOfTheGlobalAndTheTableLevelIsInForceWithTheRetryPolicyOfTheTable() {
+    TestPeers.AppliedUpdates bound = site.join(1);
+    TestPeers.AppliedUpdates unbound = site.join(2);
+    site.tables.setWeight(0, 5, 0.5);
+    site.bindProxy(1, 0, 0);
+    site.setAdmission(0, 0, 0.5, 3);
+    site.setAdmission(PublishedTables.ALL_TABLES, 1, 0.25, 1);
+    site.setAdmission(PublishedTables.ALL_TABLES, 2, 0.75, 1);
+    site.publish();
     assertEquals("0.25 3", bound.by.get("read").level + " " + bound.by.get("read").retry);
     assertEquals("0.5 3", bound.by.get("write").level + " " + bound.by.get("write").retry);
     assertEquals("0.5 3", bound.by.get("list").level + " " + bound.by.get("list").retry);
     assertEquals("0.25 1", unbound.by.get("read").level + " " + unbound.by.get("read").retry);
     assertEquals(null, unbound.by.get("list").level);
-    TestPeers.AppliedUpdates late = join(3);
-    tables.setEjected(9, true);
-    turn();
-    assertEquals(0.25f, late.by.get("read").level);
-    assertEquals(0.75f, late.by.get("write").level);
+    TestPeers.AppliedUpdates joinedLater = site.join(3);
+    site.tables.setEjected(9, true);
+    site.publish();
+    assertEquals(0.25f, joinedLater.by.get("read").level);
+    assertEquals(0.75f, joinedLater.by.get("write").level);
   }
 
-  /**
-   * A withdrawal reaches who holds the server by a table of ours, and all whose tables aren't ours.
-   */
   @Test
-  void withdrawalsReachWhoHoldsTheServer() throws Exception {
-    TestPeers.AppliedUpdates holds = join(1);
-    TestPeers.AppliedUpdates other = join(2);
-    TestPeers.AppliedUpdates unbound = join(3);
-    tables.setWeight(0, 5, 0.5);
-    tables.setWeight(1, 6, 0.5);
-    tables.bindProxy(1, 0, 0);
-    tables.bindProxy(2, 1, 0);
-    turn();
-    tables.setEjected(5, true);
-    tables.requestAck(17, false);
-    turn();
-    assertEquals("[s5] [] [s5]", holds.out + " " + other.out + " " + unbound.out);
-    assertEquals("[17] [] [17]", holds.tickets + " " + other.tickets + " " + unbound.tickets);
-    tables.setWeight(1, 5, 0.5);
-    turn();
+  void ejectionsReachProxiesWhoseTableContainsTheServerAndUnboundProxies() {
+    TestPeers.AppliedUpdates bound = site.join(1);
+    TestPeers.AppliedUpdates boundElsewhere = site.join(2);
+    TestPeers.AppliedUpdates unbound = site.join(3);
+    site.tables.setWeight(0, 5, 0.5);
+    site.tables.setWeight(1, 6, 0.5);
+    site.bindProxy(1, 0, 0);
+    site.bindProxy(2, 1, 0);
+    site.publish();
+    site.tables.setEjected(5, true);
+    site.tables.requestAck(17, false);
+    site.publish();
+    assertEquals("[s5] [] [s5]", bound.out + " " + boundElsewhere.out + " " + unbound.out);
+    assertEquals(
+        "[17] [] [17]", bound.tickets + " " + boundElsewhere.tickets + " " + unbound.tickets);
+    site.tables.setWeight(1, 5, 0.5);
+    site.publish();
     assertEquals(
-        Map.of("s6", 0.5f), other.open("read"), "a line of a withdrawn server comes shut out");
-    tables.setEjected(5, false);
-    tables.requestAck(18, true);
-    turn();
-    assertTrue(holds.out.isEmpty() && other.out.isEmpty() && unbound.out.isEmpty());
-    assertEquals(List.of(18), other.tickets);
-    tables.requestAck(19, true);
-    turn();
+        Map.of("s6", 0.5f), boundElsewhere.open("read"), "an ejected server is added as ejected");
+    site.tables.setEjected(5, false);
+    site.tables.requestAck(18, true);
+    site.publish();
+    assertTrue(bound.out.isEmpty() && boundElsewhere.out.isEmpty() && unbound.out.isEmpty());
+    assertEquals(List.of(18), boundElsewhere.tickets);
+    site.tables.requestAck(19, true);
+    site.publish();
     assertEquals(List.of(17, 18, 19), unbound.tickets);
   }
 
   /**
-   * Guards against servers that stay shut out: by an earlier stream, or an assigner before a
-   * restart.
+   * Guards against servers that stay ejected because of an earlier stream, or of an assigner before
+   * its restart.
    */
   @Test
-  void aBindLeavesExactlyOurWithdrawals() throws Exception {
-    TestPeers.AppliedUpdates one = join(1);
-    one.out.addAll(List.of("s5", "s8"));
-    tables.setWeight(0, 5, 0.5);
-    tables.setWeight(0, 6, 0.5);
-    tables.setEjected(6, true);
-    tables.bindProxy(1, 0, 0);
-    turn();
-    assertEquals(Map.of("s5", 0.5f), one.open("read"));
-    assertEquals(new TreeSet<>(List.of("s6", "s8")), one.out);
-    tables.setWeight(0, 8, 0.5);
-    turn();
+  void aBoundProxyIsLeftWithExactlyTheEjectionsOfThisAssigner() {
+    TestPeers.AppliedUpdates proxy = site.join(1);
+    proxy.out.addAll(List.of("s5", "s8"));
+    site.tables.setWeight(0, 5, 0.5);
+    site.tables.setWeight(0, 6, 0.5);
+    site.tables.setEjected(6, true);
+    site.bindProxy(1, 0, 0);
+    site.publish();
+    assertEquals(Map.of("s5", 0.5f), proxy.open("read"));
+    assertEquals(new TreeSet<>(List.of("s6", "s8")), proxy.out);
+    site.tables.setWeight(0, 8, 0.5);
+    site.publish();
     assertEquals(
-        Map.of("s5", 0.5f, "s8", 0.5f), one.open("read"), "told when a table brings the server");
-    tables.setEjected(5, true);
-    turn();
-    tables.removeProxy(1);
-    tables.setEjected(5, false);
-    turn();
-    join(1);
-    tables.bindProxy(1, 0, 0);
-    turn();
-    assertEquals(Map.of("s5", 0.5f, "s8", 0.5f), one.open("read"));
+        Map.of("s5", 0.5f, "s8", 0.5f),
+        proxy.open("read"),
+        "announced when a table contains the server");
+    site.tables.setEjected(5, true);
+    site.publish();
+    site.tables.removeProxy(1);
+    site.tables.setEjected(5, false);
+    site.publish();
+    site.join(1);
+    site.bindProxy(1, 0, 0);
+    site.publish();
+    assertEquals(Map.of("s5", 0.5f, "s8", 0.5f), proxy.open("read"));
   }
 
   /**
-   * Guards the queue: a fresh proxy hears of a server that it is back only where the list gives a
-   * reason to think that it was ever out, and nobody hears it of one that started since this
-   * process runs.
+   * Guards the update budget: a confirmed proxy is sent the reinstatement of a server only if the
+   * list gives a reason to assume that it was ever ejected, and no proxy is sent that of a server
+   * which started after this process.
    */
   @Test
-  void aFreshProxyHearsOfDoubtedServersOnly() throws Exception {
-    TestPeers.AppliedUpdates one = join(1, true);
-    one.out.add("s6");
-    tables.suspectEjection(6, true);
-    tables.setWeight(0, 5, 0.5);
-    tables.setWeight(0, 6, 0.5);
-    tables.setWeight(0, 7, 0.5);
-    tables.setEjected(7, true);
-    tables.bindProxy(1, 0, 0);
-    turn();
+  void aConfirmedProxyReceivesReinstatementsOfSuspectedServersOnly() {
+    TestPeers.AppliedUpdates proxy = site.join(1, true);
+    proxy.out.add("s6");
+    site.tables.suspectEjection(6, true);
+    site.tables.setWeight(0, 5, 0.5);
+    site.tables.setWeight(0, 6, 0.5);
+    site.tables.setWeight(0, 7, 0.5);
+    site.tables.setEjected(7, true);
+    site.bindProxy(1, 0, 0);
+    site.publish();
     assertEquals(
         List.of(
             List.of(
@@ -267,86 +214,83 @@
                 "s7",
                 "back",
                 "s6")),
-        last.get(1));
-    assertEquals(Map.of("s5", 0.5f, "s6", 0.5f), one.open("read"));
-    TestPeers.AppliedUpdates two = join(2);
-    tables.bindProxy(2, 0, 0);
-    tables.setWeight(0, 9, 0.5);
-    turn();
-    assertEquals(List.of(List.of("update", "lines", "s9:0.5")), last.get(1));
-    assertEquals(Map.of("s5", 0.5f, "s6", 0.5f, "s9", 0.5f), two.open("read"));
-    assertEquals(List.of("out", "s7", "back", "s5,s6"), last.get(2).get(0).subList(5, 9));
+        site.lastUpdate(1));
+    assertEquals(Map.of("s5", 0.5f, "s6", 0.5f), proxy.open("read"));
+    TestPeers.AppliedUpdates unconfirmed = site.join(2);
+    site.bindProxy(2, 0, 0);
+    site.tables.setWeight(0, 9, 0.5);
+    site.publish();
+    assertEquals(List.of(List.of("update", "lines", "s9:0.5")), site.lastUpdate(1));
+    assertEquals(Map.of("s5", 0.5f, "s6", 0.5f, "s9", 0.5f), unconfirmed.open("read"));
+    assertEquals(List.of("out", "s7", "back", "s5,s6"), site.lastUpdate(2).get(0).subList(5, 9));
   }
 
   @Test
-  void ordersForWhoHasLeftDoNothing() throws Exception {
-    join(1);
-    tables.removeProxy(1);
-    tables.bindProxy(1, 0, 0);
-    tables.setWeight(0, 5, 1);
-    tables.setEjected(5, true);
-    tables.requestAck(3, true);
-    turn();
-    assertEquals(Map.of(), messages);
+  void commandsForAProxyThatLeftSendNothing() {
+    site.join(1);
+    site.tables.removeProxy(1);
+    site.bindProxy(1, 0, 0);
+    site.tables.setWeight(0, 5, 1);
+    site.tables.setEjected(5, true);
+    site.tables.requestAck(3, true);
+    site.publish();
+    assertEquals(Map.of(), site.updateCounts());
   }
 
-  /** At most 64 parts and 1 MiB a part, at a size that no site has. */
+  /** At most 64 parts of 1 MiB each, at a size that no site has. */
   @Test
-  void hugeTablesGoInParts() throws Exception {
-    TestPeers.AppliedUpdates one = join(1);
+  void aHugeTableIsSentInSeveralPartsOfOneUpdate() {
+    TestPeers.AppliedUpdates proxy = site.join(1);
     for (int server = 0; server < 60_000; server++) {
-      tables.setWeight(0, server, 0.5);
+      site.tables.setWeight(0, server, 0.5);
     }
-    tables.bindProxy(1, 0, 0);
-    turn();
-    assertEquals(60_000, one.open("read").size());
-    assertTrue(last.get(1).size() <= 64);
-    assertEquals(1, one.messages);
+    site.bindProxy(1, 0, 0);
+    site.publish();
+    assertEquals(60_000, proxy.open("read").size());
+    assertTrue(site.lastUpdate(1).size() <= 64);
+    assertEquals(1, proxy.messages);
   }
 
-  /**
-   * Guards the channel's pace against spoilt answers: only a mark that is out can be answered,
-   * once.
-   */
+  /** Guards the rate limit of updates against wrong acknowledgements. */
   @Test
-  void onlyAMarkThatIsOutIsAnswered() throws Exception {
-    join(1);
-    join(2);
-    for (int mark = 7; mark <= 9; mark++) {
-      tables.requestAck(mark, true);
-      turn();
+  void onlyAPendingAcknowledgementIsAcceptedAndOnlyOnce() {
+    site.join(1);
+    site.join(2);
+    for (int number = 7; number <= 9; number++) {
+      site.tables.requestAck(number, true);
+      site.publish();
     }
-    long now = 1_500_000;
-    assertFalse(tables.acknowledge(now, 1, 6, 100));
-    assertFalse(tables.acknowledge(now, 1, 8, 500_001), "it is half a second old");
-    assertTrue(tables.acknowledge(now, 1, 8, 500_000));
-    assertFalse(tables.acknowledge(now, 1, 8, 100), "twice");
-    assertFalse(tables.acknowledge(now, 1, 7, 100), "before one that was answered");
-    assertTrue(tables.acknowledge(now, 1, 9, 100));
-    assertTrue(tables.acknowledge(now, 2, 7, 100));
-    assertFalse(tables.acknowledge(now, 3, 7, 100), "who is not joined");
-    tables.addProxy(2);
-    assertFalse(tables.acknowledge(now, 2, 9, 100), "of an earlier stream");
+    long nowUs = PublishedTablesFixture.NOW_US + 500_000;
+    assertFalse(site.tables.acknowledge(nowUs, 1, 6, 100));
+    assertFalse(site.tables.acknowledge(nowUs, 1, 8, 500_001), "requested half a second ago");
+    assertTrue(site.tables.acknowledge(nowUs, 1, 8, 500_000));
+    assertFalse(site.tables.acknowledge(nowUs, 1, 8, 100), "twice");
+    assertFalse(site.tables.acknowledge(nowUs, 1, 7, 100), "covered by a later one");
+    assertTrue(site.tables.acknowledge(nowUs, 1, 9, 100));
+    assertTrue(site.tables.acknowledge(nowUs, 2, 7, 100));
+    assertFalse(site.tables.acknowledge(nowUs, 3, 7, 100), "not joined");
+    site.tables.addProxy(2);
+    assertFalse(site.tables.acknowledge(nowUs, 2, 9, 100), "of an earlier stream");
   }
 
   /**
-   * Guards the queue against words that nobody counts: who holds a server by no table needs none of
-   * it.
+   * Guards the update budget against announcements that it does not cover: a proxy without the
+   * server does not need its state.
    */
   @Test
-  void aServerThatNoTableBringsIsNotTold() throws Exception {
-    TestPeers.AppliedUpdates one = join(1);
-    tables.setWeight(0, 5, 0.5);
-    tables.setWeight(0, 6, 0.5);
-    tables.bindProxy(1, 0, 0);
-    turn();
-    tables.setWeight(0, 6, 0);
-    turn();
-    tables.setEjected(6, true);
-    turn();
-    assertEquals(2, one.messages);
-    tables.setWeight(0, 6, 0.5);
-    turn();
-    assertEquals(Map.of("s5", 0.5f), one.open("read"), "it is out once a table brings it");
+  void ejectionOfAServerInNoTableOfTheProxyIsAnnouncedOnceATableContainsIt() {
+    TestPeers.AppliedUpdates proxy = site.join(1);
+    site.tables.setWeight(0, 5, 0.5);
+    site.tables.setWeight(0, 6, 0.5);
+    site.bindProxy(1, 0, 0);
+    site.publish();
+    site.tables.setWeight(0, 6, 0);
+    site.publish();
+    site.tables.setEjected(6, true);
+    site.publish();
+    assertEquals(2, proxy.messages);
+    site.tables.setWeight(0, 6, 0.5);
+    site.publish();
+    assertEquals(Map.of("s5", 0.5f), proxy.open("read"), "it is ejected once a table contains it");
   }
 }
--- a/src/test/java/pearusher/server/DurableProcessTest.java
+++ b/src/test/java/pearusher/server/DurableProcessTest.java
@@ -223,8 +223,7 @@
       Process p = start(name, store(life % 2 == 0 ? "" : " sync interval\n interval 10ms\n"));
       TestPeers.until("ready", () -> log(name).contains("INFO ready: n0"));
       assertTrue(
-          log(name)
-              .contains(life == 0 ? "belief=\"it is new\"" : "belief=\"all of it is believed\""),
+          log(name).contains(life == 0 ? "trust=\"it is new\"" : "trust=\"all of it is believed\""),
           log(name));
       assertTrue(log(name).contains("epoch=" + (life + 1) + " "), log(name));
       join();
--- a/src/test/java/pearusher/server/OverloadIntakeTest.java
+++ b/src/test/java/pearusher/server/OverloadIntakeTest.java
@@ -12,12 +12,14 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import pearusher.config.AssignerConfig;
 import pearusher.control.Controller;
+import pearusher.control.Persistence;
 import pearusher.control.ProxyStream;
 import pearusher.control.ScriptedPolicy;
 import pearusher.control.SynchronizedIntake;
@@ -40,7 +42,12 @@
     AtomicLong clock = new AtomicLong(1_000_000_000_000_000L);
     Controller exchange =
         new Controller(
-            new ExampleConfig().read(dir), module, clock::get, failure -> {}, null, intake) {
+            new ExampleConfig().read(dir),
+            module,
+            clock::get,
+            failure -> {},
+            Persistence.none(),
+            Optional.ofNullable(intake)) {
           @Override
           public void awaitTick() {}
         };
@@ -161,22 +168,23 @@
             () ->
                 module.told.stream()
                     .anyMatch(t -> t.startsWith("onLoadReport 1 1 " + tries + " 0 ")));
-        assertTrue(waiting.waiting() <= 100 + 2 * 50, waiting.waiting() + " wait");
+        assertTrue(waiting.size() <= 100 + 2 * 50, waiting.size() + " wait");
       }
-      TestPeers.until("the end", () -> !waiting.flooded());
+      TestPeers.until("the end", () -> !waiting.isOverloaded());
       String said = log.toString(StandardCharsets.UTF_8);
       assertTrue(
           said.matches(
-              "(?s).*WARN flood of reports: origin=\"collector \\d+\" " + "part=[01]\\.\\d+\n.*"),
+              "(?s).*WARN report overload started: origin=\"collector \\d+\" "
+                  + "share=[01]\\.\\d+\n.*"),
           said);
       TestPeers.until(
           "its line",
           () ->
               log.toString(StandardCharsets.UTF_8)
-                  .matches("(?s).*INFO flood of reports over: merged=\\d+ refused=\\d+\n.*"));
+                  .matches("(?s).*INFO report overload ended: merged=\\d+ refused=\\d+\n.*"));
       long heard = module.told.stream().filter(t -> t.startsWith("onLoadReport 0 0 ")).count();
       assertTrue(heard < 20 * 10 * 500, heard + " lines of the loud one");
-      assertFalse(waiting.flooded());
+      assertFalse(waiting.isOverloaded());
     } finally {
       System.setOut(standard);
       if (serve != null) {
@@ -198,7 +206,7 @@
         waiting.offer(report(3, "s1"), () -> {});
       }
       for (int k = 0; k < 50; k++) {
-        waiting.next(1_000_000, item -> {});
+        waiting.pollOldest(1_000_000, item -> {});
       }
       assertTrue(
           log.toString(StandardCharsets.UTF_8)
@@ -207,8 +215,8 @@
       for (int k = 0; k < 1500; k++) {
         waiting.offer(report(-7 - k % 2, "s" + k), () -> {});
       }
-      waiting.serve(1_000_000, item -> {});
-      waiting.serve(2_000_000, item -> {});
+      waiting.pollDue(1_000_000, item -> {});
+      waiting.pollDue(2_000_000, item -> {});
       assertTrue(
           log.toString(StandardCharsets.UTF_8)
               .matches("(?s).*WARN reports sampled: times=1 " + "kept=0\\.07 error=0\\.\\d+\n.*"),
@@ -303,7 +311,7 @@
                         + " mean_ms 40.0 span_ms 1000.0"));
           }
           callers.get(k).send(lines.toByteArray());
-          assertTrue(waiting.waiting() <= 4 * relays + relays * 120, "what waits is bounded");
+          assertTrue(waiting.size() <= 4 * relays + relays * 120, "what waits is bounded");
         }
         long left = 1_000 - (System.nanoTime() - start) / 1_000_000;
         Thread.sleep(Math.max(0, left));
@@ -314,8 +322,8 @@
       TestPeers.until(
           "all of them",
           () ->
-              !waiting.flooded()
-                  && waiting.waiting() == 0
+              !waiting.isOverloaded()
+                  && waiting.size() == 0
                   && (times > 1 || Arrays.stream(view).sum() == sent));
       int met = 0;
       for (int k = 0; k < servers; k++) {
--- a/src/test/java/pearusher/server/RaceTest.java
+++ b/src/test/java/pearusher/server/RaceTest.java
@@ -161,13 +161,13 @@
       }
     }
     assertTrue(asked > 0 && System.nanoTime() - first >= 400_000_000L, asked + " older lists");
-    logged("WARN discovery older: generation 30 after 41, passed over");
-    logged("WARN discovery began anew: generation 30 after 41");
+    logged("WARN discovery lagging: generation 30 after 41, ignored");
+    logged("WARN discovery restarted: generation 30 after 41");
     assertEquals(
         1,
         log.toString(StandardCharsets.UTF_8)
             .lines()
-            .filter(l -> l.contains("discovery older"))
+            .filter(l -> l.contains("discovery lagging"))
             .count());
   }
 
@@ -344,7 +344,7 @@
     if (joinsAnew) {
       module.hear("onProxyJoined 3");
       anew.send("applied proxy 3 mark 9 took_ms 0.1");
-      logged("answers dropped: 1 so far, the last of proxy 3");
+      logged("acknowledgements dropped: 1 so far, the last of proxy 3");
       assertEquals(0, anew.came.size(), "what was ordered for the earlier stream");
       assertFalse(anew.ended);
     }
