--- a/src/main/java/pearusher/policy/OutlierDetector.java
+++ b/src/main/java/pearusher/policy/OutlierDetector.java
@@ -37,8 +37,7 @@
     boolean recovered = server.outlier && server.healthFactor > RECOVERED_ABOVE_FACTOR;
     if (detected || recovered) {
       server.outlier = detected;
-      commands.log(
-          "server " + Long.toHexString(server.id) + (detected ? " ill" : " well"));
+      commands.log("server " + Long.toHexString(server.id) + (detected ? " ill" : " well"));
     }
   }
 }
