--- a/src/main/java/pearusher/policy/EndpointListWatch.java
+++ b/src/main/java/pearusher/policy/EndpointListWatch.java
@@ -37,7 +37,7 @@
 
   void onFailure() {
     if (watching || !failedBefore) {
-      commands.log("list lost");
+      commands.log("endpoint list watch lost");
     }
     watching = false;
     failedBefore = true;
@@ -63,7 +63,7 @@
     watching = true;
     failures = 0;
     if (failedBefore) {
-      commands.log("list back");
+      commands.log("endpoint list watch restored");
     }
   }
 
--- a/src/main/java/pearusher/policy/OutlierDetector.java
+++ b/src/main/java/pearusher/policy/OutlierDetector.java
@@ -38,7 +38,7 @@
     if (detected || recovered) {
       server.outlier = detected;
       commands.log(
-          "server " + Long.toHexString(server.id) + (detected ? " ill" : " well"));
+          "server " + Long.toHexString(server.id) + (detected ? " is an outlier" : " recovered"));
     }
   }
 }
--- a/src/main/java/pearusher/policy/OverloadDetector.java
+++ b/src/main/java/pearusher/policy/OverloadDetector.java
@@ -191,7 +191,7 @@
     boolean ends = !overloadedNow && admittedShare >= 1;
     if (overloaded != overloadedNow && (overloadedNow || ends)) {
       overloaded = overloadedNow;
-      commands.log(overloaded ? "overload" : "overload over");
+      commands.log(overloaded ? "overload started" : "overload ended");
     }
   }
 }
