--- a/src/main/java/pearusher/policy/AdmissionLevel.java
+++ b/src/main/java/pearusher/policy/AdmissionLevel.java
@@ -1,4 +1,9 @@
 package pearusher.policy;
 
-/** A level and the way of trying again that was ordered with it. */
+/**
+ * An admission level with the retry mode that was published with it.
+ *
+ * @param probabilityOrRate a share or a rate, as {@link AdmissionMode} tells
+ * @param retry the retry mode, as in {@link PolicyCommands#setAdmission}
+ */
 public record AdmissionLevel(double probabilityOrRate, int retry) {}
--- a/src/main/java/pearusher/policy/AssignmentPolicy.java
+++ b/src/main/java/pearusher/policy/AssignmentPolicy.java
@@ -4,95 +4,213 @@
 import java.util.Map;
 
 /**
- * One assigner: it hears about servers, proxies and answers, and orders tables, withdrawals and
- * levels.
+ * The decisions of one instance: it receives events about servers, proxies and load, and issues
+ * {@link PolicyCommands}.
  *
- * <p>Everything the decisions need comes through this file. Times are microseconds of the caller's
- * clock. The caller gives all events of one instant, then calls {@link #onBatchEnd}; orders may be
- * given at any time up to the end of that call. Servers, proxies and tables are opaque numbers;
- * zones and classes are positions in the settings' lists, so that no name reaches the decisions.
+ * <p>Times are microseconds of the caller's clock. The caller reports all events of one instant and
+ * then calls {@link #onBatchEnd}; commands may be issued at any time until that call returns.
+ * Servers, proxies and tables are opaque numbers; zones and request classes are positions in the
+ * settings' lists. All methods are called by one thread.
  */
 public interface AssignmentPolicy {
 
-  void onEndpointList(long now, ListUpdateKind form, List<ServerEntry> entries);
+  /**
+   * The endpoint list, or a change of it.
+   *
+   * @param nowUs the present time
+   * @param kind what {@code entries} are; on {@code FAILED} they are ignored
+   * @param entries the servers listed or changed
+   */
+  void onEndpointList(long nowUs, ListUpdateKind kind, List<ServerEntry> entries);
 
-  void onTimer(long now, long token);
+  /**
+   * A timer has fired. Timers can't be cancelled.
+   *
+   * @param nowUs the present time
+   * @param token the token that {@link PolicyCommands#setTimer} was given
+   */
+  void onTimer(long nowUs, long token);
 
   /**
-   * The end of a probe; who asks for none leaves it (each has a price, and they changed no measured
-   * day).
+   * A health check has ended. A policy that requests none ignores it.
+   *
+   * @param nowUs the present time
+   * @param server the server checked
+   * @param result how the check ended
+   * @param tookUs its duration, in microseconds
+   * @param load the load metrics reported, in the order of the settings; valid if the result is OK
    */
   default void onHealthCheckResult(
-      long now, long server, HealthCheckResult end, long tookUs, float[] load) {}
+      long nowUs, long server, HealthCheckResult result, long tookUs, float[] load) {}
 
-  /** A word from another assigner; who needs no agreement leaves it. */
-  default void onPeerMessage(long now, int peer, byte[] body) {}
+  /**
+   * A message from another instance. A policy that needs no agreement ignores it.
+   *
+   * @param nowUs the present time
+   * @param peer the sender
+   * @param body the message
+   */
+  default void onPeerMessage(long nowUs, int peer, byte[] body) {}
 
-  void onProxyJoined(long now, int proxy, int zone, double perS, boolean onlyStanding);
+  /**
+   * A proxy has joined.
+   *
+   * @param nowUs the present time
+   * @param proxy the proxy
+   * @param zone its zone
+   * @param requestsPerSecond its demand, as far as known
+   * @param listedChangesOnly whether it starts without tables and excludes only servers that the
+   *     endpoint list names as changed
+   */
+  void onProxyJoined(
+      long nowUs, int proxy, int zone, double requestsPerSecond, boolean listedChangesOnly);
 
-  void onProxyLeft(long now, int proxy);
+  /**
+   * A proxy has left.
+   *
+   * @param nowUs the present time
+   * @param proxy the proxy
+   */
+  void onProxyLeft(long nowUs, int proxy);
 
   /**
-   * A table that an earlier process of this assigner had ordered, before the first {@link
-   * #onBatchEnd}: weights by server, level and way of trying again by class (-1: neither was
-   * ordered), and the last mark given.
+   * A table that an earlier process of this instance had published; reported before the first
+   * {@link #onBatchEnd}.
+   *
+   * @param nowUs the present time
+   * @param table the table
+   * @param weights published weights by server
+   * @param levels published admission levels by request class
+   * @param retryModes published retry modes by request class; -1: neither level nor mode was
+   *     published
+   * @param lastAckNumber the last acknowledgement number that was requested
    */
   default void onTableRestored(
-      long now,
+      long nowUs,
       int table,
       Map<Long, Double> weights,
       double[] levels,
-      int[] retries,
-      int lastMark) {}
+      int[] retryModes,
+      int lastAckNumber) {}
 
   /**
-   * A proxy that joins holds this table of ours, so many lines aside; told in the turn of its
-   * joining.
+   * A proxy holds a table of this instance; reported in the batch in which it joins.
+   *
+   * @param nowUs the present time
+   * @param proxy the proxy
+   * @param table the table that it holds
+   * @param missingLines lines of the table's present content that it lacks
    */
-  default void onTableHeld(long now, int proxy, int table, int lacks) {}
+  default void onTableHeld(long nowUs, int proxy, int table, int missingLines) {}
 
-  void onAcknowledgement(long now, int proxy, int mark, long tookUs);
+  /**
+   * A proxy has acknowledged an update.
+   *
+   * @param nowUs the present time
+   * @param proxy the proxy
+   * @param ackNumber the number that {@link PolicyCommands#requestAck} was given
+   * @param tookUs time from the update to the acknowledgement, in microseconds
+   */
+  void onAcknowledgement(long nowUs, int proxy, int ackNumber, long tookUs);
 
   /**
-   * Tries of a zone's proxies that ended at a server in a span; {@code meanUs}: of the good ones.
+   * A load report of a span that ends now; see {@link #onLoadReport(long, long, int, long, long,
+   * long, long, float[], long)}.
+   *
+   * @param nowUs the present time
+   * @param server the server
+   * @param zone the zone of the proxies
+   * @param attempts attempts that ended
+   * @param failedAttempts those that failed
+   * @param spanUs length of the span, in microseconds
+   * @param meanUs mean response time of the successful attempts, in microseconds
+   * @param load the load metrics reported, in the order of the settings
    */
   default void onLoadReport(
-      long now,
+      long nowUs,
       long server,
       int zone,
-      long tries,
-      long failed,
+      long attempts,
+      long failedAttempts,
       long spanUs,
       long meanUs,
       float[] load) {
-    onLoadReport(now, server, zone, tries, failed, spanUs, meanUs, load, 0);
+    onLoadReport(nowUs, server, zone, attempts, failedAttempts, spanUs, meanUs, load, 0);
   }
 
-  /** The same of a span that ended some time ago. */
+  /**
+   * Attempts of a zone's proxies that ended at a server within a span of time.
+   *
+   * @param nowUs the present time
+   * @param server the server
+   * @param zone the zone of the proxies
+   * @param attempts attempts that ended
+   * @param failedAttempts those that failed
+   * @param spanUs length of the span, in microseconds
+   * @param meanUs mean response time of the successful attempts, in microseconds
+   * @param load the load metrics reported, in the order of the settings
+   * @param ageUs time since the end of the span, in microseconds
+   */
   void onLoadReport(
-      long now,
+      long nowUs,
       long server,
       int zone,
-      long tries,
-      long failed,
+      long attempts,
+      long failedAttempts,
       long spanUs,
       long meanUs,
       float[] load,
       long ageUs);
 
-  /** Requests of a class that came to a proxy in a span; {@code failed}: let in, not answered. */
-  void onUsageReport(long now, int proxy, int grade, long requests, long failed, long spanUs);
+  /**
+   * Requests of a class that arrived at a proxy within a span of time.
+   *
+   * @param nowUs the present time
+   * @param proxy the proxy
+   * @param requestClass the request class
+   * @param requests requests that arrived
+   * @param failed requests that were admitted and not answered
+   * @param spanUs length of the span, in microseconds
+   */
+  void onUsageReport(
+      long nowUs, int proxy, int requestClass, long requests, long failed, long spanUs);
 
   /**
-   * Slices, where the settings count any: given or taken, a line of one's table, what came for it.
+   * A slice was assigned to this instance or taken from it, where the settings have slices.
+   *
+   * @param nowUs the present time
+   * @param slice the slice
+   * @param assigned whether it was assigned
    */
-  default void onSliceAssignment(long now, int slice, boolean given) {}
+  default void onSliceAssignment(long nowUs, int slice, boolean assigned) {}
 
-  default void onSliceWeight(long now, int slice, long server, double weight) {}
+  /**
+   * A weight of an assigned slice's table.
+   *
+   * @param nowUs the present time
+   * @param slice the slice
+   * @param server the server
+   * @param weight its weight
+   */
+  default void onSliceWeight(long nowUs, int slice, long server, double weight) {}
 
+  /**
+   * Requests of a class that arrived for a slice within a span of time.
+   *
+   * @param nowUs the present time
+   * @param slice the slice
+   * @param requestClass the request class
+   * @param requests requests that arrived
+   * @param failed requests that were admitted and not answered
+   * @param spanUs length of the span, in microseconds
+   */
   default void onSliceUsageReport(
-      long now, int slice, int grade, long requests, long failed, long spanUs) {}
+      long nowUs, int slice, int requestClass, long requests, long failed, long spanUs) {}
 
-  /** The end of what happened at this instant. */
-  void onBatchEnd(long now);
+  /**
+   * All events of this instant were reported. The policy decides and issues its commands.
+   *
+   * @param nowUs the present time
+   */
+  void onBatchEnd(long nowUs);
 }
--- a/src/main/java/pearusher/policy/ChannelSettings.java
+++ b/src/main/java/pearusher/policy/ChannelSettings.java
@@ -1,6 +1,16 @@
 package pearusher.policy;
 
-/** The way to the proxies: pace, fixed lines of a message, most lines waiting, and its delays. */
+/**
+ * The update channel to the proxies. Its capacity is counted in lines.
+ *
+ * @param linesPerSecond lines that it carries per second
+ * @param messageOverheadLines fixed lines of each message
+ * @param maxBacklogLines most lines that may wait
+ * @param maxMessagesPerProxy most messages to a proxy within the window; 0: no limit
+ * @param messageWindowUs window of that limit, in microseconds
+ * @param transitDelayUs mean transit time of a message, in microseconds
+ * @param maxPushDelayUs longest transit time, in microseconds
+ */
 public record ChannelSettings(
     double linesPerSecond,
     double messageOverheadLines,
--- a/src/main/java/pearusher/policy/Costs.java
+++ b/src/main/java/pearusher/policy/Costs.java
@@ -1,6 +1,20 @@
 package pearusher.policy;
 
-/** Points taken off for each unit. */
+/**
+ * Points that are deducted for each action.
+ *
+ * @param crossZone a request that crosses zones
+ * @param healthCheck a health check
+ * @param commandLine a line on the update channel
+ * @param lateFailure a request that fails late
+ * @param waste wasted work
+ * @param connection a connection
+ * @param handshake a handshake
+ * @param peerMessage a message to another instance
+ * @param discoveryCall a call to discovery
+ * @param handover a handover of a slice
+ * @param migration a move
+ */
 public record Costs(
     double crossZone,
     double healthCheck,
--- a/src/main/java/pearusher/policy/HealthCheckResult.java
+++ b/src/main/java/pearusher/policy/HealthCheckResult.java
@@ -1,6 +1,6 @@
 package pearusher.policy;
 
-/** How a probe ended. */
+/** How a health check ended. */
 public enum HealthCheckResult {
   OK,
   ERROR,
--- a/src/main/java/pearusher/policy/Idempotency.java
+++ b/src/main/java/pearusher/policy/Idempotency.java
@@ -1,8 +1,9 @@
 package pearusher.policy;
 
-/** What a repeat of a request of a class may do. */
+/** Whether requests of a class may be repeated. */
 public enum Idempotency {
   IDEMPOTENT,
+  /** Repeats are discarded by an idempotency key. */
   WITH_KEY,
   NOT_IDEMPOTENT
 }
--- a/src/main/java/pearusher/policy/Lifecycle.java
+++ b/src/main/java/pearusher/policy/Lifecycle.java
@@ -1,6 +1,6 @@
 package pearusher.policy;
 
-/** What the list says of a server. */
+/** State of a server in the endpoint list. */
 public enum Lifecycle {
   REMOVED,
   READY,
--- a/src/main/java/pearusher/policy/LoadMetric.java
+++ b/src/main/java/pearusher/policy/LoadMetric.java
@@ -1,6 +1,6 @@
 package pearusher.policy;
 
-/** The values that a load report may hold. */
+/** The metrics that a load report may hold. */
 public enum LoadMetric {
   IN_FLIGHT,
   QUEUE_LENGTH,
--- a/src/main/java/pearusher/policy/LoadReportSource.java
+++ b/src/main/java/pearusher/policy/LoadReportSource.java
@@ -1,6 +1,6 @@
 package pearusher.policy;
 
-/** Where load reports come from. */
+/** Where servers report their load metrics. */
 public enum LoadReportSource {
   RESPONSES,
   HEALTH_CHECKS,
--- a/src/main/java/pearusher/policy/ScoreWeights.java
+++ b/src/main/java/pearusher/policy/ScoreWeights.java
@@ -1,6 +1,16 @@
 package pearusher.policy;
 
-/** What a result is made of. */
+/**
+ * The weights of the parts of a score.
+ *
+ * @param overall all requests
+ * @param worstWindow the worst window of time
+ * @param worstClass the worst request class
+ * @param worstTenant the worst tenant
+ * @param nines the success rate, counted in nines
+ * @param ninesFull nines that give the full score
+ * @param byWork whether requests are counted by their work
+ */
 public record ScoreWeights(
     double overall,
     double worstWindow,
