--- a/src/main/java/pearusher/policy/ChannelBudget.java
+++ b/src/main/java/pearusher/policy/ChannelBudget.java
@@ -12,6 +12,12 @@
  * acknowledged, times the proxies that each went to.
  */
 final class ChannelBudget {
+  /** Share of the lines within a grace that may be planned for what must arrive in it. */
+  static final double TIMELY_GRACE_SHARE = 0.8;
+
+  /** Lines of a bind beside servers and levels: the bind, and the message's end. */
+  static final int FIXED_BIND_LINES = 2;
+
   /** Backlog, as a share of the deferrable limit, under which the channel is nearly idle. */
   private static final double NEARLY_IDLE_SHARE = 0.1;
 
@@ -232,6 +238,14 @@
     return durationUs / MICROS_PER_SECOND * channel.linesPerSecond();
   }
 
+  /** Lines of a bind's message that are left for servers. */
+  double linesForServers(double bindLines) {
+    return bindLines
+        - channel.messageOverheadLines()
+        - FIXED_BIND_LINES
+        - settings.requestClasses().size();
+  }
+
   /** Time until the backlog has drained. */
   double drainTimeUs() {
     return backlogLines / channel.linesPerSecond() / rateShare * MICROS_PER_SECOND;
--- a/src/main/java/pearusher/policy/ControlClock.java
+++ b/src/main/java/pearusher/policy/ControlClock.java
@@ -26,8 +26,8 @@
   private int periodsWithReports;
   private boolean recomputeRequested;
 
-  ControlClock(PolicySettings settings, PolicyCommands commands) {
-    periodUs = settings.controlPeriodUs();
+  ControlClock(long periodUs, PolicyCommands commands) {
+    this.periodUs = periodUs;
     this.commands = commands;
   }
 
--- a/src/main/java/pearusher/policy/EjectionPublisher.java
+++ b/src/main/java/pearusher/policy/EjectionPublisher.java
@@ -10,6 +10,9 @@
   /** Share of the backlog limit under which few ejections are published. */
   private static final double FEW_EJECTIONS_BACKLOG_SHARE = 0.27;
 
+  /** The same of many ejections, which take the rest of what ejections may fill. */
+  private static final double MANY_EJECTIONS_BACKLOG_SHARE = 0.5;
+
   private static final ChannelPriority PRIORITY = ChannelPriority.EJECTION;
 
   private final PolicySettings settings;
@@ -72,7 +75,7 @@
             .findFirst()
             .orElse(0);
     return channel.backlogLines() + cost + channel.nominalLines(waitUs)
-        > ChannelPriority.TIMELY.backlogShare * channel.graceLines();
+        > ChannelBudget.TIMELY_GRACE_SHARE * channel.graceLines();
   }
 
   private boolean isTimeToPublish(double cost, boolean late) {
@@ -80,8 +83,7 @@
     boolean many = ejections.ejectionCount() > settings.channel().messageOverheadLines();
     boolean large =
         many && cost > (PRIORITY.backlogShare - FEW_EJECTIONS_BACKLOG_SHARE) * maxBacklogLines;
-    double backlogShare =
-        large ? ChannelPriority.DEFERRABLE.backlogShare : FEW_EJECTIONS_BACKLOG_SHARE;
+    double backlogShare = large ? MANY_EJECTIONS_BACKLOG_SHARE : FEW_EJECTIONS_BACKLOG_SHARE;
     // Few that would be late are what a full channel left of many: they go as soon as they fit.
     return channel.backlogLines() <= maxBacklogLines * backlogShare
         || ((many || late) && channel.fits(cost, PRIORITY));
--- a/src/main/java/pearusher/policy/FaastPolicy.java
+++ b/src/main/java/pearusher/policy/FaastPolicy.java
@@ -50,7 +50,7 @@
    */
   public FaastPolicy(PolicySettings settings, PolicyCommands commands) {
     this.settings = settings;
-    clock = new ControlClock(settings, commands);
+    clock = new ControlClock(settings.controlPeriodUs(), commands);
     listWatch = new EndpointListWatch(settings, commands);
     ejections = new EjectionQueue(commands);
     servers = new ServerRegistry(settings, commands, clock, ejections);
@@ -62,7 +62,7 @@
 
     ReportCycle cycle = new ReportCycle(settings, fleet);
     estimator = new ResponseTimeEstimator(settings, fleet, clock, cycle);
-    slowStart = new SlowStart(settings);
+    slowStart = new SlowStart(settings.limits());
     utilization = new UtilizationMonitor(settings, commands, fleet, slowStart);
     outliers = new OutlierDetector(commands);
     overload =
--- a/src/main/java/pearusher/policy/JoinSurge.java
+++ b/src/main/java/pearusher/policy/JoinSurge.java
@@ -8,8 +8,8 @@
  * guards against old tables that name drained servers for long. The surge ends when all are bound.
  */
 final class JoinSurge {
-  /** Lines of a bind beside servers and levels: the bind, and the message's end. */
-  private static final int FIXED_BIND_LINES = 2;
+  /** Share of the lines within the grace that binds of all proxies to subsets take. */
+  private static final double BINDS_GRACE_SHARE = 0.5;
 
   private final PolicySettings settings;
   private final FleetState fleet;
@@ -56,7 +56,7 @@
     long oldestWaitUs = nowUs - fleet.proxies().get(joiners.get(0)).joinedUs;
     double remainingLines = channel.graceLines() - channel.nominalLines(oldestWaitUs);
     return channel.backlogLines() + completeBindLines(joiners)
-        > ChannelPriority.TIMELY.backlogShare * remainingLines;
+        > ChannelBudget.TIMELY_GRACE_SHARE * remainingLines;
   }
 
   /** Lines of binds to complete tables for all joiners. */
@@ -75,7 +75,7 @@
             .mapToDouble(id -> fleet.proxies().get(id).confirmed ? atRiskForAll : atRisk)
             .sum();
     double linesPerBind =
-        settings.channel().messageOverheadLines() + FIXED_BIND_LINES + servers.size();
+        settings.channel().messageOverheadLines() + ChannelBudget.FIXED_BIND_LINES + servers.size();
     return reinstatements + joiners.size() * linesPerBind;
   }
 
@@ -85,11 +85,8 @@
    */
   private int subsetCount() {
     double overheadLines = settings.channel().messageOverheadLines();
-    double serversPerBind =
-        ChannelPriority.DEFERRABLE.backlogShare * channel.graceLines() / settings.proxies()
-            - overheadLines
-            - FIXED_BIND_LINES
-            - settings.requestClasses().size();
+    double linesPerBind = BINDS_GRACE_SHARE * channel.graceLines() / settings.proxies();
+    double serversPerBind = channel.linesForServers(linesPerBind);
     double subsetSize = Math.max(overheadLines / 2, serversPerBind / 2);
     return (int) Math.ceil(fleet.scope().servers().size() / subsetSize);
   }
--- a/src/main/java/pearusher/policy/ProxyBinder.java
+++ b/src/main/java/pearusher/policy/ProxyBinder.java
@@ -138,9 +138,7 @@
   }
 
   private void follow(int id, ProxyState proxy, int tableNumber) {
-    proxy.bound = true;
-    proxy.followsTable = true;
-    proxy.table = tableNumber;
+    proxy.bindTo(tableNumber);
     commands.bindProxy(id, tableNumber, 0);
   }
 }
--- a/src/main/java/pearusher/policy/ProxyRegistry.java
+++ b/src/main/java/pearusher/policy/ProxyRegistry.java
@@ -19,6 +19,9 @@
   /** A gap between two usage reports longer than this was idle time. */
   private static final double MAX_REPORT_GAP_PERIODS = 0.5;
 
+  /** Share of the message limit that deferrable messages may use. */
+  private static final double DEFERRABLE_MESSAGES_SHARE = 0.5;
+
   private static final double MICROS_PER_SECOND = 1e6;
 
   private final PolicySettings settings;
@@ -83,7 +86,7 @@
       return false;
     }
     long periodUs = settings.controlPeriodUs();
-    double decay = Math.pow(0.5, spanUs / (ResponseTimeEstimator.HALF_LIFE_PERIODS * periodUs));
+    double decay = EvidenceDecay.factor((double) spanUs, periodUs);
     boolean reportedBefore = proxy.coveredUs[requestClass] > 0;
     double gapUs = reportedBefore ? nowUs - proxy.lastReportUs[requestClass] - spanUs : 0;
     // Proxies send no report without requests: a gap was idle time or a lost report, not a late
@@ -137,10 +140,9 @@
     proxies.get(id).recentMessagesUs.add(nowUs);
   }
 
-  /** Whether one of these proxies had the share of its message limit that may be deferrable. */
+  /** Whether one of these proxies may get no further deferrable messages for now. */
   boolean isAnyNearMessageLimit(Collection<Integer> ids) {
-    double limit =
-        ChannelPriority.DEFERRABLE.backlogShare * settings.channel().maxMessagesPerProxy();
+    double limit = DEFERRABLE_MESSAGES_SHARE * settings.channel().maxMessagesPerProxy();
     return limit > 0
         && ids.stream().anyMatch(id -> proxies.get(id).recentMessagesUs.size() >= limit);
   }
--- a/src/main/java/pearusher/policy/ProxyState.java
+++ b/src/main/java/pearusher/policy/ProxyState.java
@@ -49,6 +49,17 @@
     lastReportUs = new long[classCount];
   }
 
+  void bindTo(int tableNumber) {
+    bound = true;
+    followsTable = true;
+    table = tableNumber;
+  }
+
+  /** Asks for a new bind; until then its last table's changes reach it. */
+  void requestRebind() {
+    bound = false;
+  }
+
   boolean hasReported() {
     return Arrays.stream(coveredUs).anyMatch(covered -> covered > 0);
   }
--- a/src/main/java/pearusher/policy/ResponseTimeEstimator.java
+++ b/src/main/java/pearusher/policy/ResponseTimeEstimator.java
@@ -2,14 +2,13 @@
 
 import static pearusher.policy.Statistics.total;
 
+import java.util.Optional;
+
 /**
  * Estimates each server's response time and share of failures from decayed load reports. The
  * evidence is kept at the servers; this class holds the sum of the last report cycle.
  */
 final class ResponseTimeEstimator {
-  /** Half-life of evidence: reports lag by a period or more, and a period holds few attempts. */
-  static final double HALF_LIFE_PERIODS = 6.0;
-
   /** Attempts at the fleet's average time that are added to each server's own. */
   private static final double PRIOR_ATTEMPTS = 60.0;
 
@@ -60,14 +59,14 @@
       long meanUs,
       long spanUs,
       long ageUs) {
-    Server server = fleet.servers().get(serverId);
-    if (server == null || zone >= settings.zoneCount() || attempts <= 0) {
+    Optional<Server> server = fleet.servers().find(serverId);
+    if (server.isEmpty() || zone >= settings.zoneCount() || attempts <= 0) {
       return false;
     }
     double middleAgeUs = Math.max(0, spanUs - settings.controlPeriodUs()) / 2.0 + ageUs;
-    double weight = Math.pow(0.5, middleAgeUs / (HALF_LIFE_PERIODS * settings.controlPeriodUs()));
+    double weight = EvidenceDecay.factor(middleAgeUs, settings.controlPeriodUs());
     int countedZone = fleet.tables().contains(zone) ? zone : ZoneAttemptStats.ELSEWHERE;
-    AttemptStats stats = server.attempts.current(countedZone);
+    AttemptStats stats = server.get().attempts.current(countedZone);
     long failed = Math.min(failedAttempts, attempts);
     stats.succeeded += weight * (attempts - failed);
     stats.totalTimeUs += weight * (attempts - failed) * meanUs;
@@ -78,7 +77,7 @@
 
   /** Adds the reports of the period that ends to the evidence, which decays. */
   void endPeriod(long elapsedUs) {
-    double decay = Math.pow(0.5, elapsedUs / (HALF_LIFE_PERIODS * settings.controlPeriodUs()));
+    double decay = EvidenceDecay.factor((double) elapsedUs, settings.controlPeriodUs());
     decayRecent();
     for (Server server : fleet.servers().all()) {
       if (!server.attempts.isEmpty()) {
--- a/src/main/java/pearusher/policy/ServerRegistry.java
+++ b/src/main/java/pearusher/policy/ServerRegistry.java
@@ -4,6 +4,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
@@ -36,7 +37,11 @@
     this.ejections = ejections;
   }
 
-  /** The server, or null where it is unknown. */
+  Optional<Server> find(long id) {
+    return Optional.ofNullable(servers.get(id));
+  }
+
+  /** A server that is known to be registered. */
   Server get(long id) {
     return servers.get(id);
   }
@@ -69,13 +74,12 @@
   }
 
   private void applyEntry(long nowUs, ListUpdateKind kind, ServerEntry entry) {
-    Server server = servers.get(entry.server());
-    if (server == null && entry.lifecycle() == Lifecycle.REMOVED) {
+    boolean isNew = !servers.containsKey(entry.server());
+    if (isNew && entry.lifecycle() == Lifecycle.REMOVED) {
       return;
     }
-    if (server == null) {
-      server = add(nowUs, kind, entry);
-    } else if (entry.startedUs() != server.startedUs && entry.lifecycle() == Lifecycle.READY) {
+    Server server = isNew ? add(nowUs, kind, entry) : servers.get(entry.server());
+    if (!isNew && isRestart(server, entry)) {
       beginIncarnation(nowUs, server);
     }
     server.zone = Math.min(entry.zone(), settings.zoneCount() - 1);
@@ -84,6 +88,10 @@
     ejections.onLifecycle(nowUs, server, entry.lifecycle());
   }
 
+  private static boolean isRestart(Server server, ServerEntry entry) {
+    return entry.startedUs() != server.startedUs && entry.lifecycle() == Lifecycle.READY;
+  }
+
   private Server add(long nowUs, ListUpdateKind kind, ServerEntry entry) {
     long id = entry.server();
     Server server = new Server(id, new SplittableRandom(settings.seed() ^ id).nextLong());
--- a/src/main/java/pearusher/policy/SlowStart.java
+++ b/src/main/java/pearusher/policy/SlowStart.java
@@ -9,8 +9,8 @@
 
   private final ServiceLimits limits;
 
-  SlowStart(PolicySettings settings) {
-    limits = settings.limits();
+  SlowStart(ServiceLimits limits) {
+    this.limits = limits;
   }
 
   void update(long nowUs, List<Server> servers) {
--- a/src/main/java/pearusher/policy/SubsetAssignment.java
+++ b/src/main/java/pearusher/policy/SubsetAssignment.java
@@ -93,7 +93,7 @@
     if (isDepleted(table, warm.size())) {
       fleet.proxies().all().stream()
           .filter(proxy -> proxy.table == number)
-          .forEach(proxy -> proxy.bound = false);
+          .forEach(ProxyState::requestRebind);
     }
   }
 
--- a/src/main/java/pearusher/policy/UpdatePublisher.java
+++ b/src/main/java/pearusher/policy/UpdatePublisher.java
@@ -92,7 +92,7 @@
         && ejections.ejectionCount() > 1 + fleet.scope().servers().size() / subsets.count()) {
       fleet.proxies().all().stream()
           .filter(proxy -> !fleet.tables().isSubsetTable(proxy.table))
-          .forEach(proxy -> proxy.bound = false);
+          .forEach(ProxyState::requestRebind);
     }
   }
 
--- a/src/main/java/pearusher/policy/UtilizationMonitor.java
+++ b/src/main/java/pearusher/policy/UtilizationMonitor.java
@@ -37,9 +37,9 @@
   }
 
   void onHealthCheckResult(long serverId, HealthCheckResult result, float[] load) {
-    Server server = fleet.servers().get(serverId);
     int position = settings.loadMetrics().indexOf(LoadMetric.UTILIZATION);
-    if (result != HealthCheckResult.OK || server == null || !server.isServing()) {
+    boolean serving = fleet.servers().find(serverId).filter(Server::isServing).isPresent();
+    if (result != HealthCheckResult.OK || !serving) {
       return;
     }
     if (position >= 0 && position < load.length) {
--- a/src/main/java/pearusher/policy/ZoneScope.java
+++ b/src/main/java/pearusher/policy/ZoneScope.java
@@ -19,9 +19,6 @@
   /** Share of the listed servers that come from the zones in scope. */
   private static final double OWN_ZONES_SHARE = 0.75;
 
-  /** Lines of a bind beside servers and levels: the bind, and the message's end. */
-  private static final int FIXED_BIND_LINES = 2;
-
   /** A listed server takes its weight and maybe a reinstatement. */
   private static final int LINES_PER_SERVER = 2;
 
@@ -49,11 +46,7 @@
     this.servers = servers;
     this.proxies = proxies;
     this.tables = tables;
-    double bindLines =
-        channel.maxWaitingLines(ChannelPriority.TIMELY)
-            - settings.channel().messageOverheadLines()
-            - FIXED_BIND_LINES
-            - settings.requestClasses().size();
+    double bindLines = channel.linesForServers(channel.maxWaitingLines(ChannelPriority.TIMELY));
     maxListedServers = (long) Math.max(1, bindLines / LINES_PER_SERVER);
   }
 
