--- a/src/test/java/pearusher/policy/AdmissionTest.java
+++ b/src/test/java/pearusher/policy/AdmissionTest.java
@@ -29,7 +29,7 @@
       fixture.acknowledgeAll(200_000);
     }
     assertFalse(
-        fixture.commands.logLines.contains("overload"),
+        fixture.commands.logLines.contains("overload started"),
         "the mean over all is 0.31 of the latency objective");
   }
 
@@ -75,7 +75,8 @@
     fixture.failAll(0.4, 200);
     fixture.runPeriods(6);
     assertFalse(
-        fixture.commands.logLines.contains("overload"), "failed connections are no sign of load");
+        fixture.commands.logLines.contains("overload started"),
+        "failed connections are no sign of load");
     assertTrue(fixture.commands.admissionByClass.values().stream().allMatch(l -> l >= 1));
   }
 
--- a/src/test/java/pearusher/policy/EndpointListTest.java
+++ b/src/test/java/pearusher/policy/EndpointListTest.java
@@ -23,9 +23,10 @@
     fixture.fireTimer(PolicyFixture.ENDPOINT_LIST_TIMER);
     assertTrue(fixture.commands.issued.contains(START_WATCH));
     fixture.updateEndpoints(ListUpdateKind.FAILED, List.of());
-    assertEquals(1, fixture.commands.logLines.stream().filter("list lost"::equals).count());
+    assertEquals(
+        1, fixture.commands.logLines.stream().filter("endpoint list watch lost"::equals).count());
     fixture.updateEndpoints(ListUpdateKind.COMPLETE, TestServers.readyServers(8, 2));
-    assertTrue(fixture.commands.logLines.contains("list back"));
+    assertTrue(fixture.commands.logLines.contains("endpoint list watch restored"));
   }
 
   /**
--- a/src/test/java/pearusher/policy/OutlierDetectionTest.java
+++ b/src/test/java/pearusher/policy/OutlierDetectionTest.java
@@ -17,13 +17,13 @@
         fixture.commands.share(0, 1) < 0.04,
         "a fast failing server keeps " + fixture.commands.share(0, 1));
     assertTrue(fixture.commands.weightsByTable.get(0).containsKey(1L), "it stays listed");
-    assertTrue(fixture.commands.logLines.contains("server 1 ill"));
+    assertTrue(fixture.commands.logLines.contains("server 1 is an outlier"));
     fixture.failureShare.remove(1L);
     fixture.latencyMs.put(1L, 200.0);
     fixture.attemptsPerZone = 400;
     fixture.runPeriods(20);
     assertTrue(fixture.commands.share(0, 1) > 0.08, "back at " + fixture.commands.share(0, 1));
-    assertTrue(fixture.commands.logLines.contains("server 1 well"));
+    assertTrue(fixture.commands.logLines.contains("server 1 recovered"));
   }
 
   @Test
--- a/src/test/java/pearusher/policy/RetryPolicyTest.java
+++ b/src/test/java/pearusher/policy/RetryPolicyTest.java
@@ -16,10 +16,10 @@
     fixture.runPeriods(3);
     assertEquals(0, fixture.commands.retryByClass.get(1));
     assertEquals(0, fixture.commands.retryByClass.get(2));
-    assertTrue(fixture.commands.logLines.contains("overload"));
+    assertTrue(fixture.commands.logLines.contains("overload started"));
     fixture.recoverAll();
     fixture.runPeriods(20);
     assertEquals(1, fixture.commands.retryByClass.get(1));
-    assertTrue(fixture.commands.logLines.contains("overload over"));
+    assertTrue(fixture.commands.logLines.contains("overload ended"));
   }
 }
--- a/src/test/java/pearusher/policy/UtilizationPollingTest.java
+++ b/src/test/java/pearusher/policy/UtilizationPollingTest.java
@@ -46,7 +46,8 @@
     assertTrue(
         fixture.commands.admissionByClass.values().stream().allMatch(l -> l >= 1),
         "" + fixture.commands.admissionByClass);
-    assertFalse(fixture.commands.logLines.contains("overload"), "" + fixture.commands.logLines);
+    assertFalse(
+        fixture.commands.logLines.contains("overload started"), "" + fixture.commands.logLines);
   }
 
   /** A health check in flight when its server leaves says nothing about the remaining servers. */
@@ -67,7 +68,9 @@
         fixture.runPeriod();
       }
       assertEquals(
-          !isDraining, fixture.commands.logLines.contains("overload"), "draining: " + isDraining);
+          !isDraining,
+          fixture.commands.logLines.contains("overload started"),
+          "draining: " + isDraining);
     }
   }
 }
