--- a/src/main/java/pearusher/policy/ChannelBudget.java
+++ b/src/main/java/pearusher/policy/ChannelBudget.java
@@ -12,31 +12,15 @@
  * acknowledged, times the proxies that each went to.
  */
 final class ChannelBudget {
-  /** Share of the lines within a grace that may be planned for what must arrive in it. */
-  static final double TIMELY_GRACE_SHARE = 0.8;
-
-  /** Lines of a bind beside servers and levels: the bind, and the message's end. */
-  static final int FIXED_BIND_LINES = 2;
-
   /** Backlog, as a share of the deferrable limit, under which the channel is nearly idle. */
   private static final double NEARLY_IDLE_SHARE = 0.1;
 
-  /** Share of the backlog limit that may be on the way without any acknowledgement. */
+  /** Share of the backlog limit that may be in transit without any acknowledgement. */
   private static final double MAX_UNACKNOWLEDGED_SHARE = 0.95;
 
   /** Least part of the estimated rate that the channel has while no acknowledgement comes. */
   private static final double SLOWEST_RATE_SHARE = 0.2;
 
-  /** Bounds of the share of the grace's lines up to which all but ejections may wait. */
-  private static final double MIN_GRACE_SHARE = 0.1;
-
-  private static final double MAX_GRACE_SHARE = 0.3;
-
-  /** Messages, and lines beside the levels, that each proxy needs when all join at once. */
-  private static final double JOIN_MESSAGES = 2.5;
-
-  private static final int JOIN_LINES = 4;
-
   /** The rate is estimated as a share of the configured one. */
   private static final double MIN_RATE_SHARE = 0.05;
 
@@ -46,8 +30,8 @@
   private static final int MAX_ACK_NUMBER = 65_000;
   private static final double MICROS_PER_SECOND = 1e6;
 
-  private final PolicySettings settings;
   private final ChannelSettings channel;
+  private final ChannelLimits limits;
   private final PolicyCommands commands;
 
   /** An update that proxies have yet to acknowledge; lines are counted since the start. */
@@ -96,12 +80,16 @@
   /** Estimated rate as a share of the configured one. */
   private double rateShare = 1;
 
-  ChannelBudget(PolicySettings settings, PolicyCommands commands) {
-    this.settings = settings;
-    channel = settings.channel();
+  ChannelBudget(ChannelSettings channel, ChannelLimits limits, PolicyCommands commands) {
+    this.channel = channel;
+    this.limits = limits;
     this.commands = commands;
   }
 
+  ChannelLimits limits() {
+    return limits;
+  }
+
   void start(long nowUs) {
     lastDrainUs = nowUs;
   }
@@ -121,7 +109,7 @@
     lastDrainUs = nowUs;
     currentLines = new TreeMap<>();
     if (pessimisticBacklogLines == 0) {
-      // Acknowledgements may all be lost: in the end nothing can be on the way.
+      // Acknowledgements may all be lost: in the end nothing can be in transit.
       deliveredLines = orderedLines;
     }
     pendingUpdates.removeIf(update -> update.linesAfter <= deliveredLines);
@@ -198,54 +186,10 @@
     }
     // The channel may be slower than configured, and acknowledgements tell so late.
     double unacknowledged = Math.min(pessimisticBacklogLines, orderedLines - deliveredLines);
-    return backlogLines + lines <= maxWaitingLines(priority)
+    return backlogLines + lines <= limits.maxWaitingLines(priority)
         && unacknowledged + lines <= MAX_UNACKNOWLEDGED_SHARE * channel.maxBacklogLines();
   }
 
-  /**
-   * The most lines that may wait at a priority. What is not an ejection leaves room for what must
-   * arrive within the grace if all proxies join at once while servers drain.
-   */
-  double maxWaitingLines(ChannelPriority priority) {
-    return Math.min(
-        priority.backlogShare * channel.maxBacklogLines(), graceShare(priority) * graceLines());
-  }
-
-  private double graceShare(ChannelPriority priority) {
-    return switch (priority) {
-      case EJECTION -> priority.backlogShare;
-      case REINSTATEMENT -> Math.min(MAX_GRACE_SHARE, priority.backlogShare);
-      case TIMELY, DEFERRABLE -> Math.min(MAX_GRACE_SHARE, shareBesideJoiners());
-    };
-  }
-
-  private double shareBesideJoiners() {
-    double linesPerJoiner =
-        JOIN_MESSAGES * channel.messageOverheadLines()
-            + JOIN_LINES
-            + settings.requestClasses().size();
-    double joinersShare = settings.proxies() * linesPerJoiner / graceLines();
-    return Math.max(MIN_GRACE_SHARE, ChannelPriority.EJECTION.backlogShare - joinersShare);
-  }
-
-  /** Lines that reach proxies within the grace of a drain. */
-  double graceLines() {
-    return nominalLines(settings.limits().drainGraceUs() - channel.maxPushDelayUs());
-  }
-
-  /** Lines that the channel carries in a time at its configured rate. */
-  double nominalLines(long durationUs) {
-    return durationUs / MICROS_PER_SECOND * channel.linesPerSecond();
-  }
-
-  /** Lines of a bind's message that are left for servers. */
-  double linesForServers(double bindLines) {
-    return bindLines
-        - channel.messageOverheadLines()
-        - FIXED_BIND_LINES
-        - settings.requestClasses().size();
-  }
-
   /** Time until the backlog has drained. */
   double drainTimeUs() {
     return backlogLines / channel.linesPerSecond() / rateShare * MICROS_PER_SECOND;
@@ -255,15 +199,11 @@
     return backlogLines;
   }
 
-  /** Lines of a message with that many lines of content; none where it has no content. */
-  double messageLines(long contentLines) {
-    return contentLines == 0 ? 0 : contentLines + channel.messageOverheadLines() + 1;
-  }
-
   /** Whether so little waits that messages up to the deferrable limit are worth their overhead. */
   boolean isNearlyIdle() {
     ChannelPriority deferrable = ChannelPriority.DEFERRABLE;
-    return backlogLines < NEARLY_IDLE_SHARE * maxWaitingLines(deferrable) / deferrable.backlogShare;
+    return backlogLines
+        < NEARLY_IDLE_SHARE * limits.maxWaitingLines(deferrable) / deferrable.backlogShare;
   }
 
   /** Whether the update being composed has lines already. */
--- a/src/main/java/pearusher/policy/EjectionPublisher.java
+++ b/src/main/java/pearusher/policy/EjectionPublisher.java
@@ -60,12 +60,12 @@
         fleet.tables().all().values().stream().mapToDouble(this::linesForFollowers).sum();
     int others =
         surge.isActive() ? 0 : fleet.proxies().oldestFirst(proxy -> !proxy.followsTable).size();
-    return followerLines + channel.messageLines(ejections.ejectionCount()) * others;
+    return followerLines + channel.limits().messageLines(ejections.ejectionCount()) * others;
   }
 
   private double linesForFollowers(ZoneTable table) {
     long listed = ejections.countEjections(table.publishedWeights::containsKey);
-    return table.followers.size() * channel.messageLines(listed);
+    return table.followers.size() * channel.limits().messageLines(listed);
   }
 
   private boolean isLate(long nowUs, double cost) {
@@ -74,8 +74,8 @@
             .map(id -> nowUs - fleet.servers().get(id).ejectionChangedUs)
             .findFirst()
             .orElse(0);
-    return channel.backlogLines() + cost + channel.nominalLines(waitUs)
-        > ChannelBudget.TIMELY_GRACE_SHARE * channel.graceLines();
+    return channel.backlogLines() + cost + channel.limits().nominalLines(waitUs)
+        > ChannelLimits.TIMELY_GRACE_SHARE * channel.limits().graceLines();
   }
 
   private boolean isTimeToPublish(double cost, boolean late) {
--- a/src/main/java/pearusher/policy/FaastPolicy.java
+++ b/src/main/java/pearusher/policy/FaastPolicy.java
@@ -56,8 +56,14 @@
     servers = new ServerRegistry(settings, commands, clock, ejections);
     proxies = new ProxyRegistry(settings, commands, clock);
     tables = new ZoneTables(settings);
-    channel = new ChannelBudget(settings, commands);
-    scope = new ZoneScope(settings, commands, servers, proxies, tables, channel);
+    ChannelLimits limits =
+        new ChannelLimits(
+            settings.channel(),
+            settings.limits().drainGraceUs(),
+            settings.proxies(),
+            settings.requestClasses().size());
+    channel = new ChannelBudget(settings.channel(), limits, commands);
+    scope = new ZoneScope(settings, commands, servers, proxies, tables, limits);
     FleetState fleet = new FleetState(servers, proxies, tables, scope);
 
     ReportCycle cycle = new ReportCycle(settings, fleet);
@@ -68,7 +74,7 @@
     overload =
         new OverloadDetector(settings, commands, clock, cycle, channel, estimator, utilization);
     admission = new AdmissionLevels(settings, proxies);
-    hold = new RestartHold(settings, commands, fleet, clock, channel, cycle, overload);
+    hold = new RestartHold(settings, commands, fleet, clock, limits, cycle, overload);
     restorer = new TableRestorer(fleet, admission, overload, hold);
     weightCalculator =
         new WeightCalculator(
--- a/src/main/java/pearusher/policy/JoinSurge.java
+++ b/src/main/java/pearusher/policy/JoinSurge.java
@@ -54,9 +54,10 @@
 
   private boolean arriveTooLate(long nowUs, List<Integer> joiners) {
     long oldestWaitUs = nowUs - fleet.proxies().get(joiners.get(0)).joinedUs;
-    double remainingLines = channel.graceLines() - channel.nominalLines(oldestWaitUs);
+    double remainingLines =
+        channel.limits().graceLines() - channel.limits().nominalLines(oldestWaitUs);
     return channel.backlogLines() + completeBindLines(joiners)
-        > ChannelBudget.TIMELY_GRACE_SHARE * remainingLines;
+        > ChannelLimits.TIMELY_GRACE_SHARE * remainingLines;
   }
 
   /** Lines of binds to complete tables for all joiners. */
@@ -75,7 +76,7 @@
             .mapToDouble(id -> fleet.proxies().get(id).confirmed ? atRiskForAll : atRisk)
             .sum();
     double linesPerBind =
-        settings.channel().messageOverheadLines() + ChannelBudget.FIXED_BIND_LINES + servers.size();
+        settings.channel().messageOverheadLines() + ChannelLimits.FIXED_BIND_LINES + servers.size();
     return reinstatements + joiners.size() * linesPerBind;
   }
 
@@ -85,8 +86,8 @@
    */
   private int subsetCount() {
     double overheadLines = settings.channel().messageOverheadLines();
-    double linesPerBind = BINDS_GRACE_SHARE * channel.graceLines() / settings.proxies();
-    double serversPerBind = channel.linesForServers(linesPerBind);
+    double linesPerBind = BINDS_GRACE_SHARE * channel.limits().graceLines() / settings.proxies();
+    double serversPerBind = channel.limits().linesForServers(linesPerBind);
     double subsetSize = Math.max(overheadLines / 2, serversPerBind / 2);
     return (int) Math.ceil(fleet.scope().servers().size() / subsetSize);
   }
--- a/src/main/java/pearusher/policy/ProxyState.java
+++ b/src/main/java/pearusher/policy/ProxyState.java
@@ -33,7 +33,9 @@
 
   int table;
 
-  /** Lines of its zone's table that it lacks, as told on joining; empty: it holds another one. */
+  /**
+   * Lines of its zone's table that it lacks, as known when it joined; empty: it holds another one.
+   */
   OptionalInt missingLines = OptionalInt.empty();
 
   /** When messages were sent to it, within the window of the message limit. */
--- a/src/main/java/pearusher/policy/RestartHold.java
+++ b/src/main/java/pearusher/policy/RestartHold.java
@@ -20,7 +20,7 @@
   private final PolicyCommands commands;
   private final FleetState fleet;
   private final ControlClock clock;
-  private final ChannelBudget channel;
+  private final ChannelLimits channelLimits;
   private final ReportCycle cycle;
   private final OverloadDetector overload;
 
@@ -40,14 +40,14 @@
       PolicyCommands commands,
       FleetState fleet,
       ControlClock clock,
-      ChannelBudget channel,
+      ChannelLimits channelLimits,
       ReportCycle cycle,
       OverloadDetector overload) {
     this.settings = settings;
     this.commands = commands;
     this.fleet = fleet;
     this.clock = clock;
-    this.channel = channel;
+    this.channelLimits = channelLimits;
     this.cycle = cycle;
     this.overload = overload;
   }
@@ -120,8 +120,8 @@
             .toList();
     int unbound = fleet.proxies().oldestFirst(proxy -> !proxy.bound).size();
     released =
-        unbound * channel.messageLines(ejected.size())
-            > channel.maxWaitingLines(ChannelPriority.DEFERRABLE);
+        unbound * channelLimits.messageLines(ejected.size())
+            > channelLimits.maxWaitingLines(ChannelPriority.DEFERRABLE);
     if (!released) {
       ejections.requeueEjections(ejected);
     }
--- a/src/main/java/pearusher/policy/UpdatePublisher.java
+++ b/src/main/java/pearusher/policy/UpdatePublisher.java
@@ -25,8 +25,8 @@
 
   private boolean retryScheduled;
 
-  /** Whether the next room goes to binds from subsets to zones, or to weights: they alternate. */
-  private boolean subsetsHaveTurn;
+  /** Whether binds from subsets to zones go before weights: they alternate. */
+  private boolean bindsPreferred;
 
   UpdatePublisher(
       PolicySettings settings,
@@ -97,7 +97,7 @@
   }
 
   /**
-   * Publishes what may wait while ejections are pending.
+   * Publishes what waits while ejections are pending.
    *
    * @return whether all is published
    */
@@ -110,8 +110,8 @@
     }
     boolean complete = binder.bindWaiting() && !ejections.hasReinstatements();
     if (subsets.isInUse() && !surge.isActive() && channel.isNearlyIdle()) {
-      subsetsHaveTurn = !subsetsHaveTurn;
-      complete &= subsetsHaveTurn && binder.bindFromSubsetsToZones();
+      bindsPreferred = !bindsPreferred;
+      complete &= bindsPreferred && binder.bindFromSubsetsToZones();
     }
     // Weights share the messages of levels: in an overload the channel may never be nearly idle.
     boolean sharesMessages = wasNearlyIdle && hasMessages;
--- a/src/main/java/pearusher/policy/ZoneScope.java
+++ b/src/main/java/pearusher/policy/ZoneScope.java
@@ -40,13 +40,14 @@
       ServerRegistry servers,
       ProxyRegistry proxies,
       ZoneTables tables,
-      ChannelBudget channel) {
+      ChannelLimits channelLimits) {
     this.settings = settings;
     this.commands = commands;
     this.servers = servers;
     this.proxies = proxies;
     this.tables = tables;
-    double bindLines = channel.linesForServers(channel.maxWaitingLines(ChannelPriority.TIMELY));
+    double bindLines =
+        channelLimits.linesForServers(channelLimits.maxWaitingLines(ChannelPriority.TIMELY));
     maxListedServers = (long) Math.max(1, bindLines / LINES_PER_SERVER);
   }
 
--- a/src/main/java/pearusher/policy/ZoneTables.java
+++ b/src/main/java/pearusher/policy/ZoneTables.java
@@ -41,7 +41,7 @@
     return tables;
   }
 
-  /** The tables of whole zones by number. */
+  /** The tables of zones, without those of subsets, by number. */
   Map<Integer, ZoneTable> zoneTables() {
     return tables.headMap(settings.zoneCount());
   }
--- /dev/null
+++ b/src/test/java/pearusher/policy/ChannelBudgetTest.java
@@ -0,0 +1,96 @@
+package pearusher.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** A channel of 1,000 lines per second, messages of 9 + 1 fixed lines, and a grace of 2 s. */
+class ChannelBudgetTest {
+  private static final long SECOND_US = 1_000_000;
+  private static final ChannelSettings CHANNEL =
+      new ChannelSettings(1000, 9, 500, 0, SECOND_US, 0, 0);
+
+  private final CommandLog log = new CommandLog();
+  private final ChannelLimits limits = new ChannelLimits(CHANNEL, 2 * SECOND_US, 4, 1);
+  private final ChannelBudget channel = new ChannelBudget(CHANNEL, limits, log.commands());
+
+  @Test
+  void theLimitsAreSharesOfTheBacklog() {
+    assertEquals(250, limits.maxWaitingLines(ChannelPriority.DEFERRABLE));
+    assertEquals(300, limits.maxWaitingLines(ChannelPriority.REINSTATEMENT));
+    assertEquals(400, limits.maxWaitingLines(ChannelPriority.TIMELY));
+    assertEquals(450, limits.maxWaitingLines(ChannelPriority.EJECTION));
+  }
+
+  @Test
+  void aLargeTierLeavesRoomForItsJoins() {
+    ChannelLimits large = new ChannelLimits(CHANNEL, 2 * SECOND_US, 1000, 1);
+    assertEquals(200, large.maxWaitingLines(ChannelPriority.TIMELY), 1e-9, "0.1 of the grace");
+    assertEquals(450, large.maxWaitingLines(ChannelPriority.EJECTION));
+  }
+
+  @Test
+  void aMessageCountsItsFixedLinesOnceForEachProxy() {
+    channel.beginUpdate(0);
+    assertTrue(channel.reserve(List.of(1, 2), 5, ChannelPriority.TIMELY));
+    assertEquals(2 * 15, channel.backlogLines());
+    assertTrue(channel.reserve(List.of(2), 5, ChannelPriority.TIMELY));
+    assertEquals(2 * 15 + 5, channel.backlogLines());
+    assertEquals(Set.of(1, 2), channel.finishUpdate());
+    assertEquals(List.of("requestAck[1, false]"), log.lines);
+  }
+
+  @Test
+  void whatDoesNotFitIsNotReserved() {
+    channel.beginUpdate(0);
+    assertTrue(channel.reserve(List.of(1), 230, ChannelPriority.DEFERRABLE));
+    assertFalse(channel.reserve(List.of(1), 11, ChannelPriority.DEFERRABLE));
+    assertEquals(240, channel.backlogLines());
+    assertTrue(channel.reserve(List.of(1), 11, ChannelPriority.TIMELY));
+    assertTrue(channel.reserve(List.of(), 1000, ChannelPriority.DEFERRABLE), "without proxies");
+  }
+
+  @Test
+  void theBacklogDrainsAtTheConfiguredRate() {
+    channel.start(0);
+    channel.beginUpdate(0);
+    channel.reserve(List.of(1), 90, ChannelPriority.TIMELY);
+    channel.finishUpdate();
+    channel.beginUpdate(40_000);
+    assertEquals(60, channel.backlogLines(), 1e-9);
+    assertEquals(60_000, channel.drainTimeUs(), 1e-6);
+    channel.beginUpdate(SECOND_US);
+    assertEquals(0, channel.backlogLines());
+    assertTrue(channel.isNearlyIdle());
+  }
+
+  @Test
+  void aLateAcknowledgementHalvesTheRateAtMost() {
+    channel.start(0);
+    channel.beginUpdate(0);
+    channel.reserve(List.of(1), 90, ChannelPriority.TIMELY);
+    channel.finishUpdate();
+    channel.onAcknowledgement(1, 1, 10 * SECOND_US);
+    assertEquals(200_000, channel.drainTimeUs(), 1e-6);
+    channel.onAcknowledgement(1, 1, 10 * SECOND_US);
+    assertEquals(200_000, channel.drainTimeUs(), 1e-6, "it was acknowledged before");
+  }
+
+  @Test
+  void linesWithoutAcknowledgementAreLimitedWhateverHasDrained() {
+    channel.start(0);
+    channel.beginUpdate(0);
+    assertTrue(channel.reserve(List.of(1), 440, ChannelPriority.EJECTION));
+    channel.finishUpdate();
+    channel.beginUpdate(SECOND_US);
+    assertEquals(0, channel.backlogLines());
+    assertFalse(channel.fits(226, ChannelPriority.EJECTION), "250 lines may be in transit");
+    assertTrue(channel.fits(225, ChannelPriority.EJECTION));
+    channel.onAcknowledgement(1, 1, SECOND_US / 2);
+    assertTrue(channel.fits(226, ChannelPriority.EJECTION));
+  }
+}
