--- /dev/null
+++ b/src/main/java/pearusher/simulator/PolicyInstances.java
@@ -0,0 +1,54 @@
+package pearusher.simulator;
+
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.BiFunction;
+import java.util.function.Consumer;
+import pearusher.policy.AssignmentPolicy;
+import pearusher.policy.PolicyCommands;
+import pearusher.policy.PolicySettings;
+
+/**
+ * The policy instances of a simulation by number. An instance that throws is removed and the reply
+ * tells its failure; the others continue. Grows with the instances that the simulator starts.
+ */
+final class PolicyInstances {
+  private final BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> factory;
+  private final ReplyWriter reply;
+  private final Map<Integer, AssignmentPolicy> policies = new TreeMap<>();
+
+  PolicyInstances(
+      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> factory, ReplyWriter reply) {
+    this.factory = factory;
+    this.reply = reply;
+  }
+
+  /** Starts an instance in place of the one that has the number. */
+  void start(int instance, PolicySettings settings) {
+    try {
+      policies.put(instance, factory.apply(settings, reply));
+    } catch (RuntimeException e) {
+      policies.remove(instance);
+      reply.failure("start: " + e);
+    }
+  }
+
+  void stop(int instance) {
+    policies.remove(instance);
+  }
+
+  /** Delivers an event to an instance; one that is not running gets none. */
+  void deliver(int instance, Consumer<AssignmentPolicy> event) {
+    AssignmentPolicy policy = policies.get(instance);
+    if (policy == null) {
+      return;
+    }
+    try {
+      event.accept(policy);
+    } catch (RuntimeException e) {
+      policies.remove(instance);
+      StackTraceElement[] trace = e.getStackTrace();
+      reply.failure(e + (trace.length > 0 ? " at " + trace[0] : ""));
+    }
+  }
+}
--- a/src/main/java/pearusher/simulator/RecordReader.java
+++ b/src/main/java/pearusher/simulator/RecordReader.java
@@ -4,105 +4,116 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 
-/** Reads the fields of one frame's body, little-endian, and knows where it stands. */
+/** Reads the little-endian fields of a frame's records; faults name the position. */
 final class RecordReader {
-  private final ByteBuffer buf;
-  private int record;
+  private static final int NO_CODE = -1;
+  private static final int ADDRESS_BYTES = 4;
+  private static final int PORT_BITS = 16;
+
+  private final ByteBuffer buffer;
+  private int recordStart;
   private int code;
 
   RecordReader(byte[] body) {
-    buf = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
+    buffer = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
   }
 
-  /** Starts the next record and gives its code. */
-  int next() throws SimulatorProtocolException {
-    record = buf.position();
-    code = -1;
-    code = u8();
+  /** Starts the next record and returns its code. */
+  int nextRecord() throws SimulatorProtocolException {
+    recordStart = buffer.position();
+    code = NO_CODE;
+    code = readU8();
     return code;
   }
 
-  boolean ended() {
-    return !buf.hasRemaining();
+  boolean isAtEnd() {
+    return !buffer.hasRemaining();
   }
 
-  SimulatorProtocolException fault(String what) {
-    String which = code < 0 ? "" : ", record code " + code;
+  /** A fault at the current position. */
+  SimulatorProtocolException fault(SimulatorProtocolException.Kind kind, String text) {
+    String codeText = code == NO_CODE ? "" : ", record code " + code;
     return new SimulatorProtocolException(
-        what
+        kind,
+        text
             + " at byte "
-            + buf.position()
+            + buffer.position()
             + " of the frame's body (record at byte "
-            + record
-            + which
+            + recordStart
+            + codeText
             + ")");
   }
 
-  private void need(long n) throws SimulatorProtocolException {
-    if (n > buf.remaining()) {
-      throw fault("truncated record: " + n + " bytes needed, " + buf.remaining() + " left");
+  private void require(long bytes) throws SimulatorProtocolException {
+    if (bytes > buffer.remaining()) {
+      throw fault(
+          SimulatorProtocolException.Kind.TRUNCATED,
+          "truncated record: " + bytes + " bytes needed, " + buffer.remaining() + " left");
     }
   }
 
-  int u8() throws SimulatorProtocolException {
-    need(1);
-    return buf.get() & 0xff;
+  int readU8() throws SimulatorProtocolException {
+    require(Byte.BYTES);
+    return Byte.toUnsignedInt(buffer.get());
   }
 
-  boolean flag() throws SimulatorProtocolException {
-    return u8() != 0;
+  boolean readFlag() throws SimulatorProtocolException {
+    return readU8() != 0;
   }
 
-  int u16() throws SimulatorProtocolException {
-    need(2);
-    return buf.getShort() & 0xffff;
+  int readU16() throws SimulatorProtocolException {
+    require(Short.BYTES);
+    return Short.toUnsignedInt(buffer.getShort());
   }
 
-  long u32() throws SimulatorProtocolException {
-    need(4);
-    return buf.getInt() & 0xffffffffL;
+  long readU32() throws SimulatorProtocolException {
+    require(Integer.BYTES);
+    return Integer.toUnsignedLong(buffer.getInt());
   }
 
-  long u64() throws SimulatorProtocolException {
-    need(8);
-    return buf.getLong();
+  long readU64() throws SimulatorProtocolException {
+    require(Long.BYTES);
+    return buffer.getLong();
   }
 
-  float f32() throws SimulatorProtocolException {
-    need(4);
-    return buf.getFloat();
+  float readFloat() throws SimulatorProtocolException {
+    require(Float.BYTES);
+    return buffer.getFloat();
   }
 
   /**
-   * Four bytes of address, first byte first, and a port, as one number that sorts like the address.
+   * Reads four bytes of address, most significant first, and a port as one number that sorts like
+   * the address.
    */
-  long task() throws SimulatorProtocolException {
-    need(6);
+  long readServer() throws SimulatorProtocolException {
+    require(ADDRESS_BYTES + Short.BYTES);
     long address = 0;
-    for (int i = 0; i < 4; i++) {
-      address = address << 8 | (buf.get() & 0xff);
+    for (int i = 0; i < ADDRESS_BYTES; i++) {
+      address = address << Byte.SIZE | Byte.toUnsignedInt(buffer.get());
     }
-    return address << 16 | (buf.getShort() & 0xffff);
+    return address << PORT_BITS | Short.toUnsignedInt(buffer.getShort());
   }
 
-  byte[] bytes(long n) throws SimulatorProtocolException {
-    need(n);
-    byte[] out = new byte[(int) n];
-    buf.get(out);
-    return out;
+  byte[] readBytes(long count) throws SimulatorProtocolException {
+    require(count);
+    byte[] bytes = new byte[(int) count];
+    buffer.get(bytes);
+    return bytes;
   }
 
-  String text() throws SimulatorProtocolException {
-    return new String(bytes(u32()), StandardCharsets.UTF_8);
+  /** Reads a text with its length in front. */
+  String readText() throws SimulatorProtocolException {
+    return new String(readBytes(readU32()), StandardCharsets.UTF_8);
   }
 
-  float[] load() throws SimulatorProtocolException {
-    int n = u8();
-    need(4L * n);
-    float[] out = new float[n];
-    for (int i = 0; i < n; i++) {
-      out[i] = buf.getFloat();
+  /** Reads load metrics with their number in front. */
+  float[] readLoad() throws SimulatorProtocolException {
+    int count = readU8();
+    require((long) Float.BYTES * count);
+    float[] load = new float[count];
+    for (int i = 0; i < count; i++) {
+      load[i] = buffer.getFloat();
     }
-    return out;
+    return load;
   }
 }
--- a/src/main/java/pearusher/simulator/ReplyWriter.java
+++ b/src/main/java/pearusher/simulator/ReplyWriter.java
@@ -3,105 +3,138 @@
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
-import java.util.Arrays;
 import pearusher.policy.PolicyCommands;
 
-/** Builds one reply: the orders of all instances, each led by the instance they belong to. */
+/**
+ * Encodes the commands of all instances as one reply; a record that names the instance leads those
+ * of each. Grows with the longest reply.
+ */
 final class ReplyWriter implements PolicyCommands {
-  private static final int HEADER = 8;
-  private ByteBuffer buf = ByteBuffer.allocate(1 << 14).order(ByteOrder.LITTLE_ENDIAN);
-  private int records;
-  private int speaking = -1;
-  private int said = -1;
+  private static final int HEADER_BYTES = 8;
+  private static final int INITIAL_BYTES = 1 << 14;
+  private static final int SERVER_BYTES = 6;
+  private static final int MAX_TEXT_BYTES = 65_535;
+  private static final long MAX_DELAY_US = 0xffff_ffffL;
+  private static final int NO_INSTANCE = -1;
+
+  private ByteBuffer buffer = newBuffer(INITIAL_BYTES);
+  private int recordCount;
+
+  /** The instance whose commands come next, and the one that the last record named. */
+  private int instance = NO_INSTANCE;
+
+  private int namedInstance = NO_INSTANCE;
+
+  private static ByteBuffer newBuffer(int bytes) {
+    return ByteBuffer.allocate(bytes).order(ByteOrder.LITTLE_ENDIAN);
+  }
 
   /** Starts an empty reply. */
   void clear() {
-    buf.clear();
-    buf.position(HEADER);
-    records = 0;
-    said = -1;
+    buffer.clear();
+    buffer.position(HEADER_BYTES);
+    recordCount = 0;
+    namedInstance = NO_INSTANCE;
   }
 
-  /** The orders that follow belong to this instance. */
-  void speaker(int instance) {
-    speaking = instance;
+  /** The commands that follow belong to this instance. */
+  void setInstance(int number) {
+    instance = number;
   }
 
-  byte[] frame() {
-    buf.putInt(0, buf.position() - HEADER);
-    buf.putInt(4, records);
-    return Arrays.copyOf(buf.array(), buf.position());
+  /** The reply with its header: the length of the records and their number. */
+  byte[] toFrame() {
+    buffer.putInt(0, buffer.position() - HEADER_BYTES);
+    buffer.putInt(Integer.BYTES, recordCount);
+    byte[] frame = new byte[buffer.position()];
+    buffer.get(0, frame);
+    return frame;
   }
 
-  private ByteBuffer record(int code, int size) {
-    if (said != speaking) {
-      said = speaking;
-      start(72, 2).putShort((short) speaking);
+  /** Starts a record of the current instance and reserves its fields' bytes. */
+  private ByteBuffer startRecord(CommandCode code, int fieldBytes) {
+    if (namedInstance != instance) {
+      namedInstance = instance;
+      appendRecord(CommandCode.INSTANCE, Short.BYTES).putShort((short) instance);
     }
-    return start(code, size);
+    return appendRecord(code, fieldBytes);
   }
 
-  private ByteBuffer start(int code, int size) {
-    if (buf.remaining() < size + 1) {
-      int more = Math.max(buf.capacity() * 2, buf.position() + size + 1);
-      ByteBuffer bigger = ByteBuffer.allocate(more).order(ByteOrder.LITTLE_ENDIAN);
-      buf.flip();
-      bigger.put(buf);
-      buf = bigger;
+  private ByteBuffer appendRecord(CommandCode code, int fieldBytes) {
+    ensureRemaining(fieldBytes + 1);
+    recordCount++;
+    return buffer.put(code.toByte());
+  }
+
+  private void ensureRemaining(int bytes) {
+    if (buffer.remaining() >= bytes) {
+      return;
     }
-    records++;
-    return buf.put((byte) code);
+    ByteBuffer larger = newBuffer(Math.max(buffer.capacity() * 2, buffer.position() + bytes));
+    buffer.flip();
+    larger.put(buffer);
+    buffer = larger;
   }
 
-  private static void task(ByteBuffer to, long server) {
-    for (int shift = 40; shift >= 16; shift -= 8) {
+  /** Four bytes of address, most significant first, and the port. */
+  private static void putServer(ByteBuffer to, long server) {
+    for (int shift = 40; shift >= 16; shift -= Byte.SIZE) {
       to.put((byte) (server >>> shift));
     }
     to.putShort((short) server);
   }
 
-  private void text(int code, String text) {
-    byte[] raw = text.getBytes(StandardCharsets.UTF_8);
-    int n = Math.min(raw.length, 65535);
-    record(code, 2 + n).putShort((short) n).put(raw, 0, n);
+  private static byte flag(boolean value) {
+    return (byte) (value ? 1 : 0);
+  }
+
+  private void writeText(CommandCode code, String text) {
+    byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+    int length = Math.min(bytes.length, MAX_TEXT_BYTES);
+    startRecord(code, Short.BYTES + length).putShort((short) length).put(bytes, 0, length);
   }
 
   @Override
   public void setWeight(int table, long server, double weight) {
-    ByteBuffer to = record(78, 12).putShort((short) table);
-    task(to, server);
-    to.putFloat((float) weight);
+    ByteBuffer fields =
+        startRecord(CommandCode.SET_WEIGHT, Short.BYTES + SERVER_BYTES + Float.BYTES);
+    fields.putShort((short) table);
+    putServer(fields, server);
+    fields.putFloat((float) weight);
   }
 
   @Override
   public void clearTable(int table) {
-    record(74, 2).putShort((short) table);
+    startRecord(CommandCode.CLEAR_TABLE, Short.BYTES).putShort((short) table);
   }
 
   @Override
   public void eject(long server) {
-    setEjected(server, true);
+    writeEjected(server, true);
   }
 
   @Override
   public void reinstate(long server) {
-    setEjected(server, false);
+    writeEjected(server, false);
   }
 
-  private void setEjected(long server, boolean out) {
-    ByteBuffer to = record(66, 7);
-    task(to, server);
-    to.put((byte) (out ? 1 : 0));
+  private void writeEjected(long server, boolean isEjected) {
+    ByteBuffer fields = startRecord(CommandCode.SET_EJECTED, SERVER_BYTES + Byte.BYTES);
+    putServer(fields, server);
+    fields.put(flag(isEjected));
   }
 
   @Override
   public void bindProxy(int proxy, int table, int classBits) {
-    record(69, 6).putShort((short) proxy).putShort((short) table).putShort((short) classBits);
+    startRecord(CommandCode.BIND_PROXY, 3 * Short.BYTES)
+        .putShort((short) proxy)
+        .putShort((short) table)
+        .putShort((short) classBits);
   }
 
   @Override
   public void setAdmission(int table, int classBits, double level, int retry) {
-    record(70, 9)
+    startRecord(CommandCode.SET_ADMISSION, Byte.BYTES + Float.BYTES + 2 * Short.BYTES)
         .put((byte) retry)
         .putFloat((float) level)
         .putShort((short) table)
@@ -110,41 +143,48 @@
 
   @Override
   public void requestAck(int number, boolean toAll) {
-    record(67, 5).putInt(number).put((byte) (toAll ? 1 : 0));
+    startRecord(CommandCode.REQUEST_ACK, Integer.BYTES + Byte.BYTES)
+        .putInt(number)
+        .put(flag(toAll));
   }
 
   @Override
   public void watchEndpoints(boolean on) {
-    record(68, 1).put((byte) (on ? 1 : 0));
+    startRecord(CommandCode.WATCH_ENDPOINTS, Byte.BYTES).put(flag(on));
   }
 
   @Override
   public void fetchEndpoints() {
-    record(71, 0);
+    startRecord(CommandCode.FETCH_ENDPOINTS, 0);
   }
 
   @Override
   public void checkHealth(long server) {
-    task(record(75, 6), server);
+    putServer(startRecord(CommandCode.CHECK_HEALTH, SERVER_BYTES), server);
   }
 
   @Override
   public void setTimer(long delayUs, long token) {
-    record(77, 12).putInt((int) Math.max(0, Math.min(delayUs, 0xffffffffL))).putLong(token);
+    startRecord(CommandCode.SET_TIMER, Integer.BYTES + Long.BYTES)
+        .putInt((int) Math.max(0, Math.min(delayUs, MAX_DELAY_US)))
+        .putLong(token);
   }
 
   @Override
   public void sendToPeer(long peer, byte[] body) {
-    record(73, 6 + body.length).putInt((int) peer).putShort((short) body.length).put(body);
+    startRecord(CommandCode.SEND_TO_PEER, Integer.BYTES + Short.BYTES + body.length)
+        .putInt((int) peer)
+        .putShort((short) body.length)
+        .put(body);
   }
 
   @Override
   public void log(String text) {
-    text(65, text);
+    writeText(CommandCode.LOG, text);
   }
 
-  /** The instance's decisions failed. */
-  void fault(String text) {
-    text(76, text);
+  /** The current instance has failed and gets no further events. */
+  void failure(String text) {
+    writeText(CommandCode.FAILURE, text);
   }
 }
--- a/src/main/java/pearusher/simulator/package-info.java
+++ b/src/main/java/pearusher/simulator/package-info.java
@@ -1,5 +1,6 @@
 /**
  * The policy behind the simulator's binary protocol: reads batches of events on standard input,
- * hands them to the instances, and writes one reply per batch. Single-threaded; it decides nothing.
+ * delivers them to the policy instances, and writes one reply a batch. Single-threaded; it makes no
+ * decisions.
  */
 package pearusher.simulator;
--- a/src/test/java/pearusher/simulator/BatchWriter.java
+++ b/src/test/java/pearusher/simulator/BatchWriter.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HexFormat;
 
-/** Bytes written by hand: hex records put into frames. */
+/** Batches of events for tests, from records in hex. */
 public final class BatchWriter {
   static final String SETTINGS =
       String.join(
@@ -75,31 +75,34 @@
     return HexFormat.of().parseHex(text.replaceAll("\\s", ""));
   }
 
-  public static String u32(long v) {
+  public static String u32(long value) {
     return HexFormat.of()
-        .formatHex(new byte[] {(byte) v, (byte) (v >> 8), (byte) (v >> 16), (byte) (v >> 24)});
+        .formatHex(
+            new byte[] {
+              (byte) value, (byte) (value >> 8), (byte) (value >> 16), (byte) (value >> 24)
+            });
   }
 
-  public static String u64(long v) {
-    return u32(v) + u32(v >> 32);
+  public static String u64(long value) {
+    return u32(value) + u32(value >> 32);
   }
 
-  /** A frame of records in hex at a clock. */
-  public static byte[] frame(long clock, String... records) {
+  /** A frame of records in hex at a time. */
+  public static byte[] frame(long nowUs, String... records) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     byte[] body = hex(String.join("", records));
-    out.writeBytes(hex(u32(body.length) + u32(records.length) + u64(clock)));
+    out.writeBytes(hex(u32(body.length) + u32(records.length) + u64(nowUs)));
     out.writeBytes(body);
     return out.toByteArray();
   }
 
-  static String hello(String settings) {
-    byte[] raw = settings.getBytes(StandardCharsets.UTF_8);
-    return "01" + u64(7) + u32(raw.length) + HexFormat.of().formatHex(raw);
+  static String start(String settings) {
+    byte[] bytes = settings.getBytes(StandardCharsets.UTF_8);
+    return "01" + u64(7) + u32(bytes.length) + HexFormat.of().formatHex(bytes);
   }
 
-  /** Two ready tasks of different zones, as a cached list. */
-  static String list() {
+  /** Two ready servers of different zones, as a cached list. */
+  static String cachedList() {
     return "02 02 29000000 02000000"
         + "0a124a07 5b1b 00 0000 0000 01 0000803f 0000000000000000"
         + "0a9011f2 841b 01 0000 0000 01 0000c03f 20145d0000000000";
@@ -107,8 +110,8 @@
 
   static byte[] join(byte[]... parts) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    for (byte[] p : parts) {
-      out.writeBytes(p);
+    for (byte[] part : parts) {
+      out.writeBytes(part);
     }
     return out.toByteArray();
   }
--- a/src/test/java/pearusher/simulator/SimulatorLoopTest.java
+++ b/src/test/java/pearusher/simulator/SimulatorLoopTest.java
@@ -9,6 +9,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.InputStream;
 import java.lang.reflect.Proxy;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -28,69 +29,80 @@
 import pearusher.sitesettings.SettingsException;
 
 class SimulatorLoopTest {
-  private static final long A = 0x0a124a071b5bL;
-  private static final long B = 0x0a9011f21b84L;
+  private static final int REPLY_HEADER_BYTES = 8;
+  private static final int INSTANCE_RECORD_BYTES = 3;
+  private static final long FIRST_SERVER = 0x0a124a071b5bL;
+  private static final long SECOND_SERVER = 0x0a9011f21b84L;
 
-  private final List<String> heard = new ArrayList<>();
+  private final List<String> receivedEvents = new ArrayList<>();
 
   private static PolicySettings settings(String text) throws SettingsException {
     return PolicySettingsReader.read(7, PathValues.parseLines(text));
   }
 
-  /** An assigner that writes down what it is told and orders nothing. */
-  private AssignmentPolicy recorder() {
+  private static String textOf(Object argument) {
+    if (argument instanceof float[] floats) {
+      return Arrays.toString(floats);
+    }
+    if (argument instanceof byte[] bytes) {
+      return Arrays.toString(bytes);
+    }
+    return String.valueOf(argument);
+  }
+
+  /** A policy that records the events it gets and issues no commands. */
+  private AssignmentPolicy recordingPolicy() {
     return (AssignmentPolicy)
         Proxy.newProxyInstance(
             SimulatorLoopTest.class.getClassLoader(),
             new Class<?>[] {AssignmentPolicy.class},
             (self, method, args) -> {
-              List<String> words = new ArrayList<>(List.of(method.getName()));
+              List<String> fields = new ArrayList<>(List.of(method.getName()));
               for (Object arg : args) {
-                words.add(
-                    arg instanceof float[] f
-                        ? Arrays.toString(f)
-                        : arg instanceof byte[] b ? Arrays.toString(b) : String.valueOf(arg));
+                fields.add(textOf(arg));
               }
-              heard.add(String.join(" ", words));
+              receivedEvents.add(String.join(" ", fields));
               return null;
             });
   }
 
   private static byte[] run(
-      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker, InputStream in)
+      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> factory, InputStream in)
       throws Exception {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    new SimulatorLoop(maker).run(in, out);
+    new SimulatorLoop(factory).run(in, out);
     return out.toByteArray();
   }
 
   private static byte[] run(
-      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker, byte[] in)
+      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> factory, byte[] in)
       throws Exception {
-    return run(maker, new ByteArrayInputStream(in));
+    return run(factory, new ByteArrayInputStream(in));
   }
 
   private List<String> events(String... records) throws Exception {
-    String[] all = new String[records.length + 2];
-    all[0] = "0f0300";
-    all[1] = BatchWriter.hello(BatchWriter.SETTINGS);
-    System.arraycopy(records, 0, all, 2, records.length);
-    run((s, o) -> recorder(), BatchWriter.frame(5, all));
-    return heard.stream().filter(h -> !h.startsWith("onBatchEnd")).toList();
+    List<String> batch = new ArrayList<>();
+    batch.add("0f0300");
+    batch.add(BatchWriter.start(BatchWriter.SETTINGS));
+    batch.addAll(List.of(records));
+    run(
+        (settings, commands) -> recordingPolicy(),
+        BatchWriter.frame(5, batch.toArray(new String[0])));
+    return receivedEvents.stream().filter(event -> !event.startsWith("onBatchEnd")).toList();
   }
 
   @Test
   void anEmptyBatchGetsAnEmptyReply() throws Exception {
     byte[] in = BatchWriter.hex("00000000 00000000 5a5c800000000000");
-    assertArrayEquals(new byte[8], run((s, o) -> recorder(), in));
-    assertArrayEquals(new byte[0], run((s, o) -> recorder(), new byte[0]));
+    assertArrayEquals(new byte[8], run((settings, commands) -> recordingPolicy(), in));
+    assertArrayEquals(new byte[0], run((settings, commands) -> recordingPolicy(), new byte[0]));
   }
 
   @Test
   void everyEventIsDecoded() throws Exception {
-    List<String> got =
+    List<String> received =
         events(
-            BatchWriter.list(),
+            BatchWriter.cachedList(),
             "03 4d00000000000000",
             "04 0a124a07 5b1b 9801 10270000 01 0000003f",
             "05 0200 0200 6869",
@@ -105,37 +117,37 @@
     String rest = ", machineType=0, cell=0, lifecycle=READY, weight=";
     assertEquals(
         "onEndpointList 5 CACHED [ServerEntry[server="
-            + A
+            + FIRST_SERVER
             + ", zone=0"
             + rest
             + "1.0, startedUs=0], "
             + "ServerEntry[server="
-            + B
+            + SECOND_SERVER
             + ", zone=1"
             + rest
             + "1.5, startedUs=6100000]]",
-        got.get(0));
+        received.get(0));
     assertEquals(
         List.of(
             "onTimer 5 77",
-            "onHealthCheckResult 5 " + A + " TIMED_OUT 10000 [0.5]",
+            "onHealthCheckResult 5 " + FIRST_SERVER + " TIMED_OUT 10000 [0.5]",
             "onPeerMessage 5 2 [104, 105]",
             "onProxyJoined 5 41 1 6.5 true",
             "onProxyLeft 5 41",
             "onAcknowledgement 5 41 7 10000",
-            "onLoadReport 5 " + A + " 0 14 1 1000000 48250 [0.62]",
+            "onLoadReport 5 " + FIRST_SERVER + " 0 14 1 1000000 48250 [0.62]",
             "onUsageReport 5 41 1 9 2 2000000",
             "onSliceUsageReport 5 7 1 5 1 2000000",
             "onSliceAssignment 5 7 true",
-            "onSliceWeight 5 7 " + B + " 0.75"),
-        got.subList(1, got.size()));
+            "onSliceWeight 5 7 " + SECOND_SERVER + " 0.75"),
+        received.subList(1, received.size()));
   }
 
   @Test
-  void listFormsStatesAndProbeEnds() throws Exception {
+  void listKindsLifecyclesAndHealthCheckResultsAreDecoded() throws Exception {
     String entry = "01000000 0a124a07 5b1b 00 0100 0200 ";
     String rest = " 0000803f 0000000000000000";
-    List<String> got =
+    List<String> received =
         events(
             "02 00 01000000" + entry + "02" + rest,
             "02 01 01000000" + entry + "00" + rest,
@@ -147,36 +159,39 @@
             "04 0a124a07 5b1b 0802 00000000 00",
             "04 0a124a07 5b1b bc01 00000000 00");
     assertTrue(
-        got.get(0).contains("DELTA")
-            && got.get(0).contains("machineType=1, cell=2, lifecycle=DRAINING"));
-    assertTrue(got.get(1).contains("COMPLETE") && got.get(1).contains("lifecycle=REMOVED"));
-    assertTrue(got.get(2).contains("FAILED"));
+        received.get(0).contains("DELTA")
+            && received.get(0).contains("machineType=1, cell=2, lifecycle=DRAINING"));
+    assertTrue(
+        received.get(1).contains("COMPLETE") && received.get(1).contains("lifecycle=REMOVED"));
+    assertTrue(received.get(2).contains("FAILED"));
     List<String> ends = List.of("OK", "ERROR", "REJECTED", "UNREACHABLE", "DISCONNECTED", "OTHER");
     for (int i = 0; i < ends.size(); i++) {
-      assertEquals("onHealthCheckResult 5 " + A + " " + ends.get(i) + " 0 []", got.get(3 + i));
+      assertEquals(
+          "onHealthCheckResult 5 " + FIRST_SERVER + " " + ends.get(i) + " 0 []",
+          received.get(3 + i));
     }
   }
 
   @Test
-  void everyActionIsEncoded() throws Exception {
-    byte[] got =
+  void everyCommandIsEncoded() throws Exception {
+    byte[] received =
         run(
-            (s, o) -> {
-              o.setWeight(117, B, 0.75);
-              o.setAdmission(117, 2, 0.5, 1);
-              o.setTimer(500_000, 77);
-              o.clearTable(117);
-              o.eject(A);
-              o.bindProxy(41, 117, 0);
-              o.requestAck(9, true);
-              o.watchEndpoints(true);
-              o.fetchEndpoints();
-              o.checkHealth(A);
-              o.sendToPeer(-1, new byte[] {104, 105});
-              o.log("two servers known");
-              return recorder();
+            (settings, commands) -> {
+              commands.setWeight(117, SECOND_SERVER, 0.75);
+              commands.setAdmission(117, 2, 0.5, 1);
+              commands.setTimer(500_000, 77);
+              commands.clearTable(117);
+              commands.eject(FIRST_SERVER);
+              commands.bindProxy(41, 117, 0);
+              commands.requestAck(9, true);
+              commands.watchEndpoints(true);
+              commands.fetchEndpoints();
+              commands.checkHealth(FIRST_SERVER);
+              commands.sendToPeer(-1, new byte[] {104, 105});
+              commands.log("two servers known");
+              return recordingPolicy();
             },
-            BatchWriter.frame(5, "0f0300", BatchWriter.hello(BatchWriter.SETTINGS)));
+            BatchWriter.frame(5, "0f0300", BatchWriter.start(BatchWriter.SETTINGS)));
     byte[] body =
         BatchWriter.hex(
             "48 0300 4e 7500 0a9011f2 841b 0000403f 46 01 0000003f 7500 0200"
@@ -185,33 +200,35 @@
                 + "41 1100 74776f2073657276657273206b6e6f776e");
     assertArrayEquals(
         BatchWriter.join(BatchWriter.hex(BatchWriter.u32(body.length) + BatchWriter.u32(13)), body),
-        got);
+        received);
   }
 
   @Test
-  void settingsReachTheModuleInItsOwnTerms() throws Exception {
-    PolicySettings s = settings(BatchWriter.SETTINGS);
-    assertEquals(2, s.zones());
-    assertEquals(2, s.requestClasses().size());
-    assertEquals(Idempotency.NOT_IDEMPOTENT, s.requestClasses().get(1).idempotency());
-    assertEquals(750_000, s.requestClasses().get(1).latencyObjectiveUs());
-    assertTrue(s.requestClasses().get(1).writes() && s.requestClasses().get(1).ownZoneOnly());
-    assertEquals(AdmissionMode.RATE, s.admissionMode());
-    assertEquals(LoadReportSource.HEALTH_CHECKS, s.loadReportSource());
-    assertEquals(List.of(LoadMetric.UTILIZATION, LoadMetric.IN_FLIGHT), s.loadMetrics());
-    assertEquals(5900, s.channel().maxBacklogLines());
-    assertEquals(17_000_000, s.limits().slowStartUs());
-    PolicySettings more =
+  void settingsReachThePolicy() throws Exception {
+    PolicySettings settings = settings(BatchWriter.SETTINGS);
+    assertEquals(2, settings.zones());
+    assertEquals(2, settings.requestClasses().size());
+    assertEquals(Idempotency.NOT_IDEMPOTENT, settings.requestClasses().get(1).idempotency());
+    assertEquals(750_000, settings.requestClasses().get(1).latencyObjectiveUs());
+    assertTrue(
+        settings.requestClasses().get(1).writes()
+            && settings.requestClasses().get(1).ownZoneOnly());
+    assertEquals(AdmissionMode.RATE, settings.admissionMode());
+    assertEquals(LoadReportSource.HEALTH_CHECKS, settings.loadReportSource());
+    assertEquals(List.of(LoadMetric.UTILIZATION, LoadMetric.IN_FLIGHT), settings.loadMetrics());
+    assertEquals(5900, settings.channel().maxBacklogLines());
+    assertEquals(17_000_000, settings.limits().slowStartUs());
+    PolicySettings optional =
         settings(
             BatchWriter.SETTINGS
                 + "\nfamilyInfo.pick=p2c\ngoal.whole=0.55"
                 + "\nfamilyInfo.connsLeast=172.0\nfamilyInfo.zonal=true"
                 + "\nfees.handshake=0.04\ncountedBy=work");
-    assertEquals(PickMethod.LEAST_BUSY_OF_TWO, more.siteTraits().pickMethod());
-    assertEquals(0.55, more.scoreWeights().overall());
-    assertTrue(more.siteTraits().proxiesJoinInOwnZone() && more.scoreWeights().byWork());
-    assertEquals(172, more.siteTraits().minConnections());
-    assertEquals(0.04, more.costs().handshake());
+    assertEquals(PickMethod.LEAST_BUSY_OF_TWO, optional.siteTraits().pickMethod());
+    assertEquals(0.55, optional.scoreWeights().overall());
+    assertTrue(optional.siteTraits().proxiesJoinInOwnZone() && optional.scoreWeights().byWork());
+    assertEquals(172, optional.siteTraits().minConnections());
+    assertEquals(0.04, optional.costs().handshake());
   }
 
   @Test
@@ -226,43 +243,45 @@
               || key.equals("rules.askWithinUs");
       String without = BatchWriter.SETTINGS.replace(line + "\n", "").replace("\n" + line, "");
       if (!optional) {
-        SettingsException e = assertThrows(SettingsException.class, () -> settings(without), key);
-        assertTrue(e.getMessage().contains(key), e.getMessage());
+        SettingsException fault =
+            assertThrows(SettingsException.class, () -> settings(without), key);
+        assertTrue(fault.getMessage().contains(key), fault.getMessage());
       }
     }
-    SettingsException e =
+    SettingsException fault =
         assertThrows(
             SettingsException.class,
             () -> settings(BatchWriter.SETTINGS.replace("transitUs=294000", "transitUs=soon")));
-    assertTrue(e.getMessage().contains("familyInfo.transitUs"), e.getMessage());
+    assertTrue(fault.getMessage().contains("familyInfo.transitUs"), fault.getMessage());
   }
 
-  /** An input that gives a single byte, or what lies before a cut, at a time. */
-  private static InputStream cutAt(byte[] all, int cut) {
+  /** An input whose reads don't go past a cut. */
+  private static InputStream cutAt(byte[] input, int cut) {
     return new InputStream() {
       private int at;
 
       @Override
       public int read() {
-        return at < all.length ? all[at++] & 0xff : -1;
+        return at < input.length ? input[at++] & 0xff : -1;
       }
 
       @Override
       public int read(byte[] to, int off, int len) {
-        if (at >= all.length) {
+        if (at >= input.length) {
           return -1;
         }
-        int n = Math.min(len, (at < cut ? cut : all.length) - at);
-        System.arraycopy(all, at, to, off, n);
-        at += n;
-        return n;
+        int count = Math.min(len, (at < cut ? cut : input.length) - at);
+        System.arraycopy(input, at, to, off, count);
+        at += count;
+        return count;
       }
     };
   }
 
-  private static byte[] shortDay(String settings) {
+  private static byte[] shortInput(String settings) {
     return BatchWriter.join(
-        BatchWriter.frame(1_000_000, "0f0300", BatchWriter.hello(settings), BatchWriter.list()),
+        BatchWriter.frame(
+            1_000_000, "0f0300", BatchWriter.start(settings), BatchWriter.cachedList()),
         BatchWriter.frame(1_005_000, "0f0300", "07 2900 01 0000d040 01"),
         BatchWriter.frame(
             2_005_000,
@@ -272,17 +291,17 @@
   }
 
   @Test
-  void framesSplitAtEveryByteReadTheSame() throws Exception {
-    byte[] day = shortDay(BatchWriter.SETTINGS);
-    byte[] whole = run(FaastPolicy::new, day);
-    assertTrue(whole.length > 100);
-    for (int cut = 1; cut < day.length; cut++) {
-      assertArrayEquals(whole, run(FaastPolicy::new, cutAt(day, cut)), "cut at " + cut);
+  void framesSplitAtEveryByteAreReadAlike() throws Exception {
+    byte[] input = shortInput(BatchWriter.SETTINGS);
+    byte[] expected = run(FaastPolicy::new, input);
+    assertTrue(expected.length > 100);
+    for (int cut = 1; cut < input.length; cut++) {
+      assertArrayEquals(expected, run(FaastPolicy::new, cutAt(input, cut)), "cut at " + cut);
     }
   }
 
   @Test
-  void renamingEveryZoneClassAndKindChangesNoAction() throws Exception {
+  void renamingEveryZoneClassAndMachineTypeChangesNoCommand() throws Exception {
     String renamed =
         BatchWriter.SETTINGS
             .replace("vannes", "x1")
@@ -291,61 +310,63 @@
             .replace("fill-visit", "x4")
             .replace("three-core,four-core", "x5,x6");
     assertArrayEquals(
-        run(FaastPolicy::new, shortDay(BatchWriter.SETTINGS)),
-        run(FaastPolicy::new, shortDay(renamed)));
+        run(FaastPolicy::new, shortInput(BatchWriter.SETTINGS)),
+        run(FaastPolicy::new, shortInput(renamed)));
+  }
+
+  private static SimulatorProtocolException assertFault(
+      SimulatorProtocolException.Kind kind, byte[] input) {
+    SimulatorProtocolException fault =
+        assertThrows(SimulatorProtocolException.class, () -> run(FaastPolicy::new, input));
+    assertEquals(kind, fault.kind(), fault.getMessage());
+    return fault;
+  }
+
+  private static void assertText(SimulatorProtocolException fault, String part) {
+    assertTrue(fault.getMessage().contains(part), fault.getMessage());
   }
 
   @Test
-  void badInputIsNamedWithItsPlace() {
-    byte[] good = shortDay(BatchWriter.SETTINGS);
-    for (int cut : new int[] {5, 20, good.length - 3}) {
-      SimulatorProtocolException e =
-          assertThrows(
-              SimulatorProtocolException.class,
-              () -> run(FaastPolicy::new, Arrays.copyOf(good, cut)));
-      assertTrue(e.getMessage().contains("truncated"), e.getMessage());
+  void invalidInputIsReportedWithItsPosition() {
+    byte[] valid = shortInput(BatchWriter.SETTINGS);
+    for (int cut : new int[] {5, 20, valid.length - 3}) {
+      byte[] truncated = Arrays.copyOf(valid, cut);
+      assertText(assertFault(SimulatorProtocolException.Kind.TRUNCATED, truncated), "truncated");
     }
-    SimulatorProtocolException unknown =
-        assertThrows(
-            SimulatorProtocolException.class,
-            () -> run(FaastPolicy::new, BatchWriter.frame(1, "0f0300", "63")));
-    assertTrue(
-        unknown.getMessage().contains("code 99") && unknown.getMessage().contains("byte 3"),
-        unknown.getMessage());
-    byte[] more = BatchWriter.frame(1, "0f0300", "03 4d00000000000000");
-    more[4] = 3;
-    assertTrue(
-        assertThrows(SimulatorProtocolException.class, () -> run(FaastPolicy::new, more))
-            .getMessage()
-            .contains("length doesn't add up"));
-    more[4] = 1;
-    assertTrue(
-        assertThrows(SimulatorProtocolException.class, () -> run(FaastPolicy::new, more))
-            .getMessage()
-            .contains("length doesn't add up"));
-    assertThrows(
-        SimulatorProtocolException.class,
-        () -> run(FaastPolicy::new, BatchWriter.frame(1, "0f0300", "02 07 00000000")));
-    assertThrows(
-        SimulatorProtocolException.class,
-        () -> run(FaastPolicy::new, BatchWriter.frame(1, "08 2900")));
+    SimulatorProtocolException unknownCode =
+        assertFault(
+            SimulatorProtocolException.Kind.UNKNOWN_CODE, BatchWriter.frame(1, "0f0300", "63"));
+    assertText(unknownCode, "code 99");
+    assertText(unknownCode, "byte 3");
+    byte[] wrongCount = BatchWriter.frame(1, "0f0300", "03 4d00000000000000");
+    for (byte count : new byte[] {3, 1}) {
+      wrongCount[4] = count;
+      assertText(
+          assertFault(SimulatorProtocolException.Kind.LENGTH_MISMATCH, wrongCount),
+          "length doesn't add up");
+    }
+    assertFault(
+        SimulatorProtocolException.Kind.UNKNOWN_CODE,
+        BatchWriter.frame(1, "0f0300", "02 07 00000000"));
+    assertFault(SimulatorProtocolException.Kind.NO_INSTANCE, BatchWriter.frame(1, "08 2900"));
   }
 
   @Test
-  void anExceptionInTheModuleBecomesTheFaultAction() throws Exception {
-    byte[] got =
+  void anExceptionInThePolicyBecomesAFailureRecord() throws Exception {
+    byte[] received =
         run(
-            (s, o) -> {
+            (settings, commands) -> {
               throw new IllegalStateException("no way");
             },
-            BatchWriter.frame(5, "0f0300", BatchWriter.hello(BatchWriter.SETTINGS)));
-    assertEquals(76, got[8 + 3]);
-    assertTrue(new String(got, java.nio.charset.StandardCharsets.UTF_8).contains("no way"));
+            BatchWriter.frame(5, "0f0300", BatchWriter.start(BatchWriter.SETTINGS)));
+    assertEquals(
+        CommandCode.FAILURE.toByte(), received[REPLY_HEADER_BYTES + INSTANCE_RECORD_BYTES]);
+    assertTrue(new String(received, StandardCharsets.UTF_8).contains("no way"));
   }
 
   @Test
-  void anInstanceIsDroppedAtPowerOff() throws Exception {
+  void aStoppedInstanceGetsNoFurtherEvents() throws Exception {
     assertEquals(List.of("onTimer 5 1"), events("03 0100000000000000", "06", "08 2900"));
-    assertTrue(heard.stream().noneMatch(h -> h.startsWith("onBatchEnd")));
+    assertTrue(receivedEvents.stream().noneMatch(event -> event.startsWith("onBatchEnd")));
   }
 }
--- a/src/test/java/pearusher/simulator/SimulatorProcessTest.java
+++ b/src/test/java/pearusher/simulator/SimulatorProcessTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -15,16 +16,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The real adapter process, and what the module's text must keep. */
+/** The process that answers the simulator, and limits on the text of the decision modules. */
 class SimulatorProcessTest {
   /** Lines of a decision module that are not blank. */
   private static final int MAX_MODULE_LINES = 1_389;
 
   @TempDir Path dir;
 
-  private record End(int status, byte[] out, String err) {}
+  private record ProcessResult(int status, byte[] out, String err) {}
 
-  private End run(byte[] in, String... args) throws Exception {
+  private ProcessResult run(byte[] in, String... args) throws Exception {
     List<String> command =
         Stream.concat(
                 Stream.of(
@@ -36,59 +37,63 @@
             .toList();
     Path out = dir.resolve("out");
     Path err = dir.resolve("err");
-    ProcessBuilder how = new ProcessBuilder(command);
-    Process p = how.redirectOutput(out.toFile()).redirectError(err.toFile()).start();
-    try (OutputStream to = p.getOutputStream()) {
-      to.write(in);
-    } catch (java.io.IOException closed) {
+    Process process =
+        new ProcessBuilder(command)
+            .redirectOutput(out.toFile())
+            .redirectError(err.toFile())
+            .start();
+    try (OutputStream processInput = process.getOutputStream()) {
+      processInput.write(in);
+    } catch (IOException closed) {
       assertTrue(args.length != 1, "the adapter closed its input: " + closed);
     }
-    return new End(
-        p.waitFor(), Files.readAllBytes(out), Files.readString(err, StandardCharsets.UTF_8));
+    return new ProcessResult(
+        process.waitFor(), Files.readAllBytes(out), Files.readString(err, StandardCharsets.UTF_8));
   }
 
   @Test
-  void badUsageExitsTwo() throws Exception {
+  void invalidUsageExitsWithTwo() throws Exception {
     assertEquals(2, run(new byte[0]).status());
-    End end = run(new byte[0], "sidecar");
-    assertEquals(2, end.status());
-    assertTrue(end.err().contains("Usage: pearusher"), end.err());
+    ProcessResult result = run(new byte[0], "sidecar");
+    assertEquals(2, result.status());
+    assertTrue(result.err().contains("Usage: pearusher"), result.err());
   }
 
   @Test
-  void endOfInputBetweenFramesExitsZero() throws Exception {
-    End end =
+  void endOfInputBetweenFramesExitsWithZero() throws Exception {
+    ProcessResult result =
         run(
             BatchWriter.frame(
-                1, "0f0300", BatchWriter.hello(BatchWriter.SETTINGS), BatchWriter.list()),
+                1, "0f0300", BatchWriter.start(BatchWriter.SETTINGS), BatchWriter.cachedList()),
             "adapter");
-    assertEquals(0, end.status(), end.err());
-    assertTrue(end.out().length > 8);
+    assertEquals(0, result.status(), result.err());
+    assertTrue(result.out().length > 8);
   }
 
   @Test
-  void aTruncatedFrameExitsOneAndWritesNoHalfReply() throws Exception {
-    byte[] good = BatchWriter.frame(1);
-    byte[] bad = BatchWriter.frame(2, "0f0300", "03 4d00000000000000");
-    End end = run(BatchWriter.join(good, Arrays.copyOf(bad, bad.length - 2)), "adapter");
-    assertEquals(1, end.status());
-    assertEquals(8, end.out().length);
-    assertTrue(end.err().contains("truncated frame at byte 16"), end.err());
+  void aTruncatedFrameExitsWithOneAndWritesNoPartialReply() throws Exception {
+    byte[] valid = BatchWriter.frame(1);
+    byte[] truncated = BatchWriter.frame(2, "0f0300", "03 4d00000000000000");
+    ProcessResult result =
+        run(BatchWriter.join(valid, Arrays.copyOf(truncated, truncated.length - 2)), "adapter");
+    assertEquals(1, result.status());
+    assertEquals(8, result.out().length);
+    assertTrue(result.err().contains("truncated frame at byte 16"), result.err());
   }
 
   @Test
-  void anUnknownCodeAndAMissingKeyExitOne() throws Exception {
-    End code = run(BatchWriter.frame(2, "0f0300", "63"), "adapter");
-    assertEquals(1, code.status());
-    assertTrue(code.err().contains("unknown record code 99"), code.err());
-    End key =
+  void anUnknownCodeAndAMissingKeyExitWithOne() throws Exception {
+    ProcessResult unknownCode = run(BatchWriter.frame(2, "0f0300", "63"), "adapter");
+    assertEquals(1, unknownCode.status());
+    assertTrue(unknownCode.err().contains("unknown record code 99"), unknownCode.err());
+    ProcessResult missingKey =
         run(
             BatchWriter.frame(
-                2, "0f0300", BatchWriter.hello(BatchWriter.SETTINGS.replace("tickUs=5000", ""))),
+                2, "0f0300", BatchWriter.start(BatchWriter.SETTINGS.replace("tickUs=5000", ""))),
             "adapter");
-    assertEquals(1, key.status());
-    assertTrue(key.err().contains("tickUs"), key.err());
-    assertEquals(0, key.out().length);
+    assertEquals(1, missingKey.status());
+    assertTrue(missingKey.err().contains("tickUs"), missingKey.err());
+    assertEquals(0, missingKey.out().length);
   }
 
   /** The files under {@code policy} in the deploy file hold every decision. */
--- a/src/test/java/pearusher/simulator/WireEvents.java
+++ b/src/test/java/pearusher/simulator/WireEvents.java
@@ -2,19 +2,26 @@
 
 import java.util.HexFormat;
 
-/** Event records of the simulator's wire in hex, each with its code first. */
+/** Event records of the simulator's protocol in hex, each with its code first. */
 final class WireEvents {
-  /** Forms of a list. */
-  static final int CHANGES = 0, WHOLE = 1, CACHED = 2, FAILED = 3;
+  /** Kinds of a list update. */
+  static final int DELTA = 0;
 
-  /** States of a listed server. */
-  static final int GONE = 0, READY = 1, DRAINING = 2;
+  static final int COMPLETE = 1;
+  static final int CACHED = 2;
+  static final int FAILED = 3;
+
+  /** Lifecycles of a listed server. */
+  static final int REMOVED = 0;
+
+  static final int READY = 1;
+  static final int DRAINING = 2;
 
   private WireEvents() {}
 
   /** A server's address: a number in 10.0.0.0/16 and a fixed port. */
-  static String server(int number) {
-    return "0a00" + u8(number >> 8) + u8(number) + "901f";
+  static String server(int server) {
+    return "0a00" + u8(server >> 8) + u8(server) + "901f";
   }
 
   static String u8(int value) {
@@ -30,26 +37,26 @@
   }
 
   private static String load(double... values) {
-    StringBuilder out = new StringBuilder(u8(values.length));
+    StringBuilder text = new StringBuilder(u8(values.length));
     for (double value : values) {
-      out.append(f32(value));
+      text.append(f32(value));
     }
-    return out.toString();
+    return text.toString();
   }
 
-  static String entry(int number, int zone, int state, double weight, long startedUs) {
-    return server(number)
+  static String entry(int server, int zone, int lifecycle, double weight, long startedUs) {
+    return server(server)
         + u8(zone)
         + u16(1)
         + u16(2)
-        + u8(state)
+        + u8(lifecycle)
         + f32(weight)
         + BatchWriter.u64(startedUs);
   }
 
-  static String list(int form, String... entries) {
+  static String endpointList(int kind, String... entries) {
     return "02"
-        + u8(form)
+        + u8(kind)
         + BatchWriter.u32(41)
         + BatchWriter.u32(entries.length)
         + String.join("", entries);
@@ -59,69 +66,70 @@
     return "03" + BatchWriter.u64(token);
   }
 
-  static String probed(int number, int status, long tookUs, double... load) {
-    return "04" + server(number) + u16(status) + BatchWriter.u32(tookUs) + load(load);
+  static String healthCheckResult(int server, int status, long durationUs, double... load) {
+    return "04" + server(server) + u16(status) + BatchWriter.u32(durationUs) + load(load);
   }
 
-  static String told(int peer, String body) {
+  static String peerMessage(int peer, String body) {
     return "05" + u16(peer) + u16(body.length() / 2) + body;
   }
 
-  static String stopped() {
+  static String stop() {
     return "06";
   }
 
-  static String joined(int proxy, int zone, double perS, boolean fresh) {
-    return "07" + u16(proxy) + u8(zone) + f32(perS) + u8(fresh ? 1 : 0);
+  static String proxyJoined(int proxy, int zone, double requestsPerSecond, boolean holdsNoTable) {
+    return "07" + u16(proxy) + u8(zone) + f32(requestsPerSecond) + u8(holdsNoTable ? 1 : 0);
   }
 
-  static String left(int proxy) {
+  static String proxyLeft(int proxy) {
     return "08" + u16(proxy);
   }
 
-  static String applied(int proxy, long mark, long tookUs) {
-    return "09" + BatchWriter.u32(tookUs) + BatchWriter.u32(mark) + u16(proxy);
+  static String acknowledgement(int proxy, long ackNumber, long durationUs) {
+    return "09" + BatchWriter.u32(durationUs) + BatchWriter.u32(ackNumber) + u16(proxy);
   }
 
-  static String heard(int number, int zone, long tries, long failed, long meanUs, double... load) {
+  static String loadReport(
+      int server, int zone, long attempts, long failed, long meanUs, double... load) {
     return "0a"
-        + BatchWriter.u32(tries)
+        + BatchWriter.u32(attempts)
         + BatchWriter.u32(failed)
         + BatchWriter.u32(1_000_000)
         + u8(zone)
-        + server(number)
+        + server(server)
         + BatchWriter.u32(meanUs)
         + load(load);
   }
 
-  static String usage(int proxy, int grade, long requests, long failed) {
+  static String usageReport(int proxy, int requestClass, long requests, long failed) {
     return "0b"
         + u16(proxy)
-        + u8(grade)
+        + u8(requestClass)
         + BatchWriter.u32(requests)
         + BatchWriter.u32(failed)
         + BatchWriter.u32(1_000_000);
   }
 
-  static String sliceUsage(int slice, int grade, long requests, long failed) {
+  static String sliceUsageReport(int slice, int requestClass, long requests, long failed) {
     return "0c"
         + BatchWriter.u32(requests)
         + BatchWriter.u32(failed)
-        + u8(grade)
+        + u8(requestClass)
         + u16(slice)
         + BatchWriter.u32(1_000_000);
   }
 
-  static String sliceGiven(int slice, boolean given) {
-    return "0d" + u8(given ? 1 : 0) + u16(slice);
+  static String sliceAssignment(int slice, boolean isAssigned) {
+    return "0d" + u8(isAssigned ? 1 : 0) + u16(slice);
   }
 
-  static String sliceLine(int slice, int number, double weight) {
-    return "0e" + u16(slice) + server(number) + f32(weight);
+  static String sliceWeight(int slice, int server, double weight) {
+    return "0e" + u16(slice) + server(server) + f32(weight);
   }
 
   /** The records that follow belong to this instance. */
-  static String instance(int number) {
-    return "0f" + u16(number);
+  static String instance(int server) {
+    return "0f" + u16(server);
   }
 }
--- a/src/test/java/pearusher/simulator/WireTranscriptTest.java
+++ b/src/test/java/pearusher/simulator/WireTranscriptTest.java
@@ -29,38 +29,38 @@
 import pearusher.policy.PolicySettings;
 
 /**
- * Characterization of the simulator's wire: batches of binary events must give exactly the recorded
- * bytes.
+ * Characterization of the simulator's protocol: batches of binary events must give exactly the
+ * recorded bytes.
  *
- * <p>The answers stand in wire-transcripts.txt, one a line: a name and the bytes in hex or their
- * digest. A change that is meant to keep behaviour changes none of them; where a change of
- * behaviour is meant, the failure message holds the new answer.
+ * <p>The replies stand in wire-transcripts.txt, one a line: a name and the bytes in hex or their
+ * digest. A change that keeps the behaviour changes none of them; where a change of behaviour is
+ * intended, the failure message holds the new reply.
  */
 class WireTranscriptTest {
   private static final String RECORDED = "/wire-transcripts.txt";
   private static final long START_US = 50_000_000;
   private static final long SECOND = 1_000_000;
 
-  /** An instance's decisions fail at this time, in the tests that ask for it. */
-  private static final long FAULT_US = 53_000_000;
+  /** The time at which a policy throws, in the tests that need it. */
+  private static final long FAILURE_US = 53_000_000;
 
   private static final int SERVERS = 24;
   private static final int PROXIES = 8;
-  private static final int[] PROBE_STATUSES = {200, 200, 200, 502, 429, 408, 521, 520, 777};
+  private static final int[] HEALTH_CHECK_STATUSES = {200, 200, 200, 502, 429, 408, 521, 520, 777};
 
-  private static final String RATE = BatchWriter.SETTINGS;
-  private static final String SHARE =
+  private static final String RATE_MODE = BatchWriter.SETTINGS;
+  private static final String SHARE_MODE =
       BatchWriter.SETTINGS
           .replace("throttleBy=per_second", "throttleBy=fraction")
           .replace("discovery=on_request", "discovery=pushed")
           .replace("azs=vannes,lorient", "azs=a,b,c")
           .replace("messagesMost=0", "messagesMost=6")
           .replace("fees.crossZone=0.06", "fees.crossZone=0");
-  private static final String NO_LEVELS =
+  private static final String NO_ADMISSION_MODE =
       BatchWriter.SETTINGS
           .replace("throttleBy=per_second", "throttleBy=off")
           .replace("report.fields=utilization,outstanding", "report.fields=outstanding");
-  private static final String SLICES = BatchWriter.SETTINGS.replace("shards=0", "shards=4");
+  private static final String WITH_SLICES = BatchWriter.SETTINGS.replace("shards=0", "shards=4");
 
   private static Map<String, String> recorded() throws IOException {
     Map<String, String> lines = new TreeMap<>();
@@ -78,10 +78,10 @@
   }
 
   private static byte[] answers(
-      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker, byte[]... frames)
+      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> factory, byte[]... frames)
       throws IOException, SimulatorProtocolException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    new SimulatorLoop(maker).run(new ByteArrayInputStream(BatchWriter.join(frames)), out);
+    new SimulatorLoop(factory).run(new ByteArrayInputStream(BatchWriter.join(frames)), out);
     return out.toByteArray();
   }
 
@@ -93,25 +93,25 @@
     return bytes.length + " bytes " + hex(MessageDigest.getInstance("SHA-256").digest(bytes));
   }
 
-  private static String list(int form, int from, int to, int zones, int state, long startedUs) {
+  private static String list(int kind, int from, int to, int zones, int lifecycle, long startedUs) {
     List<String> entries = new ArrayList<>();
-    for (int number = from; number <= to; number++) {
-      entries.add(WireEvents.entry(number, number % zones, state, 1 + number % 2, startedUs));
+    for (int server = from; server <= to; server++) {
+      entries.add(WireEvents.entry(server, server % zones, lifecycle, 1 + server % 2, startedUs));
     }
-    return WireEvents.list(form, entries.toArray(new String[0]));
+    return WireEvents.endpointList(kind, entries.toArray(new String[0]));
   }
 
   /** The first batch of an instance: settings, list and proxies. */
-  private static List<String> begin(
+  private static List<String> startRecords(
       int instance, String settings, int servers, int zones, int proxies) {
     List<String> records =
         new ArrayList<>(
             List.of(
                 WireEvents.instance(instance),
-                BatchWriter.hello(settings),
+                BatchWriter.start(settings),
                 list(WireEvents.CACHED, 1, servers, zones, WireEvents.READY, 0)));
     for (int proxy = 0; proxy < proxies; proxy++) {
-      records.add(WireEvents.joined(proxy, proxy % zones, 6.5, proxy % 3 > 0));
+      records.add(WireEvents.proxyJoined(proxy, proxy % zones, 6.5, proxy % 3 > 0));
     }
     return records;
   }
@@ -122,8 +122,8 @@
 
   @Test
   void twoInstancesInOneBatchGiveTheRecordedBytes() throws Exception {
-    List<String> first = begin(1, RATE, 3, 2, 2);
-    first.addAll(begin(2, SHARE, 3, 3, 3));
+    List<String> first = startRecords(1, RATE_MODE, 3, 2, 2);
+    first.addAll(startRecords(2, SHARE_MODE, 3, 3, 3));
     assertRecorded(
         "two-instances",
         hex(
@@ -135,19 +135,19 @@
                     WireEvents.instance(2),
                     WireEvents.timer(1),
                     WireEvents.instance(1),
-                    WireEvents.heard(1, 0, 20, 5, 250_000, 0.5),
-                    list(WireEvents.CHANGES, 3, 3, 2, WireEvents.DRAINING, 0),
+                    WireEvents.loadReport(1, 0, 20, 5, 250_000, 0.5),
+                    list(WireEvents.DELTA, 3, 3, 2, WireEvents.DRAINING, 0),
                     WireEvents.timer(1)))));
   }
 
   @Test
   void slicesAndUnknownInstancesGiveTheRecordedBytes() throws Exception {
-    List<String> first = begin(4, SLICES, 3, 2, 2);
+    List<String> first = startRecords(4, WITH_SLICES, 3, 2, 2);
     first.addAll(
         List.of(
-            WireEvents.sliceGiven(1, true),
-            WireEvents.sliceLine(1, 2, 0.75),
-            WireEvents.sliceUsage(1, 0, 9, 1),
+            WireEvents.sliceAssignment(1, true),
+            WireEvents.sliceWeight(1, 2, 0.75),
+            WireEvents.sliceUsageReport(1, 0, 9, 1),
             WireEvents.instance(9),
             WireEvents.timer(1)));
     assertRecorded(
@@ -160,7 +160,7 @@
                 BatchWriter.frame(
                     START_US + SECOND,
                     WireEvents.instance(4),
-                    WireEvents.stopped(),
+                    WireEvents.stop(),
                     WireEvents.timer(1)))));
   }
 
@@ -179,24 +179,24 @@
   private static byte[][] minute(int seed) {
     SplittableRandom random = new SplittableRandom(seed);
     List<byte[]> frames = new ArrayList<>();
-    List<String> first = begin(1, RATE, SERVERS, 2, PROXIES);
-    first.addAll(begin(2, SHARE, SERVERS, 3, PROXIES));
-    first.addAll(begin(300, NO_LEVELS, SERVERS, 2, PROXIES));
-    first.addAll(begin(4, SLICES, SERVERS, 2, PROXIES));
+    List<String> first = startRecords(1, RATE_MODE, SERVERS, 2, PROXIES);
+    first.addAll(startRecords(2, SHARE_MODE, SERVERS, 3, PROXIES));
+    first.addAll(startRecords(300, NO_ADMISSION_MODE, SERVERS, 2, PROXIES));
+    first.addAll(startRecords(4, WITH_SLICES, SERVERS, 2, PROXIES));
     frames.add(frame(START_US, first));
     for (int second = 1; second <= 60; second++) {
       long nowUs = START_US + second * SECOND;
-      boolean jam = second > 15 && second < 30;
+      boolean isOverloaded = second > 15 && second < 30;
       List<String> records = new ArrayList<>();
       for (int instance : new int[] {1, 2, 300}) {
         records.add(WireEvents.instance(instance));
-        addReports(records, random, instance == 2 ? 3 : 2, jam);
+        addReports(records, random, instance == 2 ? 3 : 2, isOverloaded);
         addChanges(records, random, second, nowUs);
       }
       records.add(WireEvents.instance(4));
-      records.add(WireEvents.sliceUsage(second % 4, 1, second, 0));
-      records.add(WireEvents.sliceGiven(second % 4, second % 2 == 0));
-      records.add(WireEvents.sliceLine(second % 4, second % SERVERS, 0.5));
+      records.add(WireEvents.sliceUsageReport(second % 4, 1, second, 0));
+      records.add(WireEvents.sliceAssignment(second % 4, second % 2 == 0));
+      records.add(WireEvents.sliceWeight(second % 4, second % SERVERS, 0.5));
       frames.add(frame(nowUs, records));
       frames.add(frame(nowUs + 100_000, timers(1, 2, 300)));
     }
@@ -204,7 +204,7 @@
         BatchWriter.frame(
             START_US + 61 * SECOND,
             WireEvents.instance(2),
-            WireEvents.stopped(),
+            WireEvents.stop(),
             WireEvents.timer(1),
             WireEvents.instance(300),
             WireEvents.timer(1)));
@@ -225,53 +225,56 @@
   }
 
   private static void addReports(
-      List<String> records, SplittableRandom random, int zones, boolean jam) {
-    for (int number = 1; number <= SERVERS; number++) {
-      long tries = 10L + random.nextInt(10);
-      long failed = jam || number == 3 ? random.nextLong(tries) : 0;
-      long meanUs = (jam ? 600_000L : 100_000L) + random.nextInt(100_000);
-      records.add(WireEvents.heard(number, random.nextInt(zones), tries, failed, meanUs, 0.25));
+      List<String> records, SplittableRandom random, int zones, boolean isOverloaded) {
+    for (int server = 1; server <= SERVERS; server++) {
+      long attempts = 10L + random.nextInt(10);
+      long failed = isOverloaded || server == 3 ? random.nextLong(attempts) : 0;
+      long meanUs = (isOverloaded ? 600_000L : 100_000L) + random.nextInt(100_000);
+      records.add(
+          WireEvents.loadReport(server, random.nextInt(zones), attempts, failed, meanUs, 0.25));
     }
     for (int proxy = 0; proxy < PROXIES; proxy++) {
-      records.add(WireEvents.usage(proxy, 0, 5 + random.nextInt(20), jam ? 3 : 0));
-      records.add(WireEvents.usage(proxy, 1, random.nextInt(10), 0));
+      records.add(WireEvents.usageReport(proxy, 0, 5 + random.nextInt(20), isOverloaded ? 3 : 0));
+      records.add(WireEvents.usageReport(proxy, 1, random.nextInt(10), 0));
     }
   }
 
   private static void addChanges(
       List<String> records, SplittableRandom random, int second, long nowUs) {
-    int number = 1 + random.nextInt(SERVERS);
+    int server = 1 + random.nextInt(SERVERS);
     int proxy = random.nextInt(PROXIES);
-    for (int mark = second - 2; mark <= second; mark++) {
-      records.add(WireEvents.applied(proxy, Math.max(1, mark), 200_000 + random.nextInt(900_000)));
+    for (int ackNumber = second - 2; ackNumber <= second; ackNumber++) {
+      records.add(
+          WireEvents.acknowledgement(
+              proxy, Math.max(1, ackNumber), 200_000 + random.nextInt(900_000)));
     }
-    int status = PROBE_STATUSES[random.nextInt(PROBE_STATUSES.length)];
-    records.add(WireEvents.probed(number, status, 7000, random.nextDouble(), 3));
+    int status = HEALTH_CHECK_STATUSES[random.nextInt(HEALTH_CHECK_STATUSES.length)];
+    records.add(WireEvents.healthCheckResult(server, status, 7000, random.nextDouble(), 3));
     switch (second % 12) {
-      case 1 -> records.add(list(WireEvents.CHANGES, number, number, 2, WireEvents.DRAINING, 0));
-      case 3 -> records.add(list(WireEvents.CHANGES, number, number, 2, WireEvents.GONE, 0));
-      case 5 -> records.add(list(WireEvents.CHANGES, number, number, 2, WireEvents.READY, nowUs));
-      case 7 -> records.add(WireEvents.left(proxy));
-      case 8 -> records.add(WireEvents.joined(proxy, proxy % 2, 8, second % 3 == 0));
-      case 9 -> records.add(WireEvents.told(2, "686921"));
-      case 10 -> records.add(list(WireEvents.WHOLE, 1, SERVERS, 2, WireEvents.READY, 0));
-      case 11 -> records.add(WireEvents.list(WireEvents.FAILED));
+      case 1 -> records.add(list(WireEvents.DELTA, server, server, 2, WireEvents.DRAINING, 0));
+      case 3 -> records.add(list(WireEvents.DELTA, server, server, 2, WireEvents.REMOVED, 0));
+      case 5 -> records.add(list(WireEvents.DELTA, server, server, 2, WireEvents.READY, nowUs));
+      case 7 -> records.add(WireEvents.proxyLeft(proxy));
+      case 8 -> records.add(WireEvents.proxyJoined(proxy, proxy % 2, 8, second % 3 == 0));
+      case 9 -> records.add(WireEvents.peerMessage(2, "686921"));
+      case 10 -> records.add(list(WireEvents.COMPLETE, 1, SERVERS, 2, WireEvents.READY, 0));
+      case 11 -> records.add(WireEvents.endpointList(WireEvents.FAILED));
       default -> records.add(WireEvents.timer(77));
     }
   }
 
   @Test
   void anInstanceThatFailsGivesItsFaultAndOthersContinue() throws Exception {
-    List<String> first = begin(1, RATE, 3, 2, 2);
-    first.addAll(begin(2, SHARE, 3, 3, 3));
+    List<String> first = startRecords(1, RATE_MODE, 3, 2, 2);
+    first.addAll(startRecords(2, SHARE_MODE, 3, 3, 3));
     assertRecorded(
         "failing-instance",
         digest(
             answers(
                 WireTranscriptTest::failing,
                 frame(START_US, first),
-                frame(FAULT_US, timers(1, 2)),
-                frame(FAULT_US + SECOND, timers(1, 2)))));
+                frame(FAILURE_US, timers(1, 2)),
+                frame(FAILURE_US + SECOND, timers(1, 2)))));
   }
 
   @Test
@@ -280,25 +283,25 @@
         "failing-start",
         hex(
             answers(
-                (settings, orders) -> {
+                (settings, commands) -> {
                   throw withoutTrace();
                 },
-                frame(START_US, begin(1, RATE, 3, 2, 2)))));
+                frame(START_US, startRecords(1, RATE_MODE, 3, 2, 2)))));
   }
 
-  /** The first instance's decisions fail at one time; each event has its time as first argument. */
-  private static AssignmentPolicy failing(PolicySettings settings, PolicyCommands orders) {
-    FaastPolicy rules = new FaastPolicy(settings, orders);
+  /** A policy that throws at one time; each event has its time as first argument. */
+  private static AssignmentPolicy failing(PolicySettings settings, PolicyCommands commands) {
+    FaastPolicy policy = new FaastPolicy(settings, commands);
     boolean fails = settings.admissionMode() == AdmissionMode.RATE;
     return (AssignmentPolicy)
         Proxy.newProxyInstance(
             WireTranscriptTest.class.getClassLoader(),
             new Class<?>[] {AssignmentPolicy.class},
             (self, method, arguments) -> {
-              if (fails && arguments[0].equals(FAULT_US)) {
+              if (fails && arguments[0].equals(FAILURE_US)) {
                 throw withoutTrace();
               }
-              return method.invoke(rules, arguments);
+              return method.invoke(policy, arguments);
             });
   }
 
@@ -308,7 +311,7 @@
     return failure;
   }
 
-  /** What a faulty input answers: bytes of the batches before it, and the text of the fault. */
+  /** The result of an invalid input: bytes of the replies before it, and the text of the fault. */
   private static String fault(byte[] input) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     SimulatorProtocolException fault =
@@ -324,25 +327,26 @@
   }
 
   @Test
-  void aFaultyInputEndsWithTheRecordedText() throws IOException {
-    byte[] good = BatchWriter.frame(START_US, WireEvents.instance(1), WireEvents.timer(1));
+  void anInvalidInputEndsWithTheRecordedText() throws IOException {
+    byte[] valid = BatchWriter.frame(START_US, WireEvents.instance(1), WireEvents.timer(1));
     Map<String, byte[]> inputs = new TreeMap<>();
-    inputs.put("short-header", BatchWriter.join(good, BatchWriter.hex("0100 0000")));
+    inputs.put("short-header", BatchWriter.join(valid, BatchWriter.hex("0100 0000")));
     inputs.put(
         "short-frame",
-        BatchWriter.join(good, BatchWriter.hex("09000000 01000000 0000000000000000 0f01")));
+        BatchWriter.join(valid, BatchWriter.hex("09000000 01000000 0000000000000000 0f01")));
     inputs.put("long-frame", BatchWriter.hex("ffffffff 01000000 0000000000000000"));
     inputs.put(
-        "unknown-code", BatchWriter.join(good, BatchWriter.frame(1, WireEvents.instance(1), "10")));
+        "unknown-code",
+        BatchWriter.join(valid, BatchWriter.frame(1, WireEvents.instance(1), "10")));
     inputs.put("code-zero", BatchWriter.frame(1, WireEvents.instance(1), "00"));
-    inputs.put("no-instance", BatchWriter.join(good, BatchWriter.frame(1, WireEvents.timer(1))));
-    inputs.put("too-few-records", announced(3, good.clone()));
-    inputs.put("too-many-records", announced(1, good.clone()));
+    inputs.put("no-instance", BatchWriter.join(valid, BatchWriter.frame(1, WireEvents.timer(1))));
+    inputs.put("too-few-records", announced(3, valid.clone()));
+    inputs.put("too-many-records", announced(1, valid.clone()));
     inputs.put(
         "list-form", BatchWriter.frame(1, WireEvents.instance(1), "0204" + BatchWriter.u64(0)));
     inputs.put(
         "server-state",
-        BatchWriter.frame(1, WireEvents.instance(1), list(WireEvents.WHOLE, 1, 1, 2, 3, 0)));
+        BatchWriter.frame(1, WireEvents.instance(1), list(WireEvents.COMPLETE, 1, 1, 2, 3, 0)));
     inputs.put("short-record", BatchWriter.frame(1, WireEvents.instance(1), "0301"));
     inputs.put(
         "short-load",
@@ -354,13 +358,13 @@
         BatchWriter.frame(1, WireEvents.instance(1), "01" + BatchWriter.u64(7) + "ff000000 61"));
     inputs.put(
         "no-settings",
-        BatchWriter.frame(1, WireEvents.instance(1), BatchWriter.hello("azs=vannes")));
+        BatchWriter.frame(1, WireEvents.instance(1), BatchWriter.start("azs=vannes")));
     inputs.put(
         "settings-value",
         BatchWriter.frame(
             1,
             WireEvents.instance(1),
-            BatchWriter.hello(BatchWriter.SETTINGS.replace("transitUs=294000", "transitUs=soon"))));
+            BatchWriter.start(BatchWriter.SETTINGS.replace("transitUs=294000", "transitUs=soon"))));
     assertAll(
         inputs.entrySet().stream()
             .map(
