--- a/src/main/java/pearusher/discovery/DiscoveryClient.java
+++ b/src/main/java/pearusher/discovery/DiscoveryClient.java
@@ -127,7 +127,7 @@
   @Override
   protected void connectionFailed(SelectableChannel channel, Throwable failure, Object call) {
     super.connectionFailed(channel, failure, call);
-    ((Call) call).finish(TerminationReason.ofConnect(failure));
+    ((Call) call).finish(TerminationReason.ofConnectFailure(failure));
   }
 
   /** One request and its answer. */
@@ -191,7 +191,7 @@
                     DiscoveryClient.this.connect(made, this);
                   }
                 } catch (IOException e) {
-                  finish(TerminationReason.ofConnect(e));
+                  finish(TerminationReason.ofConnectFailure(e));
                 }
               });
     }
--- a/src/main/java/pearusher/transport/AcceptPolicy.java
+++ b/src/main/java/pearusher/transport/AcceptPolicy.java
@@ -1,83 +1,96 @@
 package pearusher.transport;
 
 import java.io.File;
+import java.util.Optional;
 import java.util.function.IntSupplier;
 
 /**
- * Whether a newcomer is taken, and who goes for it where descriptors run short. The thread that
- * accepts calls it; what it asks of the registry is one step under the registry's lock. Its size is
- * constant.
+ * Decides whether a new connection is accepted, and which one is evicted for it if file descriptors
+ * run short. Only the accepting thread uses it; its decisions hold the registry's monitor. Its size
+ * is constant.
  */
 final class AcceptPolicy {
-  /** Descriptors kept for calls, probes and what is accepted before others are seen to end. */
-  private static final int RESERVE = 40;
+  /** Descriptors reserved for calls, health checks and connections whose end is not seen yet. */
+  private static final int RESERVED_DESCRIPTORS = 40;
 
-  /** Connections that are taken whatever the limit. */
-  private static final int LEAST = 16;
+  /** Connections that are accepted whatever the number of descriptors. */
+  private static final int MIN_CONNECTIONS = 16;
 
   /**
-   * Connections taken before the selector turns to those it has: closed ones free their descriptors
-   * there.
+   * Connections accepted before the selector must process those it has, which frees descriptors.
    */
-  private static final int MOST_ACCEPTS = 16;
+  private static final int MAX_ACCEPTS_IN_A_ROW = 16;
 
-  /** What becomes of a newcomer. {@code evicted}: who goes for it; null: nobody needs to. */
-  record Admission(boolean taken, StreamConnection evicted) {}
+  private static final String OWN_DESCRIPTORS = "/proc/self/fd";
 
-  private final ConnectionRegistry registry;
-
-  /** Descriptors that the process may hold. */
-  private final IntSupplier sockets;
+  /**
+   * The decision on a new connection.
+   *
+   * @param accepted whether it is accepted
+   * @param evicted the connection to be closed for it, if one must be
+   */
+  record Admission(boolean accepted, Optional<StreamConnection> evicted) {}
 
-  /** Descriptors that the process held before the first connection. */
-  private int held;
+  private final ConnectionRegistry registry;
+  private final IntSupplier maxDescriptors;
+  private int initialDescriptors;
 
-  /** Connections taken since the selector last turned to those it has. */
-  private int accepts;
+  /** Connections accepted since the selector last processed those it has. */
+  private int acceptsInARow;
 
-  AcceptPolicy(ConnectionRegistry registry, IntSupplier sockets) {
+  /**
+   * Creates the policy.
+   *
+   * @param registry the connections that are open
+   * @param maxDescriptors the descriptors that the process may hold, which a reload may change
+   */
+  AcceptPolicy(ConnectionRegistry registry, IntSupplier maxDescriptors) {
     this.registry = registry;
-    this.sockets = sockets;
+    this.maxDescriptors = maxDescriptors;
   }
 
-  /** Counts the descriptors that are held before the first connection. */
-  void begin() {
-    String[] files = new File("/proc/self/fd").list();
-    held = files == null ? RESERVE : files.length;
+  /** Counts the descriptors that the process holds before the first connection. */
+  void countInitialDescriptors() {
+    String[] descriptors = new File(OWN_DESCRIPTORS).list();
+    initialDescriptors = descriptors == null ? RESERVED_DESCRIPTORS : descriptors.length;
   }
 
-  /** Connections that may be held at once. */
-  int most() {
-    return Math.max(LEAST, sockets.getAsInt() - held - RESERVE);
+  /** Returns the number of connections that may be open at once. */
+  int maxConnections() {
+    int available = maxDescriptors.getAsInt() - initialDescriptors - RESERVED_DESCRIPTORS;
+    return Math.max(MIN_CONNECTIONS, available);
   }
 
-  /** Whether the selector is to turn to those it has before the next connection is taken. */
+  /** Returns whether the selector must process its connections before the next accept. */
   boolean mustPause() {
     synchronized (registry) {
-      accepts = accepts == MOST_ACCEPTS ? 0 : accepts + 1;
-      if (accepts == 0 || (registry.size() >= most() && registry.awaitsOpening())) {
-        accepts = 0;
-        return true;
+      acceptsInARow++;
+      boolean withinLimit = acceptsInARow <= MAX_ACCEPTS_IN_A_ROW;
+      if (withinLimit && !(isFull() && registry.isAwaitingOpening())) {
+        return false;
       }
-      return false;
+      acceptsInARow = 0;
+      return true;
     }
   }
 
-  /** The selector turns to those it has. */
-  void paused() {
-    accepts = 0;
+  /** Notes that the selector processes its connections now. */
+  void onPause() {
+    acceptsInARow = 0;
   }
 
-  /**
-   * Finds a place for a newcomer, by the eviction of an unidentified connection where none is free.
-   */
+  /** Decides on a new connection; an unidentified one is evicted for it if all are taken. */
   Admission admit() {
     synchronized (registry) {
-      if (registry.size() < most()) {
-        return new Admission(true, null);
+      if (!isFull()) {
+        return new Admission(true, Optional.empty());
       }
-      StreamConnection out = registry.takeEvictionCandidate();
-      return new Admission(out != null, out);
+      Optional<StreamConnection> evicted = registry.takeEvictionCandidate();
+      return new Admission(evicted.isPresent(), evicted);
     }
   }
+
+  private boolean isFull() {
+    return registry.size() >= maxConnections();
+  }
 }
--- a/src/main/java/pearusher/transport/ConnectionRegistry.java
+++ b/src/main/java/pearusher/transport/ConnectionRegistry.java
@@ -3,177 +3,228 @@
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import pearusher.config.Timeouts;
 
 /**
- * What the connections of the listening socket share: how many there are, which of them have not
- * said yet what they are and since when, which owe the rest of a message, and which wait for a
- * pong. All of it, and the fields of {@link StreamConnection} that say so, is guarded by this
- * object's monitor; any thread may call it. It grows with the connections.
+ * Tracks the connections of the listening socket: how many there are, which of them are
+ * unidentified and since when, which have sent only a part of a message, and which await a pong.
+ * Thread-safe: all state, that of its entries too, is guarded by this object's monitor. It grows
+ * with the connections.
  */
 final class ConnectionRegistry {
-  /**
-   * Silences (of discovery's time-outs) in which a message on an identified connection must be
-   * whole.
-   */
-  private static final int UNFINISHED_SILENCES = 6;
+  /** Idle timeouts within which an identified connection must complete a message. */
+  private static final int IDLE_TIMEOUTS_PER_MESSAGE = 6;
 
   private static final long NS_PER_MS = 1_000_000;
 
-  private final Set<StreamConnection> unidentified = new LinkedHashSet<>();
+  /** What the registry knows of one connection. */
+  static final class Entry {
+    private final StreamConnection connection;
+    private volatile boolean identified;
+    private volatile boolean hasReceived;
+    private boolean opened;
+    private boolean evicted;
+    private boolean closed;
+    private int pendingPings;
+    private long unidentifiedSinceNs;
+    private long unfinishedSinceNs;
+
+    Entry(StreamConnection connection) {
+      this.connection = connection;
+    }
+
+    /** Returns whether the peer has identified itself; any thread may ask. */
+    boolean isIdentified() {
+      return identified;
+    }
+
+    /** Notes that bytes were received. */
+    void onBytesReceived() {
+      hasReceived = true;
+    }
+  }
+
+  private final Set<Entry> unidentified = new LinkedHashSet<>();
 
-  /** Identified connections that owe the rest of a message. */
-  private final Set<StreamConnection> unfinished = new LinkedHashSet<>();
+  /** Identified connections that have sent only a part of a message. */
+  private final Set<Entry> unfinished = new LinkedHashSet<>();
 
-  /** Who waits for a pong until this assigner is ready. */
-  private final Set<StreamConnection> awaitingPong = new LinkedHashSet<>();
+  private final Set<Entry> awaitingPong = new LinkedHashSet<>();
 
-  /** Connections accepted and not closed yet, and those of them that are not open yet. */
+  /** Connections that were accepted and are not closed. */
   private int connections;
 
+  /** Those of them that are not open yet. */
   private int opening;
+
   private boolean ready;
 
-  synchronized void accepted() {
+  synchronized void onAccepted() {
     connections++;
     opening++;
   }
 
-  /** One ended before it was open, and never became a connection. */
-  synchronized void acceptFailed() {
+  /** Notes that an accepted connection failed before it was opened. */
+  synchronized void onAcceptFailed() {
     connections--;
     opening--;
   }
 
-  synchronized void opened(StreamConnection one) {
-    if (!one.closed) {
-      one.opened = true;
-      opening--;
-      one.unidentifiedSinceNs = System.nanoTime();
-      unidentified.add(one);
+  synchronized void onOpened(Entry entry) {
+    if (entry.closed) {
+      return;
     }
+    entry.opened = true;
+    opening--;
+    addUnidentified(entry);
   }
 
-  synchronized void closed(StreamConnection one) {
-    if (!one.closed) {
+  private void addUnidentified(Entry entry) {
+    entry.unidentifiedSinceNs = System.nanoTime();
+    unidentified.add(entry);
+  }
+
+  synchronized void onClosed(Entry entry) {
+    if (!entry.closed) {
       connections--;
-      opening -= one.opened ? 0 : 1;
+      opening -= entry.opened ? 0 : 1;
     }
-    unidentified.remove(one);
-    unfinished.remove(one);
-    awaitingPong.remove(one);
-    one.closed = true;
+    unidentified.remove(entry);
+    unfinished.remove(entry);
+    awaitingPong.remove(entry);
+    entry.closed = true;
   }
 
-  /** Connections that hold a descriptor. */
+  /** Returns the number of connections that hold a descriptor. */
   synchronized int size() {
     return connections;
   }
 
-  /** Whether nobody can go for a newcomer yet, but some connections are about to open. */
-  synchronized boolean awaitsOpening() {
+  /** Returns whether no connection can be evicted yet, but some are about to open. */
+  synchronized boolean isAwaitingOpening() {
     return unidentified.isEmpty() && opening > 0;
   }
 
   /**
-   * Who goes for a newcomer, and counts as unidentified no more: one that has sent nothing before
-   * one that has begun to, the longest connected first. Null: nobody can.
+   * Selects a connection to be evicted, which counts as unidentified no more: one that has sent
+   * nothing before one that has, and the oldest first.
+   *
+   * @return the connection; empty if all are identified
    */
-  synchronized StreamConnection takeEvictionCandidate() {
-    StreamConnection out =
+  synchronized Optional<StreamConnection> takeEvictionCandidate() {
+    Optional<Entry> candidate =
         unidentified.stream()
-            .filter(one -> !one.begun)
+            .filter(entry -> !entry.hasReceived)
             .findFirst()
-            .orElse(unidentified.isEmpty() ? null : unidentified.iterator().next());
-    unidentified.remove(out);
-    return out;
+            .or(() -> unidentified.stream().findFirst());
+    candidate.ifPresent(unidentified::remove);
+    return candidate.map(entry -> entry.connection);
   }
 
-  /** Whether a connection that was chosen to go still is to: not if it has joined since then. */
-  synchronized boolean evict(StreamConnection one) {
-    if (one.identified) {
+  /** Evicts a selected connection; returns false if it was identified since its selection. */
+  synchronized boolean evict(Entry entry) {
+    if (entry.identified) {
       return false;
     }
-    one.evicted = true;
+    entry.evicted = true;
     return true;
   }
 
   /**
-   * It has said what it is: {@code how} notes that, under the lock. Guards against a join that is
-   * read while the connection is being closed: the module would keep a proxy whose end nobody
-   * tells.
+   * Identifies a connection, unless it was closed or evicted. The callback runs under the monitor:
+   * otherwise a proxy could join on a connection whose end was already reported.
    */
-  synchronized void identify(StreamConnection one, Runnable how) {
-    if (one.closed || one.evicted) {
+  synchronized void identify(Entry entry, Runnable onIdentified) {
+    if (entry.closed || entry.evicted) {
       return;
     }
-    unidentified.remove(one);
-    how.run();
+    unidentified.remove(entry);
+    entry.identified = true;
+    onIdentified.run();
   }
 
-  /** Its proxy has a newer stream: it is closed like an unidentified one, a little later. */
-  synchronized void replaced(StreamConnection one) {
-    if (!one.closed) {
-      one.unidentifiedSinceNs = System.nanoTime();
-      unidentified.add(one);
+  /** Notes that the proxy has a newer stream: this one will be closed like an unidentified one. */
+  synchronized void onReplaced(Entry entry) {
+    if (!entry.closed) {
+      addUnidentified(entry);
     }
   }
 
   /**
-   * Notes since when the rest of a message is due. A good stream may be quiet for ever, but not in
-   * the midst of a message: who stops there is gone or can't be read any more, and would hold its
-   * place. {@code any}: a whole message came before the unfinished one.
+   * Notes since when a message is unfinished. An identified connection may be silent for ever, but
+   * not within a message: a peer that stops there has failed and would hold its place.
+   *
+   * @param entry the connection that was read
+   * @param completedAny whether a message was completed before the unfinished one
    */
-  synchronized void read(StreamConnection one, boolean any) {
-    if (!one.identified || one.closed || !one.isMidMessage()) {
-      unfinished.remove(one);
-    } else if (unfinished.add(one) || any) {
-      one.unfinishedSinceNs = System.nanoTime();
+  synchronized void onRead(Entry entry, boolean completedAny) {
+    if (!entry.identified || entry.closed || !entry.connection.isMidMessage()) {
+      unfinished.remove(entry);
+    } else if (unfinished.add(entry) || completedAny) {
+      entry.unfinishedSinceNs = System.nanoTime();
     }
   }
 
-  /** A ping came; whether a pong is due at once. */
-  synchronized boolean pinged(StreamConnection one) {
-    one.pings++;
+  /** Notes a ping; returns whether it may be answered at once. */
+  synchronized boolean onPing(Entry entry) {
+    entry.pendingPings++;
     if (!ready) {
-      awaitingPong.add(one);
+      awaitingPong.add(entry);
     }
     return ready;
   }
 
-  /** Pongs that are due. */
-  synchronized int takePings(StreamConnection one) {
-    int due = one.pings;
-    one.pings = 0;
-    return due;
+  /** Returns the number of pongs that a connection is due, and resets it. */
+  synchronized int takePendingPings(Entry entry) {
+    int pendingPings = entry.pendingPings;
+    entry.pendingPings = 0;
+    return pendingPings;
   }
 
-  /** From now on pings are answered at once; returns who waits, whose time begins anew. */
-  synchronized List<StreamConnection> ready() {
+  /**
+   * Marks the assigner as ready: from now on pings are answered at once.
+   *
+   * @return the connections that await a pong, whose time to identify themselves starts anew
+   */
+  synchronized List<StreamConnection> markReady() {
     ready = true;
-    List<StreamConnection> waiting = List.copyOf(awaitingPong);
+    long nowNs = System.nanoTime();
+    List<StreamConnection> waiting = new ArrayList<>();
+    for (Entry entry : awaitingPong) {
+      entry.unidentifiedSinceNs = nowNs;
+      waiting.add(entry.connection);
+    }
     awaitingPong.clear();
-    waiting.forEach(one -> one.unidentifiedSinceNs = System.nanoTime());
     return waiting;
   }
 
-  /** Connections whose time to say what they are, or for the rest of a message, is over. */
+  /** Returns the connections whose time to identify themselves or to end a message is over. */
   synchronized List<StreamConnection> overdue(Timeouts timeouts) {
-    List<StreamConnection> out = new ArrayList<>();
     long nowNs = System.nanoTime();
-    int limitMs = timeouts.identificationMs();
-    for (StreamConnection one : unidentified) {
-      long mayMs = one.proxy >= 0 ? Math.max(limitMs, timeouts.idleMs()) : limitMs;
-      if (nowNs - one.unidentifiedSinceNs >= mayMs * NS_PER_MS
-          && (ready || !awaitingPong.contains(one))) {
-        out.add(one);
+    List<StreamConnection> overdue = new ArrayList<>();
+    for (Entry entry : unidentified) {
+      if (nowNs - entry.unidentifiedSinceNs >= identificationLimitNs(entry, timeouts)
+          && (ready || !awaitingPong.contains(entry))) {
+        overdue.add(entry.connection);
       }
     }
-    long unfinishedNs = (long) UNFINISHED_SILENCES * timeouts.idleMs() * NS_PER_MS;
-    unfinished.stream()
-        .filter(one -> nowNs - one.unfinishedSinceNs >= unfinishedNs)
-        .forEach(out::add);
-    return out;
+    long unfinishedLimitNs = (long) IDLE_TIMEOUTS_PER_MESSAGE * timeouts.idleMs() * NS_PER_MS;
+    for (Entry entry : unfinished) {
+      if (nowNs - entry.unfinishedSinceNs >= unfinishedLimitNs) {
+        overdue.add(entry.connection);
+      }
+    }
+    return overdue;
+  }
+
+  /** A replaced stream of a proxy has at least the time after which its silence is noticed. */
+  private static long identificationLimitNs(Entry entry, Timeouts timeouts) {
+    long limitMs = timeouts.identificationMs();
+    if (entry.connection.isProxyStream()) {
+      limitMs = Math.max(limitMs, timeouts.idleMs());
+    }
+    return limitMs * NS_PER_MS;
   }
 }
--- /dev/null
+++ b/src/main/java/pearusher/transport/PeerIdentity.java
@@ -0,0 +1,45 @@
+package pearusher.transport;
+
+/**
+ * What the other end of a connection has identified itself as.
+ *
+ * @param role what it is
+ * @param proxy the number of the proxy, or {@link #NO_PROXY}
+ */
+record PeerIdentity(Role role, int proxy) {
+  enum Role {
+    UNIDENTIFIED,
+    COLLECTOR,
+    PROXY
+  }
+
+  private static final int NO_PROXY = -1;
+
+  static final PeerIdentity UNIDENTIFIED = new PeerIdentity(Role.UNIDENTIFIED, NO_PROXY);
+  static final PeerIdentity COLLECTOR = new PeerIdentity(Role.COLLECTOR, NO_PROXY);
+
+  static PeerIdentity ofProxy(int proxy) {
+    return new PeerIdentity(Role.PROXY, proxy);
+  }
+
+  boolean isProxy() {
+    return role == Role.PROXY;
+  }
+
+  boolean isProxy(int number) {
+    return isProxy() && proxy == number;
+  }
+
+  boolean isCollector() {
+    return role == Role.COLLECTOR;
+  }
+
+  /** Describes the peer for log lines. */
+  String describe() {
+    return switch (role) {
+      case UNIDENTIFIED -> "an unidentified peer";
+      case COLLECTOR -> "a collector";
+      case PROXY -> "proxy " + proxy;
+    };
+  }
+}
--- a/src/main/java/pearusher/transport/RejectionLog.java
+++ b/src/main/java/pearusher/transport/RejectionLog.java
@@ -1,39 +1,25 @@
 package pearusher.transport;
 
 import org.tinylog.Logger;
+import pearusher.logging.RepeatedEvent;
 
-/**
- * Logs what connections sent in vain, at 1, 2, 4, 8 ... of each kind: they come by hundreds. Any
- * thread may call it; its counters are guarded by the monitor of the {@link ConnectionRegistry}.
- */
+/** Logs rejected connections and messages, which may come by hundreds. Thread-safe. */
 final class RejectionLog {
-  private final ConnectionRegistry registry;
-  private long refused;
-  private long dropped;
+  private final RepeatedEvent connections = new RepeatedEvent();
+  private final RepeatedEvent messages = new RepeatedEvent();
 
-  RejectionLog(ConnectionRegistry registry) {
-    this.registry = registry;
+  /** Logs that an unidentified connection was closed, for what it sent or for its descriptor. */
+  void connectionRejected(String cause) {
+    connections.record(
+        count ->
+            Logger.warn(
+                "unidentified connections rejected: {} so far, the last: {}", count, cause));
   }
 
-  /** An unidentified connection was turned away for what it sent, or for want of a descriptor. */
-  void refused(String who, String why) {
-    long count;
-    synchronized (registry) {
-      count = ++refused;
-    }
-    if (Long.bitCount(count) == 1) {
-      Logger.warn("strangers refused: {} so far, the last was {}: {}", count, who, why);
-    }
-  }
-
-  /** A message on an identified connection was dropped. */
-  void dropped(String who, String why) {
-    long count;
-    synchronized (registry) {
-      count = ++dropped;
-    }
-    if (Long.bitCount(count) == 1) {
-      Logger.warn("messages dropped: {} so far, the last from {}: {}", count, who, why);
-    }
+  /** Logs that a message on an identified connection was dropped. */
+  void messageDropped(String sender, String cause) {
+    messages.record(
+        count ->
+            Logger.warn("messages dropped: {} so far, the last from {}: {}", count, sender, cause));
   }
 }
--- a/src/main/java/pearusher/transport/ResetAwareEndPoint.java
+++ b/src/main/java/pearusher/transport/ResetAwareEndPoint.java
@@ -11,10 +11,20 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Jetty's end point, but a reset is told as a failure: its own reads a reset and an orderly close
- * alike, as the end of the input. Both sides use it; it must never do more than read.
+ * An end point that reports a reset of its connection as a failure. Jetty's own reports a reset and
+ * an orderly close alike, as the end of the input. Its threads are those of its selector.
  */
 public final class ResetAwareEndPoint extends SocketChannelEndPoint {
+  private static final int END_OF_INPUT = -1;
+
+  /**
+   * Creates an end point.
+   *
+   * @param channel the socket channel
+   * @param selector the selector that the channel is registered with
+   * @param key the channel's registration
+   * @param scheduler runs idle timeouts
+   */
   public ResetAwareEndPoint(
       SelectableChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler) {
     super((SocketChannel) channel, selector, key, scheduler);
@@ -23,20 +33,20 @@
   @Override
   public int fill(ByteBuffer buffer) throws IOException {
     if (isInputShutdown()) {
-      return -1;
+      return END_OF_INPUT;
     }
     int start = BufferUtil.flipToFill(buffer);
-    int read;
+    int count;
     try {
-      read = getChannel().read(buffer);
+      count = getChannel().read(buffer);
     } finally {
       BufferUtil.flipToFlush(buffer, start);
     }
-    if (read > 0) {
+    if (count > 0) {
       notIdle();
-    } else if (read < 0) {
+    } else if (count < 0) {
       shutdownInput();
     }
-    return read;
+    return count;
   }
 }
--- a/src/main/java/pearusher/transport/SendQueue.java
+++ b/src/main/java/pearusher/transport/SendQueue.java
@@ -8,34 +8,36 @@
 import org.eclipse.jetty.util.IteratingCallback;
 
 /**
- * The messages that wait to be written to one connection, in their order. Any thread may add one;
- * they are written one after the other, by whichever thread runs {@link #iterate}. It grows with
- * what the other end leaves unread, and tells when that is over {@link #MOST_UNREAD}.
+ * Writes messages to one connection, one after the other in their order. Any thread may add one;
+ * the thread that runs {@link #iterate} writes. It grows with what the peer leaves unread, up to
+ * {@link #MAX_UNSENT_BYTES}.
  */
 final class SendQueue extends IteratingCallback {
-  /**
-   * Bytes that a proxy may leave unread here, beyond what the kernel holds, until its stream is
-   * ended.
-   */
-  static final int MOST_UNREAD = 512 << 10;
+  /** Bytes that may be unsent, beyond what the kernel buffers, until the stream is closed. */
+  static final int MAX_UNSENT_BYTES = 512 << 10;
 
   private final EndPoint endPoint;
-  private final Consumer<Throwable> failed;
+  private final Consumer<Throwable> onFailure;
   private final ArrayDeque<byte[]> unsent = new ArrayDeque<>();
   private long unsentBytes;
 
-  /** {@code failed} hears of a write that failed. */
-  SendQueue(EndPoint endPoint, Consumer<Throwable> failed) {
+  /**
+   * Creates a queue.
+   *
+   * @param endPoint the connection to write to
+   * @param onFailure called with the cause if a write fails
+   */
+  SendQueue(EndPoint endPoint, Consumer<Throwable> onFailure) {
     this.endPoint = endPoint;
-    this.failed = failed;
+    this.onFailure = onFailure;
   }
 
-  /** Adds a message; false if more waits now than may. */
+  /** Adds a message; returns false if more bytes are unsent now than may be. */
   boolean add(byte[] message) {
     synchronized (unsent) {
       unsentBytes += message.length;
       unsent.add(message);
-      return unsentBytes <= MOST_UNREAD;
+      return unsentBytes <= MAX_UNSENT_BYTES;
     }
   }
 
@@ -47,29 +49,27 @@
 
   @Override
   protected Action process() {
-    byte[] next;
+    byte[] message;
     synchronized (unsent) {
-      next = unsent.poll();
+      message = unsent.poll();
     }
-    if (next == null) {
+    if (message == null) {
       return Action.IDLE;
     }
-    int size = next.length;
-    endPoint.write(
-        Callback.from(
-            () -> {
-              synchronized (unsent) {
-                unsentBytes -= size;
-              }
-              succeeded();
-            },
-            this::failed),
-        ByteBuffer.wrap(next));
+    int size = message.length;
+    endPoint.write(Callback.from(() -> onSent(size), this::failed), ByteBuffer.wrap(message));
     return Action.SCHEDULED;
   }
 
+  private void onSent(int size) {
+    synchronized (unsent) {
+      unsentBytes -= size;
+    }
+    succeeded();
+  }
+
   @Override
   protected void onCompleteFailure(Throwable cause) {
-    failed.accept(cause);
+    onFailure.accept(cause);
   }
 }
--- a/src/main/java/pearusher/transport/StreamConnection.java
+++ b/src/main/java/pearusher/transport/StreamConnection.java
@@ -5,11 +5,9 @@
 import java.util.List;
 import java.util.concurrent.Executor;
 import java.util.function.BooleanSupplier;
-import java.util.function.Supplier;
 import org.eclipse.jetty.io.AbstractConnection;
 import org.eclipse.jetty.io.EndPoint;
 import org.tinylog.Logger;
-import pearusher.config.AssignerConfig;
 import pearusher.control.Controller;
 import pearusher.control.ProxyStream;
 import pearusher.protocol.MalformedMessageException;
@@ -20,256 +18,296 @@
 import pearusher.protocol.RespReader;
 
 /**
- * One connection of the listening socket. Who has not said what it is counts as unidentified:
- * whatever else it sends ends it. On an identified one a message that makes no sense costs that
- * message alone, since its end would leave a proxy's time limits running; what can't be framed ends
- * it. One thread at a time reads; any may send or end it. It grows with what it has read of a
- * message and with what waits to be sent, both bounded.
+ * One connection of the listening socket: the stream of a proxy, a collector, or unidentified. One
+ * thread at a time reads; any thread may send or close. It grows with the received part of a
+ * message and with what is to be sent, both bounded.
+ *
+ * <p>An unidentified connection is closed for anything but a ping or an identification. On an
+ * identified one a malformed message is dropped alone, since closing the stream would leave the
+ * proxy's time limits running; bytes that cannot be framed close it.
  */
 public final class StreamConnection extends AbstractConnection implements ProxyStream {
-  /** Bytes that an unidentified connection's message may have: a joining needs a hundred. */
-  private static final int MOST_UNIDENTIFIED = 8 << 10;
+  /**
+   * Maximum size of a message on an unidentified connection; a proxy's join has a hundred bytes.
+   */
+  private static final int MAX_UNIDENTIFIED_MESSAGE_BYTES = 8 << 10;
 
-  /** Reads after which a sender without pause gives way to others. */
-  private static final int MOST_READS = 16;
+  /** Reads after which a peer that sends without pause yields to others. */
+  private static final int MAX_READS_IN_A_ROW = 16;
 
-  /** What all connections of a socket have in common. */
-  record Shared(
-      Controller exchange,
+  /**
+   * What all connections of a socket share.
+   *
+   * @param controller receives the messages
+   * @param registry tracks the connections
+   * @param rejections logs rejected connections and messages
+   * @param decoder decodes the messages
+   * @param isStopping whether the server closes its connections
+   * @param buffers a buffer for the reads of each thread
+   */
+  record Context(
+      Controller controller,
       ConnectionRegistry registry,
-      RejectionLog log,
-      Supplier<AssignerConfig> config,
-      BooleanSupplier stopping,
+      RejectionLog rejections,
+      MessageDecoder decoder,
+      BooleanSupplier isStopping,
       ThreadLocal<ByteBuffer> buffers) {}
 
-  private final Shared shared;
+  private final Context context;
   private final ConnectionRegistry registry;
-  private final RespReader reader = new RespReader(MOST_UNIDENTIFIED);
-  private final SendQueue unsent;
-  private volatile boolean collector;
-
-  /** A collector's own number, for the shares of a flood. */
-  private final int origin;
-
-  /** Its place among all that were taken; connections are made by several threads, in any order. */
-  private final long taken;
-
-  private TerminationReason ending;
+  private final ConnectionRegistry.Entry entry = new ConnectionRegistry.Entry(this);
+  private final RespReader reader = new RespReader(MAX_UNIDENTIFIED_MESSAGE_BYTES);
+  private final SendQueue sendQueue;
 
-  /** Set once it has joined; below 0: it is no proxy's. */
-  volatile int proxy = -1;
+  /** The source of a collector's reports, for fair queueing; proxies use their own number. */
+  private final int collectorSource;
 
-  /** It has said what it is, the first and only time. */
-  volatile boolean identified;
+  /** The position among all accepted connections, which several threads open in any order. */
+  private final long acceptOrder;
 
-  /** Some bytes of it came. */
-  volatile boolean begun;
+  private volatile PeerIdentity identity = PeerIdentity.UNIDENTIFIED;
 
-  // Guarded by the registry, which alone uses them.
+  /** The first reason for which this connection was closed; null while it is open. */
+  private TerminationReason terminationReason;
 
-  boolean opened;
-  boolean evicted;
-  boolean closed;
-  int pings;
-  long unidentifiedSinceNs;
-  long unfinishedSinceNs;
-
-  StreamConnection(EndPoint endPoint, Executor executor, Shared shared, long taken, int origin) {
+  StreamConnection(
+      EndPoint endPoint,
+      Executor executor,
+      Context context,
+      long acceptOrder,
+      int collectorSource) {
     super(endPoint, executor);
-    this.shared = shared;
-    this.taken = taken;
-    this.origin = origin;
-    registry = shared.registry();
-    unsent = new SendQueue(endPoint, cause -> end(TerminationReason.ofFailure(cause), null));
+    this.context = context;
+    this.acceptOrder = acceptOrder;
+    this.collectorSource = collectorSource;
+    registry = context.registry();
+    sendQueue = new SendQueue(endPoint, cause -> close(TerminationReason.ofFailure(cause)));
   }
 
   @Override
   public void onOpen() {
     super.onOpen();
-    registry.opened(this);
+    registry.onOpened(entry);
     fillInterested();
   }
 
   @Override
   public void onFillable() {
-    ByteBuffer buffer = shared.buffers().get();
     try {
-      boolean any = false;
-      for (int round = 0; round < MOST_READS; round++) {
-        buffer.clear().flip();
-        int n = getEndPoint().fill(buffer);
-        if (n < 0) {
-          end(TerminationReason.CLOSED, null);
-          return;
-        }
-        if (n == 0) {
-          break;
-        }
-        begun = true;
-        any |= messages(buffer);
-      }
-      registry.read(this, any);
-      fillInterested();
+      readAvailable(context.buffers().get());
     } catch (RespException e) {
-      end(TerminationReason.ofFault(e.kind()), e.getMessage());
+      close(TerminationReason.ofRespFault(e.kind()), e.getMessage());
     } catch (MalformedMessageException e) {
-      end(TerminationReason.MALFORMED, e.getMessage());
+      close(TerminationReason.MALFORMED, e.getMessage());
     } catch (IOException e) {
-      end(TerminationReason.RESET, null);
+      close(TerminationReason.RESET);
     } catch (RuntimeException e) {
-      Logger.error(e, "a fault of our own while reading");
-      end(TerminationReason.MALFORMED, "it could not be read");
+      Logger.error(e, "internal error while reading from {}", identity.describe());
+      close(TerminationReason.MALFORMED, "internal error");
     }
   }
 
-  /** Takes the messages that are whole now; whether there were any. */
-  private boolean messages(ByteBuffer buffer) throws RespException, MalformedMessageException {
-    boolean any = false;
-    List<String> words;
-    while ((words = reader.next(buffer)) != null) {
-      any = true;
+  private void readAvailable(ByteBuffer buffer) throws IOException, MalformedMessageException {
+    boolean completedAny = false;
+    for (int reads = 0; reads < MAX_READS_IN_A_ROW; reads++) {
+      buffer.clear().flip();
+      int count = getEndPoint().fill(buffer);
+      if (count < 0) {
+        close(TerminationReason.CLOSED);
+        return;
+      }
+      if (count == 0) {
+        break;
+      }
+      entry.onBytesReceived();
+      completedAny |= processMessages(buffer);
+    }
+    registry.onRead(entry, completedAny);
+    fillInterested();
+  }
+
+  /** Processes all messages that are complete now; returns whether there were any. */
+  private boolean processMessages(ByteBuffer buffer)
+      throws RespException, MalformedMessageException {
+    boolean completedAny = false;
+    List<String> strings;
+    while ((strings = reader.next(buffer)) != null) {
+      completedAny = true;
       try {
-        AssignerConfig config = shared.config().get();
-        message(new MessageDecoder(config.names(), config.settings()).decode(words));
+        process(context.decoder().decode(strings));
       } catch (MalformedMessageException e) {
-        if (!identified) {
+        if (!entry.isIdentified()) {
           throw e;
         }
-        shared.log().dropped(who(), e.getMessage());
+        context.rejections().messageDropped(identity.describe(), e.getMessage());
       }
     }
-    return any;
+    return completedAny;
   }
 
-  private void message(Message message) throws MalformedMessageException {
-    Controller exchange = shared.exchange();
+  private void process(Message message) throws MalformedMessageException {
     if (message instanceof Message.Ping) {
-      if (registry.pinged(this)) {
-        pong();
-      }
-    } else if (!identified && message instanceof Message.CollectorHello) {
-      collector = true;
+      onPing();
+    } else if (!entry.isIdentified()) {
+      processUnidentified(message);
+    } else {
+      processIdentified(message);
+    }
+  }
+
+  private void onPing() {
+    if (registry.onPing(entry)) {
+      sendPongs();
+    }
+  }
+
+  private void processUnidentified(Message message) throws MalformedMessageException {
+    if (message instanceof Message.CollectorHello) {
+      identity = PeerIdentity.COLLECTOR;
       identify(() -> {});
-    } else if (!identified && message instanceof Message.ProxyJoin joined) {
-      identify(
-          () -> {
-            proxy = joined.proxy();
-            exchange.onProxyJoined(this, joined);
-          });
-    } else if (message instanceof Message.Acknowledgement applied
-        && identified
-        && proxy == applied.proxy()) {
-      exchange.onAcknowledgement(this, applied);
-    } else if (message instanceof Message.LoadReport heard && collector) {
-      exchange.onLoadReport(heard, origin);
-    } else if (message instanceof Message.UsageReport usage
-        && (collector || (identified && proxy == usage.proxy()))) {
-      exchange.onUsageReport(usage, collector ? origin : usage.proxy());
+    } else if (message instanceof Message.ProxyJoin join) {
+      identify(() -> onProxyJoin(join));
     } else {
-      throw new MalformedMessageException("no place for " + message);
+      processIdentified(message);
     }
   }
 
-  private void identify(Runnable how) {
+  private void onProxyJoin(Message.ProxyJoin join) {
+    identity = PeerIdentity.ofProxy(join.proxy());
+    context.controller().onProxyJoined(this, join);
+  }
+
+  private void identify(Runnable onIdentified) {
     registry.identify(
-        this,
+        entry,
         () -> {
-          identified = true;
           reader.setMaxMessageBytes(RespReader.MAX_MESSAGE_BYTES);
-          how.run();
+          onIdentified.run();
         });
   }
 
-  /** Whether a message has begun and is not whole yet. */
+  private void processIdentified(Message message) throws MalformedMessageException {
+    Controller controller = context.controller();
+    PeerIdentity sender = identity;
+    if (message instanceof Message.Acknowledgement ack && sender.isProxy(ack.proxy())) {
+      controller.onAcknowledgement(this, ack);
+    } else if (message instanceof Message.LoadReport report && sender.isCollector()) {
+      controller.onLoadReport(report, collectorSource);
+    } else if (message instanceof Message.UsageReport usage && sender.isCollector()) {
+      controller.onUsageReport(usage, collectorSource);
+    } else if (message instanceof Message.UsageReport usage && sender.isProxy(usage.proxy())) {
+      controller.onUsageReport(usage, usage.proxy());
+    } else {
+      throw new MalformedMessageException("unexpected message " + message);
+    }
+  }
+
+  /** Returns whether a message has begun and is incomplete. */
   boolean isMidMessage() {
     return reader.isMidMessage();
   }
 
-  /** Answers the pings that came. */
-  void pong() {
-    int due = registry.takePings(this);
-    for (int k = 0; k < due; k++) {
+  /** Returns whether this is the stream of a proxy. */
+  boolean isProxyStream() {
+    return identity.isProxy();
+  }
+
+  /** Answers the pings that were received and not answered yet. */
+  void sendPongs() {
+    int pendingPings = registry.takePendingPings(entry);
+    for (int k = 0; k < pendingPings; k++) {
       send(MessageEncoder.encodePong());
     }
   }
 
   @Override
   public void send(byte[] message) {
-    if (unsent.add(message)) {
-      getExecutor().execute(unsent::iterate);
-    } else {
-      getExecutor()
-          .execute(
-              () ->
-                  end(
-                      TerminationReason.SEND_BUFFER_FULL,
-                      SendQueue.MOST_UNREAD + " bytes wait for it"));
-    }
+    Runnable next = sendQueue.add(message) ? sendQueue::iterate : this::closeUnread;
+    getExecutor().execute(next);
+  }
+
+  private void closeUnread() {
+    close(
+        TerminationReason.SEND_BUFFER_FULL, "over " + SendQueue.MAX_UNSENT_BYTES + " bytes unsent");
   }
 
   @Override
   public long acceptOrder() {
-    return taken;
+    return acceptOrder;
   }
 
-  /** The proxy has a newer stream: this one is closed like an unidentified one, a little later. */
+  /** The proxy has a newer stream: this one is closed like an unidentified one, with a delay. */
   @Override
   public void onReplaced() {
-    registry.replaced(this);
+    registry.onReplaced(entry);
   }
 
   @Override
   public void onFillInterestedFailed(Throwable cause) {
-    end(TerminationReason.ofFailure(cause), null);
+    close(TerminationReason.ofFailure(cause));
     super.onFillInterestedFailed(cause);
   }
 
   /**
-   * Ends it for its descriptor, but not who has joined since it was chosen: the reserve has room.
+   * Closes this connection for its descriptor, unless the peer identified itself since it was
+   * selected: the descriptors in reserve suffice for that.
    */
   public void evict() {
-    if (registry.evict(this)) {
-      end(TerminationReason.EVICTED, null);
+    if (registry.evict(entry)) {
+      close(TerminationReason.EVICTED);
     }
   }
 
-  /** The one way in which a connection ends, whoever ends it; the first cause counts. */
-  void end(TerminationReason how, String why) {
-    synchronized (this) {
-      if (ending != null) {
-        return;
-      }
-      ending = how;
+  /** Closes this connection; of several reasons the first one counts. */
+  void close(TerminationReason reason) {
+    if (!setTerminationReason(reason)) {
+      return;
+    }
+    boolean expected = reason == TerminationReason.CLOSED || reason == TerminationReason.CANCELLED;
+    if (identity.isProxy() && !expected) {
+      Logger.info("connection of {} ended: {}", identity.describe(), reason);
+    }
+    getEndPoint().close();
+  }
+
+  /** Closes this connection for what the peer did. */
+  private void close(TerminationReason reason, String detail) {
+    if (!setTerminationReason(reason)) {
+      return;
     }
-    if (why != null && !identified) {
-      shared.log().refused(who(), how + ": " + why);
-    } else if (why != null) {
-      Logger.warn("connection of {} ended: {}: {}", who(), how, why);
-    } else if (proxy >= 0
-        && how != TerminationReason.CLOSED
-        && how != TerminationReason.CANCELLED) {
-      Logger.info("connection of {} ended: {}", who(), how);
+    if (entry.isIdentified()) {
+      Logger.warn("connection of {} ended: {}: {}", identity.describe(), reason, detail);
+    } else {
+      context.rejections().connectionRejected(reason + ": " + detail);
     }
     getEndPoint().close();
   }
 
-  private String who() {
-    return proxy >= 0 ? "proxy " + proxy : collector ? "a collector" : "a stranger";
+  private synchronized boolean setTerminationReason(TerminationReason reason) {
+    if (terminationReason != null) {
+      return false;
+    }
+    terminationReason = reason;
+    return true;
   }
 
   @Override
   public void onClose(Throwable cause) {
     super.onClose(cause);
-    end(
-        shared.stopping().getAsBoolean()
-            ? TerminationReason.CANCELLED
-            : cause == null ? TerminationReason.CLOSED : TerminationReason.ofFailure(cause),
-        null);
-    unsent.clear();
+    close(closeReason(cause));
+    sendQueue.clear();
     reader.close();
-    registry.closed(this);
-    if (proxy >= 0) {
-      shared.exchange().onStreamClosed(this, proxy);
+    registry.onClosed(entry);
+    PeerIdentity peer = identity;
+    if (peer.isProxy()) {
+      context.controller().onStreamClosed(this, peer.proxy());
+    }
+  }
+
+  private TerminationReason closeReason(Throwable cause) {
+    if (context.isStopping().getAsBoolean()) {
+      return TerminationReason.CANCELLED;
     }
+    return cause == null ? TerminationReason.CLOSED : TerminationReason.ofFailure(cause);
   }
 }
--- a/src/main/java/pearusher/transport/StreamServer.java
+++ b/src/main/java/pearusher/transport/StreamServer.java
@@ -8,6 +8,7 @@
 import java.nio.channels.SelectionKey;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
+import java.util.Optional;
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -19,137 +20,158 @@
 import pearusher.config.AssignerConfig;
 import pearusher.config.Timeouts;
 import pearusher.control.Controller;
+import pearusher.protocol.MessageDecoder;
 
 /**
- * The server side: the listening socket, which connections it takes ({@link AcceptPolicy}) and how
- * long they may stay unidentified ({@link ConnectionRegistry}). Each {@link StreamConnection} hands
- * its messages to the exchange and writes what that gives it, never waiting for a reader;
- * unidentified ones get a bounded time from connecting, whatever they send. It must never close the
- * stream of a proxy that is merely quiet or said something spoilt, nor know the module or
- * discovery.
+ * Listens for proxies and collectors, accepts their connections as {@link AcceptPolicy} decides,
+ * and closes those that are unidentified or within a message for too long. It never closes the
+ * stream of a proxy that is merely silent. Its threads are those of one selector and of the
+ * executor; it grows with the connections.
  */
 public final class StreamServer extends SelectorManager {
-  /** The time of unidentified connections is looked at so many times while it runs. */
-  private static final int LOOKS = 16;
+  private static final int SELECTORS = 1;
+  private static final int ACCEPT_BACKLOG = 1024;
+  private static final int READ_BUFFER_BYTES = 16 << 10;
+
+  /** How often connections are checked within the identification timeout. */
+  private static final int CHECKS_PER_TIMEOUT = 16;
 
   private volatile AssignerConfig config;
   private final Scheduler scheduler;
   private final ConnectionRegistry registry = new ConnectionRegistry();
-  private final RejectionLog log = new RejectionLog(registry);
-  private final AcceptPolicy policy;
-  private final StreamConnection.Shared shared;
-  private final AtomicInteger origins = new AtomicInteger();
-  private ServerSocketChannel server;
+  private final RejectionLog rejections = new RejectionLog();
+  private final AcceptPolicy acceptPolicy;
+  private final StreamConnection.Context context;
+
+  /** Counts the connections opened, which gives each its own number as a source of reports. */
+  private final AtomicInteger openedConnections = new AtomicInteger();
+
+  private ServerSocketChannel serverChannel;
 
-  /** Connections taken since the start; the selector's own thread counts them. */
-  private long taken;
+  /** Connections accepted since the start; only the accepting thread uses it. */
+  private long acceptedConnections;
 
   private volatile boolean stopping;
 
+  /**
+   * Creates a server, which does not listen yet.
+   *
+   * @param config the address to listen on, the timeouts and the names of messages
+   * @param controller receives the messages
+   * @param executor runs the connections
+   * @param scheduler runs timeouts
+   */
   public StreamServer(
-      AssignerConfig config, Controller exchange, Executor executor, Scheduler scheduler) {
-    super(executor, scheduler, 1);
+      AssignerConfig config, Controller controller, Executor executor, Scheduler scheduler) {
+    super(executor, scheduler, SELECTORS);
     this.config = config;
     this.scheduler = scheduler;
-    policy = new AcceptPolicy(registry, () -> this.config.maxDescriptors());
-    shared =
-        new StreamConnection.Shared(
-            exchange,
+    acceptPolicy = new AcceptPolicy(registry, () -> this.config.maxDescriptors());
+    context =
+        new StreamConnection.Context(
+            controller,
             registry,
-            log,
-            () -> this.config,
+            rejections,
+            new MessageDecoder(config.names(), config.settings()),
             () -> stopping,
-            ThreadLocal.withInitial(() -> ByteBuffer.allocate(16 << 10)));
-    // One that ends before it is open never becomes a connection, and would be counted for ever.
-    addEventListener(
-        new AcceptListener() {
-          @Override
-          public void onAcceptFailed(SelectableChannel channel, Throwable cause) {
-            registry.acceptFailed();
-          }
-        });
+            ThreadLocal.withInitial(() -> ByteBuffer.allocate(READ_BUFFER_BYTES)));
+    addEventListener(new AcceptFailureListener());
+  }
+
+  /** Uncounts channels that fail before they are open, for which no connection is created. */
+  private final class AcceptFailureListener implements AcceptListener {
+    @Override
+    public void onAcceptFailed(SelectableChannel channel, Throwable cause) {
+      registry.onAcceptFailed();
+    }
   }
 
-  /** Listens; the port is taken from here on, but no ping is answered before {@link #markReady}. */
+  /**
+   * Starts to listen. The port is taken from here on, but no ping is answered before {@link
+   * #markReady}.
+   *
+   * @return the address that the server listens on
+   * @throws Exception if the address is not available or the selector cannot be started
+   */
   public InetSocketAddress listen() throws Exception {
-    server = ServerSocketChannel.open();
-    server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-    server.bind(config.listen(), 1024);
-    server.configureBlocking(false);
+    serverChannel = ServerSocketChannel.open();
+    serverChannel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+    serverChannel.bind(config.listen(), ACCEPT_BACKLOG);
+    serverChannel.configureBlocking(false);
     start();
-    policy.begin();
-    acceptor(server);
+    acceptPolicy.countInitialDescriptors();
+    acceptor(serverChannel);
     closeOverdue();
-    return (InetSocketAddress) server.getLocalAddress();
+    return (InetSocketAddress) serverChannel.getLocalAddress();
   }
 
-  /** Time limits and descriptors of a new configuration; those who are connected stay. */
-  public void reload(AssignerConfig now) {
-    config = now;
+  /** Applies the timeouts and the descriptors of a reloaded configuration. */
+  public void reload(AssignerConfig reloaded) {
+    config = reloaded;
   }
 
-  /** Connections that may be held at once. */
+  /** Returns the number of connections that may be open at once. */
   public int maxConnections() {
-    return policy.most();
+    return acceptPolicy.maxConnections();
   }
 
-  /** Ends the connections whose time is over, again and again. */
+  /** Closes the connections whose time is over, and schedules the next check. */
   private void closeOverdue() {
     Timeouts timeouts = config.timeouts();
-    registry.overdue(timeouts).forEach(one -> one.end(TerminationReason.TIMED_OUT, null));
+    for (StreamConnection connection : registry.overdue(timeouts)) {
+      connection.close(TerminationReason.TIMED_OUT);
+    }
     if (!stopping) {
       scheduler.schedule(
           () -> getExecutor().execute(this::closeOverdue),
-          Math.max(1, timeouts.identificationMs() / LOOKS),
+          Math.max(1, timeouts.identificationMs() / CHECKS_PER_TIMEOUT),
           TimeUnit.MILLISECONDS);
     }
   }
 
-  /** From now on pings are answered, those that wait first. */
+  /** Answers pings from now on, those that were received before at once. */
   public void markReady() {
-    registry.ready().forEach(StreamConnection::pong);
+    registry.markReady().forEach(StreamConnection::sendPongs);
   }
 
   @Override
   protected void doStop() throws Exception {
-    if (server != null) {
-      server.close();
+    if (serverChannel != null) {
+      serverChannel.close();
     }
     stopping = true;
     super.doStop();
   }
 
   /**
-   * The next connection. Where descriptors run short an unidentified one goes for it. While those
-   * in the way are still closing newcomers wait in the kernel; where proxies and collectors hold
-   * everything they are closed at once.
+   * Accepts the next connection. If descriptors run short, an unidentified connection is evicted
+   * for it. While evicted ones are still closing, new ones wait in the kernel; if all are held by
+   * proxies and collectors, new ones are closed at once.
    */
   @Override
   protected SelectableChannel doAccept(SelectableChannel listening) throws IOException {
-    if (policy.mustPause()) {
+    if (acceptPolicy.mustPause()) {
       return null;
     }
-    // Only who has come needs a place: the last look, at an empty queue, must cost nobody his.
-    SelectableChannel made = super.doAccept(listening);
-    if (made == null) {
-      policy.paused();
+    // Accepts before it admits, so that nothing is evicted if no connection is waiting.
+    SelectableChannel channel = super.doAccept(listening);
+    if (channel == null) {
+      acceptPolicy.onPause();
       return null;
     }
-    AcceptPolicy.Admission admission = policy.admit();
-    if (!admission.taken()) {
-      made.close();
-      policy.paused();
-      log.refused("a newcomer", "no descriptor is left");
+    AcceptPolicy.Admission admission = acceptPolicy.admit();
+    if (!admission.accepted()) {
+      channel.close();
+      acceptPolicy.onPause();
+      rejections.connectionRejected("no descriptor is left");
       return null;
     }
-    if (admission.evicted() != null) {
-      admission.evicted().evict();
-    }
-    return made;
+    admission.evicted().ifPresent(StreamConnection::evict);
+    return channel;
   }
 
-  /** Who goes for a newcomer, for tests of what may cross it. */
-  public StreamConnection takeEvictionCandidate() {
+  /** Selects a connection to be evicted, for tests of races with it. */
+  public Optional<StreamConnection> takeEvictionCandidate() {
     return registry.takeEvictionCandidate();
   }
 
@@ -157,8 +179,8 @@
   protected void accepted(SelectableChannel channel) throws IOException {
     channel.configureBlocking(false);
     ((SocketChannel) channel).setOption(StandardSocketOptions.TCP_NODELAY, true);
-    registry.accepted();
-    accept(channel, ++taken);
+    registry.onAccepted();
+    accept(channel, ++acceptedConnections);
   }
 
   @Override
@@ -169,11 +191,13 @@
 
   @Override
   public Connection newConnection(SelectableChannel channel, EndPoint endPoint, Object attachment) {
-    return new StreamConnection(
-        endPoint, getExecutor(), shared, (Long) attachment, -1 - origins.getAndIncrement());
+    long acceptOrder = (Long) attachment;
+    // Sources below 0 are collectors, others proxies.
+    int collectorSource = -1 - openedConnections.getAndIncrement();
+    return new StreamConnection(endPoint, getExecutor(), context, acceptOrder, collectorSource);
   }
 
-  /** Connections that hold a descriptor, for tests of what must not grow. */
+  /** Returns the number of connections that hold a descriptor. */
   public int connections() {
     return registry.size();
   }
--- a/src/main/java/pearusher/transport/TerminationReason.java
+++ b/src/main/java/pearusher/transport/TerminationReason.java
@@ -8,75 +8,97 @@
 import pearusher.protocol.RespException;
 
 /**
- * Every way in which a connection can end, on either side, and what it means to the module: for a
- * probe by {@link #healthCheckResult}, for discovery by {@link #isCompleted}; a proxy's stream has
- * been left in every case. This is the one place of that mapping. It must never tell when to try
- * again.
+ * The reasons why a connection, of either side, can end, and what each means for a health check.
+ * The stream of a proxy has left whatever the reason.
  */
 public enum TerminationReason {
-  /** An answer of status 200, whole. */
+  /** A complete response of status 200. */
   COMPLETED(HealthCheckResult.OK),
-  /** Status 503: draining, too busy or out of service for now. */
+  /** Status 503: the server is draining, overloaded or out of service for now. */
   UNAVAILABLE(HealthCheckResult.REJECTED),
   /** Any other status. */
   ERROR_STATUS(HealthCheckResult.ERROR),
   /** The connection was refused: the process is down. */
   REFUSED(HealthCheckResult.UNREACHABLE),
-  /** The connection never came up, or nobody knows the way. */
+  /** The connection never came up, or there is no address. */
   UNREACHABLE(HealthCheckResult.UNREACHABLE),
-  /** Connected, and nothing more came within the time-out. */
+  /** The connection was up, and nothing more came within the timeout. */
   TIMED_OUT(HealthCheckResult.TIMED_OUT),
-  /** The other end closed in order: the normal end of a stream, or an answer that broke off. */
+  /** The peer closed in order: the normal end of a stream, or a truncated response. */
   CLOSED(HealthCheckResult.DISCONNECTED),
-  /** The other end reset. */
+  /** The peer reset the connection. */
   RESET(HealthCheckResult.DISCONNECTED),
-  /** What came can't be read; this side closed. */
+  /** What the peer sent cannot be parsed; this side closed. */
   MALFORMED(HealthCheckResult.DISCONNECTED),
-  /** More came than is allowed; this side closed. */
+  /** The peer sent more than is allowed; this side closed. */
   TOO_LONG(HealthCheckResult.DISCONNECTED),
-  /** The other end left too much unread; this side closed. */
+  /** The peer left too much unread; this side closed. */
   SEND_BUFFER_FULL(HealthCheckResult.OTHER),
-  /** An unidentified connection that said nothing, closed for its descriptor. */
+  /** An unidentified connection was closed for its descriptor. */
   EVICTED(HealthCheckResult.OTHER),
-  /** This side wanted it no more. */
+  /** This side no longer needs the connection. */
   CANCELLED(HealthCheckResult.OTHER);
 
-  private final HealthCheckResult probe;
+  private static final int STATUS_OK = 200;
+  private static final int STATUS_UNAVAILABLE = 503;
 
-  TerminationReason(HealthCheckResult probe) {
-    this.probe = probe;
+  private final HealthCheckResult healthCheckResult;
+
+  TerminationReason(HealthCheckResult healthCheckResult) {
+    this.healthCheckResult = healthCheckResult;
   }
 
+  /** Returns the result of a health check whose connection ended so. */
   public HealthCheckResult healthCheckResult() {
-    return probe;
+    return healthCheckResult;
   }
 
+  /** Returns whether a complete and successful response was received. */
   public boolean isCompleted() {
     return this == COMPLETED;
   }
 
+  /**
+   * Returns the reason that a complete response stands for.
+   *
+   * @param status the status of the response
+   */
   public static TerminationReason ofStatus(int status) {
-    return status == 200 ? COMPLETED : status == 503 ? UNAVAILABLE : ERROR_STATUS;
+    return switch (status) {
+      case STATUS_OK -> COMPLETED;
+      case STATUS_UNAVAILABLE -> UNAVAILABLE;
+      default -> ERROR_STATUS;
+    };
   }
 
-  /** What is wrong with the bytes that came. */
-  static TerminationReason ofFault(RespException.Kind kind) {
+  /** Returns the reason that bytes stand for which are no RESP message. */
+  static TerminationReason ofRespFault(RespException.Kind kind) {
     return switch (kind) {
       case MALFORMED -> MALFORMED;
       case TOO_LONG -> TOO_LONG;
     };
   }
 
-  /** What failed while connecting. */
-  public static TerminationReason ofConnect(Throwable failure) {
-    boolean late = String.valueOf(failure.getMessage()).contains("timed out");
-    return failure instanceof ConnectException && !late ? REFUSED : UNREACHABLE;
+  /**
+   * Returns the reason that a failure to connect stands for.
+   *
+   * @param failure what was thrown while connecting
+   */
+  public static TerminationReason ofConnectFailure(Throwable failure) {
+    // The JDK reports a timeout by the kernel as a refusal with this text.
+    boolean timedOut = String.valueOf(failure.getMessage()).contains("timed out");
+    return failure instanceof ConnectException && !timedOut ? REFUSED : UNREACHABLE;
   }
 
-  /** What failed on a connection that was up. */
+  /**
+   * Returns the reason that a failure on an established connection stands for.
+   *
+   * @param failure what was thrown while reading or writing
+   */
   public static TerminationReason ofFailure(Throwable failure) {
-    return failure instanceof TimeoutException || failure instanceof SocketTimeoutException
-        ? TIMED_OUT
-        : failure instanceof IOException ? RESET : CLOSED;
+    if (failure instanceof TimeoutException || failure instanceof SocketTimeoutException) {
+      return TIMED_OUT;
+    }
+    return failure instanceof IOException ? RESET : CLOSED;
   }
 }
--- a/src/test/java/pearusher/server/AssignerProcessTest.java
+++ b/src/test/java/pearusher/server/AssignerProcessTest.java
@@ -195,7 +195,7 @@
           () ->
               log("log")
                   .contains(
-                      "WARN strangers refused: 1 so far, the last was a stranger: MALFORMED: not"
+                      "WARN unidentified connections rejected: 1 so far, the last: MALFORMED: not"
                           + " RESP"));
       stranger.send(
           new DatagramPacket(
--- a/src/test/java/pearusher/server/AssignerServerTest.java
+++ b/src/test/java/pearusher/server/AssignerServerTest.java
@@ -251,7 +251,7 @@
             ? bad.substring(1).getBytes(StandardCharsets.UTF_8)
             : TestPeers.say(bad));
     TestPeers.until("its end", () -> stranger.ended);
-    logged("WARN strangers refused: 1 so far, the last was a stranger: ");
+    logged("WARN unidentified connections rejected: 1 so far, the last: ");
     assertEquals(List.of(), module.told);
   }
 
@@ -388,7 +388,7 @@
             });
       }
     }
-    logged("WARN connection of proxy 3 ended: SEND_BUFFER_FULL: 524288 bytes wait for it");
+    logged("WARN connection of proxy 3 ended: SEND_BUFFER_FULL: over 524288 bytes unsent");
     assertEquals(List.of(), quick.held.faults);
     assertFalse(quick.ended);
     stopped.close();
--- a/src/test/java/pearusher/server/RaceTest.java
+++ b/src/test/java/pearusher/server/RaceTest.java
@@ -402,11 +402,7 @@
         new TestPeers.ProxyClient(at, new TestPeers.AppliedUpdates(CLASSES));
     List<StreamConnection> chosen = new ArrayList<>();
     TestPeers.until(
-        "it is chosen",
-        () -> {
-          StreamConnection out = streams.takeEvictionCandidate();
-          return out != null && chosen.add(out);
-        });
+        "it is chosen", () -> streams.takeEvictionCandidate().map(chosen::add).orElse(false));
     if (!joinsFirst) {
       chosen.get(0).evict();
       TestPeers.until("its end", () -> one.ended);
--- a/src/test/java/pearusher/transport/TerminationReasonTest.java
+++ b/src/test/java/pearusher/transport/TerminationReasonTest.java
@@ -17,7 +17,7 @@
 import pearusher.protocol.RespException;
 
 class TerminationReasonTest {
-  private static final Map<TerminationReason, HealthCheckResult> PROBES =
+  private static final Map<TerminationReason, HealthCheckResult> HEALTH_CHECK_RESULTS =
       new EnumMap<>(
           Map.of(
               TerminationReason.COMPLETED,
@@ -43,33 +43,35 @@
 
   @ParameterizedTest
   @EnumSource(TerminationReason.class)
-  void everyEndingIsOneOutcome(TerminationReason ending) {
-    assertEquals(PROBES.getOrDefault(ending, HealthCheckResult.OTHER), ending.healthCheckResult());
-    assertEquals(ending == TerminationReason.COMPLETED, ending.isCompleted());
+  void everyReasonHasOneHealthCheckResult(TerminationReason reason) {
+    assertEquals(
+        HEALTH_CHECK_RESULTS.getOrDefault(reason, HealthCheckResult.OTHER),
+        reason.healthCheckResult());
+    assertEquals(reason == TerminationReason.COMPLETED, reason.isCompleted());
   }
 
   @Test
-  void causesBecomeEndings() {
+  void causesAreMappedToReasons() {
     assertEquals(TerminationReason.COMPLETED, TerminationReason.ofStatus(200));
     assertEquals(TerminationReason.UNAVAILABLE, TerminationReason.ofStatus(503));
     assertEquals(TerminationReason.ERROR_STATUS, TerminationReason.ofStatus(204));
     assertEquals(TerminationReason.ERROR_STATUS, TerminationReason.ofStatus(404));
     assertEquals(
         TerminationReason.REFUSED,
-        TerminationReason.ofConnect(new ConnectException("Connection refused")));
+        TerminationReason.ofConnectFailure(new ConnectException("Connection refused")));
     assertEquals(
         TerminationReason.UNREACHABLE,
-        TerminationReason.ofConnect(new ConnectException("Connection timed out")));
+        TerminationReason.ofConnectFailure(new ConnectException("Connection timed out")));
     assertEquals(
         TerminationReason.UNREACHABLE,
-        TerminationReason.ofConnect(new SocketTimeoutException("connect")));
+        TerminationReason.ofConnectFailure(new SocketTimeoutException("connect")));
     assertEquals(
         TerminationReason.UNREACHABLE,
-        TerminationReason.ofConnect(new NoRouteToHostException("none")));
+        TerminationReason.ofConnectFailure(new NoRouteToHostException("none")));
     assertEquals(
-        TerminationReason.MALFORMED, TerminationReason.ofFault(RespException.Kind.MALFORMED));
+        TerminationReason.MALFORMED, TerminationReason.ofRespFault(RespException.Kind.MALFORMED));
     assertEquals(
-        TerminationReason.TOO_LONG, TerminationReason.ofFault(RespException.Kind.TOO_LONG));
+        TerminationReason.TOO_LONG, TerminationReason.ofRespFault(RespException.Kind.TOO_LONG));
     assertEquals(TerminationReason.TIMED_OUT, TerminationReason.ofFailure(new TimeoutException()));
     assertEquals(
         TerminationReason.RESET,
