--- /dev/null
+++ b/src/main/java/pearusher/discovery/OutboundClient.java
@@ -0,0 +1,77 @@
+package pearusher.discovery;
+
+import java.util.concurrent.Executor;
+import org.eclipse.jetty.util.thread.Scheduler;
+import pearusher.config.AssignerConfig;
+import pearusher.control.Controller;
+import pearusher.control.OutboundCalls;
+
+/**
+ * Makes the assigner's calls by HTTP: watches and polls of discovery's list, and health checks of
+ * servers. Any thread may use it; it grows with the calls in flight.
+ */
+public final class OutboundClient implements OutboundCalls {
+  private final HttpConnector connector;
+  private final DiscoveryClient discovery;
+  private final HealthChecker healthChecker;
+
+  /**
+   * Creates a client, which is not started yet.
+   *
+   * @param config the address of discovery, the timeouts and the limits on lists
+   * @param controller receives the results
+   * @param executor runs the connections
+   * @param scheduler runs timeouts
+   */
+  public OutboundClient(
+      AssignerConfig config, Controller controller, Executor executor, Scheduler scheduler) {
+    connector = new HttpConnector(executor, scheduler);
+    connector.setConnectTimeout(config.timeouts().connectMs());
+    discovery = new DiscoveryClient(config, controller, connector);
+    healthChecker = new HealthChecker(config, controller, connector);
+  }
+
+  /**
+   * Starts the selector; calls may be made from here on.
+   *
+   * @throws Exception if it cannot be started
+   */
+  public void start() throws Exception {
+    connector.start();
+  }
+
+  /**
+   * Stops the selector and closes all connections.
+   *
+   * @throws Exception if it cannot be stopped
+   */
+  public void stop() throws Exception {
+    connector.stop();
+  }
+
+  /** Applies a reloaded configuration to the next calls; calls in flight end as they are. */
+  public void reload(AssignerConfig reloaded) {
+    connector.setConnectTimeout(reloaded.timeouts().connectMs());
+    discovery.reload(reloaded);
+    healthChecker.reload(reloaded);
+  }
+
+  @Override
+  public void watchEndpoints(boolean enabled, long sinceGeneration) {
+    if (enabled) {
+      discovery.startWatch(sinceGeneration);
+    } else {
+      discovery.stopWatch();
+    }
+  }
+
+  @Override
+  public void fetchEndpoints() {
+    discovery.fetch();
+  }
+
+  @Override
+  public void checkHealth(long server, String hostPort) {
+    healthChecker.check(server, hostPort);
+  }
+}
--- a/src/main/java/pearusher/server/AssignerServer.java
+++ b/src/main/java/pearusher/server/AssignerServer.java
@@ -18,7 +18,7 @@
 import pearusher.control.Controller;
 import pearusher.control.DurablePublisher;
 import pearusher.control.SynchronizedIntake;
-import pearusher.discovery.DiscoveryClient;
+import pearusher.discovery.OutboundClient;
 import pearusher.policy.AssignmentPolicy;
 import pearusher.policy.PolicyCommands;
 import pearusher.policy.PolicySettings;
@@ -41,7 +41,7 @@
   private final ScheduledExecutorScheduler scheduler =
       new ScheduledExecutorScheduler("timers", true);
   private final StreamServer streams;
-  private final DiscoveryClient outbound;
+  private final OutboundClient outbound;
   private final PeerSocket peers;
   private final Thread decisions;
 
@@ -67,7 +67,7 @@
     threads.setDaemon(true);
     exchange = new Controller(config, maker, clock, failed, durable, intake);
     streams = new StreamServer(config, exchange, threads, scheduler);
-    outbound = new DiscoveryClient(config, exchange, threads, scheduler);
+    outbound = new OutboundClient(config, exchange, threads, scheduler);
     peers = new PeerSocket(config, exchange, threads);
     exchange.connect(outbound, peers);
     decisions = new Thread(exchange::run, "decisions");
--- a/src/test/java/pearusher/server/AssignerProcessTest.java
+++ b/src/test/java/pearusher/server/AssignerProcessTest.java
@@ -180,7 +180,8 @@
       TestPeers.until(
           "back",
           () ->
-              log("log").contains("INFO discovery back") && log("log").contains("INFO list back"));
+              log("log").contains("INFO discovery recovered")
+                  && log("log").contains("INFO list back"));
       InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
       TestPeers.RespClient proxy = new TestPeers.RespClient(at);
       proxy.send("joined proxy 3 zone north weight 2.5 fresh 1");
--- a/src/test/java/pearusher/server/SimulatorParityTest.java
+++ b/src/test/java/pearusher/server/SimulatorParityTest.java
@@ -24,7 +24,7 @@
 import pearusher.config.AssignerConfig;
 import pearusher.control.Controller;
 import pearusher.control.OutboundCalls;
-import pearusher.discovery.DiscoveryClient;
+import pearusher.discovery.OutboundClient;
 import pearusher.policy.FaastPolicy;
 import pearusher.simulator.BatchWriter;
 import pearusher.simulator.SimulatorLoop;
@@ -251,7 +251,7 @@
     AssignerConfig config = example.read(dir);
     exchange = new Controller(config, FaastPolicy::new, clock::get, failure -> {});
     StreamServer server = new StreamServer(config, exchange, threads, scheduler);
-    DiscoveryClient outbound = new DiscoveryClient(config, exchange, threads, scheduler);
+    OutboundClient outbound = new OutboundClient(config, exchange, threads, scheduler);
     // Probes are left out: their answers come at times of their own.
     exchange.connect(
         new OutboundCalls() {
