--- a/src/test/java/pearusher/protocol/EndpointListReaderTest.java
+++ b/src/test/java/pearusher/protocol/EndpointListReaderTest.java
@@ -73,6 +73,29 @@
         values.requireLong("generation"), values.requireBoolean("reset"), endpoints);
   }
 
+  @Test
+  void listsAreDecoded() throws Exception {
+    EndpointList list =
+        TestPeers.read(
+            TestPeers.listing(
+                43,
+                false,
+                TestPeers.instance("a", "127.0.0.1:1", "south", "terminating", 1_700_000_000_123L),
+                TestPeers.instance("b", "127.0.0.1:2", "north", "terminated", 0),
+                TestPeers.instance("c", "127.0.0.1:3", "nowhere", "in_service", 0),
+                TestPeers.instance("d", "127.0.0.1:4", "north", "resting", 0)),
+            NAMES);
+    assertEquals(43, list.generation());
+    assertEquals(
+        List.of(
+            new Endpoint(
+                "a", "127.0.0.1:1", 1, 0, 0, Lifecycle.DRAINING, 1, 1_700_000_000_123_000L),
+            new Endpoint("b", "127.0.0.1:2", 0, 0, 0, Lifecycle.REMOVED, 1, 0),
+            new Endpoint("d", "127.0.0.1:4", 0, 0, 0, Lifecycle.DRAINING, 1, 0)),
+        list.endpoints());
+    assertTrue(!list.complete() && TestPeers.read(TestPeers.listing(0, true), NAMES).complete());
+  }
+
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 7, 64, 100_000})
   void piecesOfEverySizeGiveTheSameList(int pieceBytes) throws Exception {
