--- a/src/main/java/pearusher/server/AssignerServer.java
+++ b/src/main/java/pearusher/server/AssignerServer.java
@@ -20,7 +20,7 @@
 import pearusher.control.DurablePublisher;
 import pearusher.control.Persistence;
 import pearusher.control.SynchronizedIntake;
-import pearusher.discovery.DiscoveryClient;
+import pearusher.discovery.OutboundClient;
 import pearusher.policy.AssignmentPolicy;
 import pearusher.policy.PolicyCommands;
 import pearusher.policy.PolicySettings;
@@ -43,7 +43,7 @@
   private final ScheduledExecutorScheduler scheduler =
       new ScheduledExecutorScheduler("timers", true);
   private final StreamServer streams;
-  private final DiscoveryClient outbound;
+  private final OutboundClient outbound;
   private final PeerSocket peers;
   private final Thread decisions;
 
@@ -71,7 +71,7 @@
     exchange =
         new Controller(config, maker, clock, failed, persistence, Optional.ofNullable(intake));
     streams = new StreamServer(config, exchange, threads, scheduler);
-    outbound = new DiscoveryClient(config, exchange, threads, scheduler);
+    outbound = new OutboundClient(config, exchange, threads, scheduler);
     peers = new PeerSocket(config, exchange, threads);
     exchange.connect(outbound, peers);
     decisions = new Thread(exchange::run, "decisions");
--- a/src/test/java/pearusher/server/AssignerProcessTest.java
+++ b/src/test/java/pearusher/server/AssignerProcessTest.java
@@ -180,7 +180,7 @@
       TestPeers.until(
           "back",
           () ->
-              log("log").contains("INFO discovery back")
+              log("log").contains("INFO discovery recovered")
                   && log("log").contains("INFO endpoint list watch restored"));
       InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
       TestPeers.RespClient proxy = new TestPeers.RespClient(at);
@@ -196,7 +196,7 @@
           () ->
               log("log")
                   .contains(
-                      "WARN strangers refused: 1 so far, the last was a stranger: MALFORMED: not"
+                      "WARN unidentified connections rejected: 1 so far, the last: MALFORMED: not"
                           + " RESP"));
       stranger.send(
           new DatagramPacket(
