--- a/src/main/java/pearusher/store/CheckpointWriter.java
+++ b/src/main/java/pearusher/store/CheckpointWriter.java
@@ -27,7 +27,7 @@
   long write(long sequence, Map<String, byte[]> state) throws IOException {
     String name = StoreFiles.checkpoint(sequence);
     long bytes;
-    try (Disk.Out output = disk.create(StoreFiles.unfinished(name))) {
+    try (Disk.AppendFile output = disk.create(StoreFiles.unfinished(name))) {
       FilePreamble preamble = FilePreamble.of(FilePreamble.Kind.CHECKPOINT, storeId, sequence);
       output.write(ByteBuffer.wrap(preamble.encode()));
       writeRecords(output, sequence, state);
@@ -39,7 +39,7 @@
     return bytes;
   }
 
-  private static void writeRecords(Disk.Out output, long sequence, Map<String, byte[]> state)
+  private static void writeRecords(Disk.AppendFile output, long sequence, Map<String, byte[]> state)
       throws IOException {
     WriteBatch batch = new WriteBatch();
     long batchBytes = 0;
@@ -60,12 +60,12 @@
     writeRecord(output, new LogRecord(LogRecord.Type.END, index, sequence, size));
   }
 
-  private static void writeEntry(Disk.Out output, long index, long sequence, WriteBatch batch)
-      throws IOException {
+  private static void writeEntry(
+      Disk.AppendFile output, long index, long sequence, WriteBatch batch) throws IOException {
     writeRecord(output, new LogRecord(LogRecord.Type.ENTRY, index, sequence, batch.encode()));
   }
 
-  private static void writeRecord(Disk.Out output, LogRecord record) throws IOException {
+  private static void writeRecord(Disk.AppendFile output, LogRecord record) throws IOException {
     ByteBuffer bytes = ByteBuffer.allocate(record.length());
     record.encode(bytes);
     output.write(bytes.flip());
--- a/src/main/java/pearusher/store/Compactor.java
+++ b/src/main/java/pearusher/store/Compactor.java
@@ -88,7 +88,7 @@
       return;
     }
     String unfinished = StoreFiles.unfinished(StoreFiles.RESERVE);
-    try (Disk.Out output = disk.create(unfinished)) {
+    try (Disk.AppendFile output = disk.create(unfinished)) {
       for (long remaining = wanted; remaining > 0; remaining -= BLOCK_BYTES) {
         output.write(ByteBuffer.allocate(BLOCK_BYTES));
       }
--- a/src/main/java/pearusher/store/Disk.java
+++ b/src/main/java/pearusher/store/Disk.java
@@ -7,52 +7,56 @@
 import java.util.List;
 
 /**
- * The file layer under the store, one directory. What is written counts as there after a power cut
- * only once the file was synced, a new, renamed or deleted name only once the directory was. Names
- * have no path.
+ * The file system below a store: one directory. After a power failure, written bytes are certain to
+ * exist only if the file was synced since, and new, renamed and deleted names only if the directory
+ * was. File names have no path.
  */
 public interface Disk {
 
-  /** A file that only grows. */
-  interface Out extends Closeable {
+  /** A file that bytes are appended to. */
+  interface AppendFile extends Closeable {
     /** Writes all remaining bytes at the end. */
     void write(ByteBuffer bytes) throws IOException;
 
-    /** Returns once all that was written is on the device. */
+    /** Returns once everything that was written is durable. */
     void sync() throws IOException;
 
+    /** Length in bytes. */
     long size();
   }
 
-  /** Names of the files here, in no order. */
+  /** The names of all files, in no order. */
   List<String> list() throws IOException;
 
-  /** Begins a file; one of that name is an error. */
-  Out create(String name) throws IOException;
+  /** Creates an empty file; one that exists is an error. */
+  AppendFile create(String name) throws IOException;
 
-  /** Puts on the device what some process, perhaps killed since, wrote to a file. */
+  /** Makes durable what any process, perhaps killed since, wrote to a file. */
   void sync(String name) throws IOException;
 
+  /** Opens a file for reading. */
   InputStream open(String name) throws IOException;
 
   /** Length in bytes. */
   long size(String name) throws IOException;
 
-  /** Gives a file another name at once; an old file of that name is replaced. */
+  /** Renames a file atomically; an old file of the new name is replaced. */
   void rename(String from, String to) throws IOException;
 
+  /** Deletes a file; one that does not exist is no error. */
   void delete(String name) throws IOException;
 
-  /** Returns once the names as they stand are on the device. */
+  /** Returns once all names are durable. */
   void syncDirectory() throws IOException;
 
   /**
-   * Takes the directory for this process alone.
+   * Locks the directory for this process.
    *
+   * @return releases the lock when it is closed
    * @throws StoreException {@link StoreException.Reason#LOCKED} if another holds it
    */
   Closeable lock() throws IOException;
 
-  /** The directory, for messages. */
+  /** The name of the directory, for messages. */
   String describe();
 }
--- a/src/main/java/pearusher/store/FileDisk.java
+++ b/src/main/java/pearusher/store/FileDisk.java
@@ -16,12 +16,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.stream.Stream;
 
-/** A directory of this machine. */
+/** A directory of a file system. Any thread may use it. */
 public final class FileDisk implements Disk {
-  private static final String LOCK = "LOCK";
+  private static final String LOCK_FILE = "LOCK";
 
-  /** Directories that stores of this process hold. */
-  private static final Set<Path> HELD = ConcurrentHashMap.newKeySet();
+  /** Directories that stores of this process have locked. */
+  private static final Set<Path> LOCKED_DIRECTORIES = ConcurrentHashMap.newKeySet();
 
   private final Path directory;
 
@@ -29,13 +29,13 @@
     this.directory = directory;
   }
 
-  /** Makes the directory where it is missing, and its name durable in the one above. */
+  /** Creates the directory where it is missing, and makes its name durable in its parent. */
   public void createDirectory() throws IOException {
     if (!Files.isDirectory(directory)) {
       Files.createDirectories(directory);
-      Path above = directory.toAbsolutePath().getParent();
-      if (above != null) {
-        sync(above);
+      Path parent = directory.toAbsolutePath().getParent();
+      if (parent != null) {
+        sync(parent);
       }
     }
   }
@@ -43,16 +43,18 @@
   @Override
   public List<String> list() throws IOException {
     try (Stream<Path> all = Files.list(directory)) {
-      return all.map(p -> p.getFileName().toString()).filter(n -> !n.equals(LOCK)).toList();
+      return all.map(path -> path.getFileName().toString())
+          .filter(name -> !name.equals(LOCK_FILE))
+          .toList();
     }
   }
 
   @Override
-  public Out create(String name) throws IOException {
+  public AppendFile create(String name) throws IOException {
     FileChannel channel =
         FileChannel.open(
             directory.resolve(name), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
-    return new Out() {
+    return new AppendFile() {
       private long size;
 
       @Override
@@ -124,38 +126,38 @@
 
   @Override
   public Closeable lock() throws IOException {
-    Path here = directory.toRealPath();
-    // Within one process the system's lock guards nothing: closing a second channel would even
-    // release
-    // it.
-    if (!HELD.add(here)) {
-      throw inUse();
+    Path realPath = directory.toRealPath();
+    // A file lock does not exclude other channels of the same process: closing a second one would
+    // even release it.
+    if (!LOCKED_DIRECTORIES.add(realPath)) {
+      throw inUseException();
     }
     FileChannel channel = null;
     FileLock lock = null;
     try {
       channel =
-          FileChannel.open(here.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+          FileChannel.open(
+              realPath.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
       lock = channel.tryLock();
     } finally {
       if (lock == null) {
-        HELD.remove(here);
+        LOCKED_DIRECTORIES.remove(realPath);
         if (channel != null) {
           channel.close();
         }
       }
     }
     if (lock == null) {
-      throw inUse();
+      throw inUseException();
     }
-    FileChannel held = channel;
+    FileChannel lockedChannel = channel;
     return () -> {
-      held.close();
-      HELD.remove(here);
+      lockedChannel.close();
+      LOCKED_DIRECTORIES.remove(realPath);
     };
   }
 
-  private StoreException inUse() {
+  private StoreException inUseException() {
     return new StoreException(
         StoreException.Reason.LOCKED,
         "store "
--- a/src/main/java/pearusher/store/LogWriter.java
+++ b/src/main/java/pearusher/store/LogWriter.java
@@ -19,7 +19,7 @@
   private final Disk disk;
   private final long segmentBytes;
   private final long storeId;
-  private Disk.Out log;
+  private Disk.AppendFile log;
   private long nextSerial;
   private long nextSequence;
   private long confirmed;
--- a/src/main/java/pearusher/store/StoreException.java
+++ b/src/main/java/pearusher/store/StoreException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** Why a store can't be used; the text names the place, what is wrong there and what would help. */
+/** A store can't be used; the message names the place, the fault and a remedy. */
 public final class StoreException extends IOException {
   private static final long serialVersionUID = 1L;
 
-  /** The closed set of reasons. */
+  /** Why a store can't be used. */
   public enum Reason {
     /** Another process holds the directory. */
     LOCKED,
@@ -14,21 +14,21 @@
     NEWER,
     /** The directory is missing, unreadable or holds no store. */
     ABSENT,
-    /** What was once confirmed can't be read any more. */
+    /** Confirmed records can't be read any more. */
     DAMAGED,
-    /** A write or sync failed; the store takes no more. */
+    /** A write or sync failed; the store accepts no more batches. */
     FAILED
   }
 
   private final Reason reason;
 
-  StoreException(Reason reason, String text) {
-    super(text);
+  StoreException(Reason reason, String message) {
+    super(message);
     this.reason = reason;
   }
 
-  StoreException(Reason reason, String text, Throwable cause) {
-    super(text, cause);
+  StoreException(Reason reason, String message, Throwable cause) {
+    super(message, cause);
     this.reason = reason;
   }
 
--- a/src/main/java/pearusher/store/StoreOptions.java
+++ b/src/main/java/pearusher/store/StoreOptions.java
@@ -1,15 +1,15 @@
 package pearusher.store;
 
 /**
- * How a store works.
+ * Settings of a store.
  *
- * @param policy when what is appended counts as there
+ * @param policy when an appended batch counts as durable
  * @param intervalUs under {@link Policy#INTERVAL}: how long appends gather before they are synced
  *     together
- * @param segmentBytes a log file ends once it is longer
+ * @param segmentBytes length in bytes at which a log ends
  * @param compactBytes least length of all logs, in bytes, at which they are compacted
  * @param compactTimes and least multiple of the last checkpoint's length
- * @param onDamage what a start does about bytes that were confirmed once and can't be read
+ * @param onDamage what a start does about confirmed records that can't be read
  */
 public record StoreOptions(
     Policy policy,
@@ -19,26 +19,25 @@
     double compactTimes,
     Damage onDamage) {
 
-  /**
-   * Sync after each group that waits, after a time of gathering, or never (a killed process loses
-   * nothing).
-   */
+  /** When batches are synced. */
   public enum Policy {
+    /** As soon as the last sync is done, all that wait together. */
     EACH,
+    /** After an interval in which batches gather. */
     INTERVAL,
+    /** Never: a power failure may lose batches, a kill of the process none. */
     NONE
   }
 
-  /**
-   * Refuse to start, or go on from the last consistent state before the damage and say what is
-   * lost.
-   */
+  /** What a start does about damage. */
   public enum Damage {
+    /** It fails. */
     REFUSE,
+    /** It goes on from the last consistent state before the damage and reports what is lost. */
     STOP
   }
 
-  /** Values in force where nothing else is said. */
+  /** The default settings. */
   public static final StoreOptions DEFAULT =
       new StoreOptions(Policy.EACH, 20_000, 8 << 20, 1 << 20, 2, Damage.REFUSE);
 }
--- a/src/main/java/pearusher/store/package-info.java
+++ b/src/main/java/pearusher/store/package-info.java
@@ -1,7 +1,7 @@
 /**
- * A small embedded store: keyed values, changed by batches that are taken whole or not at all, kept
- * in a log and checkpoints of a directory. It owns that directory's files, their recovery and their
- * compaction. It must never know what the values mean, nor call anything a success that was not
+ * A small embedded store: keyed values, changed by atomic batches, kept in a write-ahead log and
+ * checkpoints in one directory. The package owns that directory's files, their recovery and their
+ * compaction. It does not know what the values mean, and reports nothing as durable before it is
  * synced as the policy says.
  */
 package pearusher.store;
--- a/src/test/java/pearusher/control/DurablePublisherTest.java
+++ b/src/test/java/pearusher/control/DurablePublisherTest.java
@@ -135,7 +135,7 @@
   /** Waits until the disk has done with the turn; false once the power went. */
   private boolean settle() throws InterruptedException {
     while (durable.pendingIterations() > 0) {
-      if (disk.gone && !durable.running()) {
+      if (disk.isPowerOff && !durable.running()) {
         return false;
       }
       Thread.sleep(0, 50_000);
@@ -219,7 +219,7 @@
   /**
    * Lives of an assigner that end with the power cut at a call; what is wrong at the end, or empty.
    */
-  private List<String> lives(long seed, int lives, SimDisk.Lie... lies) throws Exception {
+  private List<String> lives(long seed, int lives, SimDisk.SkippedSync... lies) throws Exception {
     Random random = new Random(seed);
     disk = new SimDisk(lies);
     try {
@@ -230,7 +230,7 @@
         }
         turn();
         settle();
-        disk.cutAt = disk.calls + 40 + random.nextInt(60);
+        disk.powerCutAtCall = disk.callCount + 40 + random.nextInt(60);
         int steps = 0;
         while (step(random) && steps < 200) {
           steps++;
@@ -368,7 +368,7 @@
     assertEquals(Set.of("s3"), check.held(2).open("lookup").keySet());
   }
 
-  private boolean seen(SimDisk.Lie lie) throws Exception {
+  private boolean seen(SimDisk.SkippedSync lie) throws Exception {
     for (long seed = 1; seed <= 25; seed++) {
       world();
       if (!lives(seed, 4, lie).isEmpty()) {
@@ -381,12 +381,12 @@
   /** Orders go out before they are on the device: marks fall back, and tables with them. */
   @Test
   void withoutTheSyncTheCheckerFails() throws Exception {
-    assertTrue(seen(SimDisk.Lie.SYNC));
+    assertTrue(seen(SimDisk.SkippedSync.FILE));
   }
 
   @Test
   void withoutTheSyncBeforeTheRenameTheCheckerFails() throws Exception {
-    assertTrue(seen(SimDisk.Lie.SYNC_UNFINISHED));
+    assertTrue(seen(SimDisk.SkippedSync.UNFINISHED_FILE));
   }
 
   /**
@@ -407,10 +407,10 @@
     }
     int before = check.orders;
     // A write of the log, which ends the store: a compaction that fails at this call would not.
-    disk.watch =
+    disk.callListener =
         (what, name) -> {
-          if (disk.failAt < 0 && what.equals("write") && name.startsWith("log-")) {
-            disk.failAt = disk.calls;
+          if (disk.failAtCall < 0 && what.equals("write") && name.startsWith("log-")) {
+            disk.failAtCall = disk.callCount;
           }
         };
     for (int k = 0; k < 30; k++) {
@@ -497,15 +497,15 @@
         turn();
         settle();
         String[] at = one.getKey().split(" ");
-        disk.watch =
+        disk.callListener =
             (what, name) -> {
               if (what.equals(at[0]) && name.contains(at[1])) {
-                disk.failAt = disk.calls;
+                disk.failAtCall = disk.callCount;
               }
             };
         Random random = new Random(5);
         if (at[1].equals("given-up")) {
-          disk.failAt = disk.calls + 1;
+          disk.failAtCall = disk.callCount + 1;
         }
         for (int k = 0; k < 30 && !at[0].equals("sync"); k++) {
           step(random);
--- a/src/test/java/pearusher/store/PowerCutTest.java
+++ b/src/test/java/pearusher/store/PowerCutTest.java
@@ -1,9 +1,10 @@
 package pearusher.store;
 
-import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.util.Optional;
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -11,65 +12,68 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/**
- * The power goes before each call of the file layer; what was not synced survives in any subset.
- */
+/** Power failures before each disk call; any subset of what was not synced survives. */
 class PowerCutTest {
-  private static final StoreOptions SMALL =
+  private static final StoreOptions SMALL_SEGMENTS =
       new StoreOptions(StoreOptions.Policy.EACH, 0, 200, 1, 2, StoreOptions.Damage.REFUSE);
 
-  /** A workload cut at a call, found again, and on; what was wrong, or null. */
-  private static String cut(long seed, int call, long subset, int rounds, SimDisk.Lie... lies)
+  /** Runs a workload with power cuts between restarts; what was wrong, empty for nothing. */
+  private static Optional<String> faultAfterPowerCuts(
+      long seed, int cutAtCall, long survivorSeed, int rounds, SimDisk.SkippedSync... skippedSyncs)
       throws IOException {
-    Workload work = new Workload(seed);
-    SimDisk disk = new SimDisk(lies);
-    Random random = new Random(subset);
+    Workload workload = new Workload(seed);
+    SimDisk disk = new SimDisk(skippedSyncs);
+    Random random = new Random(survivorSeed);
     for (int round = 0; round <= rounds; round++) {
-      disk.cutAt = round < rounds ? call : -1;
+      disk.powerCutAtCall = round < rounds ? cutAtCall : -1;
       try {
-        Store store = Store.open(disk, SMALL);
-        String wrong = work.check(store.takeRecovered());
-        if (wrong != null) {
-          return "round " + round + ": " + wrong;
+        Store store = Store.open(disk, SMALL_SEGMENTS);
+        Optional<String> fault = workload.checkAndAdopt(store.takeRecovered());
+        if (fault.isPresent()) {
+          return Optional.of("round " + round + ": " + fault.get());
         }
-        work.run(store, 14, true);
-        work.sync(store);
-        return null;
-      } catch (StoreException refused) {
-        return "round " + round + ": " + refused.getMessage();
-      } catch (SimDisk.PowerCut gone) {
+        workload.run(store, 14, true);
+        workload.sync(store);
+        return Optional.empty();
+      } catch (StoreException e) {
+        return Optional.of("round " + round + ": " + e.getMessage());
+      } catch (SimDisk.PowerCut cut) {
         disk = disk.afterPowerCut(random);
       }
     }
-    return null;
+    return Optional.empty();
   }
 
   @Test
-  void atEachCall() throws IOException {
-    int cuts = 0;
-    for (int call = 0; call < 120; call++) {
-      for (long subset = 0; subset < 12; subset++) {
-        assertNull(cut(call % 5, call, subset, 1), "call " + call + ", subset " + subset);
-        cuts++;
+  void storeIsConsistentAfterAPowerCutAtEachCall() throws IOException {
+    int checked = 0;
+    for (int cutAtCall = 0; cutAtCall < 120; cutAtCall++) {
+      for (long survivorSeed = 0; survivorSeed < 12; survivorSeed++) {
+        assertEquals(
+            Optional.empty(),
+            faultAfterPowerCuts(cutAtCall % 5, cutAtCall, survivorSeed, 1),
+            "call " + cutAtCall + ", subset " + survivorSeed);
+        checked++;
       }
     }
-    assertTrue(cuts == 1440);
+    assertTrue(checked == 1440);
   }
 
   @Property(seed = "2077", tries = 1500)
-  void twiceInARow(
+  void storeIsConsistentAfterRepeatedPowerCuts(
       @ForAll @LongRange(min = 0, max = 1000) long seed,
-      @ForAll @IntRange(max = 90) int call,
-      @ForAll long subset)
+      @ForAll @IntRange(max = 90) int cutAtCall,
+      @ForAll long survivorSeed)
       throws IOException {
-    assertNull(cut(seed, call, subset, 3));
+    assertEquals(Optional.empty(), faultAfterPowerCuts(seed, cutAtCall, survivorSeed, 3));
   }
 
-  /** Each defence taken out: some cut must then be seen by the checker. */
-  private static boolean seen(SimDisk.Lie lie) throws IOException {
-    for (int call = 0; call < 120; call++) {
-      for (long subset = 0; subset < 12; subset++) {
-        if (cut(call % 5, call, subset, 1, lie) != null) {
+  /** Whether some power cut shows a fault where the disk skips a kind of sync. */
+  private static boolean isDetectedWithout(SimDisk.SkippedSync skippedSync) throws IOException {
+    for (int cutAtCall = 0; cutAtCall < 120; cutAtCall++) {
+      for (long survivorSeed = 0; survivorSeed < 12; survivorSeed++) {
+        if (faultAfterPowerCuts(cutAtCall % 5, cutAtCall, survivorSeed, 1, skippedSync)
+            .isPresent()) {
           return true;
         }
       }
@@ -78,18 +82,18 @@
   }
 
   @Test
-  void withoutTheSyncTheCheckerFails() throws IOException {
-    assertTrue(seen(SimDisk.Lie.SYNC));
+  void skippedFileSyncIsDetected() throws IOException {
+    assertTrue(isDetectedWithout(SimDisk.SkippedSync.FILE));
   }
 
   @Test
-  void withoutTheDirectorysSyncTheCheckerFails() throws IOException {
-    assertTrue(seen(SimDisk.Lie.SYNC_DIRECTORY));
+  void skippedDirectorySyncIsDetected() throws IOException {
+    assertTrue(isDetectedWithout(SimDisk.SkippedSync.DIRECTORY));
   }
 
-  /** A rename before the content is synced: the name may then stand for half a checkpoint. */
+  /** Without it, a checkpoint may get its name before its content is durable. */
   @Test
-  void withoutTheSyncBeforeTheRenameTheCheckerFails() throws IOException {
-    assertTrue(seen(SimDisk.Lie.SYNC_UNFINISHED));
+  void skippedSyncBeforeRenameIsDetected() throws IOException {
+    assertTrue(isDetectedWithout(SimDisk.SkippedSync.UNFINISHED_FILE));
   }
 }
--- a/src/test/java/pearusher/store/SimDisk.java
+++ b/src/test/java/pearusher/store/SimDisk.java
@@ -17,14 +17,14 @@
 import java.util.function.BiConsumer;
 
 /**
- * A directory in memory that forgets what was not synced. Names and contents are durable apart from
- * each other; at a power cut any subset of the sectors and names not synced survives, drawn from a
- * seed.
+ * A simulated directory that forgets what was not synced. Names and contents become durable
+ * separately; at a power cut a random subset of the sectors and names that were not synced
+ * survives.
  */
 public final class SimDisk implements Disk {
-  private static final int SECTOR = 16;
+  private static final int SECTOR_BYTES = 16;
 
-  /** The power went: no code may catch this as an error of the disk. */
+  /** A power failure; an error, so that no code handles it as a failure of the disk. */
   public static final class PowerCut extends Error {
     private static final long serialVersionUID = 1L;
 
@@ -33,155 +33,156 @@
     }
   }
 
-  /** Defences that a test takes out: the call returns and does nothing. */
-  public enum Lie {
-    SYNC,
-    SYNC_DIRECTORY,
-    SYNC_UNFINISHED,
-    SYNC_LEFT
+  /** Kinds of syncs that a test disables: the call returns and does nothing. */
+  public enum SkippedSync {
+    FILE,
+    DIRECTORY,
+    UNFINISHED_FILE,
+    RECOVERED_FILE
   }
 
-  private record Piece(int at, byte[] bytes) {}
+  private record PendingWrite(int offset, byte[] bytes) {}
 
-  private static final class Node {
+  private static final class FileContent {
     byte[] durable = new byte[0];
-    byte[] seen = new byte[0];
-    final List<Piece> pending = new ArrayList<>();
+    byte[] visible = new byte[0];
+    final List<PendingWrite> pendingWrites = new ArrayList<>();
   }
 
-  private final Map<String, Node> names;
-  private final Map<String, Node> durableNames;
-  private final List<Runnable> pendingNames = new ArrayList<>();
-  private final Set<Lie> lies = EnumSet.noneOf(Lie.class);
-  private boolean held;
-  public volatile int calls;
+  private final Map<String, FileContent> files;
+  private final Map<String, FileContent> durableFiles;
+  private final List<Runnable> pendingNameChanges = new ArrayList<>();
+  private final Set<SkippedSync> skippedSyncs = EnumSet.noneOf(SkippedSync.class);
+  private boolean isLocked;
 
-  /** The power went. */
-  public volatile boolean gone;
+  /** Calls so far that change anything. */
+  public volatile int callCount;
 
-  /** The call at which the power goes, or at which the disk fails once; -1: never. */
-  public volatile int cutAt = -1;
+  /** Whether the power cut has happened. */
+  public volatile boolean isPowerOff;
 
-  public volatile int failAt = -1;
+  /** The call at which the power is cut; -1: never. */
+  public volatile int powerCutAtCall = -1;
 
-  /** What failed calls name; and the bytes left on a disk that can be full. */
-  long room = Long.MAX_VALUE;
+  /** The call that fails, once; -1: none. */
+  public volatile int failAtCall = -1;
 
-  /** Seen before each call that changes anything. */
-  public volatile BiConsumer<String, String> watch = (what, name) -> {};
+  /** Space for all files together. */
+  long capacityBytes = Long.MAX_VALUE;
 
-  public SimDisk(Lie... lies) {
-    this(new TreeMap<>(), lies);
+  /** Notified with the operation and file name before each call that changes anything. */
+  public volatile BiConsumer<String, String> callListener = (operation, name) -> {};
+
+  public SimDisk(SkippedSync... skippedSyncs) {
+    this(new TreeMap<>(), skippedSyncs);
   }
 
-  private SimDisk(Map<String, Node> names, Lie... lies) {
-    this.names = names;
-    durableNames = new TreeMap<>(names);
-    this.lies.addAll(List.of(lies));
+  private SimDisk(Map<String, FileContent> files, SkippedSync... skippedSyncs) {
+    this.files = files;
+    durableFiles = new TreeMap<>(files);
+    this.skippedSyncs.addAll(List.of(skippedSyncs));
   }
 
-  private synchronized void call(String what, String name) throws IOException {
-    watch.accept(what, name);
-    if (calls == cutAt) {
-      gone = true;
+  private synchronized void onCall(String operation, String name) throws IOException {
+    callListener.accept(operation, name);
+    if (callCount == powerCutAtCall) {
+      isPowerOff = true;
       throw new PowerCut();
     }
-    if (calls++ == failAt) {
-      throw new IOException("input/output error in " + what + " of " + name);
+    if (callCount++ == failAtCall) {
+      throw new IOException("input/output error in " + operation + " of " + name);
     }
   }
 
-  /** What a start after a power cut finds. */
+  /** The disk as a start after a power cut finds it. */
   public synchronized SimDisk afterPowerCut(Random random) {
-    for (Runnable one : pendingNames) {
+    for (Runnable change : pendingNameChanges) {
       if (random.nextBoolean()) {
-        one.run();
+        change.run();
       }
     }
-    Map<String, Node> left = new TreeMap<>();
-    durableNames.forEach(
-        (name, node) -> {
-          Node now = new Node();
-          now.durable = node.durable;
-          for (Piece piece : node.pending) {
-            for (int from = 0; from < piece.bytes().length; from += SECTOR) {
-              if (random.nextBoolean()) {
-                int to = Math.min(piece.bytes().length, from + SECTOR);
-                now.durable =
-                    lay(
-                        now.durable,
-                        piece.at() + from,
-                        Arrays.copyOfRange(piece.bytes(), from, to));
-              }
-            }
-          }
-          now.seen = now.durable;
-          left.put(name, now);
-        });
-    return new SimDisk(left, lies.toArray(Lie[]::new));
+    Map<String, FileContent> survivors = new TreeMap<>();
+    durableFiles.forEach((name, content) -> survivors.put(name, survivingContent(content, random)));
+    return new SimDisk(survivors, skippedSyncs.toArray(SkippedSync[]::new));
+  }
+
+  private static FileContent survivingContent(FileContent content, Random random) {
+    FileContent survivor = new FileContent();
+    survivor.durable = content.durable;
+    for (PendingWrite write : content.pendingWrites) {
+      for (int from = 0; from < write.bytes().length; from += SECTOR_BYTES) {
+        if (random.nextBoolean()) {
+          int to = Math.min(write.bytes().length, from + SECTOR_BYTES);
+          byte[] sector = Arrays.copyOfRange(write.bytes(), from, to);
+          survivor.durable = overlay(survivor.durable, write.offset() + from, sector);
+        }
+      }
+    }
+    survivor.visible = survivor.durable;
+    return survivor;
   }
 
-  /** The process was killed; the machine, and with it the page cache, goes on. */
+  /** The process is killed; the page cache stays. */
   public void kill() {
-    held = false;
-    cutAt = -1;
+    isLocked = false;
+    powerCutAtCall = -1;
   }
 
-  private static byte[] lay(byte[] on, int at, byte[] bytes) {
-    byte[] out = Arrays.copyOf(on, Math.max(on.length, at + bytes.length));
-    System.arraycopy(bytes, 0, out, at, bytes.length);
-    return out;
+  private static byte[] overlay(byte[] base, int offset, byte[] bytes) {
+    byte[] result = Arrays.copyOf(base, Math.max(base.length, offset + bytes.length));
+    System.arraycopy(bytes, 0, result, offset, bytes.length);
+    return result;
   }
 
   byte[] bytes(String name) {
-    return names.get(name).seen.clone();
+    return files.get(name).visible.clone();
   }
 
   /** The same files with one replaced, all durable. */
-  SimDisk with(String name, byte[] bytes) {
-    Map<String, Node> copy = new TreeMap<>();
-    names.forEach(
-        (n, node) -> {
-          Node now = new Node();
-          now.seen = n.equals(name) ? bytes : node.seen;
-          now.durable = now.seen;
-          copy.put(n, now);
+  SimDisk withFile(String name, byte[] bytes) {
+    Map<String, FileContent> copies = new TreeMap<>();
+    files.forEach(
+        (otherName, content) -> {
+          FileContent copy = new FileContent();
+          copy.visible = otherName.equals(name) ? bytes : content.visible;
+          copy.durable = copy.visible;
+          copies.put(otherName, copy);
         });
-    return new SimDisk(copy);
+    return new SimDisk(copies);
   }
 
   @Override
   public synchronized List<String> list() {
-    return List.copyOf(names.keySet());
+    return List.copyOf(files.keySet());
   }
 
   synchronized long size() {
-    return names.values().stream().mapToLong(n -> n.seen.length).sum();
+    return files.values().stream().mapToLong(content -> content.visible.length).sum();
   }
 
   @Override
-  public synchronized Out create(String name) throws IOException {
-    call("create", name);
-    if (names.containsKey(name)) {
+  public synchronized AppendFile create(String name) throws IOException {
+    onCall("create", name);
+    if (files.containsKey(name)) {
       throw new IOException(name + " is there already");
     }
-    Node node = new Node();
-    names.put(name, node);
-    pendingNames.add(() -> durableNames.put(name, node));
-    return new Out() {
+    FileContent content = new FileContent();
+    files.put(name, content);
+    pendingNameChanges.add(() -> durableFiles.put(name, content));
+    return new AppendFile() {
       @Override
       public void write(ByteBuffer bytes) throws IOException {
-        SimDisk.this.write(name, node, bytes);
+        SimDisk.this.write(name, content, bytes);
       }
 
       @Override
       public void sync() throws IOException {
-        SimDisk.this.sync(name, node);
+        SimDisk.this.sync(name, content);
       }
 
       @Override
       public long size() {
-        return node.seen.length;
+        return content.visible.length;
       }
 
       @Override
@@ -189,92 +190,95 @@
     };
   }
 
-  private synchronized void write(String name, Node node, ByteBuffer bytes) throws IOException {
-    call("write", name);
-    byte[] now = new byte[bytes.remaining()];
-    bytes.get(now);
-    if (size() + now.length > room) {
+  private synchronized void write(String name, FileContent content, ByteBuffer bytes)
+      throws IOException {
+    onCall("write", name);
+    byte[] copy = new byte[bytes.remaining()];
+    bytes.get(copy);
+    if (size() + copy.length > capacityBytes) {
       throw new IOException("no space left on device");
     }
-    node.pending.add(new Piece(node.seen.length, now));
-    node.seen = lay(node.seen, node.seen.length, now);
+    content.pendingWrites.add(new PendingWrite(content.visible.length, copy));
+    content.visible = overlay(content.visible, content.visible.length, copy);
   }
 
-  private synchronized void sync(String name, Node node) throws IOException {
-    call("sync", name);
-    boolean unfinished = StoreFiles.isUnfinished(name);
-    if (!lies.contains(Lie.SYNC) && !(unfinished && lies.contains(Lie.SYNC_UNFINISHED))) {
-      settle(node);
+  private synchronized void sync(String name, FileContent content) throws IOException {
+    onCall("sync", name);
+    boolean isUnfinished = StoreFiles.isUnfinished(name);
+    if (!skippedSyncs.contains(SkippedSync.FILE)
+        && !(isUnfinished && skippedSyncs.contains(SkippedSync.UNFINISHED_FILE))) {
+      makeDurable(content);
     }
   }
 
-  private static void settle(Node node) {
-    node.durable = node.seen;
-    node.pending.clear();
+  private static void makeDurable(FileContent content) {
+    content.durable = content.visible;
+    content.pendingWrites.clear();
   }
 
-  private synchronized Node node(String name) throws IOException {
-    Node node = names.get(name);
-    if (node == null) {
+  private synchronized FileContent content(String name) throws IOException {
+    FileContent content = files.get(name);
+    if (content == null) {
       throw new NoSuchFileException(name);
     }
-    return node;
+    return content;
   }
 
   @Override
   public synchronized void sync(String name) throws IOException {
-    call("sync", name);
-    if (!lies.contains(Lie.SYNC) && !lies.contains(Lie.SYNC_LEFT)) {
-      settle(node(name));
+    onCall("sync", name);
+    if (!skippedSyncs.contains(SkippedSync.FILE)
+        && !skippedSyncs.contains(SkippedSync.RECOVERED_FILE)) {
+      makeDurable(content(name));
     }
   }
 
   @Override
   public InputStream open(String name) throws IOException {
-    return new ByteArrayInputStream(node(name).seen);
+    return new ByteArrayInputStream(content(name).visible);
   }
 
   @Override
   public long size(String name) throws IOException {
-    return node(name).seen.length;
+    return content(name).visible.length;
   }
 
   @Override
   public synchronized void rename(String from, String to) throws IOException {
-    call("rename", from);
-    Node node = node(from);
-    names.remove(from);
-    names.put(to, node);
-    pendingNames.add(
+    onCall("rename", from);
+    FileContent content = content(from);
+    files.remove(from);
+    files.put(to, content);
+    pendingNameChanges.add(
         () -> {
-          durableNames.remove(from);
-          durableNames.put(to, node);
+          durableFiles.remove(from);
+          durableFiles.put(to, content);
         });
   }
 
   @Override
   public synchronized void delete(String name) throws IOException {
-    call("delete", name);
-    names.remove(name);
-    pendingNames.add(() -> durableNames.remove(name));
+    onCall("delete", name);
+    files.remove(name);
+    pendingNameChanges.add(() -> durableFiles.remove(name));
   }
 
   @Override
   public synchronized void syncDirectory() throws IOException {
-    call("sync", ".");
-    if (!lies.contains(Lie.SYNC_DIRECTORY)) {
-      pendingNames.forEach(Runnable::run);
-      pendingNames.clear();
+    onCall("sync", ".");
+    if (!skippedSyncs.contains(SkippedSync.DIRECTORY)) {
+      pendingNameChanges.forEach(Runnable::run);
+      pendingNameChanges.clear();
     }
   }
 
   @Override
   public Closeable lock() throws IOException {
-    if (held) {
+    if (isLocked) {
       throw new StoreException(StoreException.Reason.LOCKED, "store memory is in use");
     }
-    held = true;
-    return () -> held = false;
+    isLocked = true;
+    return () -> isLocked = false;
   }
 
   @Override
--- a/src/test/java/pearusher/store/Workload.java
+++ b/src/test/java/pearusher/store/Workload.java
@@ -5,60 +5,65 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.TreeMap;
 
-/**
- * Batches drawn from a seed, and what a correct store may hold after each: the checker of the
- * store, which knows nothing of its files.
- */
+/** Random batches from a seed, and the states that a correct store may hold after each. */
 final class Workload {
-  /** What was handed to the store by sequence: what stands at place s holds after batch s. */
+  /** The state after each batch, by its sequence. */
   private final List<Map<String, String>> states = new ArrayList<>(List.of(new TreeMap<>()));
 
   private final Random random;
 
-  /** The last sequence that the store called durable. */
+  /** The last sequence that the store reported as durable. */
   long confirmed;
 
-  private int made;
+  private int valueCount;
 
   Workload(long seed) {
     random = new Random(seed);
   }
 
-  static Map<String, String> text(Map<String, byte[]> state) {
-    Map<String, String> out = new TreeMap<>();
-    state.forEach((k, v) -> out.put(k, new String(v, StandardCharsets.UTF_8)));
-    return out;
+  static Map<String, String> asText(Map<String, byte[]> state) {
+    Map<String, String> text = new TreeMap<>();
+    state.forEach((key, value) -> text.put(key, asText(value)));
+    return text;
   }
 
-  private WriteBatch batch() {
-    WriteBatch out = new WriteBatch();
+  private static String asText(byte[] value) {
+    return new String(value, StandardCharsets.UTF_8);
+  }
+
+  private WriteBatch randomBatch() {
+    WriteBatch batch = new WriteBatch();
     for (int k = random.nextInt(3); k >= 0; k--) {
       String key = "key/" + random.nextInt(12);
       if (random.nextInt(4) == 0) {
-        out.delete(key);
+        batch.delete(key);
       } else {
-        out.put(
-            key,
-            ("value " + made++ + "x".repeat(random.nextInt(30))).getBytes(StandardCharsets.UTF_8));
+        batch.put(key, randomValue());
       }
     }
-    return out;
+    return batch;
+  }
+
+  private byte[] randomValue() {
+    String value = "value " + valueCount + "x".repeat(random.nextInt(30));
+    valueCount++;
+    return value.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Appends a batch and remembers what it makes. */
+  /** Appends a batch and remembers the state that it results in. */
   void append(Store store) throws IOException {
-    WriteBatch batch = batch();
+    WriteBatch batch = randomBatch();
     Map<String, String> state = new TreeMap<>(states.get(states.size() - 1));
     batch
         .changes()
         .forEach(
             (key, value) ->
                 value.ifPresentOrElse(
-                    bytes -> state.put(key, new String(bytes, StandardCharsets.UTF_8)),
-                    () -> state.remove(key)));
+                    bytes -> state.put(key, asText(bytes)), () -> state.remove(key)));
     states.add(state);
     long sequence = store.append(batch);
     if (sequence != states.size() - 1) {
@@ -70,14 +75,14 @@
     confirmed = store.sync();
   }
 
-  /** Appends, groups, syncs and compactions by turns, to the end or to the power cut. */
-  void run(Store store, int batches, boolean compacting) throws IOException {
+  /** Appends batches, with syncs and compactions between them. */
+  void run(Store store, int batches, boolean isCompacting) throws IOException {
     for (int k = 0; k < batches; k++) {
       append(store);
       if (random.nextInt(3) > 0) {
         sync(store);
       }
-      if (compacting && k % 9 == 8) {
+      if (isCompacting && k % 9 == 8) {
         Store.Sealed sealed = store.seal();
         confirmed = states.size() - 1L;
         // Appends go on while the rest of the compaction runs.
@@ -88,34 +93,39 @@
     }
   }
 
-  /**
-   * What is wrong with what a start found, or null; where nothing is, the workload goes on from
-   * there.
-   */
-  String check(Store.Recovered found) {
-    String wrong = wrong(found);
-    if (wrong == null) {
-      states.subList((int) found.sequence() + 1, states.size()).clear();
-      confirmed = found.sequence();
+  /** Checks a recovered state; where it is correct, the workload goes on from it. */
+  Optional<String> checkAndAdopt(Store.Recovered recovered) {
+    Optional<String> fault = findFault(recovered);
+    if (fault.isEmpty()) {
+      states.subList((int) recovered.sequence() + 1, states.size()).clear();
+      confirmed = recovered.sequence();
     }
-    return wrong;
+    return fault;
   }
 
-  String wrong(Store.Recovered found) {
-    int at = (int) found.sequence();
-    if (at >= states.size()) {
-      return "sequence " + at + " was never appended, the last is " + (states.size() - 1);
+  /** What is wrong with a recovered state; empty for nothing. */
+  Optional<String> findFault(Store.Recovered recovered) {
+    int sequence = (int) recovered.sequence();
+    if (sequence >= states.size()) {
+      return Optional.of(
+          "sequence " + sequence + " was never appended, the last is " + lastSequence());
     }
-    if (!states.get(at).equals(text(found.state()))) {
-      return "at " + at + " it holds " + text(found.state()) + ", not " + states.get(at);
+    if (!states.get(sequence).equals(asText(recovered.state()))) {
+      return Optional.of(
+          "at "
+              + sequence
+              + " it holds "
+              + asText(recovered.state())
+              + ", not "
+              + states.get(sequence));
     }
-    if (at < confirmed) {
-      return "confirmed up to " + confirmed + ", found " + at;
+    if (sequence < confirmed) {
+      return Optional.of("confirmed up to " + confirmed + ", found " + sequence);
     }
-    return null;
+    return Optional.empty();
   }
 
-  int last() {
+  int lastSequence() {
     return states.size() - 1;
   }
 }
