--- a/src/main/java/pearusher/intake/QueuedReport.java
+++ b/src/main/java/pearusher/intake/QueuedReport.java
@@ -1,27 +1,30 @@
 package pearusher.intake;
 
 /**
- * A report that waits.
+ * A load report in the intake.
  *
- * @param origin who sent it: a proxy's number, or below 0 a collector's
- * @param subject what its sums are of: reports of one origin about the same add up
- * @param ageUs how long ago its span ended, as it is let through
+ * @param origin the sender: a proxy's number, or below 0 a collector's
+ * @param subject what the totals are of: reports of one origin about the same subject add up
+ * @param ageUs estimated time in microseconds since the end of its span, when it is delivered
  */
 public record QueuedReport(int origin, Subject subject, ReportTotals totals, long ageUs) {
 
-  /** A report that came just now. */
+  /** A report that has just arrived. */
   public QueuedReport(int origin, Subject subject, ReportTotals totals) {
     this(origin, subject, totals, 0);
   }
 
-  QueuedReport aged(long us) {
-    return new QueuedReport(origin, subject, totals, us);
+  QueuedReport withAge(long newAgeUs) {
+    return new QueuedReport(origin, subject, totals, newAgeUs);
   }
 
-  /** What a report's sums are of. */
+  /** What a report's totals are of. */
   public sealed interface Subject {}
 
-  /** Tries of a zone's proxies at a server, by its name. */
+  // The records below are keys of a hash map for each report: their hashCode and equals are written
+  // out because the generated ones are slower.
+
+  /** Attempts of a zone's proxies at a server, given by its name. */
   public record ServerAttempts(String server, int zone) implements Subject {
     @Override
     public int hashCode() {
@@ -30,11 +33,13 @@
 
     @Override
     public boolean equals(Object other) {
-      return other instanceof ServerAttempts t && t.zone == zone && t.server.equals(server);
+      return other instanceof ServerAttempts that
+          && that.zone == zone
+          && that.server.equals(server);
     }
   }
 
-  /** Requests of a class that came to a proxy. */
+  /** Requests of a class that arrived at a proxy. */
   public record ProxyRequests(int proxy, int requestClass) implements Subject {
     @Override
     public int hashCode() {
@@ -43,7 +48,9 @@
 
     @Override
     public boolean equals(Object other) {
-      return other instanceof ProxyRequests r && r.proxy == proxy && r.requestClass == requestClass;
+      return other instanceof ProxyRequests that
+          && that.proxy == proxy
+          && that.requestClass == requestClass;
     }
   }
 }
--- a/src/main/java/pearusher/intake/ReportAgeEstimator.java
+++ b/src/main/java/pearusher/intake/ReportAgeEstimator.java
@@ -4,87 +4,95 @@
 import java.util.Map;
 
 /**
- * How old a report is, from what is known without a clock of the sender's. Reports of one origin
- * about the same follow one another and each covers its span, so of several that wait together only
- * the last can be of now: each is as old as what the ones behind it cover. And where, after a
- * silence, they come faster than the time that they cover, they are what the silence held back: the
- * second of them is as old as the silence, less what was covered since, and so on until it is made
- * up for. A single report after a silence is of now: nothing happened, or it was lost.
+ * Estimates how old a report is without a clock of its sender.
  *
- * <p>A clock that jumps back makes nobody old. Ages of one source never run backwards in time: what
- * was reported later is not taken for older than what came before it, but for that single report
- * after a silence, whose age was a guess until the next one came.
+ * <p>Reports of one source follow one another and each covers its span. So of several that wait
+ * together only the last can be current: each is as old as what the ones behind it cover. Where,
+ * after a silence, reports come faster than the time that they cover, they were delayed during the
+ * silence: the second of them is as old as the silence, less what was covered since, and so on
+ * until the silence is covered. A single report after a silence counts as current: either nothing
+ * happened, or earlier reports were lost.
+ *
+ * <p>A clock that jumps back makes no report older. The ends of a source's spans never run
+ * backwards in time, except after that single report, whose age was a guess until the next one
+ * arrived.
+ *
+ * <p>It grows with the sources, up to the given number.
  */
 final class ReportAgeEstimator {
-  /** Share of a report's span that must pass until the next one of it is at its pace. */
-  private static final double PACE = 0.5;
+  /** A report that arrives sooner than this part of its span was delayed. */
+  private static final double MIN_PART_OF_SPAN = 0.5;
+
+  private static final long UNKNOWN_US = Long.MIN_VALUE;
 
-  /** What is known of an origin's reports about one thing. */
-  private static final class Seen {
-    long lastUs;
+  private static final class SourceHistory {
+    long lastReportUs;
 
-    /** Time that a silence held back and that no report has covered since. */
-    long heldUs;
+    /** The part of a silence that no report has covered yet. */
+    long uncoveredUs;
 
-    /** The silence before the last report: it was one if another follows too soon. */
-    long gapUs;
+    /** The silence before the last report, which counts if the next one follows too soon. */
+    long silenceUs;
 
-    /** The last report's end of its span, by the estimate: never runs back. */
-    long endUs = Long.MIN_VALUE;
+    /** Estimated end of the last report's span. */
+    long spanEndUs = UNKNOWN_US;
 
-    /** The same before the last report. */
-    long endBeforeUs = Long.MIN_VALUE;
+    /** Estimated end of the span before it. */
+    long previousSpanEndUs = UNKNOWN_US;
   }
 
-  private final Map<ReportSource, Seen> seen;
+  private final Map<ReportSource, SourceHistory> histories;
 
-  /** {@code most}: sources that are remembered, those heard of longest ago go first. */
-  ReportAgeEstimator(int most) {
-    seen =
+  /** An estimator that remembers so many sources, the ones that reported last. */
+  ReportAgeEstimator(int maxSources) {
+    histories =
         new LinkedHashMap<>(16, 0.75f, true) {
           private static final long serialVersionUID = 1L;
 
           @Override
-          protected boolean removeEldestEntry(Map.Entry<ReportSource, Seen> eldest) {
-            return size() > most;
+          protected boolean removeEldestEntry(Map.Entry<ReportSource, SourceHistory> eldest) {
+            return size() > maxSources;
           }
         };
   }
 
   /**
-   * The age of a report's end as it is let through.
+   * Estimates the age of the end of a report's span when the report is delivered.
    *
    * @param behindUs spans of the reports of the same source that wait behind it
-   * @return microseconds, 0 for now
+   * @return microseconds, 0 for current
    */
-  long age(QueuedReport item, long behindUs, long nowUs) {
-    Seen at = seen.computeIfAbsent(ReportSource.of(item), s -> new Seen());
-    long span = item.totals().spanUs();
-    if (at.endUs != Long.MIN_VALUE && nowUs >= at.lastUs) {
-      long passed = nowUs - at.lastUs;
-      if (passed < PACE * span) {
-        // Too soon for its span: the silence before the last report was none, its reports were
-        // held.
-        at.heldUs = Math.max(at.heldUs, at.gapUs) - span;
-        at.endUs = at.gapUs > 0 ? at.endBeforeUs : at.endUs;
-        at.gapUs = 0;
-      } else {
-        at.heldUs = 0;
-        at.gapUs = Math.max(0, passed - span);
-      }
+  long estimateAgeUs(QueuedReport report, long behindUs, long nowUs) {
+    SourceHistory history =
+        histories.computeIfAbsent(ReportSource.of(report), ignored -> new SourceHistory());
+    boolean hasJumpedBack = nowUs < history.lastReportUs;
+    if (hasJumpedBack) {
+      history.silenceUs = 0;
+    } else if (history.spanEndUs != UNKNOWN_US) {
+      updateSilence(history, report.totals().spanUs(), nowUs - history.lastReportUs);
+    }
+    history.lastReportUs = nowUs;
+    long ageUs = Math.max(behindUs, Math.max(0, history.uncoveredUs));
+    history.previousSpanEndUs = history.spanEndUs;
+    history.spanEndUs = Math.max(history.spanEndUs, nowUs - ageUs);
+    return Math.max(0, nowUs - history.spanEndUs);
+  }
+
+  private static void updateSilence(SourceHistory history, long spanUs, long elapsedUs) {
+    if (elapsedUs >= MIN_PART_OF_SPAN * spanUs) {
+      history.uncoveredUs = 0;
+      history.silenceUs = Math.max(0, elapsedUs - spanUs);
+      return;
     }
-    if (nowUs < at.lastUs) {
-      // A clock that jumped back measures no silence.
-      at.gapUs = 0;
+    // The reports of the silence before the last one were delayed: its estimate was wrong.
+    history.uncoveredUs = Math.max(history.uncoveredUs, history.silenceUs) - spanUs;
+    if (history.silenceUs > 0) {
+      history.spanEndUs = history.previousSpanEndUs;
     }
-    at.lastUs = nowUs;
-    long age = Math.max(behindUs, Math.max(0, at.heldUs));
-    at.endBeforeUs = at.endUs;
-    at.endUs = Math.max(at.endUs, nowUs - age);
-    return Math.max(0, nowUs - at.endUs);
+    history.silenceUs = 0;
   }
 
   int size() {
-    return seen.size();
+    return histories.size();
   }
 }
--- a/src/main/java/pearusher/intake/ReportSource.java
+++ b/src/main/java/pearusher/intake/ReportSource.java
@@ -1,21 +1,22 @@
 package pearusher.intake;
 
-/** What reports that follow one another share: who sends them, and what they are of. */
-record ReportSource(int origin, QueuedReport.Subject about) {
-  static ReportSource of(QueuedReport item) {
-    return new ReportSource(item.origin(), item.subject());
+/** What consecutive reports share: the origin that sends them and the subject. */
+record ReportSource(int origin, QueuedReport.Subject subject) {
+  static ReportSource of(QueuedReport report) {
+    return new ReportSource(report.origin(), report.subject());
   }
 
-  // Written out here and in Item: a record's own goes by method handles, and this is asked for each
-  // line.
+  // A key of a hash map for each report: written out because the generated methods are slower.
 
   @Override
   public int hashCode() {
-    return 31 * origin + about.hashCode();
+    return 31 * origin + subject.hashCode();
   }
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof ReportSource s && s.origin == origin && s.about.equals(about);
+    return other instanceof ReportSource that
+        && that.origin == origin
+        && that.subject.equals(subject);
   }
 }
--- a/src/main/java/pearusher/intake/package-info.java
+++ b/src/main/java/pearusher/intake/package-info.java
@@ -1,6 +1,7 @@
 /**
- * What waits between the streams and the module: reports by origin, merged without loss where more
- * come than the module may hear, and let through in fair turns. It is free of I/O, threads and
- * clocks. It must never judge a server, nor let one origin take what belongs to another.
+ * Load reports between the streams and the policy: queued by origin, merged and sampled where more
+ * arrive than the policy can process, and delivered in fair turns. The package is free of I/O,
+ * threads and clocks. It makes no decision about servers, and no origin can take what belongs to
+ * another.
  */
 package pearusher.intake;
