--- a/src/main/java/pearusher/cli/Main.java
+++ b/src/main/java/pearusher/cli/Main.java
@@ -1,7 +1,7 @@
 package pearusher.cli;
 
 import pearusher.policy.FaastPolicy;
-import pearusher.server.AssignerServer;
+import pearusher.server.AssignerProcess;
 
 /**
  * The process. The two commands that the platform starts, without options, go past the command
@@ -12,7 +12,7 @@
 
   public static void main(String[] args) {
     if (args.length == 1 && "serve".equals(args[0])) {
-      System.exit(AssignerServer.run(System.getenv(), FaastPolicy::new));
+      System.exit(AssignerProcess.run(System.getenv(), FaastPolicy::new));
     }
     if (args.length == 1 && "adapter".equals(args[0])) {
       System.exit(SimulatorCommand.run());
--- a/src/main/java/pearusher/cli/ServeCommand.java
+++ b/src/main/java/pearusher/cli/ServeCommand.java
@@ -2,6 +2,7 @@
 
 import java.nio.file.Path;
 import java.util.Locale;
+import java.util.Optional;
 import java.util.concurrent.Callable;
 import pearusher.control.PersistenceOptions;
 import pearusher.intake.Intake;
@@ -9,7 +10,7 @@
 import pearusher.operatorsettings.OperatorSettings;
 import pearusher.operatorsettings.SettingKey;
 import pearusher.policy.FaastPolicy;
-import pearusher.server.AssignerServer;
+import pearusher.server.AssignerProcess;
 import pearusher.server.OptionalFeatures;
 import pearusher.store.StoreOptions;
 import picocli.CommandLine.Command;
@@ -38,12 +39,12 @@
       e.faults().forEach(fault -> System.err.println("pearusher: " + fault));
       return CommandLineRunner.USAGE;
     }
-    return AssignerServer.run(
+    return AssignerProcess.run(
         System.getenv(),
         FaastPolicy::new,
         new OptionalFeatures(
-            read.isEnabled("store") ? keeping(read) : null,
-            read.isEnabled("intake") ? bounds(read) : null));
+            read.isEnabled("store") ? Optional.of(keeping(read)) : Optional.empty(),
+            read.isEnabled("intake") ? Optional.of(bounds(read)) : Optional.empty()));
   }
 
   private static Intake.Bounds bounds(OperatorSettings from) {
--- a/src/main/java/pearusher/server/OptionalFeatures.java
+++ b/src/main/java/pearusher/server/OptionalFeatures.java
@@ -1,15 +1,18 @@
 package pearusher.server;
 
+import java.util.Optional;
 import pearusher.control.PersistenceOptions;
 import pearusher.intake.Intake;
 
 /**
- * What the operators switched on; null for what is off.
+ * Features that the operators may switch on; empty for one that is off.
  *
- * @param persistence a memory on disk
- * @param intakeBounds bounds of the reports that wait
+ * @param persistence options of the store that keeps commands over a restart
+ * @param intakeBounds limits of the intake that protects the policy from too many reports
  */
-public record OptionalFeatures(PersistenceOptions persistence, Intake.Bounds intakeBounds) {
+public record OptionalFeatures(
+    Optional<PersistenceOptions> persistence, Optional<Intake.Bounds> intakeBounds) {
   /** Everything off. */
-  public static final OptionalFeatures NONE = new OptionalFeatures(null, null);
+  public static final OptionalFeatures NONE =
+      new OptionalFeatures(Optional.empty(), Optional.empty());
 }
--- a/src/main/java/pearusher/server/WarmUp.java
+++ b/src/main/java/pearusher/server/WarmUp.java
@@ -18,46 +18,35 @@
 import pearusher.protocol.RespCodec;
 
 /**
- * Runs the way of an event from bytes to decision to bytes on invented periods, before the first
- * ping is answered, so that the first real ones don't meet code that was never compiled. It works
- * on an exchange and a module of its own that nobody hears; it must never touch the real ones, a
- * socket or the log.
+ * Runs made-up control periods from message bytes to decisions to message bytes, before the first
+ * ping is answered, so that the first real ones don't run code that was never compiled. It uses a
+ * controller and a policy of its own, and never touches the real ones, a socket or the log.
  */
 final class WarmUp {
-  /** Ends after so many periods or nanoseconds, whichever comes first. */
-  private static final int PERIODS = 60;
+  /** It ends after so many periods or nanoseconds, whichever comes first. */
+  private static final int MAX_PERIODS = 60;
 
-  private static final long MOST_NS = 400_000_000L;
+  private static final long MAX_DURATION_NS = 400_000_000L;
 
   /**
-   * What a period holds at the most, enough to compile what real ones meet. Guards against a fleet
-   * whose first invented period alone, all servers for all zones, would take longer than the start
-   * may.
+   * What a period holds at most. It is enough to compile the code, and a fleet whose first period
+   * alone would take longer than a start may is cut down to it.
    */
-  private static final int MOST_SERVERS = 256;
+  private static final int MAX_SERVERS = 256;
 
-  private static final int MOST_PROXIES = 1024;
-  private static final int MOST_ZONES = 8;
+  private static final int MAX_PROXIES = 1024;
+  private static final int MAX_ZONES = 8;
 
-  /** An exchange to which the outside world is nothing. */
-  private static final class Silent extends Controller {
-    Silent(
+  private static final long START_US = 1_000_000_000_000_000L;
+
+  /** A controller that calls nobody and logs nothing. */
+  private static final class IsolatedController extends Controller {
+    IsolatedController(
         AssignerConfig config,
-        BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker,
-        AtomicLong clock) {
-      super(config, maker, clock::get, failure -> {});
-      connect(
-          new OutboundCalls() {
-            @Override
-            public void watchEndpoints(boolean on, long since) {}
-
-            @Override
-            public void fetchEndpoints() {}
-
-            @Override
-            public void checkHealth(long server, String hostPort) {}
-          },
-          (peer, body) -> {});
+        BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> policyFactory,
+        AtomicLong clockUs) {
+      super(config, policyFactory, clockUs::get, failure -> {});
+      connect(new NoOutboundCalls(), (peer, body) -> {});
     }
 
     @Override
@@ -67,8 +56,19 @@
     public void log(String text) {}
   }
 
-  /** A stream whose proxy reads nothing; each message is read back as a proxy would. */
-  private record Nobody() implements ProxyStream {
+  private static final class NoOutboundCalls implements OutboundCalls {
+    @Override
+    public void watchEndpoints(boolean on, long since) {}
+
+    @Override
+    public void fetchEndpoints() {}
+
+    @Override
+    public void checkHealth(long server, String hostPort) {}
+  }
+
+  /** A stream to no proxy; each message is decoded as a proxy would. */
+  private record DecodingStream() implements ProxyStream {
     @Override
     public void send(byte[] message) {
       try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES)) {
@@ -82,84 +82,108 @@
     public void onReplaced() {}
   }
 
-  private WarmUp() {}
+  private final AssignerConfig config;
+  private final Controller controller;
+  private final AtomicLong clockUs = new AtomicLong(START_US);
+  private final RespCodec.Reader reader;
+  private final List<String> zones;
+
+  private WarmUp(
+      AssignerConfig config,
+      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> policyFactory,
+      RespCodec.Reader reader) {
+    this.config = config;
+    this.reader = reader;
+    controller = new IsolatedController(config, policyFactory, clockUs);
+    zones = config.names().zones().keySet().stream().limit(MAX_ZONES).toList();
+  }
 
+  /** Warms up the code for a configuration and a policy. */
   static void run(
-      AssignerConfig whole, BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker) {
-    AssignerConfig config = whole.withFewerKnown(MOST_SERVERS);
-    AtomicLong clock = new AtomicLong(1_000_000_000_000_000L);
-    Controller exchange = new Silent(config, maker, clock);
-    long end = System.nanoTime() + MOST_NS;
-    int period = 0;
+      AssignerConfig config,
+      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> policyFactory) {
     try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES)) {
-      exchange.start();
-      exchange.onEndpointList(
-          new EndpointList(config.knownServers().generation(), false, List.of()), true);
-      while (period < PERIODS && System.nanoTime() < end) {
-        clock.addAndGet(config.settings().controlPeriodUs());
-        period(config, exchange, reader, period++);
-        exchange.runIteration();
-      }
+      int periods =
+          new WarmUp(config.withFewerKnown(MAX_SERVERS), policyFactory, reader).runPeriods();
+      Logger.debug("warmed up by {} periods", periods);
     } catch (RespCodec.Fault | Message.Fault e) {
       throw new IllegalStateException(e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    Logger.debug("warmed up by {} periods", period);
   }
 
-  private static void period(
-      AssignerConfig config, Controller exchange, RespCodec.Reader reader, int period)
-      throws RespCodec.Fault, Message.Fault {
-    List<String> zones = config.names().zones().keySet().stream().limit(MOST_ZONES).toList();
-    for (int p = 0; p < Math.min(MOST_PROXIES, config.settings().proxies()); p++) {
-      String zone = zones.get(p % zones.size());
-      if (period == 0) {
-        exchange.onProxyJoined(
-            new Nobody(),
-            (Message.ProxyJoin)
-                read(
-                    config, reader, "joined proxy " + p + " zone " + zone + " weight 5.5 fresh 1"));
-      }
-      for (String grade : config.names().classes()) {
-        exchange.onUsageReport(
-            (Message.UsageReport)
-                read(
-                    config,
-                    reader,
-                    "usage proxy "
-                        + p
-                        + " class "
-                        + grade
-                        + " tries "
-                        + (1 + (p + period) % 7)
-                        + " failed 0 span_ms 1000.0"));
+  /** Runs until one of the limits is reached; the number of periods. */
+  private int runPeriods() throws RespCodec.Fault, Message.Fault, InterruptedException {
+    long endNs = System.nanoTime() + MAX_DURATION_NS;
+    controller.start();
+    long generation = config.knownServers().generation();
+    controller.onEndpointList(new EndpointList(generation, false, List.of()), true);
+    joinProxies();
+    int period = 0;
+    while (period < MAX_PERIODS && System.nanoTime() < endNs) {
+      clockUs.addAndGet(config.settings().controlPeriodUs());
+      reportUsage(period);
+      reportLoad(period);
+      period++;
+      controller.runIteration();
+    }
+    return period;
+  }
+
+  private int proxyCount() {
+    return Math.min(MAX_PROXIES, config.settings().proxies());
+  }
+
+  private void joinProxies() throws RespCodec.Fault, Message.Fault {
+    for (int proxy = 0; proxy < proxyCount(); proxy++) {
+      String zone = zones.get(proxy % zones.size());
+      Message join = decode("joined proxy " + proxy + " zone " + zone + " weight 5.5 fresh 1");
+      controller.onProxyJoined(new DecodingStream(), (Message.ProxyJoin) join);
+    }
+  }
+
+  private void reportUsage(int period) throws RespCodec.Fault, Message.Fault {
+    for (int proxy = 0; proxy < proxyCount(); proxy++) {
+      int attempts = 1 + (proxy + period) % 7;
+      for (String requestClass : config.names().classes()) {
+        Message report =
+            decode(
+                "usage proxy "
+                    + proxy
+                    + " class "
+                    + requestClass
+                    + " tries "
+                    + attempts
+                    + " failed 0 span_ms 1000.0");
+        controller.onUsageReport((Message.UsageReport) report);
       }
     }
-    for (Endpoint one : config.knownServers().endpoints()) {
+  }
+
+  private void reportLoad(int period) throws RespCodec.Fault, Message.Fault {
+    for (Endpoint endpoint : config.knownServers().endpoints()) {
+      int meanMs = 20 + (endpoint.server().hashCode() + period * 7 & 63);
       for (String zone : zones) {
-        int ms = 20 + (one.server().hashCode() + period * 7 & 63);
-        exchange.onLoadReport(
-            (Message.LoadReport)
-                read(
-                    config,
-                    reader,
-                    "heard zone "
-                        + zone
-                        + " server "
-                        + one.server()
-                        + " tries 9 failed "
-                        + period % 2
-                        + " mean_ms "
-                        + ms
-                        + ".5 span_ms 1000.0 load inflight:7,util:0.61"));
+        Message report =
+            decode(
+                "heard zone "
+                    + zone
+                    + " server "
+                    + endpoint.server()
+                    + " tries 9 failed "
+                    + period % 2
+                    + " mean_ms "
+                    + meanMs
+                    + ".5 span_ms 1000.0 load inflight:7,util:0.61");
+        controller.onLoadReport((Message.LoadReport) report);
       }
     }
   }
 
-  private static Message read(AssignerConfig config, RespCodec.Reader reader, String line)
-      throws RespCodec.Fault, Message.Fault {
-    List<String> words = reader.next(ByteBuffer.wrap(RespCodec.encode(List.of(line.split(" ")))));
+  private Message decode(String line) throws RespCodec.Fault, Message.Fault {
+    byte[] encoded = RespCodec.encode(List.of(line.split(" ")));
+    List<String> words = reader.next(ByteBuffer.wrap(encoded));
     return Message.decode(words, config.names(), config.settings());
   }
 }
--- a/src/test/java/pearusher/server/AssignerProcessTest.java
+++ b/src/test/java/pearusher/server/AssignerProcessTest.java
@@ -38,7 +38,7 @@
     public static void main(String[] args) {
       AtomicInteger made = new AtomicInteger();
       System.exit(
-          AssignerServer.run(
+          AssignerProcess.run(
               System.getenv(),
               (settings, orders) -> {
                 boolean warmingUp = made.incrementAndGet() == 1;
@@ -469,7 +469,7 @@
   void aFailureOfTheModuleEndsTheProcessWithItsPlace() throws Exception {
     Process p = start(new ExampleConfig().write(dir), "log", Failing.class.getName());
     assertEquals(1, status(p));
-    assertTrue(log("log").contains("ERROR the module failed, ending with status 1"), log("log"));
+    assertTrue(log("log").contains("ERROR the policy failed, ending with status 1"), log("log"));
     assertTrue(log("log").contains("no such weight") && log("log").contains("at "), log("log"));
   }
 }
--- a/src/test/java/pearusher/server/AssignerServerTest.java
+++ b/src/test/java/pearusher/server/AssignerServerTest.java
@@ -375,7 +375,7 @@
         }
         EndpointList list =
             TestPeers.read(TestPeers.listing(99, false, big.toString()), example.read(dir).names());
-        running.get(0).exchange().onEndpointList(list, false);
+        running.get(0).controller().onEndpointList(list, false);
         module.hear("onEndpointList DELTA");
       }
       if (turns > 50) {
@@ -676,7 +676,7 @@
     module.hear("onEndpointList CACHED");
     running
         .get(0)
-        .exchange()
+        .controller()
         .onEndpointList(
             TestPeers.read(
                 TestPeers.listing(
--- a/src/test/java/pearusher/server/LoopbackFixture.java
+++ b/src/test/java/pearusher/server/LoopbackFixture.java
@@ -8,6 +8,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.BiFunction;
 import org.junit.jupiter.api.AfterEach;
@@ -74,9 +75,15 @@
   AssignerServer start(BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker)
       throws Exception {
     AssignerServer serve =
-        new AssignerServer(example.read(dir), maker, Controller.unixClock(), failure::set);
+        new AssignerServer(
+            example.read(dir),
+            maker,
+            Controller.unixClock(),
+            failure::set,
+            Optional.empty(),
+            Optional.empty());
     running.add(serve);
-    module.on(serve.exchange());
+    module.on(serve.controller());
     at = serve.start();
     return serve;
   }
--- a/src/test/java/pearusher/server/OverloadIntakeTest.java
+++ b/src/test/java/pearusher/server/OverloadIntakeTest.java
@@ -12,6 +12,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
@@ -124,9 +125,9 @@
               module,
               Controller.unixClock(),
               failure -> {},
-              null,
-              waiting);
-      module.on(serve.exchange());
+              Optional.empty(),
+              Optional.of(waiting));
+      module.on(serve.controller());
       InetSocketAddress at = serve.start();
       TestPeers.RespClient loud = new TestPeers.RespClient(at);
       TestPeers.RespClient quiet = new TestPeers.RespClient(at);
@@ -264,10 +265,15 @@
               .read(dir);
       serve =
           new AssignerServer(
-              config, FaastPolicy::new, Controller.unixClock(), failure -> {}, null, waiting);
+              config,
+              FaastPolicy::new,
+              Controller.unixClock(),
+              failure -> {},
+              Optional.empty(),
+              Optional.of(waiting));
       // The decision thread hears them one by one; nothing else touches the sums.
       serve
-          .exchange()
+          .controller()
           .setReportListener(
               item -> {
                 int server =
--- a/src/test/java/pearusher/server/ProtocolTranscriptTest.java
+++ b/src/test/java/pearusher/server/ProtocolTranscriptTest.java
@@ -187,7 +187,7 @@
         });
     assertTrue(given.await(20, TimeUnit.SECONDS), "the orders were not asked for");
     CountDownLatch nextTurn = new CountDownLatch(1);
-    serve.exchange().execute(nextTurn::countDown);
+    serve.controller().execute(nextTurn::countDown);
     assertTrue(nextTurn.await(20, TimeUnit.SECONDS), "no turn followed");
   }
 
--- a/src/test/java/pearusher/server/RaceTest.java
+++ b/src/test/java/pearusher/server/RaceTest.java
@@ -52,7 +52,7 @@
 
   private void waiting(int events) throws InterruptedException {
     TestPeers.until(
-        events + " events wait", () -> running.get(0).exchange().pendingEvents() >= events);
+        events + " events wait", () -> running.get(0).controller().pendingEvents() >= events);
   }
 
   // Discovery.
@@ -353,7 +353,7 @@
   }
 
   private TestPeers.ProxyClient proxyLater(int number) throws Exception {
-    int before = running.get(0).exchange().pendingEvents();
+    int before = running.get(0).controller().pendingEvents();
     TestPeers.ProxyClient out = proxy(number, new TestPeers.AppliedUpdates(CLASSES), false);
     waiting(before + 1);
     return out;
