--- a/src/test/java/pearusher/control/StoredDataSite.java
+++ b/src/test/java/pearusher/control/StoredDataSite.java
@@ -1,7 +1,6 @@
 package pearusher.control;
 
 import java.io.IOException;
-import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayDeque;
@@ -10,107 +9,118 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import java.util.Queue;
 import java.util.TreeMap;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
+import java.util.stream.Collectors;
 import pearusher.config.AssignerConfig;
 import pearusher.policy.AssignmentPolicy;
 import pearusher.policy.ListUpdateKind;
 import pearusher.policy.PolicyCommands;
+import pearusher.policy.PolicySettings;
 import pearusher.policy.ServerEntry;
 import pearusher.protocol.Endpoint;
 import pearusher.protocol.EndpointList;
 import pearusher.protocol.Message;
-import pearusher.protocol.RespCodec;
 import pearusher.server.ExampleConfig;
 import pearusher.store.FileDisk;
 import pearusher.store.Store;
 import pearusher.store.StoreOptions;
 
 /**
- * An exchange on a store directory, with a fixed clock and a module that gives exactly the orders
- * of the test. It is used to write the stored test data and to read it again.
+ * A controller on a store directory, with a clock of its own and a policy that gives exactly the
+ * commands of the test. It writes the stored test data and reads it again.
  */
 final class StoredDataSite implements AutoCloseable {
-  /** Small segments, so that a short scenario has several; no compaction by itself. */
+  /** Segments so small that a short scenario has several; no automatic compaction. */
   static final StoreOptions OPTIONS =
       new StoreOptions(StoreOptions.Policy.EACH, 0, 1500, 1 << 30, 2, StoreOptions.Damage.REFUSE);
 
-  static final long TRUST_US = 600_000_000;
+  static final long MAX_TRUSTED_AGE_US = 600_000_000;
 
-  /** The server with the name "sK" has the cell FIRST_CELL + K. */
+  /** The server "sN" has the cell FIRST_CELL + N. */
   static final int FIRST_CELL = 10;
 
-  private static final long PATIENCE_US = 30_000_000;
-  private static final long ALIVE_US = 5_000_000;
-  private static final double REQUESTS_PER_S = 2.5;
+  private static final long MAX_COMMIT_DELAY_US = 30_000_000;
+  private static final long HEARTBEAT_US = 5_000_000;
+  private static final int ALL_CLASSES = 0;
+  private static final double REQUESTS_PER_SECOND = 2.5;
 
   /**
-   * Binds each proxy that joins, and gives the orders that it is asked for at the end of a turn.
+   * Binds each proxy that joins, to the table of its zone or the one that it holds, and gives the
+   * commands of the test at the end of an iteration.
    */
-  private static final class OrderedModule implements AssignmentPolicy {
-    private final PolicyCommands orders;
-    private final Queue<Consumer<PolicyCommands>> asked = new ArrayDeque<>();
-    private final Map<Long, Integer> cells = new HashMap<>();
-    private final Map<Integer, Integer> joining = new TreeMap<>();
-    private final List<String> restored = new ArrayList<>();
-    private int lastMark;
-
-    OrderedModule(PolicyCommands orders) {
-      this.orders = orders;
+  private static final class CommandedPolicy implements AssignmentPolicy {
+    private final PolicyCommands commands;
+    private final Queue<Consumer<PolicyCommands>> scripts = new ArrayDeque<>();
+    private final Map<Long, Integer> cellByServer = new HashMap<>();
+    private final Map<Integer, Integer> tableByJoiner = new TreeMap<>();
+    private final List<String> restoredTables = new ArrayList<>();
+    private int lastAckNumber;
+
+    CommandedPolicy(PolicyCommands commands) {
+      this.commands = commands;
     }
 
     @Override
-    public void onEndpointList(long now, ListUpdateKind form, List<ServerEntry> entries) {
-      entries.forEach(entry -> cells.put(entry.server(), entry.cell()));
+    public void onEndpointList(long nowUs, ListUpdateKind kind, List<ServerEntry> entries) {
+      entries.forEach(entry -> cellByServer.put(entry.server(), entry.cell()));
     }
 
     @Override
     public void onTableRestored(
-        long now, int table, Map<Long, Double> weights, double[] levels, int[] retries, int mark) {
-      Map<String, Double> byName = new TreeMap<>();
-      weights.forEach((server, weight) -> byName.put(serverName(cells.get(server)), weight));
-      restored.add(
+        long nowUs,
+        int table,
+        Map<Long, Double> weights,
+        double[] levels,
+        int[] retries,
+        int ackNumber) {
+      Map<String, Double> weightByName = new TreeMap<>();
+      weights.forEach(
+          (server, weight) -> weightByName.put(serverName(cellByServer.get(server)), weight));
+      restoredTables.add(
           "table "
               + table
               + " lines "
-              + byName
+              + weightByName
               + " levels "
               + Arrays.toString(levels)
               + " retries "
               + Arrays.toString(retries)
               + " last mark "
-              + mark);
-      lastMark = mark;
+              + ackNumber);
+      lastAckNumber = ackNumber;
     }
 
     @Override
-    public void onProxyJoined(long now, int proxy, int zone, double perS, boolean onlyStanding) {
-      joining.put(proxy, zone);
+    public void onProxyJoined(
+        long nowUs, int proxy, int zone, double requestsPerSecond, boolean isFresh) {
+      tableByJoiner.put(proxy, zone);
     }
 
     @Override
-    public void onTableHeld(long now, int proxy, int table, int lacks) {
-      joining.put(proxy, table);
+    public void onTableHeld(long nowUs, int proxy, int table, int missing) {
+      tableByJoiner.put(proxy, table);
     }
 
     @Override
-    public void onBatchEnd(long now) {
-      joining.forEach((proxy, table) -> orders.bindProxy(proxy, table, 0));
-      if (!joining.isEmpty()) {
-        orders.requestAck(++lastMark, false);
+    public void onBatchEnd(long nowUs) {
+      tableByJoiner.forEach((proxy, table) -> commands.bindProxy(proxy, table, ALL_CLASSES));
+      if (!tableByJoiner.isEmpty()) {
+        commands.requestAck(++lastAckNumber, false);
       }
-      joining.clear();
-      // A mark among these takes the place of the one above.
-      for (Consumer<PolicyCommands> one = asked.poll(); one != null; one = asked.poll()) {
-        one.accept(orders);
+      tableByJoiner.clear();
+      // A request of an acknowledgement among these replaces the one above.
+      Consumer<PolicyCommands> script = scripts.poll();
+      while (script != null) {
+        script.accept(commands);
+        script = scripts.poll();
       }
     }
 
     long server(int number) {
-      return cells.entrySet().stream()
+      return cellByServer.entrySet().stream()
           .filter(entry -> entry.getValue() == FIRST_CELL + number)
           .findFirst()
           .orElseThrow()
@@ -118,20 +128,20 @@
     }
 
     @Override
-    public void onTimer(long now, long token) {}
+    public void onTimer(long nowUs, long token) {}
 
     @Override
-    public void onProxyLeft(long now, int proxy) {}
+    public void onProxyLeft(long nowUs, int proxy) {}
 
     @Override
-    public void onAcknowledgement(long now, int proxy, int mark, long tookUs) {}
+    public void onAcknowledgement(long nowUs, int proxy, int number, long tookUs) {}
 
     @Override
     public void onLoadReport(
-        long now,
+        long nowUs,
         long server,
         int zone,
-        long tries,
+        long attempts,
         long failed,
         long spanUs,
         long meanUs,
@@ -140,11 +150,11 @@
 
     @Override
     public void onUsageReport(
-        long now, int proxy, int grade, long requests, long failed, long spanUs) {}
+        long nowUs, int proxy, int requestClass, long requests, long failed, long spanUs) {}
   }
 
-  /** A proxy's stream, which keeps what it is sent. */
-  private static final class KeptStream implements ProxyStream {
+  /** Records what it is sent. */
+  private static final class RecordingStream implements ProxyStream {
     private final List<byte[]> messages = new ArrayList<>();
 
     @Override
@@ -156,20 +166,20 @@
     public void onReplaced() {}
 
     synchronized List<byte[]> take() {
-      List<byte[]> out = List.copyOf(messages);
+      List<byte[]> taken = List.copyOf(messages);
       messages.clear();
-      return out;
+      return taken;
     }
   }
 
   private final AtomicLong clock;
-  private final DurablePublisher durable;
-  private final Controller exchange;
-  private OrderedModule module;
-  private final Map<Integer, KeptStream> streams = new TreeMap<>();
+  private final DurablePublisher publisher;
+  private final ManualController controller;
+  private CommandedPolicy policy;
+  private final Map<Integer, RecordingStream> streams = new TreeMap<>();
 
   /**
-   * Opens the store and takes the first turn.
+   * Opens the store and runs the first iteration.
    *
    * @param work an empty directory, for the configuration
    */
@@ -178,127 +188,105 @@
     AssignerConfig config = new ExampleConfig().read(work);
     FileDisk disk = new FileDisk(store);
     disk.createDirectory();
-    PersistenceOptions keeping =
-        new PersistenceOptions(store, OPTIONS, PATIENCE_US, ALIVE_US, TRUST_US);
-    durable = new DurablePublisher(config, keeping, Store.open(disk, OPTIONS), clock::get);
-    exchange =
-        new Controller(
-            config,
-            (settings, orders) -> {
-              module = new OrderedModule(orders);
-              return module;
-            },
-            clock::get,
-            failure -> {},
-            durable,
-            Optional.empty()) {
-          @Override
-          public void awaitTick() {}
-        };
-    exchange.connect(
-        new OutboundCalls() {
-          @Override
-          public void watchEndpoints(boolean on, long since) {}
-
-          @Override
-          public void fetchEndpoints() {}
-
-          @Override
-          public void checkHealth(long server, String hostPort) {}
-        },
-        (peer, body) -> {});
-    durable.start();
-    exchange.start();
-    settle();
+    PersistenceOptions options =
+        new PersistenceOptions(
+            store, OPTIONS, MAX_COMMIT_DELAY_US, HEARTBEAT_US, MAX_TRUSTED_AGE_US);
+    publisher = new DurablePublisher(config, options, Store.open(disk, OPTIONS), clock::get);
+    controller = new ManualController(config, this::makePolicy, clock::get, publisher);
+    publisher.start();
+    controller.start();
+    awaitDisk();
+  }
+
+  private AssignmentPolicy makePolicy(PolicySettings settings, PolicyCommands commands) {
+    policy = new CommandedPolicy(commands);
+    return policy;
   }
 
   static String serverName(int cell) {
     return "s" + (cell - FIRST_CELL);
   }
 
-  /** Lets time pass, then takes a turn and waits until the disk is done with it. */
-  void turn(long passedUs) throws InterruptedException {
+  /** Lets time pass, then runs an iteration and waits until the disk is done with it. */
+  void runIteration(long passedUs) throws InterruptedException {
     clock.addAndGet(passedUs);
-    exchange.execute(() -> {});
-    exchange.runIteration();
-    settle();
+    controller.runEmptyIteration();
+    awaitDisk();
   }
 
-  private void settle() throws InterruptedException {
-    while (durable.pendingIterations() > 0) {
+  private void awaitDisk() throws InterruptedException {
+    while (publisher.pendingIterations() > 0) {
       Thread.sleep(1);
     }
   }
 
-  void list(long generation, boolean whole, List<Endpoint> servers) {
-    exchange.onEndpointList(new EndpointList(generation, whole, servers), false);
+  void list(long generation, boolean isComplete, List<Endpoint> servers) {
+    controller.onEndpointList(new EndpointList(generation, isComplete, servers), false);
   }
 
-  /** Orders for the end of the next turn. */
-  void ask(Consumer<PolicyCommands> orders) {
-    module.asked.add(orders);
+  /** Gives commands at the end of the next iteration. */
+  void command(Consumer<PolicyCommands> script) {
+    policy.scripts.add(script);
   }
 
-  /** The module's number of a server. */
+  /** Returns the policy's number of the server "sN". */
   long server(int number) {
-    return module.server(number);
+    return policy.server(number);
   }
 
-  void join(int proxy, int zone, boolean fresh) {
-    KeptStream stream = new KeptStream();
+  void join(int proxy, int zone, boolean isFresh) {
+    RecordingStream stream = new RecordingStream();
     streams.put(proxy, stream);
-    exchange.onProxyJoined(stream, new Message.ProxyJoin(proxy, zone, REQUESTS_PER_S, fresh));
+    controller.onProxyJoined(
+        stream, new Message.ProxyJoin(proxy, zone, REQUESTS_PER_SECOND, isFresh));
   }
 
-  void answer(int proxy, int mark) {
-    exchange.onAcknowledgement(streams.get(proxy), new Message.Acknowledgement(proxy, mark, 0));
+  void acknowledge(int proxy, int number) {
+    controller.onAcknowledgement(streams.get(proxy), new Message.Acknowledgement(proxy, number, 0));
   }
 
-  /** The tables that the module was told at the start, a line each. */
-  List<String> restored() {
-    return module.restored;
+  /** Returns the tables that were restored to the policy at the start, a line each. */
+  List<String> restoredTables() {
+    return policy.restoredTables;
   }
 
-  /** What a proxy was sent since the last call: the bytes as text. */
-  List<String> sent(int proxy) throws RespCodec.Fault {
-    List<String> out = new ArrayList<>();
+  /** Returns what a proxy was sent since the last call: the bytes as text. */
+  List<String> takeUpdates(int proxy) {
+    List<String> updates = new ArrayList<>();
     for (byte[] message : streams.get(proxy).take()) {
-      out.add("proxy " + proxy + ": " + shown(message));
+      updates.add("proxy " + proxy + ": " + describe(message));
     }
-    return out.isEmpty() ? List.of("proxy " + proxy + ": nothing") : out;
+    return updates.isEmpty() ? List.of("proxy " + proxy + ": nothing") : updates;
   }
 
   /**
-   * A message of less than a table byte by byte, but for the order of servers that are out or back.
-   * That order, and the order of the lines of a whole table, follows the numbers that a start gives
-   * the servers of an unordered map, which differ from process to process: there the servers are
-   * sorted.
+   * Returns an update without a complete table byte by byte, but for the order of ejected and
+   * reinstated servers. That order, and the order of the weights of a complete table, follows the
+   * numbers that a start gives to the servers of an unordered map, which differ from process to
+   * process: there the servers are sorted.
    */
-  private static String shown(byte[] message) throws RespCodec.Fault {
+  private static String describe(byte[] message) {
     String text = new String(message, StandardCharsets.UTF_8).replace("\r\n", "|");
     if (!text.contains("|whole|")) {
-      return String.join(
-          "|",
-          Arrays.stream(text.split("\\|", -1))
-              .map(word -> word.contains(":") ? word : sorted(word))
-              .toList());
-    }
-    List<String> parts = new ArrayList<>();
-    try (RespCodec.Reader reader = new RespCodec.Reader(RespCodec.MAX_MESSAGE_BYTES)) {
-      ByteBuffer from = ByteBuffer.wrap(message);
-      for (List<String> words = reader.next(from); words != null; words = reader.next(from)) {
-        parts.add(String.join(" ", words.stream().map(StoredDataSite::sorted).toList()));
-      }
+      return Arrays.stream(text.split("\\|", -1))
+          .map(string -> string.contains(":") ? string : sorted(string))
+          .collect(Collectors.joining("|"));
     }
-    return String.join(" ; ", parts);
+    return DecodedUpdate.parts(message).stream()
+        .map(StoredDataSite::sorted)
+        .collect(Collectors.joining(" ; "));
+  }
+
+  private static String sorted(List<String> part) {
+    return part.stream().map(StoredDataSite::sorted).collect(Collectors.joining(" "));
   }
 
-  private static String sorted(String word) {
-    return String.join(",", Arrays.stream(word.split(",")).sorted().toList());
+  private static String sorted(String commaSeparated) {
+    return Arrays.stream(commaSeparated.split(",")).sorted().collect(Collectors.joining(","));
   }
 
   @Override
   public void close() throws IOException {
-    durable.close();
+    publisher.close();
   }
 }
--- a/src/test/java/pearusher/control/StoredDataTest.java
+++ b/src/test/java/pearusher/control/StoredDataTest.java
@@ -22,14 +22,14 @@
   private static final Path RESOURCES = Path.of("src", "test", "resources", "pearusher");
   private static final Path EXPECTED = RESOURCES.resolve(StoredDataWriter.EXPECTED);
 
-  /** In a copy's dump, the key that marks it, with the sequence of its last record. */
+  /** The entry that marks a copy in its dump, with the sequence of its last record. */
   private static final String COPY_MARK = "\"!copied\":\"[0-9a-f]{16}\",";
 
   @TempDir Path work;
   private Path store;
 
   @BeforeEach
-  void copyOfTheCommittedStore() throws IOException {
+  void copyCommittedStore() throws IOException {
     store = work.resolve("store");
     StoredDataWriter.copy(RESOURCES.resolve(StoredDataWriter.STORE), store);
   }
@@ -50,50 +50,49 @@
     return CommandRun.output(0, "store", "dump", "--json", directory.toString());
   }
 
-  private static long files(Path directory, String prefix) throws IOException {
-    try (Stream<Path> all = Files.list(directory)) {
-      return all.filter(file -> file.getFileName().toString().startsWith(prefix)).count();
+  private static long countFiles(Path directory, String prefix) throws IOException {
+    try (Stream<Path> files = Files.list(directory)) {
+      return files.filter(file -> file.getFileName().toString().startsWith(prefix)).count();
     }
   }
 
   @Test
   void theCommittedStoreHasACheckpointAndSeveralLogSegments() throws IOException {
-    assertEquals(1, files(store, "checkpoint-"));
-    assertTrue(files(store, "log-") >= 3, "log segments: " + files(store, "log-"));
+    assertEquals(1, countFiles(store, "checkpoint-"));
+    assertTrue(countFiles(store, "log-") >= 3, "log segments: " + countFiles(store, "log-"));
   }
 
   @Test
-  void commandsOnAStoreOfFormatOneWriteTheRecordedText() throws IOException {
+  void commandsOnAStoreOfFormatOnePrintTheRecordedText() throws IOException {
     assertEquals(expected("inspect.txt"), command("inspect", store));
     assertEquals(expected("verify.txt"), command("verify", store));
     assertEquals(expected("dump.json"), dump(store));
   }
 
   @Test
-  void aLedgerOfAStoreOfFormatOneHoldsTheRecordedValues() throws IOException {
-    assertEquals(expectedLines("ledger.txt"), StoredDataWriter.ledger(store));
+  void aLedgerReadFromAStoreOfFormatOneHasTheRecordedValues() throws IOException {
+    assertEquals(expectedLines("ledger.txt"), StoredDataWriter.describeLedger(store));
   }
 
   @Test
-  void anExchangeOnAStoreOfFormatOneRestoresTablesAndTellsProxiesTheRecordedMessages()
-      throws Exception {
+  void aControllerOnAStoreOfFormatOneRestoresTablesAndSendsTheRecordedUpdates() throws Exception {
     assertEquals(
         expectedLines("start.txt"),
-        StoredDataWriter.startAndOrders(store, work, StoredDataWriter.READ_US));
+        StoredDataWriter.startAndCommand(store, work, StoredDataWriter.READ_US));
   }
 
   @Test
-  void afterACompactionAStoreOfFormatOneHoldsTheSameValues() throws Exception {
+  void aCompactedStoreOfFormatOneHasTheSameValues() throws Exception {
     CommandRun.output(0, "store", "compact", store.toString());
     assertEquals(expected("dump.json"), dump(store));
-    assertEquals(expectedLines("ledger.txt"), StoredDataWriter.ledger(store));
+    assertEquals(expectedLines("ledger.txt"), StoredDataWriter.describeLedger(store));
     assertEquals(
         expectedLines("start.txt"),
-        StoredDataWriter.startAndOrders(store, work, StoredDataWriter.READ_US));
+        StoredDataWriter.startAndCommand(store, work, StoredDataWriter.READ_US));
   }
 
   @Test
-  void aBackupAndItsRestoreHoldTheSameValuesAndAreMarkedAsCopies() throws IOException {
+  void aBackupAndItsRestoreHaveTheSameValuesAndAreMarkedAsCopies() throws IOException {
     Path backup = work.resolve("backup");
     Path restored = work.resolve("restored");
     String sequence = expected("inspect.txt").replaceAll("(?s).*\nsequence +(\\d+)\n.*", "$1");
@@ -107,14 +106,14 @@
       String text = dump(copy);
       assertTrue(text.matches("(?s)\\{" + COPY_MARK + ".*"), text);
       assertEquals(expected("dump.json"), text.replaceFirst(COPY_MARK, ""));
-      assertEquals(expectedLines("ledger.txt"), StoredDataWriter.ledger(copy));
+      assertEquals(expectedLines("ledger.txt"), StoredDataWriter.describeLedger(copy));
     }
     assertEquals(expected("dump.json"), dump(store), "the store itself is unchanged");
   }
 
-  /** Orders may have gone out after the copy was made: no table of it is believed. */
+  /** Updates may have been sent after the copy was made: none of its tables is trusted. */
   @Test
-  void anExchangeOnARestoredCopyTakesOverNoTable() throws Exception {
+  void aControllerOnARestoredCopyRestoresNoTable() throws Exception {
     Path backup = work.resolve("backup");
     CommandRun.output(0, "store", "backup", store.toString(), backup.toString());
     List<String> start = StoredDataWriter.start(backup, work, StoredDataWriter.READ_US);
@@ -122,8 +121,9 @@
   }
 
   @Test
-  void anExchangeOnAStoreThatWasSilentForTooLongTakesOverNoTable() throws Exception {
-    long tooLate = StoredDataWriter.END_US + StoredDataSite.TRUST_US + 1_000_000;
-    assertEquals(expectedLines("start-of-copy.txt"), StoredDataWriter.start(store, work, tooLate));
+  void aControllerOnAStoreWhoseLastRecordIsTooOldRestoresNoTable() throws Exception {
+    long tooLateUs = StoredDataWriter.END_US + StoredDataSite.MAX_TRUSTED_AGE_US + 1_000_000;
+    assertEquals(
+        expectedLines("start-of-copy.txt"), StoredDataWriter.start(store, work, tooLateUs));
   }
 }
--- a/src/test/java/pearusher/control/StoredDataWriter.java
+++ b/src/test/java/pearusher/control/StoredDataWriter.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.stream.Stream;
 import pearusher.cli.CommandRun;
 import pearusher.policy.AdmissionLevel;
 import pearusher.policy.Idempotency;
 import pearusher.policy.Lifecycle;
 import pearusher.protocol.Endpoint;
-import pearusher.protocol.RespCodec;
 import pearusher.recovery.CatchUp;
 import pearusher.recovery.Ledger;
 import pearusher.recovery.ListedServer;
@@ -22,28 +22,28 @@
 
 /**
  * Writes the store directory that {@link StoredDataTest} reads, and the texts that it expects. A
- * directory that was committed is not written again: it stands for the stores of the program that
- * wrote it. A new format of the store gets a directory of its own, with
+ * committed directory is never written again: it represents the stores of the program that wrote
+ * it. A new format of the store gets a directory of its own, with
  *
- * <pre>java -cp TEST-CLASSPATH pearusher.serve.StoredDataWriter EMPTY-DIRECTORY</pre>
+ * <pre>java -cp TEST-CLASSPATH pearusher.control.StoredDataWriter EMPTY-DIRECTORY</pre>
  */
 final class StoredDataWriter {
   static final String STORE = "store-v1";
   static final String EXPECTED = "store-v1-expected";
   static final long START_US = 1_700_000_000_000_000L;
 
-  /** When the last turn of the scenario ends. */
+  /** When the last iteration of the scenario ends. */
   static final long END_US = START_US + 60_000_000;
 
-  /** When the stored data is read: within the time for which a store is believed. */
+  /** When the stored data is read: while the store is recent enough to be trusted. */
   static final long READ_US = END_US + 10_000_000;
 
   static final int NORTH = 0;
   static final int SOUTH = 1;
   static final int PROXIES = 6;
 
-  /** What gives the stored numbers their meaning, as the ledger has it. */
-  static final String NAMES = "n0 lookup,order north,south";
+  /** The names that give the stored numbers their meaning, as the ledger stores them. */
+  static final String SETTINGS_FINGERPRINT = "n0 lookup,order north,south";
 
   private static final int SERVERS = 8;
   private static final int LOOKUP = 0;
@@ -57,15 +57,15 @@
   private StoredDataWriter() {}
 
   public static void main(String[] arguments) throws Exception {
-    Path to = Path.of(arguments[0]);
-    Path store = to.resolve(STORE);
+    Path target = Path.of(arguments[0]);
+    Path store = target.resolve(STORE);
     Path work = Files.createTempDirectory("stored-data");
-    long endOfFirst = firstLife(store, work);
+    long firstLifeEndUs = runFirstLife(store, work);
     CommandRun.output(0, "store", "compact", store.toString());
-    secondLife(store, work, endOfFirst + STEP_US);
-    // It holds over a hundred kilobytes of zeros, and a start does without it.
+    runSecondLife(store, work, firstLifeEndUs + STEP_US);
+    // Over a hundred kilobytes of zeros, and a start does not need it.
     Files.deleteIfExists(store.resolve(RESERVE));
-    Path expected = Files.createDirectories(to.resolve(EXPECTED));
+    Path expected = Files.createDirectories(target.resolve(EXPECTED));
     Files.writeString(
         expected.resolve("inspect.txt"),
         CommandRun.output(0, "store", "inspect", store.toString()));
@@ -74,147 +74,149 @@
     Files.writeString(
         expected.resolve("dump.json"),
         CommandRun.output(0, "store", "dump", "--json", store.toString()));
-    Files.write(expected.resolve("ledger.txt"), ledger(store));
+    Files.write(expected.resolve("ledger.txt"), describeLedger(store));
     Path copy = work.resolve("copy");
     copy(store, copy);
-    Files.write(expected.resolve("start.txt"), startAndOrders(copy, work, READ_US));
+    Files.write(expected.resolve("start.txt"), startAndCommand(copy, work, READ_US));
     Path backup = work.resolve("backup");
     CommandRun.output(0, "store", "backup", store.toString(), backup.toString());
     Files.write(expected.resolve("start-of-copy.txt"), start(backup, work, READ_US));
   }
 
-  private static Endpoint server(int number, Lifecycle state) {
+  private static Endpoint server(int number, Lifecycle lifecycle) {
     return new Endpoint(
         "s" + number,
         number == 5 ? null : "127.0.0.1:" + (9000 + number),
         number % 2,
         number % 3 == 0 ? 1 : 0,
         StoredDataSite.FIRST_CELL + number,
-        state,
+        lifecycle,
         1 + number / 4.0,
         number < 4 ? 0 : START_US - number * 1_000_000L);
   }
 
   private static List<Endpoint> servers() {
-    List<Endpoint> out = new ArrayList<>();
-    for (int k = 0; k < SERVERS; k++) {
-      out.add(server(k, k == 6 ? Lifecycle.DRAINING : Lifecycle.READY));
+    List<Endpoint> servers = new ArrayList<>();
+    for (int number = 0; number < SERVERS; number++) {
+      servers.add(server(number, number == 6 ? Lifecycle.DRAINING : Lifecycle.READY));
     }
-    return out;
+    return servers;
   }
 
   /**
-   * Three tables, levels, ejections, proxies that have answered for different turns; an orderly
-   * end.
+   * Three tables, admission levels, ejections, proxies that have acknowledged different updates; an
+   * orderly end.
+   *
+   * @return when it ended
    */
-  private static long firstLife(Path store, Path work) throws Exception {
-    long passed = 0;
+  private static long runFirstLife(Path store, Path work) throws Exception {
+    long endUs = START_US;
     try (StoredDataSite site = new StoredDataSite(store, work, START_US)) {
       site.list(100, true, servers());
-      site.turn(STEP_US);
-      site.ask(
-          orders -> {
-            for (int k = 0; k < SERVERS - 2; k++) {
-              orders.setWeight(NORTH, site.server(k), 1 + k / 8.0);
-              orders.setWeight(SOUTH, site.server(k), 2 - k / 8.0);
+      site.runIteration(STEP_US);
+      site.command(
+          commands -> {
+            for (int number = 0; number < SERVERS - 2; number++) {
+              commands.setWeight(NORTH, site.server(number), 1 + number / 8.0);
+              commands.setWeight(SOUTH, site.server(number), 2 - number / 8.0);
             }
-            orders.setWeight(SUBSET_TABLE, site.server(7), 1);
-            orders.setAdmission(NORTH, LOOKUP_BIT, 0.75, 2);
-            orders.setAdmission(SOUTH, 0, 0.5, 0);
-            orders.setAdmission(SUBSET_TABLE, 0, 1, 1);
+            commands.setWeight(SUBSET_TABLE, site.server(7), 1);
+            commands.setAdmission(NORTH, LOOKUP_BIT, 0.75, 2);
+            commands.setAdmission(SOUTH, 0, 0.5, 0);
+            commands.setAdmission(SUBSET_TABLE, 0, 1, 1);
           });
       for (int proxy = 0; proxy < 4; proxy++) {
         site.join(proxy, proxy % 2, true);
       }
-      site.turn(STEP_US);
+      site.runIteration(STEP_US);
       for (int proxy = 0; proxy < 3; proxy++) {
-        site.answer(proxy, 1);
+        site.acknowledge(proxy, 1);
       }
-      site.ask(
-          orders -> {
-            orders.eject(site.server(2));
-            orders.eject(site.server(4));
-            orders.requestAck(2, false);
+      site.command(
+          commands -> {
+            commands.eject(site.server(2));
+            commands.eject(site.server(4));
+            commands.requestAck(2, false);
           });
-      site.turn(STEP_US);
-      site.answer(0, 2);
-      site.ask(
-          orders -> {
-            orders.reinstate(site.server(4));
-            orders.setWeight(SUBSET_TABLE, site.server(1), 1.25);
-            orders.clearTable(SUBSET_TABLE);
-            orders.setWeight(SUBSET_TABLE, site.server(3), 0.5);
-            orders.requestAck(3, false);
+      site.runIteration(STEP_US);
+      site.acknowledge(0, 2);
+      site.command(
+          commands -> {
+            commands.reinstate(site.server(4));
+            commands.setWeight(SUBSET_TABLE, site.server(1), 1.25);
+            commands.clearTable(SUBSET_TABLE);
+            commands.setWeight(SUBSET_TABLE, site.server(3), 0.5);
+            commands.requestAck(3, false);
           });
-      site.turn(STEP_US);
-      passed = 4 * STEP_US;
+      site.runIteration(STEP_US);
+      endUs += 4 * STEP_US;
     }
-    return START_US + passed;
+    return endUs;
   }
 
   /**
-   * Proxies rejoin; lines, levels and the list move over several segments of the log; an orderly
-   * end.
+   * Proxies join again; weights, levels and the list change over several segments of the log; an
+   * orderly end.
    */
-  private static void secondLife(Path store, Path work, long nowUs) throws Exception {
-    long now = nowUs;
-    try (StoredDataSite site = new StoredDataSite(store, work, now)) {
+  private static void runSecondLife(Path store, Path work, long startUs) throws Exception {
+    long nowUs = startUs;
+    try (StoredDataSite site = new StoredDataSite(store, work, nowUs)) {
       for (int proxy = 0; proxy < 4; proxy++) {
         site.join(proxy, proxy % 2, false);
       }
-      site.turn(STEP_US);
-      now += STEP_US;
+      site.runIteration(STEP_US);
+      nowUs += STEP_US;
       for (int round = 0; round < 24; round++) {
         int step = round;
         for (int proxy = 0; proxy < 3; proxy++) {
-          // Each proxy stops answering at another turn.
+          // Each proxy stops acknowledging in another round.
           if (round < 8 * (3 - proxy)) {
-            site.answer(proxy, 4 + round);
+            site.acknowledge(proxy, 4 + round);
           }
         }
-        site.ask(
-            orders -> {
-              for (int k = 0; k < 3; k++) {
-                int server = (step + 2 * k) % (SERVERS - 2);
-                orders.setWeight(NORTH, site.server(server), 1 + (step * 7 + k) % 16 / 16.0);
-                orders.setWeight(SOUTH, site.server(server), 2 - (step * 5 + k) % 16 / 16.0);
+        site.command(
+            commands -> {
+              for (int change = 0; change < 3; change++) {
+                long server = site.server((step + 2 * change) % (SERVERS - 2));
+                commands.setWeight(NORTH, server, 1 + (step * 7 + change) % 16 / 16.0);
+                commands.setWeight(SOUTH, server, 2 - (step * 5 + change) % 16 / 16.0);
               }
-              orders.setAdmission(NORTH, 0, 1 - step / 64.0, step % 2);
-              orders.requestAck(5 + step, false);
+              commands.setAdmission(NORTH, 0, 1 - step / 64.0, step % 2);
+              commands.requestAck(5 + step, false);
             });
-        site.turn(STEP_US);
-        now += STEP_US;
+        site.runIteration(STEP_US);
+        nowUs += STEP_US;
       }
       site.list(101, false, List.of(server(1, Lifecycle.DRAINING), server(7, Lifecycle.REMOVED)));
-      site.turn(STEP_US);
-      now += STEP_US;
-      site.ask(
-          orders -> {
-            orders.eject(site.server(1));
-            orders.setWeight(NORTH, site.server(1), 0);
-            orders.setWeight(SOUTH, site.server(3), 0);
-            orders.setAdmission(SOUTH, LOOKUP_BIT, 0.875, 1);
-            // A way to repeat that a start does not take over for this class.
-            orders.setAdmission(SOUTH, ORDER_BIT, 0.625, 2);
-            orders.requestAck(29, false);
+      site.runIteration(STEP_US);
+      nowUs += STEP_US;
+      site.command(
+          commands -> {
+            commands.eject(site.server(1));
+            commands.setWeight(NORTH, site.server(1), 0);
+            commands.setWeight(SOUTH, site.server(3), 0);
+            commands.setAdmission(SOUTH, LOOKUP_BIT, 0.875, 1);
+            // A retry policy that a start does not restore for this class.
+            commands.setAdmission(SOUTH, ORDER_BIT, 0.625, 2);
+            commands.requestAck(29, false);
           });
       site.join(4, NORTH, true);
-      site.turn(END_US - now);
+      site.runIteration(END_US - nowUs);
     }
   }
 
-  /** What a ledger reads from a store, a line for each value. */
-  static List<String> ledger(Path store) throws IOException {
+  /** Returns what a ledger reads from a store, a line for each value. */
+  static List<String> describeLedger(Path store) throws IOException {
     Ledger ledger =
         Ledger.of(
             Inspection.of(new FileDisk(store)).state(),
             RecoveryTrust.FULL,
-            NAMES,
+            SETTINGS_FINGERPRINT,
             READ_US,
-            StoredDataSite.TRUST_US,
+            StoredDataSite.MAX_TRUSTED_AGE_US,
             false);
-    List<String> out = new ArrayList<>();
-    out.add(
+    List<String> values = new ArrayList<>();
+    values.add(
         "tables hold "
             + ledger.trust().trustsTables()
             + ", epoch "
@@ -225,28 +227,32 @@
             + ledger.lastAckNumber()
             + ", generation "
             + ledger.generation());
-    new TreeMap<>(ledger.servers()).values().forEach(server -> out.add(shown(server)));
-    out.add("out " + ledger.ejectedServers().stream().sorted().toList());
-    List<Idempotency> effects = List.of(Idempotency.IDEMPOTENT, Idempotency.NOT_IDEMPOTENT);
+    new TreeMap<>(ledger.servers()).values().forEach(server -> values.add(describe(server)));
+    values.add("out " + ledger.ejectedServers().stream().sorted().toList());
+    List<Idempotency> idempotencyByClass =
+        List.of(Idempotency.IDEMPOTENT, Idempotency.NOT_IDEMPOTENT);
     ledger.tables().stream()
         .sorted()
         .forEach(
             number -> {
-              out.add("table " + number + " lines " + new TreeMap<>(ledger.weights(number)));
-              Map<Integer, AdmissionLevel> levels = ledger.admissionLevels(number, effects);
-              for (int grade : List.of(LOOKUP, ORDER)) {
-                out.add("table " + number + " class " + grade + " " + shown(levels.get(grade)));
+              values.add("table " + number + " lines " + new TreeMap<>(ledger.weights(number)));
+              Map<Integer, AdmissionLevel> levels =
+                  ledger.admissionLevels(number, idempotencyByClass);
+              for (int requestClass : List.of(LOOKUP, ORDER)) {
+                String level = describe(levels.get(requestClass));
+                values.add("table " + number + " class " + requestClass + " " + level);
               }
             });
     for (int proxy = 0; proxy < PROXIES; proxy++) {
-      out.add("proxy " + proxy + " lacks " + shown(ledger.onProxyJoined(proxy, false)));
+      String lacking = describe(ledger.onProxyJoined(proxy, false));
+      values.add("proxy " + proxy + " lacks " + lacking);
     }
-    return out;
+    return values;
   }
 
-  // The order of the states is part of the stored format.
+  // The order of the lifecycles is part of the stored format.
   @SuppressWarnings("EnumOrdinal")
-  private static String shown(ListedServer server) {
+  private static String describe(ListedServer server) {
     return "server "
         + server.name()
         + " at "
@@ -265,82 +271,83 @@
         + server.startedUs();
   }
 
-  private static String shown(AdmissionLevel level) {
+  private static String describe(AdmissionLevel level) {
     return level == null
         ? "no level"
         : "level " + level.probabilityOrRate() + " retry " + level.retry();
   }
 
-  private static String shown(CatchUp lacks) {
-    if (lacks == null) {
+  private static String describe(CatchUp lacking) {
+    if (lacking == null) {
       return "the whole table";
     }
     List<String> levels = new ArrayList<>();
-    new TreeMap<>(lacks.admissionLevels())
-        .forEach((grade, level) -> levels.add(grade + " " + shown(level)));
+    new TreeMap<>(lacking.admissionLevels())
+        .forEach((requestClass, level) -> levels.add(requestClass + " " + describe(level)));
     return "of table "
-        + lacks.table()
+        + lacking.table()
         + " lines "
-        + new TreeMap<>(lacks.weights())
+        + new TreeMap<>(lacking.weights())
         + " levels "
         + levels
         + " ejections "
-        + new TreeMap<>(lacks.ejections())
+        + new TreeMap<>(lacking.ejections())
         + " announced "
-        + new TreeMap<>(lacks.announced())
+        + new TreeMap<>(lacking.announced())
         + " cost "
-        + lacks.cost();
+        + lacking.cost();
   }
 
-  /**
-   * What an exchange hands its module at a start, and tells the proxies that rejoin, a line each.
-   */
+  /** Returns what a start restores to the policy and sends to rejoining proxies, a line each. */
   static List<String> start(Path store, Path work, long nowUs) throws Exception {
     try (StoredDataSite site = new StoredDataSite(store, work, nowUs)) {
       return rejoin(site);
     }
   }
 
-  /** The same, and what proxies are told of orders that go on: a server is back, a line moves. */
-  static List<String> startAndOrders(Path store, Path work, long nowUs) throws Exception {
+  /**
+   * Returns the same, and what proxies are sent after further commands: a reinstatement and a
+   * weight.
+   */
+  static List<String> startAndCommand(Path store, Path work, long nowUs) throws Exception {
     try (StoredDataSite site = new StoredDataSite(store, work, nowUs)) {
-      List<String> out = new ArrayList<>(rejoin(site));
-      site.ask(
-          orders -> {
-            orders.reinstate(site.server(2));
-            orders.setWeight(NORTH, site.server(0), 0.25);
-            orders.requestAck(1000, false);
+      List<String> lines = new ArrayList<>(rejoin(site));
+      site.command(
+          commands -> {
+            commands.reinstate(site.server(2));
+            commands.setWeight(NORTH, site.server(0), 0.25);
+            commands.requestAck(1000, false);
           });
-      site.turn(STEP_US);
-      out.addAll(sent(site));
-      return out;
+      site.runIteration(STEP_US);
+      lines.addAll(takeUpdates(site));
+      return lines;
     }
   }
 
   private static List<String> rejoin(StoredDataSite site) throws Exception {
-    List<String> out = new ArrayList<>(site.restored());
+    List<String> lines = new ArrayList<>(site.restoredTables());
     for (int proxy = 0; proxy < PROXIES; proxy++) {
       site.join(proxy, proxy % 2, false);
     }
-    site.turn(STEP_US);
-    out.addAll(sent(site));
-    return out;
+    site.runIteration(STEP_US);
+    lines.addAll(takeUpdates(site));
+    return lines;
   }
 
-  private static List<String> sent(StoredDataSite site) throws RespCodec.Fault {
-    List<String> out = new ArrayList<>();
+  private static List<String> takeUpdates(StoredDataSite site) {
+    List<String> updates = new ArrayList<>();
     for (int proxy = 0; proxy < PROXIES; proxy++) {
-      out.addAll(site.sent(proxy));
+      updates.addAll(site.takeUpdates(proxy));
     }
-    return out;
+    return updates;
   }
 
-  /** Copies the files of a directory to one that is made. */
+  /** Copies the files of a directory to a new one. */
   static void copy(Path from, Path to) throws IOException {
     Files.createDirectories(to);
-    try (var files = Files.list(from)) {
-      for (Path one : files.toList()) {
-        Files.copy(one, to.resolve(one.getFileName().toString()));
+    try (Stream<Path> files = Files.list(from)) {
+      for (Path file : files.toList()) {
+        Files.copy(file, to.resolve(file.getFileName().toString()));
       }
     }
   }
--- a/src/test/java/pearusher/control/UpdateChecker.java
+++ b/src/test/java/pearusher/control/UpdateChecker.java
@@ -6,191 +6,250 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import pearusher.control.UpdateFault.Kind;
 import pearusher.server.TestPeers;
 
 /**
- * Reads the orders that proxies receive over the lives of an assigner, and says what no order may
- * be: given twice (again, after its proxy had answered for it), half, under a mark that does not
- * rise, for a server that drains, or a repeat of a class that must never run twice. It knows the
- * protocol and nothing of the store.
+ * Reads the updates that proxies receive over several lives of an assigner, and finds those that
+ * must not be: sent again after the proxy had acknowledged them, incomplete, with an
+ * acknowledgement number that does not rise, for a server that is draining, or with an unsafe retry
+ * policy. It knows the protocol and nothing of the store. Callers on several threads synchronize on
+ * it.
  */
 public final class UpdateChecker {
-  private static final class Seen {
-    final TestPeers.AppliedUpdates held;
+  /** The highest retry policy, as it is on the wire, under which no request runs twice. */
+  private static final int MAX_SAFE_RETRY_POLICY = 1;
 
-    /**
-     * Lines by class and server, levels by class, that the proxy has answered for, and when it did.
-     */
-    final Map<String, String> answered = new HashMap<>();
+  /** What is known of one proxy. */
+  private static final class CheckedProxy {
+    private final TestPeers.AppliedUpdates applied;
 
-    final Map<String, String> since = new HashMap<>();
-    long answeredAt = Long.MAX_VALUE;
-    boolean whole;
-    int mark;
-    boolean joining;
+    /** Settings that the proxy has acknowledged, as in {@link ReceivedPart#settings}. */
+    private final Map<String, String> acknowledged = new HashMap<>();
 
-    /** It held some line as its stream began. */
-    boolean heldLines;
+    /** Settings that it has received since. */
+    private final Map<String, String> unacknowledged = new HashMap<>();
 
-    List<List<String>> message = new ArrayList<>();
+    private long acknowledgedUs = Long.MAX_VALUE;
+    private boolean hasReceivedCompleteTable;
+    private int lastAckNumber;
 
-    Seen(TestPeers.AppliedUpdates held) {
-      this.held = held;
+    /** Whether its stream has received no update yet. */
+    private boolean isJoining;
+
+    /** Whether it had the weight of some server as its stream began. */
+    private boolean hadWeightsAtJoin;
+
+    /** Parts of an update that is not complete. */
+    private final List<ReceivedPart> parts = new ArrayList<>();
+
+    CheckedProxy(TestPeers.AppliedUpdates applied) {
+      this.applied = applied;
+    }
+
+    boolean hasWeights() {
+      return applied.by.values().stream().anyMatch(table -> !table.lines.isEmpty());
     }
   }
 
-  public final List<String> faults = new ArrayList<>();
-  private final Map<Integer, Seen> proxies = new TreeMap<>();
-  private final Map<String, Long> draining = new HashMap<>();
-  private final Set<String> fragile;
   private final List<String> classes;
-  private final long slack;
-  public int orders;
+  private final Set<String> nonIdempotentClasses;
+  private final long slackUs;
+  private final Map<Integer, CheckedProxy> proxies = new TreeMap<>();
+  private final Map<String, Long> drainingSinceUs = new HashMap<>();
+  private final List<UpdateFault> faults = new ArrayList<>();
+  private int updates;
+  private int completeTablesAtRejoin;
+  private int deltasAtJoin;
 
-  /** Whole tables, and messages of less, that went to proxies which rejoined. */
-  public int wholes;
+  /**
+   * @param slackUs how long an acknowledgement or a change of the list may be under way
+   */
+  public UpdateChecker(List<String> classes, Set<String> nonIdempotentClasses, long slackUs) {
+    this.classes = classes;
+    this.nonIdempotentClasses = nonIdempotentClasses;
+    this.slackUs = slackUs;
+  }
+
+  private CheckedProxy proxy(int number) {
+    return proxies.computeIfAbsent(
+        number, n -> new CheckedProxy(new TestPeers.AppliedUpdates(classes)));
+  }
 
-  public int deltas;
+  // Events.
 
   /**
-   * {@code slack}: how long an answer or a word of the list may be on its way, in the caller's
-   * time.
+   * A stream begins.
+   *
+   * @param killedUs when the assigner to which the proxy was connected before was killed
    */
-  public UpdateChecker(List<String> classes, Set<String> fragile, long slack) {
-    this.classes = classes;
-    this.fragile = fragile;
-    this.slack = slack;
+  public void onJoined(int number, boolean isFresh, long killedUs) {
+    CheckedProxy proxy = proxy(number);
+    proxy.isJoining = true;
+    proxy.hadWeightsAtJoin = proxy.hasWeights();
+    proxy.parts.clear();
+    // What is not acknowledged by now will not be acknowledged on a later stream.
+    proxy.unacknowledged.clear();
+    if (isFresh || proxy.acknowledgedUs > killedUs - slackUs) {
+      // What the assigner may not have stored may be sent again.
+      proxy.acknowledged.clear();
+    }
   }
 
-  public TestPeers.AppliedUpdates held(int proxy) {
-    return proxies.computeIfAbsent(proxy, p -> new Seen(new TestPeers.AppliedUpdates(classes)))
-        .held;
+  /** The stream ended, perhaps within an update: none of its parts counts. */
+  public void onStreamClosed(int number) {
+    proxy(number).parts.clear();
   }
 
-  private Seen seen(int proxy) {
-    held(proxy);
-    return proxies.get(proxy);
+  /** The endpoint list changed the lifecycle of a server. */
+  public void onListed(String server, boolean isDraining, long nowUs) {
+    if (isDraining) {
+      drainingSinceUs.putIfAbsent(server, nowUs);
+    } else {
+      drainingSinceUs.remove(server);
+    }
+  }
+
+  /** The proxy acknowledged all that it has received. */
+  public void onAcknowledged(int number, long nowUs) {
+    CheckedProxy proxy = proxy(number);
+    proxy.acknowledged.putAll(proxy.unacknowledged);
+    proxy.unacknowledged.clear();
+    proxy.acknowledgedUs = nowUs;
   }
 
-  /** A stream begins; {@code killed}: when the assigner that the proxy followed was killed. */
-  public void joined(int proxy, boolean fresh, long killed) {
-    Seen p = seen(proxy);
-    p.joining = true;
-    p.heldLines = p.held.by.values().stream().anyMatch(holding -> !holding.lines.isEmpty());
-    p.message.clear();
-    // What is not answered now is answered on no later stream.
-    p.since.clear();
-    if (fresh || p.answeredAt > killed - slack) {
-      // What was not surely heard of may come again.
-      p.answered.clear();
+  /** The proxy received a part of an update, given as the strings of its message. */
+  public void onPart(int number, List<String> strings, long nowUs) {
+    CheckedProxy proxy = proxy(number);
+    proxy.parts.add(ReceivedPart.of(strings, classes));
+    proxy.applied.update(strings);
+    if (!ReceivedPart.hasMore(strings)) {
+      onUpdate(number, proxy, nowUs);
     }
   }
 
-  public void listed(String server, boolean drains, long now) {
-    if (drains) {
-      draining.putIfAbsent(server, now);
-    } else {
-      draining.remove(server);
+  private void onUpdate(int number, CheckedProxy proxy, long nowUs) {
+    updates++;
+    Map<String, String> settings = new HashMap<>();
+    for (ReceivedPart part : proxy.parts) {
+      settings.putAll(part.settings());
+      checkRetries(number, part);
+      checkAckNumber(number, proxy, part);
+    }
+    boolean isComplete = proxy.parts.stream().anyMatch(ReceivedPart::isComplete);
+    if (proxy.isJoining) {
+      onFirstUpdate(number, proxy, settings, isComplete);
     }
+    proxy.isJoining = false;
+    proxy.hasReceivedCompleteTable |= isComplete;
+    proxy.unacknowledged.putAll(settings);
+    proxy.acknowledgedUs = Long.MAX_VALUE;
+    proxy.parts.clear();
+    proxy.applied.faults.forEach(
+        fault -> faults.add(UpdateFault.ofProxy(Kind.NOT_APPLICABLE, number, fault)));
+    proxy.applied.faults.clear();
+    checkDraining(number, nowUs);
   }
 
-  /** A part of a message came. */
-  public void part(int proxy, List<String> words, long now) {
-    Seen p = seen(proxy);
-    p.message.add(words);
-    p.held.update(words);
-    if (words.contains("more")) {
+  /** Checks the first update of a stream. */
+  private void onFirstUpdate(
+      int number, CheckedProxy proxy, Map<String, String> settings, boolean isComplete) {
+    if (!isComplete) {
+      deltasAtJoin++;
+    }
+    if (proxy.acknowledged.isEmpty()) {
       return;
     }
-    orders++;
-    Map<String, String> now1 = new HashMap<>();
-    boolean whole = false;
-    for (List<String> one : p.message) {
-      Map<String, String> at = new HashMap<>();
-      for (int k = 1; k < one.size(); k += 2) {
-        at.put(one.get(k), one.get(k + 1));
-      }
-      whole |= at.containsKey("whole");
-      List<String> which =
-          at.containsKey("classes") ? List.of(at.get("classes").split("\\+")) : classes;
-      for (String grade : which) {
-        for (String line : at.containsKey("lines") ? at.get("lines").split(",") : new String[0]) {
-          now1.put(grade + "/" + line.substring(0, line.lastIndexOf(':')), line);
-        }
-        if (at.containsKey("level")) {
-          now1.put(grade, at.get("level") + " " + at.get("retry"));
-        }
-        if (fragile.contains(grade) && Integer.parseInt(at.getOrDefault("retry", "0")) > 1) {
-          faults.add("proxy " + proxy + ": a repeat that may run twice: " + one);
-        }
-      }
-      if (at.containsKey("ticket")) {
-        int mark = Integer.parseInt(at.get("ticket"));
-        if (mark <= p.mark) {
-          faults.add("proxy " + proxy + ": mark " + mark + " after " + p.mark);
-        }
-        p.mark = mark;
+    if (isComplete) {
+      completeTablesAtRejoin++;
+      // A proxy that joins while its table is empty is bound once the table has a server again,
+      // with
+      // the complete table, which repeats nothing. Others are sent what they lack.
+      if (proxy.hasReceivedCompleteTable && proxy.hadWeightsAtJoin) {
+        add(Kind.UNNEEDED_COMPLETE_TABLE, number, "complete table though it had acknowledged it");
       }
     }
-    deltas += p.joining && !whole ? 1 : 0;
-    if (p.joining && !p.answered.isEmpty()) {
-      wholes += whole ? 1 : 0;
-      // Who joins while its table has no line is bound once it has one again, with the whole table:
-      // that repeats no line. Who held a line as it joined gets what it lacks.
-      if (whole && p.whole && p.heldLines) {
-        faults.add("proxy " + proxy + ": its table whole though it had answered for it");
-      }
-      now1.forEach(
-          (what, order) -> {
-            if (order.equals(p.answered.get(what))) {
-              faults.add("proxy " + proxy + ": ordered twice: " + what + " " + order);
-            }
-          });
+    settings.forEach(
+        (subject, setting) -> {
+          if (setting.equals(proxy.acknowledged.get(subject))) {
+            add(Kind.REPEATED, number, "sent twice: " + subject + " " + setting);
+          }
+        });
+  }
+
+  private void checkRetries(int number, ReceivedPart part) {
+    if (part.retryPolicy() > MAX_SAFE_RETRY_POLICY
+        && !part.classesAmong(nonIdempotentClasses).isEmpty()) {
+      add(Kind.UNSAFE_RETRY, number, "a retry that may run twice: " + part);
+    }
+  }
+
+  private void checkAckNumber(int number, CheckedProxy proxy, ReceivedPart part) {
+    if (part.ackNumber().isEmpty()) {
+      return;
+    }
+    int ackNumber = part.ackNumber().getAsInt();
+    if (ackNumber <= proxy.lastAckNumber) {
+      String description = "acknowledgement " + ackNumber + " after " + proxy.lastAckNumber;
+      add(Kind.ACK_NUMBER, number, description);
+    }
+    proxy.lastAckNumber = ackNumber;
+  }
+
+  /** Checks that the proxy cannot send to a server that has been draining for long. */
+  public void checkDraining(int number, long nowUs) {
+    CheckedProxy proxy = proxy(number);
+    if (!proxy.parts.isEmpty()) {
+      return;
     }
-    p.joining = false;
-    p.whole |= whole;
-    p.since.putAll(now1);
-    p.answeredAt = Long.MAX_VALUE;
-    p.message.clear();
-    faults.addAll(p.held.faults);
-    p.held.faults.clear();
-    drained(proxy, now);
-  }
-
-  /** Nobody may be sent to a server that the list has long called draining. */
-  public void drained(int proxy, long now) {
-    for (String grade : classes) {
-      for (String server : seen(proxy).held.open(grade).keySet()) {
-        Long since = draining.get(server);
-        if (since != null && now - since > slack && seen(proxy).message.isEmpty()) {
-          faults.add("proxy " + proxy + ": sent to " + server + " which drains");
+    for (String requestClass : classes) {
+      for (String server : proxy.applied.open(requestClass).keySet()) {
+        Long sinceUs = drainingSinceUs.get(server);
+        if (sinceUs != null && nowUs - sinceUs > slackUs) {
+          add(Kind.DRAINING_SERVER, number, "may send to " + server + ", which is draining");
         }
       }
     }
   }
 
-  /** The proxy has answered for all that it was sent. */
-  public void answered(int proxy, long now) {
-    Seen p = seen(proxy);
-    p.answered.putAll(p.since);
-    p.since.clear();
-    p.answeredAt = now;
+  private void add(Kind kind, int number, String description) {
+    faults.add(UpdateFault.ofProxy(kind, number, description));
   }
 
-  /**
-   * A stream ended in the middle of a message: none of it counts, and what came of it is a fault of
-   * ours.
-   */
-  public void ended(int proxy) {
-    seen(proxy).message.clear();
+  // Results.
+
+  /** Returns the faults so far. */
+  public List<UpdateFault> faults() {
+    return faults;
+  }
+
+  /** Returns what a proxy has applied. */
+  public TestPeers.AppliedUpdates applied(int number) {
+    return proxy(number).applied;
+  }
+
+  /** Returns the number of complete updates. */
+  public synchronized int updates() {
+    return updates;
+  }
+
+  /** Returns how often a proxy that joined again was sent a complete table it had acknowledged. */
+  public int completeTablesAtRejoin() {
+    return completeTablesAtRejoin;
+  }
+
+  /** Returns how often the first update of a stream was less than a complete table. */
+  public int deltasAtJoin() {
+    return deltasAtJoin;
   }
 
-  /** Something came since the last answer. */
-  boolean unanswered(int proxy) {
-    return !seen(proxy).since.isEmpty();
+  /** Whether a proxy has received something since its last acknowledgement. */
+  boolean hasUnacknowledged(int number) {
+    return !proxy(number).unacknowledged.isEmpty();
   }
 
-  int mark(int proxy) {
-    return seen(proxy).mark;
+  /** Returns the last acknowledgement number that a proxy received; 0 if it received none. */
+  int lastAckNumber(int number) {
+    return proxy(number).lastAckNumber;
   }
 }
--- a/src/test/java/pearusher/server/DurableProcessTest.java
+++ b/src/test/java/pearusher/server/DurableProcessTest.java
@@ -59,12 +59,12 @@
     void message(List<String> words) throws IOException {
       int ticket = words.indexOf("ticket");
       synchronized (check) {
-        check.part(number, words, now());
+        check.onPart(number, words, now());
       }
       if (ticket > 0) {
         send("applied proxy " + number + " mark " + words.get(ticket + 1) + " took_ms 0.0");
         synchronized (check) {
-          check.answered(number, now());
+          check.onAcknowledged(number, now());
         }
       }
     }
@@ -116,7 +116,7 @@
       generation++;
       lifecycle[server] = "terminating";
       synchronized (check) {
-        check.listed("s" + server, true, now());
+        check.onListed("s" + server, true, now());
       }
       watch.line(list(server, server + 1));
     }
@@ -173,8 +173,8 @@
       Proxy one = new Proxy(k);
       boolean fresh;
       synchronized (check) {
-        fresh = check.held(k).by.get("lookup").lines.isEmpty();
-        check.joined(k, fresh, killed);
+        fresh = check.applied(k).by.get("lookup").lines.isEmpty();
+        check.onJoined(k, fresh, killed);
       }
       one.reading();
       one.send(
@@ -209,7 +209,7 @@
       TestPeers.until("its end", () -> one.ended);
       one.close();
       synchronized (check) {
-        check.ended(one.number);
+        check.onStreamClosed(one.number);
       }
     }
     collector.close();
@@ -245,14 +245,16 @@
       kill(p, collector);
       synchronized (check) {
         for (int k = 0; k < PROXIES; k++) {
-          check.drained(k, now());
+          check.checkDraining(k, now());
         }
-        assertEquals(List.of(), check.faults, log(name));
+        assertEquals(List.of(), check.faults(), log(name));
       }
     }
-    assertTrue(check.orders > 60, check.orders + " orders, " + check.deltas + " to who rejoined");
-    assertEquals(0, check.wholes, "who holds its table gets what it lacks");
-    assertTrue(check.deltas > 0);
+    assertTrue(
+        check.updates() > 60,
+        check.updates() + " orders, " + check.deltasAtJoin() + " to who rejoined");
+    assertEquals(0, check.completeTablesAtRejoin(), "who holds its table gets what it lacks");
+    assertTrue(check.deltasAtJoin() > 0);
   }
 
   private Path newestLog() throws IOException {
@@ -270,7 +272,7 @@
     Process first = start("first", store(""));
     TestPeers.until("ready", () -> log("first").contains("INFO ready: n0"));
     join();
-    TestPeers.until("orders", () -> check.orders >= PROXIES);
+    TestPeers.until("orders", () -> check.updates() >= PROXIES);
     Process second = start("second", store(""));
     assertEquals(1, status(second));
     assertTrue(
@@ -338,9 +340,9 @@
           }
           return log("stopped").contains("ERROR store given up: waiting=");
         });
-    int before = check.orders;
+    int before = check.updates();
     drain(1);
-    TestPeers.until("orders without a store", () -> check.orders > before);
+    TestPeers.until("orders without a store", () -> check.updates() > before);
     assertEquals(1, log("stopped").lines().filter(l -> l.contains("store given up")).count());
   }
 
