--- a/src/main/antlr4/pearusher/operatorsettings/Conf.g4
+++ b/src/main/antlr4/pearusher/operatorsettings/Conf.g4
@@ -8,11 +8,11 @@
  *         interval 20ms
  *     }
  *
- * What a word means is not the grammar's business: Key lists what may stand where.
+ * The grammar knows no key: SettingKey lists them.
  */
 grammar Conf;
 
-/* One token tells what comes next, so a fault is told where it is and not at the block around it. */
+/* One token decides what follows, so that an error has its own position and not that of the block. */
 file : line* EOF ;
 
 line : NL | item end ;
@@ -32,5 +32,5 @@
 NL : '\r'? '\n' | '\r' ;
 OPEN : '{' ;
 CLOSE : '}' ;
-/* Whatever else comes is a token too, so that the parser says where. */
+/* All other characters are tokens too, so that the parser reports their position. */
 OTHER : . ;
--- a/src/main/java/pearusher/cli/CommandLineRunner.java
+++ b/src/main/java/pearusher/cli/CommandLineRunner.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The tree of commands. */
+/** The root of the commands, and how they end. */
 @Command(
     name = "pearusher",
     description = "A table manager that assigns servers to proxies.",
@@ -35,38 +35,40 @@
     throw new ParameterException(spec.commandLine(), "a command is missing");
   }
 
+  /** Runs a command and returns the exit status. */
   static int run(String... args) {
-    return line().execute(args);
+    return create().execute(args);
   }
 
-  /** The command line with one way to end: faults are one line, never a trace. */
-  static CommandLine line() {
-    CommandLine line = new CommandLine(new CommandLineRunner());
-    mixin(line);
-    line.setExecutionExceptionHandler(
-        (e, at, parsed) -> {
-          at.getErr()
-              .println("pearusher: " + (e.getMessage() == null ? e.toString() : e.getMessage()));
+  /** Makes the command line; its faults are one line each, never a stack trace. */
+  static CommandLine create() {
+    CommandLine commandLine = new CommandLine(new CommandLineRunner());
+    addHelpOption(commandLine);
+    commandLine.setExecutionExceptionHandler(
+        (e, command, parsed) -> {
+          String text = e.getMessage() == null ? e.toString() : e.getMessage();
+          command.getErr().println("pearusher: " + text);
           return FAILED;
         });
-    line.setParameterExceptionHandler(
+    commandLine.setParameterExceptionHandler(
         (e, args) -> {
           PrintWriter err = e.getCommandLine().getErr();
           err.println("pearusher: " + e.getMessage());
           e.getCommandLine().getHelp().fullSynopsis().lines().forEach(err::println);
           return USAGE;
         });
-    return line;
+    return commandLine;
   }
 
-  /** Every command, however deep, knows {@code --help}. */
-  private static void mixin(CommandLine line) {
-    line.getCommandSpec()
+  /** Adds {@code --help} to a command and all below it. */
+  private static void addHelpOption(CommandLine commandLine) {
+    commandLine
+        .getCommandSpec()
         .addOption(
             CommandLine.Model.OptionSpec.builder("-h", "--help")
                 .usageHelp(true)
                 .description("Tell what the command does, and end.")
                 .build());
-    line.getSubcommands().values().forEach(CommandLineRunner::mixin);
+    commandLine.getSubcommands().values().forEach(CommandLineRunner::addHelpOption);
   }
 }
--- a/src/main/java/pearusher/cli/JsonOutput.java
+++ b/src/main/java/pearusher/cli/JsonOutput.java
@@ -5,19 +5,21 @@
 import java.io.IOException;
 import java.io.PrintWriter;
 
-/** Output that programs read: one JSON value and a line's end. */
+/** Output for programs: one JSON value and the end of a line. */
 final class JsonOutput {
+  /** Writes the JSON value. */
+  @FunctionalInterface
   interface Body {
-    void write(JsonGenerator to) throws IOException;
+    void write(JsonGenerator json) throws IOException;
   }
 
   private JsonOutput() {}
 
   static void write(PrintWriter out, Body body) throws IOException {
-    JsonGenerator to = new JsonFactory().createGenerator(out);
-    to.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
-    body.write(to);
-    to.close();
+    JsonGenerator json = new JsonFactory().createGenerator(out);
+    json.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
+    body.write(json);
+    json.close();
     out.println();
     out.flush();
   }
--- a/src/main/java/pearusher/cli/Main.java
+++ b/src/main/java/pearusher/cli/Main.java
@@ -4,12 +4,13 @@
 import pearusher.server.AssignerServer;
 
 /**
- * The process. The two commands that the platform starts, without options, go past the command
- * tree: it costs a start more time than the assigner needs to listen.
+ * Starts the process. The two commands that the platform starts without options bypass the command
+ * line parser, which costs more time than the assigner needs to listen.
  */
 public final class Main {
   private Main() {}
 
+  /** Runs a command and exits with its status. */
   public static void main(String[] args) {
     if (args.length == 1 && "serve".equals(args[0])) {
       System.exit(AssignerServer.run(System.getenv(), FaastPolicy::new));
--- a/src/main/java/pearusher/cli/ServeCommand.java
+++ b/src/main/java/pearusher/cli/ServeCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The assigner on sockets. */
+/** Runs the assigner as a server. */
 @Command(
     name = "serve",
     description = {
@@ -27,54 +27,56 @@
       names = "--settings",
       paramLabel = "FILE",
       description = "The operators' own settings; without them all that they switch on is off.")
-  private Path settings;
+  private Path settingsFile;
 
   @Override
   public Integer call() {
-    OperatorSettings read = OperatorSettings.none();
     try {
-      read = settings == null ? read : OperatorSettings.read(settings);
+      return serve(
+          settingsFile == null ? OperatorSettings.none() : OperatorSettings.read(settingsFile));
     } catch (InvalidSettingsException e) {
       e.faults().forEach(fault -> System.err.println("pearusher: " + fault));
       return CommandLineRunner.USAGE;
     }
-    return AssignerServer.run(
-        System.getenv(),
-        FaastPolicy::new,
+  }
+
+  private static int serve(OperatorSettings settings) {
+    OptionalFeatures features =
         new OptionalFeatures(
-            read.isEnabled("store") ? keeping(read) : null,
-            read.isEnabled("intake") ? bounds(read) : null));
+            settings.isEnabled("store") ? persistenceOptions(settings) : null,
+            settings.isEnabled("intake") ? intakeBounds(settings) : null);
+    return AssignerServer.run(System.getenv(), FaastPolicy::new, features);
   }
 
-  private static Intake.Bounds bounds(OperatorSettings from) {
+  private static Intake.Bounds intakeBounds(OperatorSettings settings) {
     return new Intake.Bounds(
-        from.number(SettingKey.INTAKE_BUDGET),
-        (int) from.number(SettingKey.INTAKE_CALM),
-        (int) from.number(SettingKey.INTAKE_PLACE),
-        (long) from.number(SettingKey.INTAKE_OVER),
-        (long) from.number(SettingKey.INTAKE_OLDEST),
-        from.word(SettingKey.INTAKE_SAMPLE).equals("on"),
+        settings.number(SettingKey.INTAKE_BUDGET),
+        (int) settings.number(SettingKey.INTAKE_CALM),
+        (int) settings.number(SettingKey.INTAKE_PLACE),
+        (long) settings.number(SettingKey.INTAKE_OVER),
+        (long) settings.number(SettingKey.INTAKE_OLDEST),
+        settings.text(SettingKey.INTAKE_SAMPLE).equals("on"),
         System.nanoTime());
   }
 
-  private static PersistenceOptions keeping(OperatorSettings from) {
+  private static PersistenceOptions persistenceOptions(OperatorSettings settings) {
     StoreOptions options =
         new StoreOptions(
-            StoreOptions.Policy.valueOf(upper(from, SettingKey.STORE_SYNC)),
-            (long) from.number(SettingKey.STORE_INTERVAL),
-            (long) from.number(SettingKey.STORE_SEGMENT),
-            (long) from.number(SettingKey.STORE_COMPACT_AT),
-            from.number(SettingKey.STORE_COMPACT_TIMES),
-            StoreOptions.Damage.valueOf(upper(from, SettingKey.STORE_DAMAGE)));
+            StoreOptions.Policy.valueOf(upperCase(settings, SettingKey.STORE_SYNC)),
+            (long) settings.number(SettingKey.STORE_INTERVAL),
+            (long) settings.number(SettingKey.STORE_SEGMENT),
+            (long) settings.number(SettingKey.STORE_COMPACT_AT),
+            settings.number(SettingKey.STORE_COMPACT_TIMES),
+            StoreOptions.Damage.valueOf(upperCase(settings, SettingKey.STORE_DAMAGE)));
     return new PersistenceOptions(
-        Path.of(from.word(SettingKey.STORE_DIRECTORY)),
+        Path.of(settings.text(SettingKey.STORE_DIRECTORY)),
         options,
-        (long) from.number(SettingKey.STORE_PATIENCE),
-        (long) from.number(SettingKey.STORE_ALIVE),
-        (long) from.number(SettingKey.STORE_TRUST));
+        (long) settings.number(SettingKey.STORE_PATIENCE),
+        (long) settings.number(SettingKey.STORE_ALIVE),
+        (long) settings.number(SettingKey.STORE_TRUST));
   }
 
-  private static String upper(OperatorSettings from, SettingKey key) {
-    return from.word(key).toUpperCase(Locale.ROOT);
+  private static String upperCase(OperatorSettings settings, SettingKey key) {
+    return settings.text(key).toUpperCase(Locale.ROOT);
   }
 }
--- a/src/main/java/pearusher/cli/SettingsCommand.java
+++ b/src/main/java/pearusher/cli/SettingsCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The operators' settings file. */
+/** Commands on the operators' settings file. */
 @Command(
     name = "settings",
     description = "Check a settings file, or show what is in force.",
@@ -29,7 +29,7 @@
     throw new ParameterException(spec.commandLine(), "'settings' needs 'check' or 'show'");
   }
 
-  /** Checks a file as the start does. */
+  /** Checks a file as a start does. */
   @Command(
       name = "check",
       description = {
@@ -47,16 +47,10 @@
 
     @Override
     public Integer call() throws IOException {
-      List<SettingsFault> faults = List.of();
-      try {
-        OperatorSettings.read(file);
-      } catch (InvalidSettingsException e) {
-        faults = e.faults();
-      }
+      List<SettingsFault> faults = faultsOf(file);
       PrintWriter out = spec.commandLine().getOut();
       if (json) {
-        List<SettingsFault> all = faults;
-        JsonOutput.write(out, to -> array(to, all));
+        writeJson(out, faults);
       } else {
         faults.forEach(out::println);
         out.println(faults.isEmpty() ? file + ": good" : faults.size() + " faults");
@@ -65,24 +59,43 @@
       return faults.isEmpty() ? 0 : CommandLineRunner.USAGE;
     }
 
-    private static void array(JsonGenerator to, List<SettingsFault> faults) throws IOException {
-      to.writeStartArray();
-      for (SettingsFault one : faults) {
-        to.writeStartObject();
-        to.writeStringField("file", one.file());
-        to.writeNumberField("line", one.line());
-        to.writeNumberField("column", one.column());
-        to.writeStringField("key", one.key());
-        to.writeStringField("text", one.text());
-        to.writeEndObject();
+    private static List<SettingsFault> faultsOf(Path file) {
+      try {
+        OperatorSettings.read(file);
+        return List.of();
+      } catch (InvalidSettingsException e) {
+        return e.faults();
       }
-      to.writeEndArray();
+    }
+
+    private static void writeJson(PrintWriter out, List<SettingsFault> faults) throws IOException {
+      JsonOutput.write(
+          out,
+          json -> {
+            json.writeStartArray();
+            for (SettingsFault fault : faults) {
+              writeFault(json, fault);
+            }
+            json.writeEndArray();
+          });
+    }
+
+    private static void writeFault(JsonGenerator json, SettingsFault fault) throws IOException {
+      json.writeStartObject();
+      json.writeStringField("file", fault.file());
+      json.writeNumberField("line", fault.line());
+      json.writeNumberField("column", fault.column());
+      json.writeStringField("key", fault.key());
+      json.writeStringField("text", fault.text());
+      json.writeEndObject();
     }
   }
 
-  /** Shows every value. */
+  /** Shows every value in force. */
   @Command(name = "show", description = "Show every value in force and where it comes from.")
   static final class Show implements Callable<Integer> {
+    private static final String ROW = "%-20s %-24s %s%n";
+
     @Spec private CommandSpec spec;
 
     @Parameters(
@@ -96,35 +109,50 @@
 
     @Override
     public Integer call() throws IOException {
-      OperatorSettings settings = OperatorSettings.none();
       try {
-        settings = file == null ? settings : OperatorSettings.read(file);
+        show(file == null ? OperatorSettings.none() : OperatorSettings.read(file));
+        return 0;
       } catch (InvalidSettingsException e) {
         e.faults().forEach(spec.commandLine().getErr()::println);
         return CommandLineRunner.USAGE;
       }
+    }
+
+    private void show(OperatorSettings settings) throws IOException {
       PrintWriter out = spec.commandLine().getOut();
-      List<OperatorSettings.Value> values = settings.inForce();
       if (json) {
-        JsonOutput.write(
-            out,
-            to -> {
-              to.writeStartObject();
-              for (OperatorSettings.Value one : values) {
-                to.writeObjectFieldStart(one.key().path());
-                to.writeStringField("value", one.text());
-                to.writeStringField("from", one.from());
-                to.writeStringField("what", one.key().help());
-                to.writeEndObject();
-              }
-              to.writeEndObject();
-            });
+        writeJson(out, settings.inForce());
       } else {
-        out.printf("%-20s %-24s %s%n", "key", "value", "from");
-        values.forEach(v -> out.printf("%-20s %-24s %s%n", v.key().path(), v.text(), v.from()));
+        writeTable(out, settings.inForce());
       }
       out.flush();
-      return 0;
+    }
+
+    private static void writeJson(PrintWriter out, List<OperatorSettings.Value> values)
+        throws IOException {
+      JsonOutput.write(
+          out,
+          json -> {
+            json.writeStartObject();
+            for (OperatorSettings.Value value : values) {
+              writeValue(json, value);
+            }
+            json.writeEndObject();
+          });
+    }
+
+    private static void writeValue(JsonGenerator json, OperatorSettings.Value value)
+        throws IOException {
+      json.writeObjectFieldStart(value.key().path());
+      json.writeStringField("value", value.text());
+      json.writeStringField("from", value.from());
+      json.writeStringField("what", value.key().help());
+      json.writeEndObject();
+    }
+
+    private static void writeTable(PrintWriter out, List<OperatorSettings.Value> values) {
+      out.printf(ROW, "key", "value", "from");
+      values.forEach(value -> out.printf(ROW, value.key().path(), value.text(), value.from()));
     }
   }
 }
--- a/src/main/java/pearusher/cli/StoreCommand.java
+++ b/src/main/java/pearusher/cli/StoreCommand.java
@@ -1,5 +1,6 @@
 package pearusher.cli;
 
+import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.charset.StandardCharsets;
@@ -19,7 +20,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** A store's directory, closed or in use. */
+/** Commands on the directory of a store, which may be in use where a command says so. */
 @Command(
     name = "store",
     description = "Look at a store, check, compact, copy and restore it.",
@@ -39,7 +40,7 @@
     throw new ParameterException(spec.commandLine(), "'store' needs a command, such as 'inspect'");
   }
 
-  /** What all of them share. */
+  /** A command on the directory of a store. */
   abstract static class OnDirectory implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
@@ -54,30 +55,44 @@
       return spec.commandLine().getOut();
     }
 
-    static void write(PrintWriter out, boolean json, Map<String, Object> fields)
+    void println(String line) {
+      out().println(line);
+      out().flush();
+    }
+
+    static void writeFields(PrintWriter out, boolean asJson, Map<String, Object> fields)
         throws IOException {
-      if (json) {
-        JsonOutput.write(
-            out,
-            to -> {
-              to.writeStartObject();
-              for (Map.Entry<String, Object> one : fields.entrySet()) {
-                if (one.getValue() instanceof Number n) {
-                  to.writeNumberField(one.getKey(), n.longValue());
-                } else {
-                  to.writeStringField(one.getKey(), one.getValue().toString());
-                }
-              }
-              to.writeEndObject();
-            });
+      if (asJson) {
+        writeJson(out, fields);
       } else {
-        fields.forEach((k, v) -> out.printf("%-12s %s%n", k, v));
+        fields.forEach((name, value) -> out.printf("%-12s %s%n", name, value));
       }
       out.flush();
     }
+
+    private static void writeJson(PrintWriter out, Map<String, Object> fields) throws IOException {
+      JsonOutput.write(
+          out,
+          json -> {
+            json.writeStartObject();
+            for (Map.Entry<String, Object> field : fields.entrySet()) {
+              writeField(json, field.getKey(), field.getValue());
+            }
+            json.writeEndObject();
+          });
+    }
+
+    private static void writeField(JsonGenerator json, String name, Object value)
+        throws IOException {
+      if (value instanceof Number number) {
+        json.writeNumberField(name, number.longValue());
+      } else {
+        json.writeStringField(name, value.toString());
+      }
+    }
   }
 
-  /** What a directory holds. */
+  /** Shows what a directory holds. */
   @Command(name = "inspect", description = "Tell what the directory holds; it may be in use.")
   static final class Inspect extends OnDirectory {
     @Option(names = "--json", description = "Write a JSON object.")
@@ -85,13 +100,13 @@
 
     @Override
     public Integer call() throws IOException {
-      Inspection found = Inspection.of(disk());
-      write(out(), json, found.fields());
+      Inspection inspection = Inspection.of(disk());
+      writeFields(out(), json, inspection.fields());
       return 0;
     }
   }
 
-  /** Whether all of it can be read. */
+  /** Checks whether a store can be read completely. */
   @Command(
       name = "verify",
       description = {
@@ -104,15 +119,17 @@
 
     @Override
     public Integer call() throws IOException {
-      Inspection found = Inspection.of(disk());
-      write(out(), json, found.fields());
-      return found.damage().isEmpty() ? 0 : CommandLineRunner.FAILED;
+      Inspection inspection = Inspection.of(disk());
+      writeFields(out(), json, inspection.fields());
+      return inspection.damage().isEmpty() ? 0 : CommandLineRunner.FAILED;
     }
   }
 
-  /** All keys and values. */
+  /** Writes all keys and values. */
   @Command(name = "dump", description = "Write every key and value, in the order of the keys.")
   static final class Dump extends OnDirectory {
+    private static final int FIRST_PRINTABLE = 32;
+
     @Option(names = "--json", description = "Write a JSON object; values as hexadecimal digits.")
     private boolean json;
 
@@ -121,29 +138,33 @@
 
     @Override
     public Integer call() throws IOException {
-      Map<String, byte[]> all = new TreeMap<>(Inspection.of(disk()).state());
-      all.keySet().removeIf(k -> !k.startsWith(prefix));
+      Map<String, byte[]> entries = new TreeMap<>(Inspection.of(disk()).state());
+      entries.keySet().removeIf(key -> !key.startsWith(prefix));
       if (json) {
-        JsonOutput.write(
-            out(),
-            to -> {
-              to.writeStartObject();
-              for (Map.Entry<String, byte[]> one : all.entrySet()) {
-                to.writeStringField(one.getKey(), HexFormat.of().formatHex(one.getValue()));
-              }
-              to.writeEndObject();
-            });
+        writeJson(out(), entries);
       } else {
-        all.forEach((k, v) -> out().println(k + " = " + shown(v)));
+        entries.forEach((key, value) -> out().println(key + " = " + format(value)));
         out().flush();
       }
       return 0;
     }
 
-    /** Text where it is text. */
-    private static String shown(byte[] value) {
-      for (byte b : value) {
-        if (b < 32) {
+    private static void writeJson(PrintWriter out, Map<String, byte[]> entries) throws IOException {
+      JsonOutput.write(
+          out,
+          json -> {
+            json.writeStartObject();
+            for (Map.Entry<String, byte[]> entry : entries.entrySet()) {
+              json.writeStringField(entry.getKey(), HexFormat.of().formatHex(entry.getValue()));
+            }
+            json.writeEndObject();
+          });
+    }
+
+    /** The value as text where all its bytes are printable, else as hexadecimal digits. */
+    private static String format(byte[] value) {
+      for (byte character : value) {
+        if (character < FIRST_PRINTABLE) {
           return "0x" + HexFormat.of().formatHex(value);
         }
       }
@@ -151,7 +172,7 @@
     }
   }
 
-  /** One checkpoint in place of all logs. */
+  /** Replaces the logs of a store by one checkpoint. */
   @Command(
       name = "compact",
       description = "Fold the logs of a store that is not in use into one checkpoint.")
@@ -159,16 +180,15 @@
     @Override
     public Integer call() throws IOException {
       try (Store store = Store.open(disk(), StoreOptions.DEFAULT)) {
-        long before = store.logBytes();
+        long logBytes = store.logBytes();
         store.compact(store.seal());
-        out().println("compacted " + before + " bytes of log");
-        out().flush();
+        println("compacted " + logBytes + " bytes of log");
       }
       return 0;
     }
   }
 
-  /** A copy, of an open store too. */
+  /** Copies a store, which may be in use. */
   @Command(
       name = "backup",
       description = {
@@ -185,15 +205,14 @@
 
     @Override
     public Integer call() throws IOException {
-      FileDisk into = new FileDisk(to);
-      into.createDirectory();
-      out().println("copied up to record " + Store.copy(disk(), into));
-      out().flush();
+      FileDisk target = new FileDisk(to);
+      target.createDirectory();
+      println("copied up to record " + Store.copy(disk(), target));
       return 0;
     }
   }
 
-  /** A copy put in place. */
+  /** Puts a copy in the place of a store. */
   @Command(
       name = "restore",
       description = {
@@ -206,10 +225,9 @@
 
     @Override
     public Integer call() throws IOException {
-      FileDisk into = disk();
-      into.createDirectory();
-      out().println("restored up to record " + Store.copy(new FileDisk(from), into));
-      out().flush();
+      FileDisk target = disk();
+      target.createDirectory();
+      println("restored up to record " + Store.copy(new FileDisk(from), target));
       return 0;
     }
   }
--- a/src/main/java/pearusher/operatorsettings/InvalidSettingsException.java
+++ b/src/main/java/pearusher/operatorsettings/InvalidSettingsException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Settings that can't be used; all faults found, in the order of the files. */
+/** Settings that can't be used, with all faults that were found in the order of the files. */
 public final class InvalidSettingsException extends Exception {
   private static final long serialVersionUID = 1L;
   private final transient List<SettingsFault> faults;
--- a/src/main/java/pearusher/operatorsettings/SettingsFileParser.java
+++ b/src/main/java/pearusher/operatorsettings/SettingsFileParser.java
@@ -11,229 +11,150 @@
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.List;
-import java.util.Map;
-import java.util.StringJoiner;
-import org.antlr.v4.runtime.BaseErrorListener;
-import org.antlr.v4.runtime.CharStreams;
-import org.antlr.v4.runtime.CommonTokenStream;
-import org.antlr.v4.runtime.Parser;
-import org.antlr.v4.runtime.RecognitionException;
-import org.antlr.v4.runtime.Recognizer;
-import org.antlr.v4.runtime.Token;
-import org.antlr.v4.runtime.misc.IntervalSet;
 
 /**
- * Reads settings files into lines of block, word and values, following includes. It knows the
- * grammar and no key. Whatever the bytes are, it ends with lines or with faults that have a place.
+ * Reads settings files into lines of block, keyword and values, following includes. It knows the
+ * grammar and no key. Whatever the bytes are, it ends with lines or with faults that have a
+ * position.
  */
 final class SettingsFileParser {
-  /**
-   * Bounds on what is read: no settings come near them, and a file that was named by mistake may.
-   */
-  private static final int MOST_BYTES = 1 << 20;
-
-  private static final int MOST_DEPTH = 16;
-  private static final int MOST_INCLUDES = 64;
-  private static final int MOST_FAULTS = 20;
-
-  private static final Map<Integer, String> TOKENS =
-      Map.of(
-          ConfLexer.STRING,
-          "a quoted text",
-          ConfLexer.WORD,
-          "a word",
-          ConfLexer.NL,
-          "the end of the line",
-          ConfLexer.OPEN,
-          "'{'",
-          ConfLexer.CLOSE,
-          "'}'",
-          Token.EOF,
-          "the end of the file");
-
-  /** A setting with its place; {@code block}: the blocks around it, joined by dots. */
-  record Line(String file, int line, int column, String block, String word, List<String> values) {
-    SettingsFault fault(String key, String text) {
-      return new SettingsFault(file, line, column, key, text);
-    }
-  }
+  /** Bounds that no settings reach, but a file that was named by mistake may. */
+  private static final int MAX_FILE_BYTES = 1 << 20;
 
-  private final List<Line> lines = new ArrayList<>();
+  private static final int MAX_FILES = 64;
+  private static final int MAX_FAULTS = 20;
+
+  private static final String INCLUDE = "include";
+
+  private final List<SettingLine> lines = new ArrayList<>();
   private final List<SettingsFault> faults = new ArrayList<>();
-  private final Deque<Path> open = new ArrayDeque<>();
-  private int files;
+
+  /** The files that are being read, the innermost first. */
+  private final Deque<Path> openFiles = new ArrayDeque<>();
+
+  private int fileCount;
 
   private SettingsFileParser() {}
 
-  static List<Line> read(Path path) throws InvalidSettingsException {
-    SettingsFileParser out = new SettingsFileParser();
-    out.file(path, new SettingsFault(path.toString(), 0, 0, "", ""));
-    return out.end();
+  /**
+   * Reads a file and those that it includes.
+   *
+   * @throws InvalidSettingsException with the first faults of syntax and includes
+   */
+  static List<SettingLine> read(Path path) throws InvalidSettingsException {
+    SettingsFileParser parser = new SettingsFileParser();
+    parser.readFile(path, new SettingsFault(path.toString(), 0, 0, "", ""));
+    return parser.result();
   }
 
-  /** The text of one file that has no includes of its own directory. */
-  static List<Line> parse(String name, String text) throws InvalidSettingsException {
-    SettingsFileParser out = new SettingsFileParser();
-    out.open.push(Path.of(name));
-    out.text(name, text);
-    return out.end();
+  /** Reads the text of one file; it may include files of the working directory. */
+  static List<SettingLine> parse(String name, String text) throws InvalidSettingsException {
+    SettingsFileParser parser = new SettingsFileParser();
+    parser.openFiles.push(Path.of(name));
+    parser.parseText(name, text);
+    return parser.result();
   }
 
-  private List<Line> end() throws InvalidSettingsException {
+  private List<SettingLine> result() throws InvalidSettingsException {
     if (!faults.isEmpty()) {
-      throw new InvalidSettingsException(faults.subList(0, Math.min(MOST_FAULTS, faults.size())));
+      throw new InvalidSettingsException(faults.subList(0, Math.min(MAX_FAULTS, faults.size())));
     }
     return lines;
   }
 
-  /** Reads a file that {@code from} names. */
-  private void file(Path path, SettingsFault from) {
-    Path real = path.toAbsolutePath().normalize();
-    if (open.contains(real)) {
-      add(from, "includes itself: " + path);
+  /** Reads a file; {@code includedAt} has the position for faults of the file. */
+  private void readFile(Path path, SettingsFault includedAt) {
+    Path normalized = path.toAbsolutePath().normalize();
+    if (openFiles.contains(normalized)) {
+      addFault(includedAt, "includes itself: " + path);
       return;
     }
-    if (++files > MOST_INCLUDES) {
-      add(from, "more than " + MOST_INCLUDES + " files are included");
+    if (++fileCount > MAX_FILES) {
+      addFault(includedAt, "more than " + MAX_FILES + " files are included");
       return;
     }
-    String text;
     try {
-      if (Files.size(path) > MOST_BYTES) {
-        add(from, path + " is longer than 1 MiB, which no settings are");
+      if (Files.size(path) > MAX_FILE_BYTES) {
+        addFault(includedAt, path + " is longer than 1 MiB, which no settings are");
         return;
       }
-      text =
-          StandardCharsets.UTF_8
-              .newDecoder()
-              .decode(ByteBuffer.wrap(Files.readAllBytes(path)))
-              .toString();
+      String text = decode(Files.readAllBytes(path));
+      openFiles.push(normalized);
+      parseText(path.toString(), text);
+      openFiles.pop();
     } catch (CharacterCodingException e) {
-      add(from, path + " is not UTF-8 text");
-      return;
+      addFault(includedAt, path + " is not UTF-8 text");
     } catch (IOException e) {
-      add(from, path + " can't be read; name a file that is there and may be read");
-      return;
+      addFault(includedAt, path + " can't be read; name a file that is there and may be read");
     }
-    open.push(real);
-    text(path.toString(), text);
-    open.pop();
   }
 
-  private void add(SettingsFault at, String text) {
-    faults.add(new SettingsFault(at.file(), at.line(), at.column(), at.key(), text));
+  private static String decode(byte[] bytes) throws CharacterCodingException {
+    return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
   }
 
-  private void text(String name, String text) {
-    ConfLexer lexer = new ConfLexer(CharStreams.fromString(text, name));
-    lexer.removeErrorListeners();
-    CommonTokenStream tokens = new CommonTokenStream(lexer);
-    tokens.fill();
-    int depth = 0;
-    for (Token one : tokens.getTokens()) {
-      depth += one.getType() == ConfLexer.OPEN ? 1 : one.getType() == ConfLexer.CLOSE ? -1 : 0;
-      // The parser goes down a call a block: a file of braces must not end its stack.
-      if (depth > MOST_DEPTH) {
-        faults.add(
-            new SettingsFault(
-                name,
-                one.getLine(),
-                one.getCharPositionInLine() + 1,
-                "",
-                "more than " + MOST_DEPTH + " blocks in one another"));
-        return;
-      }
-    }
-    ConfParser parser = new ConfParser(tokens);
-    parser.removeErrorListeners();
-    int before = faults.size();
-    parser.addErrorListener(
-        new BaseErrorListener() {
-          @Override
-          public void syntaxError(
-              Recognizer<?, ?> by,
-              Object symbol,
-              int line,
-              int column,
-              String message,
-              RecognitionException e) {
-            faults.add(
-                new SettingsFault(
-                    name,
-                    line,
-                    column + 1,
-                    "",
-                    "found "
-                        + shown((Token) symbol)
-                        + ", expected "
-                        + expected(
-                            e != null
-                                ? e.getExpectedTokens()
-                                : ((Parser) by).getExpectedTokens())));
-          }
-        });
-    ConfParser.FileContext file = parser.file();
-    if (faults.size() == before) {
-      lines(name, "", file.line());
-    }
+  private void addFault(SettingsFault position, String text) {
+    faults.add(
+        new SettingsFault(
+            position.file(), position.line(), position.column(), position.key(), text));
+  }
+
+  private void parseText(String name, String text) {
+    SettingsSyntax.parse(name, text, faults).ifPresent(file -> addLines(name, "", file.line()));
   }
 
-  private static String shown(Token token) {
-    String text = TOKENS.get(token.getType());
-    boolean named = token.getType() == ConfLexer.NL || token.getType() == Token.EOF;
-    if (token.getType() == ConfLexer.OTHER && token.getText().equals("\"")) {
-      return "a quote that is not closed on its line";
+  private void addLines(String file, String block, List<ConfParser.LineContext> parsedLines) {
+    for (ConfParser.LineContext line : parsedLines) {
+      if (line.item() != null) {
+        addItem(file, block, line.item());
+      }
     }
-    return named ? text : "'" + token.getText() + "'";
   }
 
-  private static String expected(IntervalSet types) {
-    StringJoiner out = new StringJoiner(" or ");
-    for (int type : types.toArray()) {
-      out.add(TOKENS.getOrDefault(type, "another token"));
+  private void addItem(String file, String block, ConfParser.ItemContext item) {
+    String keyword = item.WORD().getText();
+    if (item.block() != null) {
+      String path = block.isEmpty() ? keyword : block + "." + keyword;
+      addLines(file, path, item.block().line());
+      return;
+    }
+    SettingLine line = settingLine(file, block, item);
+    if (keyword.equals(INCLUDE)) {
+      include(line);
+    } else {
+      lines.add(line);
     }
-    return out.toString();
   }
 
-  private void lines(String name, String block, List<ConfParser.LineContext> of) {
-    of.stream().filter(line -> line.item() != null).forEach(line -> item(name, block, line.item()));
+  private static SettingLine settingLine(String file, String block, ConfParser.ItemContext item) {
+    return new SettingLine(
+        file,
+        item.WORD().getSymbol().getLine(),
+        item.WORD().getSymbol().getCharPositionInLine() + 1,
+        block,
+        item.WORD().getText(),
+        item.value().stream().map(SettingsFileParser::valueText).toList());
   }
 
-  private void item(String name, String block, ConfParser.ItemContext setting) {
-    Token first = setting.WORD().getSymbol();
-    if (setting.block() != null) {
-      lines(
-          name,
-          block.isEmpty() ? first.getText() : block + "." + first.getText(),
-          setting.block().line());
+  private void include(SettingLine line) {
+    if (!line.block().isEmpty()) {
+      faults.add(line.fault(INCLUDE, "stands outside of blocks only"));
       return;
     }
-    List<String> values = setting.value().stream().map(SettingsFileParser::value).toList();
-    Line line =
-        new Line(
-            name,
-            first.getLine(),
-            first.getCharPositionInLine() + 1,
-            block,
-            first.getText(),
-            values);
-    if (!line.word().equals("include")) {
-      lines.add(line);
-    } else if (!block.isEmpty() || values.size() != 1) {
-      faults.add(
-          line.fault(
-              "include", block.isEmpty() ? "takes one path" : "stands outside of blocks only"));
-    } else {
-      try {
-        Path from = open.peek();
-        file(from.resolveSibling(values.get(0)), line.fault("include", ""));
-      } catch (InvalidPathException e) {
-        faults.add(line.fault("include", "is not a path: " + e.getReason()));
-      }
+    if (line.values().size() != 1) {
+      faults.add(line.fault(INCLUDE, "takes one path"));
+      return;
+    }
+    try {
+      Path includedFile = openFiles.element().resolveSibling(line.values().get(0));
+      readFile(includedFile, line.fault(INCLUDE, ""));
+    } catch (InvalidPathException e) {
+      faults.add(line.fault(INCLUDE, "is not a path: " + e.getReason()));
     }
   }
 
-  private static String value(ConfParser.ValueContext value) {
+  /** The text of a value without quotes and escapes. */
+  private static String valueText(ConfParser.ValueContext value) {
     String text = value.getText();
     if (value.STRING() == null) {
       return text;
--- a/src/main/java/pearusher/operatorsettings/Units.java
+++ b/src/main/java/pearusher/operatorsettings/Units.java
@@ -1,58 +1,88 @@
 package pearusher.operatorsettings;
 
-import java.util.LinkedHashMap;
-import java.util.Map;
-
-/** Numbers with units: times in microseconds, sizes in bytes. */
-final class Units {
-  /** Largest last, so that {@link #write} ends with the largest that fits. */
-  static final Map<String, Double> TIMES = new LinkedHashMap<>();
-
-  static final Map<String, Double> SIZES = new LinkedHashMap<>();
-  static final Map<String, Double> NONE = Map.of("", 1.0);
-
-  static {
-    TIMES.put("us", 1.0);
-    TIMES.put("ms", 1e3);
-    TIMES.put("s", 1e6);
-    TIMES.put("min", 60e6);
-    TIMES.put("h", 3600e6);
-    TIMES.put("d", 86400e6);
-    SIZES.put("B", 1.0);
-    SIZES.put("KiB", 1024.0);
-    SIZES.put("MiB", 1024.0 * 1024);
-    SIZES.put("GiB", 1024.0 * 1024 * 1024);
-    SIZES.put("TiB", 1024.0 * 1024 * 1024 * 1024);
+import java.util.List;
+import java.util.Optional;
+import java.util.OptionalDouble;
+
+/** Numbers with a unit directly after them: times in microseconds, sizes in bytes. */
+enum Units {
+  TIME(
+      List.of(
+          new Unit("us", 1),
+          new Unit("ms", 1e3),
+          new Unit("s", 1e6),
+          new Unit("min", 60e6),
+          new Unit("h", 3600e6),
+          new Unit("d", 86400e6))),
+  SIZE(
+      List.of(
+          new Unit("B", 1),
+          new Unit("KiB", 1024),
+          new Unit("MiB", 1024.0 * 1024),
+          new Unit("GiB", 1024.0 * 1024 * 1024),
+          new Unit("TiB", 1024.0 * 1024 * 1024 * 1024))),
+  NONE(List.of(new Unit("", 1)));
+
+  private static final String DIGITS = "0123456789.";
+  private static final int MAX_DIGITS = 18;
+
+  private record Unit(String suffix, double factor) {
+    /** The value in this unit; a whole number has no decimals. */
+    String format(double value) {
+      double amount = value / factor;
+      String digits = isWhole(amount) ? Long.toString((long) amount) : Double.toString(amount);
+      return digits + suffix;
+    }
+
+    /** Whether the value is at least one of this unit and a multiple of it. */
+    boolean fits(double value) {
+      double amount = value / factor;
+      return amount >= 1 && isWhole(amount);
+    }
+
+    private static boolean isWhole(double amount) {
+      return amount == Math.rint(amount);
+    }
   }
 
-  private Units() {}
+  /** Smallest first. */
+  // The list is made with List.of, which the check can't see.
+  @SuppressWarnings("ImmutableEnumChecker")
+  private final List<Unit> units;
+
+  Units(List<Unit> units) {
+    this.units = units;
+  }
 
-  /** A number and, directly after it, one of the units; NaN for anything else. */
-  static double read(String text, Map<String, Double> units) {
-    int end = 0;
-    while (end < text.length() && "0123456789.".indexOf(text.charAt(end)) >= 0) {
-      end++;
+  /** Reads a number and its unit; empty where the text is anything else. */
+  OptionalDouble parse(String text) {
+    int digits = 0;
+    while (digits < text.length() && DIGITS.indexOf(text.charAt(digits)) >= 0) {
+      digits++;
     }
-    Double unit = units.get(text.substring(end));
-    if (unit == null || end == 0 || end > 18) {
-      return Double.NaN;
+    Optional<Unit> unit = unit(text.substring(digits));
+    if (unit.isEmpty() || digits == 0 || digits > MAX_DIGITS) {
+      return OptionalDouble.empty();
     }
     try {
-      return Double.parseDouble(text.substring(0, end)) * unit;
+      return OptionalDouble.of(Double.parseDouble(text.substring(0, digits)) * unit.get().factor());
     } catch (NumberFormatException e) {
-      return Double.NaN;
+      return OptionalDouble.empty();
     }
   }
 
-  static String write(double value, Map<String, Double> units) {
-    String out = "";
-    for (Map.Entry<String, Double> unit : units.entrySet()) {
-      double in = value / unit.getValue();
-      if (out.isEmpty() || (in >= 1 && in == Math.rint(in))) {
-        out =
-            (in == Math.rint(in) ? Long.toString((long) in) : Double.toString(in)) + unit.getKey();
+  private Optional<Unit> unit(String suffix) {
+    return units.stream().filter(unit -> unit.suffix().equals(suffix)).findFirst();
+  }
+
+  /** Writes a value in the largest unit of which it is a multiple, else in the smallest. */
+  String format(double value) {
+    Unit best = units.get(0);
+    for (Unit unit : units) {
+      if (unit.fits(value)) {
+        best = unit;
       }
     }
-    return out;
+    return best.format(value);
   }
 }
--- a/src/main/java/pearusher/operatorsettings/package-info.java
+++ b/src/main/java/pearusher/operatorsettings/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The operators' own settings: the file's grammar, the keys that there are, their checks and the
- * values in force. It owns no other configuration: what the platform gives as JSON is read
- * elsewhere. It must never act on a value, nor let a fault pass without its place.
+ * The operators' own settings: the grammar of the file, the keys, their checks and the values in
+ * force. Configuration that the platform gives as JSON is read elsewhere. This package never acts
+ * on a value, and gives each fault its position.
  */
 package pearusher.operatorsettings;
--- a/src/main/java/pearusher/protocol/Endpoint.java
+++ b/src/main/java/pearusher/protocol/Endpoint.java
@@ -50,14 +50,12 @@
               + Message.brief(id)
               + "'");
     }
-    String hostPort = at.textOrNull("hostPort");
+    String hostPort = at.text("hostPort").orElse(null);
     return new Endpoint(
         id,
         hostPort == null || hostPort.length() > MOST_ADDRESS ? null : hostPort,
         zone,
-        names
-            .machineTypes()
-            .getOrDefault(at.textOrNull("machineType"), names.machineTypes().size()),
+        at.text("machineType").map(names.machineTypes()::get).orElse(names.machineTypes().size()),
         (int) at.doubleOrZero("cell"),
         STATES.getOrDefault(at.require("lifecycle"), Lifecycle.DRAINING),
         at.has("weight") ? at.requireDouble("weight") : 1,
--- a/src/main/java/pearusher/sitesettings/PathValues.java
+++ b/src/main/java/pearusher/sitesettings/PathValues.java
@@ -1,11 +1,6 @@
 package pearusher.sitesettings;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.core.JsonToken;
 import java.io.ByteArrayInputStream;
-import java.io.CharConversionException;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.UncheckedIOException;
@@ -13,47 +8,51 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.StringJoiner;
+import java.util.Optional;
 
 /**
- * Values by path, read from path=value lines or from nested JSON, which is flattened to the same
- * paths: a list of plain values is joined with commas, a list of objects has its length under
- * .count and its items under .0, .1 and so on. It knows no key's meaning; every fault names the
- * path.
+ * Values by path, read from {@code path=value} lines or from nested JSON, which is flattened to the
+ * same paths. It knows the meaning of no key; every fault names the path.
  */
 public final class PathValues {
-  private final String what;
-  private final Map<String, String> values;
+  private static final int MAX_ITEMS = 1 << 20;
 
-  private PathValues(String what) {
-    this(what, new HashMap<>());
-  }
+  /** What stands before the path in each fault. */
+  private final String faultPrefix;
 
-  private PathValues(String what, Map<String, String> values) {
-    this.what = what;
+  private final Map<String, String> values;
+
+  private PathValues(String faultPrefix, Map<String, String> values) {
+    this.faultPrefix = faultPrefix;
     this.values = values;
   }
 
   /**
-   * Values that were read elsewhere, not copied; {@code what} stands before the path in each fault.
+   * Wraps values that were read elsewhere, without a copy.
+   *
+   * @param faultPrefix the text before the path in each fault
    */
-  public static PathValues of(String what, Map<String, String> values) {
-    return new PathValues(what, values);
+  public static PathValues of(String faultPrefix, Map<String, String> values) {
+    return new PathValues(faultPrefix, values);
   }
 
-  /** The simulator's form. */
+  /** Reads the simulator's form: a path, an equals sign and a value on each line. */
   public static PathValues parseLines(String text) {
-    PathValues out = new PathValues("settings: the key ");
+    Map<String, String> values = new HashMap<>();
     for (String line : text.split("\n")) {
-      int eq = line.indexOf('=');
-      if (eq > 0) {
-        out.values.put(line.substring(0, eq).trim(), line.substring(eq + 1).trim());
+      int separator = line.indexOf('=');
+      if (separator > 0) {
+        values.put(line.substring(0, separator).trim(), line.substring(separator + 1).trim());
       }
     }
-    return out;
+    return new PathValues("settings: the key ", values);
   }
 
-  /** The configuration's form; faults begin with what the text is. */
+  /**
+   * Reads a JSON object.
+   *
+   * @param name what the text is, for faults
+   */
   public static PathValues parseJson(String name, byte[] text) throws SettingsException {
     try {
       return parseJson(name, new ByteArrayInputStream(text), "");
@@ -63,82 +62,35 @@
   }
 
   /**
-   * The same of a stream, without what stands under one key, which is checked for its form only.
+   * Reads a JSON object from a stream.
+   *
+   * @param name what the text is, for faults
+   * @param skippedKey a key of the outermost object whose value is only checked for its form
    */
-  public static PathValues parseJson(String name, InputStream text, String without)
+  public static PathValues parseJson(String name, InputStream text, String skippedKey)
       throws SettingsException, IOException {
-    PathValues out = new PathValues(name + ": the key ");
-    try (JsonParser in = new JsonFactory().createParser(text)) {
-      if (in.nextToken() != JsonToken.START_OBJECT) {
-        throw new SettingsException(name + ": not a JSON object");
-      }
-      out.object(in, "", without);
-      if (in.nextToken() != null) {
-        throw new SettingsException(name + ": text after the JSON object");
-      }
-    } catch (JsonProcessingException | CharConversionException e) {
-      throw malformed(name, e);
-    }
-    return out;
+    return new PathValues(name + ": the key ", JsonFlattener.flatten(name, text, skippedKey));
   }
 
   /** The fault of a text that is no JSON. */
-  public static SettingsException malformed(String name, IOException why) {
-    String text = String.valueOf(why.getMessage());
+  public static SettingsException malformed(String name, IOException cause) {
+    String text = String.valueOf(cause.getMessage());
     return new SettingsException(name + ": malformed JSON: " + text.lines().findFirst().orElse(""));
   }
 
-  private void object(JsonParser in, String prefix, String without) throws IOException {
-    while (in.nextToken() == JsonToken.FIELD_NAME) {
-      String key = prefix + in.currentName();
-      JsonToken first = in.nextToken();
-      if (key.equals(without)) {
-        in.skipChildren();
-      } else {
-        value(in, first, key);
-      }
-    }
-  }
-
-  private void value(JsonParser in, JsonToken first, String key) throws IOException {
-    if (first == JsonToken.START_OBJECT) {
-      object(in, key + ".", "");
-    } else if (first == JsonToken.START_ARRAY) {
-      StringJoiner plain = new StringJoiner(",");
-      int n = 0;
-      boolean nested = false;
-      for (JsonToken t = in.nextToken(); t != JsonToken.END_ARRAY; t = in.nextToken()) {
-        if (t.isStructStart()) {
-          nested = true;
-          value(in, t, key + "." + n);
-        } else {
-          plain.add(in.getText());
-        }
-        n++;
-      }
-      if (nested || n == 0) {
-        values.put(key + ".count", Integer.toString(n));
-      }
-      if (!nested) {
-        values.put(key, plain.toString());
-      }
-    } else if (first != JsonToken.VALUE_NULL) {
-      values.put(key, in.getText());
-    }
-  }
-
-  /** The same values below a prefix, without it; faults name the whole path. */
+  /** The values whose paths have a prefix, without it; faults name the complete path. */
   public PathValues below(String prefix) {
-    PathValues out = new PathValues(what + prefix);
+    Map<String, String> selected = new HashMap<>();
     values.forEach(
-        (key, value) -> {
-          if (key.startsWith(prefix)) {
-            out.values.put(key.substring(prefix.length()), value);
+        (path, value) -> {
+          if (path.startsWith(prefix)) {
+            selected.put(path.substring(prefix.length()), value);
           }
         });
-    return out;
+    return new PathValues(faultPrefix + prefix, selected);
   }
 
+  /** Whether the key has a value. */
   public boolean has(String key) {
     return values.containsKey(key);
   }
@@ -147,94 +99,100 @@
     return values.isEmpty();
   }
 
-  public SettingsException fault(String key, String how) {
-    return new SettingsException(what + key + " " + how);
+  /** A fault of a key; the text says what is wrong with it. */
+  public SettingsException fault(String key, String text) {
+    return new SettingsException(faultPrefix + key + " " + text);
   }
 
-  public String require(String key) throws SettingsException {
-    String value = values.get(key);
-    if (value == null) {
-      throw fault(key, "is missing");
-    }
-    return value;
+  private SettingsException unreadable(String key, String value) {
+    return fault(key, "is unreadable: '" + value + "'");
   }
 
-  /** The text of a key, null where it is left out. */
-  public String textOrNull(String key) {
-    return values.get(key);
+  /** The text of a key that may be left out. */
+  public Optional<String> text(String key) {
+    return Optional.ofNullable(values.get(key));
   }
 
-  private SettingsException unreadable(String key, String value) {
-    return fault(key, "is unreadable: '" + value + "'");
+  /** Whether a key that may be left out has this text. */
+  public boolean isSetTo(String key, String text) {
+    return text.equals(values.get(key));
+  }
+
+  /** The text of a key. */
+  public String require(String key) throws SettingsException {
+    return text(key).orElseThrow(() -> fault(key, "is missing"));
   }
 
+  /** A finite number. */
   public double requireDouble(String key) throws SettingsException {
-    String value = require(key);
+    String text = require(key);
     try {
-      double out = Double.parseDouble(value);
-      if (Double.isFinite(out)) {
-        return out;
+      double value = Double.parseDouble(text);
+      if (Double.isFinite(value)) {
+        return value;
       }
     } catch (NumberFormatException e) {
-      throw unreadable(key, value);
+      throw unreadable(key, text);
     }
-    throw unreadable(key, value);
+    throw unreadable(key, text);
   }
 
+  /** A number, rounded to the nearest whole one. */
   public long requireLong(String key) throws SettingsException {
     return Math.round(requireDouble(key));
   }
 
-  /** A key that may be left out: 0 then. */
+  /** A number that is 0 where it is left out. */
   public double doubleOrZero(String key) throws SettingsException {
     return has(key) ? requireDouble(key) : 0;
   }
 
-  /** A whole number between two bounds; the default where it is left out. */
-  public int intBetween(String key, int least, int most, int otherwise) throws SettingsException {
+  /** A whole number within bounds, or the default where it is left out. */
+  public int intBetween(String key, int min, int max, int defaultValue) throws SettingsException {
     if (!has(key)) {
-      return otherwise;
+      return defaultValue;
     }
-    double out = requireDouble(key);
-    if (out != Math.rint(out) || out < least || out > most) {
-      throw fault(key, "is out of range: " + require(key) + " (" + least + " to " + most + ")");
+    double value = requireDouble(key);
+    if (value != Math.rint(value) || value < min || value > max) {
+      throw fault(key, "is out of range: " + require(key) + " (" + min + " to " + max + ")");
     }
-    return (int) out;
-  }
-
-  public boolean isSetTo(String key, String word) {
-    return word.equals(values.get(key));
+    return (int) value;
   }
 
+  /** Either {@code true} or {@code false}. */
   public boolean requireBoolean(String key) throws SettingsException {
     return requireOneOf(key, Map.of("true", true, "false", false));
   }
 
+  /** What a key's text stands for among known texts. */
+  public <T> T requireOneOf(String key, Map<String, T> meanings) throws SettingsException {
+    String text = require(key);
+    T meaning = meanings.get(text);
+    if (meaning == null) {
+      throw unreadable(key, text);
+    }
+    return meaning;
+  }
+
+  /** A list of plain values. */
   public List<String> requireList(String key) throws SettingsException {
     require(key);
     return listOrEmpty(key);
   }
 
-  /** A list that may be left out: empty then. */
+  /** A list of plain values that is empty where it is left out. */
   public List<String> listOrEmpty(String key) {
-    String value = values.getOrDefault(key, "");
-    return value.isEmpty() ? List.of() : List.of(value.split(","));
-  }
-
-  /** The values of one key of a list of objects. */
-  public List<String> requireEach(String key, String of) throws SettingsException {
-    List<String> out = new ArrayList<>();
-    for (int k = 0; k < intBetween(key + ".count", 0, 1 << 20, 0); k++) {
-      out.add(require(key + "." + k + "." + of));
-    }
-    return out;
+    String text = values.getOrDefault(key, "");
+    return text.isEmpty() ? List.of() : List.of(text.split(","));
   }
 
-  public <T> T requireOneOf(String key, Map<String, T> of) throws SettingsException {
-    T out = of.get(require(key));
-    if (out == null) {
-      throw unreadable(key, require(key));
+  /** The values of one key of each object in a list, which is empty where it is left out. */
+  public List<String> requireEach(String listKey, String key) throws SettingsException {
+    int count = intBetween(listKey + ".count", 0, MAX_ITEMS, 0);
+    List<String> texts = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      texts.add(require(listKey + "." + i + "." + key));
     }
-    return out;
+    return texts;
   }
 }
--- a/src/main/java/pearusher/sitesettings/PolicySettingsReader.java
+++ b/src/main/java/pearusher/sitesettings/PolicySettingsReader.java
@@ -17,180 +17,200 @@
 import pearusher.policy.SiteTraits;
 
 /**
- * Turns settings into what the module is told at its start. It is the one reader of them, for the
- * simulator's wire and the sockets alike, and knows no other part of a configuration; unknown keys
- * are passed over.
+ * Reads the settings of a policy, for the simulator and for the server alike. It knows no other
+ * part of a configuration and ignores unknown keys.
  */
 public final class PolicySettingsReader {
-  private static final Map<String, LoadMetric> FIELDS =
+  private static final Map<String, LoadMetric> LOAD_METRICS =
       Map.of(
-          "outstanding",
-          LoadMetric.IN_FLIGHT,
-          "backlog",
-          LoadMetric.QUEUE_LENGTH,
-          "utilization",
-          LoadMetric.UTILIZATION,
-          "recent_ms",
-          LoadMetric.LATENCY_MS,
-          "throughput",
-          LoadMetric.REQUESTS_PER_SECOND,
-          "errors_per_s",
-          LoadMetric.ERRORS_PER_SECOND);
-
-  private final PathValues at;
-
-  private PolicySettingsReader(PathValues at) {
-    this.at = at;
+          "outstanding", LoadMetric.IN_FLIGHT,
+          "backlog", LoadMetric.QUEUE_LENGTH,
+          "utilization", LoadMetric.UTILIZATION,
+          "recent_ms", LoadMetric.LATENCY_MS,
+          "throughput", LoadMetric.REQUESTS_PER_SECOND,
+          "errors_per_s", LoadMetric.ERRORS_PER_SECOND);
+
+  private static final Map<String, AdmissionMode> ADMISSION_MODES =
+      Map.of(
+          "fraction", AdmissionMode.SHARE,
+          "per_second", AdmissionMode.RATE,
+          "off", AdmissionMode.NONE);
+
+  private static final Map<String, LoadReportSource> LOAD_REPORT_SOURCES =
+      Map.of(
+          "inline", LoadReportSource.RESPONSES,
+          "on_probe", LoadReportSource.HEALTH_CHECKS,
+          "off", LoadReportSource.NONE);
+
+  private static final Map<String, Idempotency> IDEMPOTENCIES =
+      Map.of(
+          "retryable", Idempotency.IDEMPOTENT,
+          "dedup", Idempotency.WITH_KEY,
+          "fragile", Idempotency.NOT_IDEMPOTENT);
+
+  /** All other pick methods of a site count as random. */
+  private static final Map<String, PickMethod> PICK_METHODS =
+      Map.of("rotate", PickMethod.ROUND_ROBIN, "p2c", PickMethod.LEAST_BUSY_OF_TWO);
+
+  private static final Map<String, Boolean> LIST_ON_REQUEST =
+      Map.of("on_request", true, "pushed", false);
+
+  private final PathValues values;
+
+  private PolicySettingsReader(PathValues values) {
+    this.values = values;
   }
 
-  public static PolicySettings read(long seed, PathValues at) throws SettingsException {
-    return new PolicySettingsReader(at).read(seed);
+  /**
+   * Reads settings.
+   *
+   * @param seed the seed of the policy's random draws
+   * @throws SettingsException naming the first key that is missing or unreadable
+   */
+  public static PolicySettings read(long seed, PathValues values) throws SettingsException {
+    return new PolicySettingsReader(values).read(seed);
   }
 
   private PolicySettings read(long seed) throws SettingsException {
-    ChannelSettings channel =
-        new ChannelSettings(
-            at.requireDouble("familyInfo.channelRate"),
-            at.requireDouble("familyInfo.fixedCost"),
-            at.requireDouble("familyInfo.mostWaiting"),
-            (int) at.requireLong("familyInfo.messagesMost"),
-            at.requireLong("familyInfo.messagesOverUs"),
-            at.requireLong("familyInfo.transitUs"),
-            at.requireLong("familyInfo.pushDelayMaxUs"));
-    ServiceLimits limits =
-        new ServiceLimits(
-            at.requireLong("familyInfo.emptyForUs"),
-            at.requireLong("rules.drainGraceUs"),
-            at.requireDouble("rules.coldFrom"),
-            at.requireLong("rules.rampTimeUs"),
-            at.requireDouble("rules.overloadFactor"),
-            at.requireLong("rules.fallUs"),
-            (long) at.doubleOrZero("rules.askWithinUs"),
-            at.isSetTo("rules.softRemoval", "true"));
-    Costs prices =
-        new Costs(
-            at.requireDouble("fees.crossZone"),
-            at.requireDouble("fees.probe"),
-            at.requireDouble("familyInfo.costPerLine"),
-            at.requireDouble("fees.lateFail"),
-            at.requireDouble("fees.waste"),
-            at.doubleOrZero("fees.connection"),
-            at.doubleOrZero("fees.handshake"),
-            at.doubleOrZero("fees.peer"),
-            at.doubleOrZero("fees.discovery"),
-            at.doubleOrZero("familyInfo.handoverFee"),
-            at.doubleOrZero("fees.moves"));
-    ScoreWeights goal =
-        new ScoreWeights(
-            at.doubleOrZero("goal.whole"),
-            at.doubleOrZero("goal.worstWindow"),
-            at.doubleOrZero("goal.worstClass"),
-            at.doubleOrZero("goal.worstTenant"),
-            at.doubleOrZero("goal.nines"),
-            at.doubleOrZero("goal.ninesFull"),
-            at.isSetTo("countedBy", "work"));
-    PickMethod pick =
-        at.isSetTo("familyInfo.pick", "rotate")
-            ? PickMethod.ROUND_ROBIN
-            : at.isSetTo("familyInfo.pick", "p2c")
-                ? PickMethod.LEAST_BUSY_OF_TWO
-                : PickMethod.RANDOM;
-    SiteTraits site =
-        new SiteTraits(
-            pick,
-            (int) at.doubleOrZero("familyInfo.bootstrap"),
-            at.doubleOrZero("familyInfo.connsLeast"),
-            (int) at.doubleOrZero("ceilings.streamsPerConn"),
-            (long) at.doubleOrZero("ceilings.idleCloseUs"),
-            (long) at.doubleOrZero("ceilings.connectTimeoutUs"),
-            at.doubleOrZero("ceilings.cpuUsPerS"),
-            at.isSetTo("familyInfo.zonal", "true"),
-            at.isSetTo("familyInfo.warmKeys", "true"),
-            at.isSetTo("familyInfo.exclusive", "true"),
-            (long) at.doubleOrZero("familyInfo.parkUs"),
-            (long) at.doubleOrZero("familyInfo.tenureUs"),
-            (long) at.doubleOrZero("familyInfo.settleUs"));
+    ChannelSettings channel = channel();
+    ServiceLimits limits = limits();
+    Costs costs = costs();
+    ScoreWeights scoreWeights = scoreWeights();
+    SiteTraits siteTraits = siteTraits();
     return new PolicySettings(
         seed,
-        at.requireList("azs").size(),
-        grades(),
-        (int) at.requireLong("familyInfo.proxyCount"),
-        (int) at.requireLong("myNumber"),
-        (int) at.requireLong("replicasOfMe"),
-        (int) at.requireLong("zone"),
+        values.requireList("azs").size(),
+        requestClasses(),
+        (int) values.requireLong("familyInfo.proxyCount"),
+        (int) values.requireLong("myNumber"),
+        (int) values.requireLong("replicasOfMe"),
+        (int) values.requireLong("zone"),
         channel,
         limits,
-        prices,
-        at.requireOneOf(
-            "familyInfo.throttleBy",
-            Map.of(
-                "fraction",
-                AdmissionMode.SHARE,
-                "per_second",
-                AdmissionMode.RATE,
-                "off",
-                AdmissionMode.NONE)),
-        (int) at.requireLong("familyInfo.baseMode"),
-        at.requireDouble("familyInfo.perTry"),
-        at.requireLong("familyInfo.reportEveryUs"),
-        at.requireDouble("familyInfo.reportsPerS"),
-        (int) at.requireLong("familyInfo.ejects"),
-        (int) at.requireLong("familyInfo.shards"),
-        at.requireOneOf("discovery", Map.of("on_request", true, "pushed", false)),
-        at.requireBoolean("ceilings.probes"),
-        at.requireBoolean("ceilings.peers"),
-        at.requireOneOf(
-            "report.source",
-            Map.of(
-                "inline",
-                LoadReportSource.RESPONSES,
-                "on_probe",
-                LoadReportSource.HEALTH_CHECKS,
-                "off",
-                LoadReportSource.NONE)),
-        fields(),
-        !"off".equals(at.require("weightKind")),
-        at.requireLong("tickUs"),
-        goal,
-        site);
+        costs,
+        values.requireOneOf("familyInfo.throttleBy", ADMISSION_MODES),
+        (int) values.requireLong("familyInfo.baseMode"),
+        values.requireDouble("familyInfo.perTry"),
+        values.requireLong("familyInfo.reportEveryUs"),
+        values.requireDouble("familyInfo.reportsPerS"),
+        (int) values.requireLong("familyInfo.ejects"),
+        (int) values.requireLong("familyInfo.shards"),
+        values.requireOneOf("discovery", LIST_ON_REQUEST),
+        values.requireBoolean("ceilings.probes"),
+        values.requireBoolean("ceilings.peers"),
+        values.requireOneOf("report.source", LOAD_REPORT_SOURCES),
+        loadMetrics(),
+        !"off".equals(values.require("weightKind")),
+        values.requireLong("tickUs"),
+        scoreWeights,
+        siteTraits);
   }
 
-  private List<RequestClass> grades() throws SettingsException {
-    List<RequestClass> out = new ArrayList<>();
-    long count = at.requireLong("grades.count");
-    List<String> writes = at.requireList("familyInfo.writeClasses");
-    List<String> own = at.requireList("familyInfo.classOwnZone");
-    for (int k = 0; k < count; k++) {
-      String path = "grades." + k + ".";
-      out.add(
-          new RequestClass(
-              at.requireLong(path + "promiseUs"),
-              at.requireLong(path + "deadlineUs"),
-              at.requireDouble(path + "worth"),
-              at.requireDouble(path + "lateWorth"),
-              at.requireOneOf(
-                  path + "repeat",
-                  Map.of(
-                      "retryable",
-                      Idempotency.IDEMPOTENT,
-                      "dedup",
-                      Idempotency.WITH_KEY,
-                      "fragile",
-                      Idempotency.NOT_IDEMPOTENT)),
-              "all".equals(at.require(path + "group")),
-              at.requireLong(path + "windowUs"),
-              k < writes.size() && "true".equals(writes.get(k)),
-              k < own.size() && "true".equals(own.get(k)),
-              at.doubleOrZero(path + "aimStretch")));
-    }
-    return List.copyOf(out);
+  private ChannelSettings channel() throws SettingsException {
+    return new ChannelSettings(
+        values.requireDouble("familyInfo.channelRate"),
+        values.requireDouble("familyInfo.fixedCost"),
+        values.requireDouble("familyInfo.mostWaiting"),
+        (int) values.requireLong("familyInfo.messagesMost"),
+        values.requireLong("familyInfo.messagesOverUs"),
+        values.requireLong("familyInfo.transitUs"),
+        values.requireLong("familyInfo.pushDelayMaxUs"));
   }
 
-  private List<LoadMetric> fields() {
-    List<LoadMetric> out = new ArrayList<>();
-    for (String name : at.listOrEmpty("report.fields")) {
-      out.add(FIELDS.getOrDefault(name, LoadMetric.OTHER));
+  private ServiceLimits limits() throws SettingsException {
+    return new ServiceLimits(
+        values.requireLong("familyInfo.emptyForUs"),
+        values.requireLong("rules.drainGraceUs"),
+        values.requireDouble("rules.coldFrom"),
+        values.requireLong("rules.rampTimeUs"),
+        values.requireDouble("rules.overloadFactor"),
+        values.requireLong("rules.fallUs"),
+        (long) values.doubleOrZero("rules.askWithinUs"),
+        isTrue("rules.softRemoval"));
+  }
+
+  private Costs costs() throws SettingsException {
+    return new Costs(
+        values.requireDouble("fees.crossZone"),
+        values.requireDouble("fees.probe"),
+        values.requireDouble("familyInfo.costPerLine"),
+        values.requireDouble("fees.lateFail"),
+        values.requireDouble("fees.waste"),
+        values.doubleOrZero("fees.connection"),
+        values.doubleOrZero("fees.handshake"),
+        values.doubleOrZero("fees.peer"),
+        values.doubleOrZero("fees.discovery"),
+        values.doubleOrZero("familyInfo.handoverFee"),
+        values.doubleOrZero("fees.moves"));
+  }
+
+  private ScoreWeights scoreWeights() throws SettingsException {
+    return new ScoreWeights(
+        values.doubleOrZero("goal.whole"),
+        values.doubleOrZero("goal.worstWindow"),
+        values.doubleOrZero("goal.worstClass"),
+        values.doubleOrZero("goal.worstTenant"),
+        values.doubleOrZero("goal.nines"),
+        values.doubleOrZero("goal.ninesFull"),
+        values.isSetTo("countedBy", "work"));
+  }
+
+  private SiteTraits siteTraits() throws SettingsException {
+    return new SiteTraits(
+        PICK_METHODS.getOrDefault(values.text("familyInfo.pick").orElse(""), PickMethod.RANDOM),
+        (int) values.doubleOrZero("familyInfo.bootstrap"),
+        values.doubleOrZero("familyInfo.connsLeast"),
+        (int) values.doubleOrZero("ceilings.streamsPerConn"),
+        (long) values.doubleOrZero("ceilings.idleCloseUs"),
+        (long) values.doubleOrZero("ceilings.connectTimeoutUs"),
+        values.doubleOrZero("ceilings.cpuUsPerS"),
+        isTrue("familyInfo.zonal"),
+        isTrue("familyInfo.warmKeys"),
+        isTrue("familyInfo.exclusive"),
+        (long) values.doubleOrZero("familyInfo.parkUs"),
+        (long) values.doubleOrZero("familyInfo.tenureUs"),
+        (long) values.doubleOrZero("familyInfo.settleUs"));
+  }
+
+  private List<RequestClass> requestClasses() throws SettingsException {
+    List<RequestClass> requestClasses = new ArrayList<>();
+    long count = values.requireLong("grades.count");
+    List<String> writes = values.requireList("familyInfo.writeClasses");
+    List<String> ownZoneOnly = values.requireList("familyInfo.classOwnZone");
+    for (int i = 0; i < count; i++) {
+      requestClasses.add(
+          requestClass("grades." + i + ".", isTrueAt(writes, i), isTrueAt(ownZoneOnly, i)));
     }
-    return List.copyOf(out);
+    return List.copyOf(requestClasses);
+  }
+
+  private RequestClass requestClass(String path, boolean writes, boolean ownZoneOnly)
+      throws SettingsException {
+    return new RequestClass(
+        values.requireLong(path + "promiseUs"),
+        values.requireLong(path + "deadlineUs"),
+        values.requireDouble(path + "worth"),
+        values.requireDouble(path + "lateWorth"),
+        values.requireOneOf(path + "repeat", IDEMPOTENCIES),
+        "all".equals(values.require(path + "group")),
+        values.requireLong(path + "windowUs"),
+        writes,
+        ownZoneOnly,
+        values.doubleOrZero(path + "aimStretch"));
+  }
+
+  private List<LoadMetric> loadMetrics() {
+    return values.listOrEmpty("report.fields").stream()
+        .map(name -> LOAD_METRICS.getOrDefault(name, LoadMetric.OTHER))
+        .toList();
+  }
+
+  private boolean isTrue(String key) {
+    return values.isSetTo(key, "true");
+  }
+
+  /** Whether a list of flags, which may be too short, has this one set. */
+  private static boolean isTrueAt(List<String> flags, int index) {
+    return index < flags.size() && "true".equals(flags.get(index));
   }
 }
--- a/src/main/java/pearusher/sitesettings/SettingsException.java
+++ b/src/main/java/pearusher/sitesettings/SettingsException.java
@@ -4,6 +4,7 @@
 public class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
+  /** Creates a fault; the text is shown to the operator. */
   public SettingsException(String text) {
     super(text);
   }
--- a/src/test/java/pearusher/cli/CliTest.java
+++ b/src/test/java/pearusher/cli/CliTest.java
@@ -26,10 +26,10 @@
   private int run(String... args) {
     out.getBuffer().setLength(0);
     err.getBuffer().setLength(0);
-    CommandLine line = CommandLineRunner.line();
-    line.setOut(new PrintWriter(out));
-    line.setErr(new PrintWriter(err));
-    return line.execute(args);
+    CommandLine commandLine = CommandLineRunner.create();
+    commandLine.setOut(new PrintWriter(out));
+    commandLine.setErr(new PrintWriter(err));
+    return commandLine.execute(args);
   }
 
   private Path store() throws IOException {
--- a/src/test/java/pearusher/cli/CommandOutputTest.java
+++ b/src/test/java/pearusher/cli/CommandOutputTest.java
@@ -29,11 +29,11 @@
   private int run(String... args) {
     out.getBuffer().setLength(0);
     err.getBuffer().setLength(0);
-    CommandLine line = CommandLineRunner.line();
-    line.setColorScheme(CommandLine.Help.defaultColorScheme(CommandLine.Help.Ansi.OFF));
-    line.setOut(new PrintWriter(out));
-    line.setErr(new PrintWriter(err));
-    return line.execute(args);
+    CommandLine commandLine = CommandLineRunner.create();
+    commandLine.setColorScheme(CommandLine.Help.defaultColorScheme(CommandLine.Help.Ansi.OFF));
+    commandLine.setOut(new PrintWriter(out));
+    commandLine.setErr(new PrintWriter(err));
+    return commandLine.execute(args);
   }
 
   @ParameterizedTest
--- a/src/test/java/pearusher/cli/CommandRun.java
+++ b/src/test/java/pearusher/cli/CommandRun.java
@@ -16,10 +16,10 @@
   public static String output(int expectedStatus, String... arguments) {
     StringWriter output = new StringWriter();
     StringWriter errors = new StringWriter();
-    CommandLine line = CommandLineRunner.line();
-    line.setOut(new PrintWriter(output));
-    line.setErr(new PrintWriter(errors));
-    int status = line.execute(arguments);
+    CommandLine commandLine = CommandLineRunner.create();
+    commandLine.setOut(new PrintWriter(output));
+    commandLine.setErr(new PrintWriter(errors));
+    int status = commandLine.execute(arguments);
     if (status != expectedStatus || !errors.toString().isEmpty()) {
       throw new AssertionError("status " + status + ", errors: " + errors);
     }
--- a/src/test/java/pearusher/operatorsettings/OperatorSettingsTest.java
+++ b/src/test/java/pearusher/operatorsettings/OperatorSettingsTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Good and broken files as a table of cases; places and words of each fault. */
+/** Valid and invalid files; positions and texts of all faults. */
 class OperatorSettingsTest {
   private static String fault(String text) {
     return assertThrows(InvalidSettingsException.class, () -> OperatorSettings.parse("f", text))
@@ -31,30 +31,30 @@
   }
 
   /** Each case: a file, and after an arrow its first fault. */
-  static Stream<Arguments> broken() throws IOException {
+  static Stream<Arguments> invalidFiles() throws IOException {
     String all;
     try (InputStream in = OperatorSettingsTest.class.getResourceAsStream("broken.txt")) {
       all = new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
     return Stream.of(all.split("----\n"))
-        .map(one -> Arguments.of((Object[]) one.strip().split("=> ", 2)));
+        .map(example -> Arguments.of((Object[]) example.strip().split("=> ", 2)));
   }
 
   @ParameterizedTest
-  @MethodSource("broken")
-  void brokenFiles(String text, String expected) {
+  @MethodSource("invalidFiles")
+  void anInvalidFileGivesItsFault(String text, String expected) {
     assertEquals(expected, fault(text).lines().findFirst().orElseThrow());
   }
 
   @Test
-  void allFaultsOfAFileAreTold() {
+  void allFaultsOfAFileAreReported() {
     assertEquals(3, fault("store {\n sync x\n segment y\n nothing z\n}\n").lines().count());
   }
 
   // The values in force are listed in the order of the keys.
   @SuppressWarnings("EnumOrdinal")
   @Test
-  void goodFiles() throws InvalidSettingsException {
+  void validFilesGiveTheirValuesAndDefaults() throws InvalidSettingsException {
     assertFalse(OperatorSettings.parse("f", "").isEnabled("store"));
     assertFalse(OperatorSettings.parse("f", "# nothing\n\n  # else\r\n").isEnabled("store"));
     OperatorSettings all =
@@ -70,34 +70,31 @@
                 + "  damage stop\n"
                 + "}");
     assertTrue(all.isEnabled("store"));
-    assertEquals("/a b/\"c\\d", all.word(SettingKey.STORE_DIRECTORY));
+    assertEquals("/a b/\"c\\d", all.text(SettingKey.STORE_DIRECTORY));
     assertEquals(5_000, all.number(SettingKey.STORE_INTERVAL));
     assertEquals(2_500_000, all.number(SettingKey.STORE_PATIENCE));
     assertEquals(65_536, all.number(SettingKey.STORE_SEGMENT));
     assertEquals(1.5, all.number(SettingKey.STORE_COMPACT_TIMES));
     assertEquals(600_000_000, all.number(SettingKey.STORE_TRUST));
-    List<OperatorSettings.Value> force = all.inForce();
-    assertEquals(SettingKey.values().length, force.size());
-    assertEquals("f:3:3", force.get(SettingKey.STORE_SYNC.ordinal()).from());
-    assertEquals("default", force.get(SettingKey.STORE_TRUST.ordinal()).from());
-    assertEquals("10min", force.get(SettingKey.STORE_TRUST.ordinal()).text());
+    List<OperatorSettings.Value> inForce = all.inForce();
+    assertEquals(SettingKey.values().length, inForce.size());
+    assertEquals("f:3:3", inForce.get(SettingKey.STORE_SYNC.ordinal()).from());
+    assertEquals("default", inForce.get(SettingKey.STORE_TRUST.ordinal()).from());
+    assertEquals("10min", inForce.get(SettingKey.STORE_TRUST.ordinal()).text());
   }
 
-  /**
-   * What the list of keys says of itself holds: each default can be read and lies in its limits.
-   */
   @Test
-  void theDefaultsAreGood() {
+  void eachDefaultIsWithinItsBounds() {
     for (SettingKey key : SettingKey.values()) {
       assertTrue(
-          key.defaultText() == null || !Double.isNaN(key.number(key.defaultText())), key.path());
+          key.defaultText().isEmpty() || !Double.isNaN(key.parse(key.defaultText().get())),
+          key.path());
       assertFalse(key.help().isBlank());
     }
   }
 
-  /** The page for operators lists every key with its default and its help. */
   @Test
-  void thePageListsEveryKey() throws IOException {
+  void thePageForOperatorsListsEveryKeyWithItsDefaultAndHelp() throws IOException {
     String page = Files.readString(Path.of("docs", "configuration.md"));
     for (SettingKey key : SettingKey.values()) {
       assertTrue(
@@ -105,7 +102,7 @@
               "(?s).*\\| `"
                   + key.path()
                   + "` \\| "
-                  + (key.defaultText() == null ? "needed" : "`" + key.defaultText() + "`")
+                  + key.defaultText().map(text -> "`" + text + "`").orElse("needed")
                   + ".*"),
           key.path());
       assertTrue(page.contains(key.help()), key.path() + ": " + key.help());
@@ -113,7 +110,7 @@
   }
 
   @Test
-  void includesAreFollowedAndTheirFaultsHaveTheirPlace(@TempDir Path dir) throws Exception {
+  void includesAreFollowedAndTheirFaultsHaveTheirPosition(@TempDir Path dir) throws Exception {
     Path main = Files.writeString(dir.resolve("main.conf"), "include \"sub/store.conf\"\n");
     Path sub = Files.createDirectory(dir.resolve("sub"));
     Files.writeString(sub.resolve("store.conf"), "include more.conf\n");
@@ -178,20 +175,21 @@
             "a b\n",
             "store {\n directory /d\n");
     return Arbitraries.oneOf(
-        piece.list().ofMaxSize(40).map(l -> String.join("", l)),
+        piece.list().ofMaxSize(40).map(pieces -> String.join("", pieces)),
         Arbitraries.strings().ofMaxLength(200),
-        Arbitraries.of("{", "\"", "a {\n").map(s -> s.repeat(9000)));
+        Arbitraries.of("{", "\"", "a {\n").map(text -> text.repeat(9000)));
   }
 
-  /** Whatever stands there: settings, or faults that each have a place; never another exception. */
+  /** Any text gives settings or faults that each have a position, and never another exception. */
   @Property(seed = "41", tries = 3000)
-  void anyTextEndsWithSettingsOrPlaces(@ForAll("texts") String text) {
+  void anyTextGivesSettingsOrFaultsWithPositions(@ForAll("texts") String text) {
     try {
       OperatorSettings.parse("f", text);
     } catch (InvalidSettingsException e) {
       assertFalse(e.faults().isEmpty());
-      for (SettingsFault one : e.faults()) {
-        assertTrue(one.line() >= 1 && one.column() >= 1 && !one.text().isBlank(), one.toString());
+      for (SettingsFault fault : e.faults()) {
+        assertTrue(
+            fault.line() >= 1 && fault.column() >= 1 && !fault.text().isBlank(), fault.toString());
       }
     }
   }
--- a/src/test/java/pearusher/protocol/EndpointListReaderTest.java
+++ b/src/test/java/pearusher/protocol/EndpointListReaderTest.java
@@ -90,11 +90,9 @@
       out.add(
           new Endpoint(
               at.require(path + "instanceId"),
-              at.textOrNull(path + "hostPort"),
+              at.text(path + "hostPort").orElse(null),
               zone,
-              NAMES
-                  .machineTypes()
-                  .getOrDefault(String.valueOf(at.textOrNull(path + "machineType")), 2),
+              at.text(path + "machineType").map(NAMES.machineTypes()::get).orElse(2),
               (int) at.doubleOrZero(path + "cell"),
               states.getOrDefault(at.require(path + "lifecycle"), Lifecycle.DRAINING),
               at.has(path + "weight") ? at.requireDouble(path + "weight") : 1,
