--- a/src/test/java/pearusher/cli/CliTest.java
+++ b/src/test/java/pearusher/cli/CliTest.java
@@ -32,9 +32,9 @@
     return commandLine.execute(args);
   }
 
-  private Path store() throws IOException {
-    Path at = dir.resolve("store");
-    FileDisk disk = new FileDisk(at);
+  private Path createStore() throws IOException {
+    Path directory = dir.resolve("store");
+    FileDisk disk = new FileDisk(directory);
     disk.createDirectory();
     try (Store store = Store.open(disk, StoreOptions.DEFAULT)) {
       store.append(
@@ -43,11 +43,11 @@
               .put("a", "one".getBytes(StandardCharsets.UTF_8)));
       store.append(new WriteBatch().put("c", new byte[] {0, 1}));
     }
-    return at;
+    return directory;
   }
 
   @Test
-  void wrongUseIsStatusTwoWithAHint() {
+  void invalidUsageExitsWithTwoAndAHint() {
     assertEquals(2, run());
     assertTrue(err.toString().startsWith("pearusher: a command is missing"), err.toString());
     assertEquals(2, run("sotre"));
@@ -58,14 +58,15 @@
   }
 
   @Test
-  void helpTellsEveryCommand() {
+  void helpListsEveryCommand() {
     assertEquals(0, run("--help"));
-    for (String one : new String[] {"serve", "adapter", "settings", "store", "Exit status"}) {
-      assertTrue(out.toString().contains(one), one);
+    for (String text : new String[] {"serve", "adapter", "settings", "store", "Exit status"}) {
+      assertTrue(out.toString().contains(text), text);
     }
     assertEquals(0, run("store", "--help"));
-    for (String one : new String[] {"inspect", "verify", "dump", "compact", "backup", "restore"}) {
-      assertTrue(out.toString().contains(one), one);
+    for (String command :
+        new String[] {"inspect", "verify", "dump", "compact", "backup", "restore"}) {
+      assertTrue(out.toString().contains(command), command);
     }
     assertEquals(0, run("store", "backup", "--help"));
   }
@@ -93,46 +94,46 @@
   }
 
   @Test
-  void aStoreIsLookedAtCopiedAndRestored() throws IOException {
-    Path at = store();
-    assertEquals(0, run("store", "inspect", "--json", at.toString()));
+  void aStoreIsInspectedCopiedAndRestored() throws IOException {
+    Path directory = createStore();
+    assertEquals(0, run("store", "inspect", "--json", directory.toString()));
     assertTrue(
         out.toString().contains("\"sequence\":2,\"confirmed\":2,\"keys\":3"), out.toString());
-    assertEquals(0, run("store", "dump", at.toString()));
+    assertEquals(0, run("store", "dump", directory.toString()));
     assertEquals("a = one\nb = two\nc = 0x0001\n", out.toString());
-    assertEquals(0, run("store", "dump", "--json", "--prefix", "a", at.toString()));
+    assertEquals(0, run("store", "dump", "--json", "--prefix", "a", directory.toString()));
     assertEquals("{\"a\":\"6f6e65\"}\n", out.toString());
-    assertEquals(0, run("store", "compact", at.toString()));
-    assertEquals(0, run("store", "verify", at.toString()));
+    assertEquals(0, run("store", "compact", directory.toString()));
+    assertEquals(0, run("store", "verify", directory.toString()));
     assertTrue(out.toString().matches("(?s).*checkpoints +1\n.*damage +none\n"), out.toString());
     Path copy = dir.resolve("copy");
-    assertEquals(0, run("store", "backup", at.toString(), copy.toString()));
+    assertEquals(0, run("store", "backup", directory.toString(), copy.toString()));
     assertEquals("copied up to record 2\n", out.toString());
-    Path back = dir.resolve("back");
-    assertEquals(0, run("store", "restore", back.toString(), "--from", copy.toString()));
-    assertEquals(0, run("store", "dump", back.toString()));
+    Path restored = dir.resolve("back");
+    assertEquals(0, run("store", "restore", restored.toString(), "--from", copy.toString()));
+    assertEquals(0, run("store", "dump", restored.toString()));
     assertTrue(out.toString().startsWith("!copied = "), out.toString());
-    assertEquals(1, run("store", "restore", back.toString(), "--from", copy.toString()));
+    assertEquals(1, run("store", "restore", restored.toString(), "--from", copy.toString()));
     assertTrue(err.toString().contains("is not empty"), err.toString());
   }
 
   @Test
-  void whatFailsIsStatusOneAndOneLine() throws IOException {
-    Path at = store();
+  void aFailureExitsWithOneAndPrintsOneLine() throws IOException {
+    Path directory = createStore();
     assertEquals(1, run("store", "inspect", dir.resolve("none").toString()));
     assertEquals(1, err.toString().lines().count(), err.toString());
-    try (Store held = Store.open(new FileDisk(at), StoreOptions.DEFAULT)) {
-      assertEquals(1, run("store", "compact", at.toString()));
+    try (Store openStore = Store.open(new FileDisk(directory), StoreOptions.DEFAULT)) {
+      assertEquals(1, run("store", "compact", directory.toString()));
       assertTrue(err.toString().contains("is in use by another process"), err.toString());
-      // Looking and copying need no lock.
-      assertEquals(0, run("store", "inspect", at.toString()));
-      assertEquals(2, held.recovered().sequence());
+      // Inspection needs no lock.
+      assertEquals(0, run("store", "inspect", directory.toString()));
+      assertEquals(2, openStore.recovered().sequence());
     }
     Path log;
-    try (var files = Files.list(at)) {
+    try (var files = Files.list(directory)) {
       log =
           files
-              .filter(f -> f.getFileName().toString().startsWith("log-"))
+              .filter(file -> file.getFileName().toString().startsWith("log-"))
               .sorted()
               .findFirst()
               .orElseThrow();
@@ -140,7 +141,7 @@
     byte[] bytes = Files.readAllBytes(log);
     bytes[70] ^= 1;
     Files.write(log, bytes);
-    assertEquals(1, run("store", "verify", at.toString()));
+    assertEquals(1, run("store", "verify", directory.toString()));
     assertTrue(out.toString().contains("record 1 can't be read"), out.toString());
   }
 }
--- a/src/test/java/pearusher/policy/BoundedTableTest.java
+++ b/src/test/java/pearusher/policy/BoundedTableTest.java
@@ -23,18 +23,36 @@
   /** Entries that a bind may carry in a small fleet. */
   private static final int MAX_ENTRIES = 668;
 
-  /** Servers 1 to n; of every five three are new. */
+  private static final long FIRST_NEW_SERVER = 100_000;
+
+  /** Servers 1 to {@code count}, of which three in five are replaced by new ones. */
   private static List<ServerEntry> mostlyNewServers(int count, int zones, long nowUs) {
     List<ServerEntry> list = new ArrayList<>();
     for (int id = 1; id <= count; id++) {
       list.add(
           id % 5 < 2
               ? TestServers.readyServer(id, id % zones, 0)
-              : TestServers.readyServer(100_000 + id, id % zones, nowUs));
+              : TestServers.readyServer(FIRST_NEW_SERVER + id, id % zones, nowUs));
     }
     return list;
   }
 
+  private static boolean isNew(long server) {
+    return server > FIRST_NEW_SERVER;
+  }
+
+  /** The largest share of a new server is within its bound on the ramp. */
+  private static void assertNewServersAreCold(ScopeSite site, int zone, double rampProgress) {
+    Map<Long, Double> weights = site.commands.weightsByTable.get(zone);
+    Set<Long> usable = site.usableServers(zone);
+    double sum = usable.stream().mapToDouble(weights::get).sum();
+    double largest =
+        usable.stream().filter(BoundedTableTest::isNew).mapToDouble(weights::get).max().orElse(0);
+    double maxShare = 3.0 / usable.size() * rampProgress;
+    assertTrue(
+        largest / sum <= maxShare, "share of a new server " + largest / sum + " of " + maxShare);
+  }
+
   /** Guards against tables that lose their servers, or hold only servers without evidence. */
   @ParameterizedTest
   @CsvSource({"100, 20, 6, 8", "1000, 20, 6, 8", "1000, 20, 30, 140"})
@@ -47,13 +65,12 @@
             .filter(id -> id % 5 >= 2)
             .collect(Collectors.toCollection(TreeSet::new));
     long nowUs = site.fixture.nowUs;
-    site.fixture.policy.onEndpointList(
-        nowUs, ListUpdateKind.COMPLETE, mostlyNewServers(servers, zones, nowUs));
+    site.fixture.sendEndpointList(ListUpdateKind.COMPLETE, mostlyNewServers(servers, zones, nowUs));
     site.endBatch();
     if (servers <= 100) {
-      assertEquals(removed, site.commands.ejected, "in the same reply, where there is room");
+      assertEquals(removed, site.commands.ejected, "in the same batch, where the backlog has room");
     }
-    // What a channel of 3,000 lines a second can't carry within the grace comes as fast as it can.
+    // What the channel can't carry within the grace is sent at its rate.
     double heldLines =
         site.zoneByProxy.keySet().stream()
             .mapToLong(p -> site.usableServers(p).stream().filter(removed::contains).count() + 11)
@@ -63,37 +80,22 @@
             ScopeSite.GRACE_S, 1.3 * heldLines / ScopeSite.LINES_PER_SECOND + ScopeSite.TRANSIT_S);
     double arrivalS = site.runUntil("ejected", limitS, () -> !site.isAnyUsed(removed));
     assertTrue(arrivalS <= limitS, "ejections arrive after " + arrivalS + " of " + limitS);
-    long listings = nowUs;
     for (int i = 0; i < 100; i++) {
-      double rampProgress =
-          Math.min(
-              1, 0.2 + 0.8 * (site.fixture.nowUs - listings) / (10.0 * PolicyFixture.SECOND_US));
+      double age = (site.fixture.nowUs - nowUs) / (10.0 * PolicyFixture.SECOND_US);
+      double rampProgress = Math.min(1, 0.2 + 0.8 * age);
       for (int zone : List.of(0, 1, 2)) {
-        double sum =
-            site.usableServers(zone).stream()
-                .mapToDouble(site.commands.weightsByTable.get(zone)::get)
-                .sum();
-        double coldShare =
-            site.usableServers(zone).stream()
-                    .filter(id -> id > 100_000)
-                    .mapToDouble(site.commands.weightsByTable.get(zone)::get)
-                    .max()
-                    .orElse(0)
-                / sum;
-        double maxShare = 3.0 / site.usableServers(zone).size() * rampProgress;
-        assertTrue(
-            coldShare <= maxShare,
-            "a new server's part " + coldShare + " of " + maxShare + " at " + i);
+        assertNewServersAreCold(site, zone, rampProgress);
       }
       site.runTick();
     }
     site.runTicks(300);
     assertTrue(
-        site.listedServers(0).stream().anyMatch(id -> id > 100_000), "and the new ones are used");
+        site.listedServers(0).stream().anyMatch(BoundedTableTest::isNew),
+        "and the new ones are used");
     assertFalse(site.listedServers(0).stream().anyMatch(removed::contains));
   }
 
-  /** Guards against a table longer than a bind can carry: no proxy is ever bound. */
+  /** Guards against tables that no bind can carry. */
   @ParameterizedTest
   @CsvSource({
     "1000, 20, 8, 668, 150",
@@ -150,10 +152,10 @@
     Set<Long> before = site.listedServers(0);
     long removed = before.stream().filter(id -> id % 20 >= 3).findFirst().orElseThrow();
     site.changeLifecycle(Set.of(removed), Lifecycle.REMOVED);
-    int[] lines = {0};
+    int[] weightChanges = {0};
     site.invariant =
         () ->
-            lines[0] +=
+            weightChanges[0] +=
                 (int)
                     site.lastCommands.stream()
                         .filter(RecordedCommand.SetWeight.class::isInstance)
@@ -163,7 +165,7 @@
     assertEquals(MAX_ENTRIES, after.size());
     assertEquals(Set.of(removed), ScopeSite.without(before, after));
     assertEquals(1, ScopeSite.without(after, before).size());
-    assertTrue(lines[0] <= 3 * 4, "weights changed: " + lines[0]);
+    assertTrue(weightChanges[0] <= 3 * 4, "weights changed: " + weightChanges[0]);
   }
 
   /**
@@ -178,28 +180,28 @@
     ScopeSite site = ScopeSite.started(20, fleetProxies, 1000, 3, proxies / 3);
     site.runUntil("all bound", 20, site::areAllBound);
     site.runTicks(100);
-    long nowUs = site.fixture.nowUs;
-    site.fixture.policy.onEndpointList(
-        nowUs, ListUpdateKind.COMPLETE, mostlyNewServers(1000, 20, nowUs));
-    Map<Integer, Integer> limitS = new TreeMap<>();
+    site.fixture.sendEndpointList(
+        ListUpdateKind.COMPLETE, mostlyNewServers(1000, 20, site.fixture.nowUs));
+    Map<Integer, Integer> longestTables = new TreeMap<>();
     site.invariant =
-        () -> site.commands.weightsByTable.forEach((z, t) -> limitS.merge(z, t.size(), Math::max));
+        () ->
+            site.commands.weightsByTable.forEach(
+                (zone, weights) -> longestTables.merge(zone, weights.size(), Math::max));
     site.runTicks(400);
-    limitS.forEach(
+    longestTables.forEach(
         (zone, size) -> assertTrue(size <= maxEntries, "a table of " + size + " of " + maxEntries));
   }
 
-  /** Guards against as above, seen from a proxy that holds nothing and joins meanwhile. */
+  /** The same for a proxy that holds no table and joins meanwhile. */
   @ParameterizedTest
   @ValueSource(ints = {130, 180})
-  void aNewProxyIsBoundWhileManyServersAreReplaced(int after) {
+  void aNewProxyIsBoundWhileManyServersAreReplaced(int ticks) {
     ScopeSite site = ScopeSite.started(20, 8, 1000, 3, 16);
     site.runUntil("all bound", 20, site::areAllBound);
     site.runTicks(100);
-    long nowUs = site.fixture.nowUs;
-    site.fixture.policy.onEndpointList(
-        nowUs, ListUpdateKind.COMPLETE, mostlyNewServers(1000, 20, nowUs));
-    site.runTicks(after);
+    site.fixture.sendEndpointList(
+        ListUpdateKind.COMPLETE, mostlyNewServers(1000, 20, site.fixture.nowUs));
+    site.runTicks(ticks);
     site.join(500, 0);
     site.endBatch();
     double maxUnboundS = site.fixture.settings.limits().maxUnboundUs() / 1e6;
--- a/src/test/java/pearusher/policy/ChannelBudgetTest.java
+++ b/src/test/java/pearusher/policy/ChannelBudgetTest.java
@@ -13,6 +13,9 @@
 
 /** The backlog of the channel to the proxies stays within its limit. */
 class ChannelBudgetTest {
+  private static final long TICK_US = 100_000;
+  private static final int LINES_PER_TICK = ChannelModel.LINES_PER_SECOND / 10;
+
   /** Backlog of a channel of this rate, counted by this test alone; the limit is 4,500 lines. */
   private static double backlogAfter(
       PolicyFixture fixture,
@@ -23,9 +26,9 @@
     int overhead =
         fixture.commands.lastAckNumber == acksBefore
             ? 0
-            : 11 * fixture.commands.joinedProxies.size();
+            : ChannelModel.OVERHEAD_LINES * fixture.commands.joinedProxies.size();
     double now = backlogLines + fixture.commands.linesThisBatch + overhead;
-    assertTrue(now <= 4500, "backlog lines " + now);
+    assertTrue(now <= ChannelModel.MAX_BACKLOG_LINES, "backlog lines " + now);
     return Math.max(0, now - linesPerSecond * elapsedUs / 1e6);
   }
 
@@ -34,10 +37,10 @@
     PolicyFixture fixture = new PolicyFixture().start(TestServers.readyServers(100, 2), 60);
     fixture.runPeriods(6);
     double backlogLines = 0;
-    ChannelModel channel = new ChannelModel(fixture, 3000, 200_000);
+    ChannelModel channel = new ChannelModel(fixture, ChannelModel.LINES_PER_SECOND, 200_000);
     long removedAtUs = fixture.nowUs;
     for (int i = 0; i < 30; i++) {
-      fixture.advance(100_000);
+      fixture.advance(TICK_US);
       channel.deliverAcks();
       List<ServerEntry> changes = new ArrayList<>();
       for (long id = 2; (i == 0 || i == 9) && id <= 100; id += 2) {
@@ -48,16 +51,17 @@
       }
       int acksBefore = fixture.commands.lastAckNumber;
       fixture.sendEndpointList(ListUpdateKind.DELTA, changes);
-      fixture.fireTimer(PolicyFixture.PACING_TIMER);
-      fixture.endBatch();
+      fixture.endPacedBatch();
       channel.send();
       backlogLines +=
           fixture.commands.linesThisBatch
-              + (fixture.commands.lastAckNumber == acksBefore ? 0 : 60 * 11);
+              + (fixture.commands.lastAckNumber == acksBefore
+                  ? 0
+                  : 60 * ChannelModel.OVERHEAD_LINES);
       assertTrue(
-          backlogLines <= 4500,
+          backlogLines <= ChannelModel.MAX_BACKLOG_LINES,
           "backlog lines " + backlogLines + " after " + (fixture.nowUs - removedAtUs));
-      backlogLines = Math.max(0, backlogLines - 300);
+      backlogLines = Math.max(0, backlogLines - LINES_PER_TICK);
       if (i == 8) {
         assertEquals(50, fixture.commands.ejected.size(), "all ejected within a second");
       }
@@ -75,24 +79,25 @@
     PolicyFixture fixture = new PolicyFixture().start(TestServers.readyServers(160, 2), 70);
     fixture.runPeriods(8);
     double backlogLines = 0;
-    ChannelModel channel = new ChannelModel(fixture, 3000, 200_000);
+    ChannelModel channel = new ChannelModel(fixture, ChannelModel.LINES_PER_SECOND, 200_000);
     int messages = 0;
     for (int i = 0; i < 40 && fixture.commands.ejected.size() < 80; i++) {
-      fixture.advance(100_000);
+      fixture.advance(TICK_US);
       channel.deliverAcks();
       List<ServerEntry> changes =
           i == 0 ? TestServers.serversIn(1, 80, Lifecycle.REMOVED) : List.of();
       int acksBefore = fixture.commands.lastAckNumber;
       fixture.sendEndpointList(ListUpdateKind.DELTA, changes);
-      fixture.fireTimer(PolicyFixture.PACING_TIMER);
-      fixture.endBatch();
+      fixture.endPacedBatch();
       channel.send();
       messages += fixture.commands.lastAckNumber == acksBefore ? 0 : 1;
       backlogLines +=
           fixture.commands.linesThisBatch
-              + (fixture.commands.lastAckNumber == acksBefore ? 0 : 70 * 11);
-      assertTrue(backlogLines <= 4500, "backlog lines " + backlogLines);
-      backlogLines = Math.max(0, backlogLines - 300);
+              + (fixture.commands.lastAckNumber == acksBefore
+                  ? 0
+                  : 70 * ChannelModel.OVERHEAD_LINES);
+      assertTrue(backlogLines <= ChannelModel.MAX_BACKLOG_LINES, "backlog lines " + backlogLines);
+      backlogLines = Math.max(0, backlogLines - LINES_PER_TICK);
     }
     assertEquals(80, fixture.commands.ejected.size(), "all are ejected within 4 s");
     assertTrue(messages <= 6, "in few messages: " + messages);
@@ -111,7 +116,7 @@
     PolicyFixture fixture = new PolicyFixture(settings).start(TestServers.readyServers(100, 2), 20);
     fixture.attemptsPerZone = 20_000;
     fixture.runPeriods(8);
-    ChannelModel channel = new ChannelModel(fixture, 3000, 200_000);
+    ChannelModel channel = new ChannelModel(fixture, ChannelModel.LINES_PER_SECOND, 200_000);
     double longestMeanMessage = 0;
     for (int i = 0; i < 200; i++) {
       fixture.advance(20_000);
@@ -123,8 +128,7 @@
         fixture.runPeriod();
       }
       channel.deliverAcks();
-      fixture.fireTimer(PolicyFixture.PACING_TIMER);
-      fixture.endBatch();
+      fixture.endPacedBatch();
       Map<Integer, Integer> sent = channel.send();
       longestMeanMessage =
           Math.max(
@@ -179,7 +183,7 @@
       fixture.runPeriods(8);
       ChannelModel channel = new ChannelModel(fixture, linesPerSecond, 400_000);
       for (int i = 0; i < 100; i++) {
-        fixture.advance(100_000);
+        fixture.advance(TICK_US);
         channel.deliverAcks();
         for (int proxy = 40 + 4 * i; i < 40 && proxy < 44 + 4 * i; proxy++) {
           fixture.join(proxy, false);
@@ -187,11 +191,10 @@
         List<ServerEntry> draining =
             i < 15 ? TestServers.drainingServers(1 + 4L * i, 4L * i + 4) : List.of();
         fixture.sendEndpointList(ListUpdateKind.DELTA, draining);
-        fixture.fireTimer(PolicyFixture.PACING_TIMER);
-        fixture.endBatch();
+        fixture.endPacedBatch();
         channel.send();
         assertTrue(
-            channel.backlogLines() <= 4500,
+            channel.backlogLines() <= ChannelModel.MAX_BACKLOG_LINES,
             channel.backlogLines() + " lines of backlog at " + linesPerSecond);
       }
       assertEquals(
@@ -210,7 +213,8 @@
       fixture.join(5, 1, false);
       int acksBefore = fixture.commands.lastAckNumber;
       fixture.endBatch();
-      backlogLines = backlogAfter(fixture, backlogLines, acksBefore, 200_000, 3000);
+      backlogLines =
+          backlogAfter(fixture, backlogLines, acksBefore, 200_000, ChannelModel.LINES_PER_SECOND);
       assertTrue(fixture.commands.tableByProxy.containsKey(5), "bound in the batch of its joining");
     }
   }
@@ -261,7 +265,9 @@
       int acksBefore = fixture.commands.lastAckNumber;
       fixture.endBatch();
       if (fixture.commands.lastAckNumber != acksBefore) {
-        sent += fixture.commands.linesThisBatch + 11 * fixture.commands.joinedProxies.size();
+        sent +=
+            fixture.commands.linesThisBatch
+                + ChannelModel.OVERHEAD_LINES * fixture.commands.joinedProxies.size();
       }
       for (int proxy : fixture.commands.joinedProxies) {
         fixture.policy.onAcknowledgement(
--- a/src/test/java/pearusher/policy/ChannelModel.java
+++ b/src/test/java/pearusher/policy/ChannelModel.java
@@ -15,7 +15,12 @@
  */
 final class ChannelModel {
   /** Overhead of a message and its acknowledgement number. */
-  private static final int OVERHEAD_LINES = 11;
+  static final int OVERHEAD_LINES = 11;
+
+  /** Rate and backlog limit of the channel in the default settings. */
+  static final int LINES_PER_SECOND = 3000;
+
+  static final int MAX_BACKLOG_LINES = 4500;
 
   private record Message(int proxy, int ackNumber, long sentAtUs) {}
 
--- a/src/test/java/pearusher/policy/JoinSurgeTest.java
+++ b/src/test/java/pearusher/policy/JoinSurgeTest.java
@@ -13,6 +13,9 @@
 
 /** Join surges: proxies are bound within the grace, to subsets where complete tables don't fit. */
 class JoinSurgeTest {
+  private static final long TICK_US = 100_000;
+  private static final int LINES_PER_TICK = ChannelModel.LINES_PER_SECOND / 10;
+
   /** Forty servers drain at once, and forty more eight ticks later. */
   private static List<ServerEntry> drainingAt(int ticksSinceFirstDrain) {
     return switch (ticksSinceFirstDrain) {
@@ -30,18 +33,17 @@
       fixture.join(proxy, true);
     }
     double backlogLines = 0;
-    ChannelModel channel = new ChannelModel(fixture, 3000, 200_000);
+    ChannelModel channel = new ChannelModel(fixture, ChannelModel.LINES_PER_SECOND, 200_000);
     for (int i = 0; i < 600 && fixture.commands.tableByProxy.size() < 300; i++) {
       int bound = fixture.commands.tableByProxy.size();
-      fixture.advance(100_000);
+      fixture.advance(TICK_US);
       channel.deliverAcks();
-      fixture.fireTimer(PolicyFixture.PACING_TIMER);
-      fixture.endBatch();
+      fixture.endPacedBatch();
       channel.send();
       int newlyBound = fixture.commands.tableByProxy.size() - bound;
-      backlogLines += fixture.commands.linesThisBatch + 11 * newlyBound;
-      assertTrue(backlogLines <= 4500, "backlog lines " + backlogLines);
-      backlogLines = Math.max(0, backlogLines - 300);
+      backlogLines += fixture.commands.linesThisBatch + ChannelModel.OVERHEAD_LINES * newlyBound;
+      assertTrue(backlogLines <= ChannelModel.MAX_BACKLOG_LINES, "backlog lines " + backlogLines);
+      backlogLines = Math.max(0, backlogLines - LINES_PER_TICK);
     }
     assertEquals(300, fixture.commands.tableByProxy.size());
     assertEquals(300, fixture.commands.weightsByTable.get(0).size());
@@ -59,17 +61,18 @@
     double longestBacklog = 0;
     for (int i = 0; i < 600 && fixture.commands.tableByProxy.size() < 100; i++) {
       int bound = fixture.commands.tableByProxy.size();
-      fixture.advance(100_000);
+      fixture.advance(TICK_US);
       fixture.fireTimer(PolicyFixture.CONTROL_PERIOD_TIMER);
-      fixture.fireTimer(PolicyFixture.PACING_TIMER);
-      fixture.endBatch();
+      fixture.endPacedBatch();
       int newlyBound = fixture.commands.tableByProxy.size() - bound;
-      backlogLines += fixture.commands.linesThisBatch + (11 + 100) * newlyBound;
+      backlogLines +=
+          fixture.commands.linesThisBatch + (ChannelModel.OVERHEAD_LINES + 100) * newlyBound;
       longestBacklog = Math.max(longestBacklog, backlogLines);
-      backlogLines = Math.max(0, backlogLines - 300);
+      backlogLines = Math.max(0, backlogLines - LINES_PER_TICK);
     }
     assertEquals(100, fixture.commands.tableByProxy.size());
-    assertTrue(longestBacklog <= 4500 * 0.9, "backlog lines " + longestBacklog);
+    assertTrue(
+        longestBacklog <= 0.9 * ChannelModel.MAX_BACKLOG_LINES, "backlog lines " + longestBacklog);
   }
 
   /**
@@ -88,18 +91,21 @@
     fixture.commands.issued.clear();
     fixture.advance(0);
     fixture.sendEndpointList(ListUpdateKind.DELTA, TestServers.drainingServers(1, 20));
-    ChannelModel channel = new ChannelModel(fixture, 3000, 200_000);
+    ChannelModel channel = new ChannelModel(fixture, ChannelModel.LINES_PER_SECOND, 200_000);
     int boundInTime = 0;
     for (int i = 0; i < 19; i++) {
-      fixture.advance(100_000);
+      fixture.advance(TICK_US);
       channel.deliverAcks();
-      fixture.fireTimer(PolicyFixture.PACING_TIMER);
-      fixture.endBatch();
+      fixture.endPacedBatch();
       channel.send();
-      assertTrue(channel.backlogLines() <= 4500, "backlog lines " + channel.backlogLines());
+      assertTrue(
+          channel.backlogLines() <= ChannelModel.MAX_BACKLOG_LINES,
+          "backlog lines " + channel.backlogLines());
       boundInTime = fixture.commands.tableByProxy.size();
       // A message that is sent now arrives after the backlog and half a second of transit.
-      double arrivalUs = channel.backlogLines() / 3000 * PolicyFixture.SECOND_US + 500_000;
+      double arrivalUs =
+          channel.backlogLines() / ChannelModel.LINES_PER_SECOND * PolicyFixture.SECOND_US
+              + 500_000;
       if (fixture.nowUs - 108 * PolicyFixture.SECOND_US + arrivalUs
           > 2 * PolicyFixture.SECOND_US + 300_000) {
         break;
@@ -133,7 +139,7 @@
       fixture.endBatch();
       List<ServerEntry> draining = TestServers.drainingServers(1, 60);
       fixture.updateEndpoints(ListUpdateKind.DELTA, drainsBeforeJoining ? draining : List.of());
-      ChannelModel channel = new ChannelModel(fixture, 3000, 200_000);
+      ChannelModel channel = new ChannelModel(fixture, ChannelModel.LINES_PER_SECOND, 200_000);
       long joinedAtUs = fixture.nowUs;
       for (int proxy = 0; proxy < 60; proxy++) {
         fixture.join(proxy, false);
@@ -143,11 +149,13 @@
         channel.deliverAcks();
         fixture.sendEndpointList(
             ListUpdateKind.DELTA, drainsBeforeJoining || i != 2 ? List.of() : draining);
-        fixture.fireTimer(PolicyFixture.PACING_TIMER);
-        fixture.endBatch();
+        fixture.endPacedBatch();
         channel.send();
-        arrivalSeconds = (fixture.nowUs - joinedAtUs) / 1e6 + channel.backlogLines() / 3000 + 0.5;
-        fixture.advance(100_000);
+        arrivalSeconds =
+            (fixture.nowUs - joinedAtUs) / 1e6
+                + channel.backlogLines() / ChannelModel.LINES_PER_SECOND
+                + 0.5;
+        fixture.advance(TICK_US);
       }
       assertEquals(
           60,
@@ -183,17 +191,17 @@
     fixture.runPeriods(8);
     ChannelModel channel = new ChannelModel(fixture, linesPerSecond, 400_000);
     for (int i = 0; i < 200; i++) {
-      fixture.advance(100_000);
+      fixture.advance(TICK_US);
       channel.deliverAcks();
       for (int k = 0; k < 3 && i < 40 && fixture.commands.joinedProxies.size() < 200; k++) {
         fixture.join(fixture.commands.joinedProxies.size(), false);
       }
       fixture.sendEndpointList(ListUpdateKind.DELTA, drainingAt(i - firstDrainTick));
-      fixture.fireTimer(PolicyFixture.PACING_TIMER);
-      fixture.endBatch();
+      fixture.endPacedBatch();
       channel.send();
       assertTrue(
-          channel.backlogLines() <= 4500, channel.backlogLines() + " lines of backlog after " + i);
+          channel.backlogLines() <= ChannelModel.MAX_BACKLOG_LINES,
+          channel.backlogLines() + " lines of backlog after " + i);
     }
     assertEquals(
         Math.min(200, initialProxies + 120),
@@ -220,16 +228,15 @@
     fixture.commands.tableByProxy.clear();
     fixture.commands.issued.clear();
     Map<Integer, Long> joinedAtUs = new TreeMap<>();
-    ChannelModel channel = new ChannelModel(fixture, 3000, 200_000);
+    ChannelModel channel = new ChannelModel(fixture, ChannelModel.LINES_PER_SECOND, 200_000);
     for (int i = 0; i < 40; i++) {
-      fixture.advance(100_000);
+      fixture.advance(TICK_US);
       channel.deliverAcks();
       for (int proxy = 3 * i; proxy < 3 * i + 3 && proxy < 60; proxy++) {
         fixture.join(proxy, false);
         joinedAtUs.put(proxy, fixture.nowUs);
       }
-      fixture.fireTimer(PolicyFixture.PACING_TIMER);
-      fixture.endBatch();
+      fixture.endPacedBatch();
       List<RecordedCommand.BindProxy> newlyBound =
           fixture.commands.issued(RecordedCommand.BindProxy.class);
       for (RecordedCommand.BindProxy bind : newlyBound) {
@@ -238,13 +245,17 @@
       }
       channel.send();
       double arrivalUs =
-          fixture.nowUs + channel.backlogLines() / 3000 * PolicyFixture.SECOND_US + 500_000;
+          fixture.nowUs
+              + channel.backlogLines() / ChannelModel.LINES_PER_SECOND * PolicyFixture.SECOND_US
+              + 500_000;
       newlyBound.forEach(
           bind ->
               assertTrue(
                   arrivalUs <= 2_300_000 + joinedAtUs.getOrDefault(bind.proxy(), fixture.nowUs),
                   "proxy " + bind.proxy() + " is bound too late"));
-      assertTrue(channel.backlogLines() <= 4500, "backlog lines " + channel.backlogLines());
+      assertTrue(
+          channel.backlogLines() <= ChannelModel.MAX_BACKLOG_LINES,
+          "backlog lines " + channel.backlogLines());
     }
     assertEquals(60, fixture.commands.tableByProxy.size());
   }
--- a/src/test/java/pearusher/policy/PolicyFixture.java
+++ b/src/test/java/pearusher/policy/PolicyFixture.java
@@ -95,6 +95,12 @@
     policy.onBatchEnd(nowUs);
   }
 
+  /** Ends a batch in which the pacing timer has fired. */
+  void endPacedBatch() {
+    fireTimer(PACING_TIMER);
+    endBatch();
+  }
+
   void advance(long elapsedUs) {
     nowUs += elapsedUs;
     commands.linesThisBatch = 0;
--- a/src/test/java/pearusher/policy/RestartHoldTest.java
+++ b/src/test/java/pearusher/policy/RestartHoldTest.java
@@ -24,16 +24,14 @@
     fixture.updateEndpoints(
         ListUpdateKind.DELTA, List.of(TestServers.serverIn(1, 1, Lifecycle.REMOVED)));
     fixture.advance(700_000);
-    fixture.fireTimer(PolicyFixture.PACING_TIMER);
-    fixture.endBatch();
+    fixture.endPacedBatch();
     for (int proxy = 2; proxy < 8; proxy++) {
       fixture.join(proxy, false);
       fixture.advance(10_000);
       fixture.endBatch();
     }
     fixture.advance(700_000);
-    fixture.fireTimer(PolicyFixture.PACING_TIMER);
-    fixture.endBatch();
+    fixture.endPacedBatch();
     assertEquals(
         3,
         fixture.commands.issued.stream().filter(new RecordedCommand.Eject(1)::equals).count(),
--- a/src/test/java/pearusher/policy/ScopeChangeDuringDrainTest.java
+++ b/src/test/java/pearusher/policy/ScopeChangeDuringDrainTest.java
@@ -36,7 +36,7 @@
     assertEquals(ScopeSite.without(table, Set.of(5L)), site.usableServers(20));
   }
 
-  /** A bounded site where a new zone's joining pushes servers of the old one out of the tables. */
+  /** A site with bounded tables, where a new zone displaces servers of the old one. */
   private static ScopeSite siteWithDisplacedServers(int drainTick, Set<Long> draining) {
     ScopeSite site = ScopeSite.started(4, 140, 800, 1, 30).runTicks(150);
     assertTrue(site.areAllBound());
@@ -50,8 +50,7 @@
   }
 
   /**
-   * Guards against a server out of scope counts as in no table while its proxies still hold its
-   * line.
+   * Guards against counting a server out of scope as unused while proxies still hold its weight.
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 2, 5, 9, 13, 20})
@@ -60,7 +59,7 @@
     Set<Long> before = siteWithoutDrain.listedServers(0);
     Set<Long> displaced =
         ScopeSite.without(before, siteWithoutDrain.runTicks(150).listedServers(0));
-    assertTrue(displaced.size() > 30, "pushed out: " + displaced);
+    assertTrue(displaced.size() > 30, "displaced: " + displaced);
     Set<Long> draining = displaced.stream().limit(20).collect(Collectors.toSet());
     ScopeSite site = siteWithDisplacedServers(drainTick, draining);
     double arrivalS =
@@ -87,7 +86,7 @@
       site.endBatch();
       double transitS =
           site.isAnyUsed(draining)
-              ? site.channel.backlogLines() / ScopeSite.LINES_PER_SECOND + 0.5
+              ? site.channel.backlogLines() / ScopeSite.LINES_PER_SECOND + ScopeSite.TRANSIT_S
               : 0;
       int drainedSinceTick = Math.max(0, drainTick);
       assertTrue(
@@ -115,6 +114,6 @@
     assertEquals(
         ScopeSite.without(ScopeSite.servers(1, 160), Set.of(100L)),
         site.usableServers(0),
-        "all are back");
+        "all are reinstated");
   }
 }
--- a/src/test/java/pearusher/policy/ScopeSizeTest.java
+++ b/src/test/java/pearusher/policy/ScopeSizeTest.java
@@ -132,7 +132,7 @@
     assertEquals(empty + 2, ObjectCount.of(table));
   }
 
-  /** Guards against at this size the text before died at its start, and no proxy was ever bound. */
+  /** Guards against a start at this size that fails or never binds a proxy. */
   @ParameterizedTest
   @ValueSource(ints = {2000, 9100})
   void manyServersInManyZonesAreBoundAndWeighted(int servers) {
--- a/src/test/java/pearusher/policy/TakeoverTest.java
+++ b/src/test/java/pearusher/policy/TakeoverTest.java
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Guards against evidence of a zone is needed for its table, or a cold server gets a warm one's
-   * part.
+   * Guards against tables that need evidence of their zone, and cold servers with the share of warm
+   * ones.
    */
   @ParameterizedTest
   @ValueSource(ints = {40, 100, 200, 400})
@@ -54,7 +54,7 @@
       double even = 1.0 / (servers + 1);
       double maxShare = site.fixture.settings.limits().recoveryOverloadFactor() * even;
       Map<Long, Double> shares = shareByServer(site);
-      // Rule 4 is of cold servers; warm ones keep it too where a table lists all.
+      // The bound is meant for cold servers; where a table lists all, warm ones stay within it too.
       shares.forEach(
           (id, share) ->
               assertTrue(
@@ -63,7 +63,7 @@
       double rampProgress = Math.min(1, 0.2 + 0.8 * (10 + i) / 100.0);
       assertTrue(
           shares.getOrDefault(coldServer, 0.0) <= maxShare * rampProgress,
-          "a cold server's part at " + i);
+          "share of a cold server at " + i);
       site.runTick();
     }
     site.runUntil("all at their zone's table", 60, () -> site.commands.tableByProxy.get(129) == 3);
@@ -116,7 +116,7 @@
       }
       site.runTick();
     }
-    assertTrue(site.commands.forgottenServers.contains(5L), "it was tried");
+    assertTrue(site.commands.forgottenServers.contains(5L), "forgotten in the meantime");
     assertTrue(
         site.commands.weightsByTable.keySet().stream().noneMatch(t -> t % 3 == 2),
         "left: " + site.commands.weightsByTable.keySet());
