--- a/src/main/java/pearusher/protocol/EndpointDecoder.java
+++ b/src/main/java/pearusher/protocol/EndpointDecoder.java
@@ -83,13 +83,13 @@
   }
 
   private static String hostPort(PathValues entry) {
-    String hostPort = entry.textOrNull(HOST_PORT);
+    String hostPort = entry.text(HOST_PORT).orElse(null);
     boolean usable = hostPort != null && hostPort.length() <= MAX_ADDRESS_LENGTH;
     return usable ? hostPort : null;
   }
 
   private int machineType(PathValues entry) {
     int unknown = names.machineTypes().size();
-    return names.machineTypes().getOrDefault(entry.textOrNull(MACHINE_TYPE), unknown);
+    return entry.text(MACHINE_TYPE).map(names.machineTypes()::get).orElse(unknown);
   }
 }
--- a/src/test/java/pearusher/protocol/EndpointListReaderTest.java
+++ b/src/test/java/pearusher/protocol/EndpointListReaderTest.java
@@ -59,11 +59,9 @@
       endpoints.add(
           new Endpoint(
               values.require(path + "instanceId"),
-              values.textOrNull(path + "hostPort"),
+              values.text(path + "hostPort").orElse(null),
               zone,
-              NAMES
-                  .machineTypes()
-                  .getOrDefault(String.valueOf(values.textOrNull(path + "machineType")), 2),
+              values.text(path + "machineType").map(NAMES.machineTypes()::get).orElse(2),
               (int) values.doubleOrZero(path + "cell"),
               states.getOrDefault(values.require(path + "lifecycle"), Lifecycle.DRAINING),
               values.has(path + "weight") ? values.requireDouble(path + "weight") : 1,
