--- a/src/main/java/pearusher/config/AssignerConfigReader.java
+++ b/src/main/java/pearusher/config/AssignerConfigReader.java
@@ -45,6 +45,12 @@
   private static final String SEED = "seed";
   private static final String SETTINGS = "settings";
 
+  private static final String MAX_DESCRIPTORS_KEY = "limits.sockets";
+  private static final String CONNECT_TIMEOUT = "timeouts.connect_ms";
+  private static final String RESPONSE_TIMEOUT = "timeouts.answer_ms";
+  private static final String IDLE_TIMEOUT = "timeouts.silent_ms";
+  private static final String IDENTIFICATION_TIMEOUT = "timeouts.stranger_ms";
+
   private static final int MAX_REQUEST_CLASSES = 16;
   private static final int MAX_PROXIES = 65_536;
   private static final int MAX_INSTANCES = 65_536;
@@ -165,7 +171,7 @@
             DOCUMENT_NAME, KNOWN_SERVERS, streamFromStart(), names, listLimits);
     int maxDescriptors =
         document.intBetween(
-            "limits.sockets", MIN_DESCRIPTORS, MAX_DESCRIPTORS, DEFAULT_DESCRIPTORS);
+            MAX_DESCRIPTORS_KEY, MIN_DESCRIPTORS, MAX_DESCRIPTORS, DEFAULT_DESCRIPTORS);
     return new AssignerConfig(
         name,
         listen,
@@ -258,14 +264,14 @@
 
   private Timeouts timeouts() throws SettingsException {
     return new Timeouts(
-        timeout("connect_ms", MAX_CALL_TIMEOUT_MS, DEFAULT_CONNECT_MS),
-        timeout("answer_ms", MAX_CALL_TIMEOUT_MS, DEFAULT_RESPONSE_MS),
-        timeout("silent_ms", MAX_SILENCE_MS, DEFAULT_IDLE_MS),
-        timeout("stranger_ms", MAX_SILENCE_MS, DEFAULT_IDENTIFICATION_MS));
+        timeout(CONNECT_TIMEOUT, MAX_CALL_TIMEOUT_MS, DEFAULT_CONNECT_MS),
+        timeout(RESPONSE_TIMEOUT, MAX_CALL_TIMEOUT_MS, DEFAULT_RESPONSE_MS),
+        timeout(IDLE_TIMEOUT, MAX_SILENCE_MS, DEFAULT_IDLE_MS),
+        timeout(IDENTIFICATION_TIMEOUT, MAX_SILENCE_MS, DEFAULT_IDENTIFICATION_MS));
   }
 
   private int timeout(String key, int maxMs, int defaultMs) throws SettingsException {
-    return document.intBetween("timeouts." + key, 1, maxMs, defaultMs);
+    return document.intBetween(key, 1, maxMs, defaultMs);
   }
 
   private static String variable(Map<String, String> environment, String name)
--- a/src/main/java/pearusher/protocol/WireNames.java
+++ b/src/main/java/pearusher/protocol/WireNames.java
@@ -22,6 +22,12 @@
     Map<String, Integer> machineTypes,
     List<String> loadMetrics) {
 
+  private static final String ZONES_KEY = "azs";
+  private static final String CLASSES_KEY = "grades";
+  private static final String CLASS_NAME_KEY = "name";
+  private static final String MACHINE_TYPES_KEY = "kinds";
+  private static final String LOAD_METRICS_KEY = "report.fields";
+
   /** The protocol's name of each load metric by its name in the settings; others are the same. */
   private static final Map<String, String> CANONICAL_METRICS =
       Map.of(
@@ -45,14 +51,14 @@
    * @throws SettingsException if a list is missing or names something twice
    */
   public static WireNames of(PathValues settings) throws SettingsException {
-    List<String> classes = settings.requireEach("grades", "name");
+    List<String> classes = settings.requireEach(CLASSES_KEY, CLASS_NAME_KEY);
     List<String> metrics =
-        settings.listOrEmpty("report.fields").stream().map(WireNames::canonicalMetric).toList();
+        settings.listOrEmpty(LOAD_METRICS_KEY).stream().map(WireNames::canonicalMetric).toList();
     return new WireNames(
-        indexes(settings, "azs", settings.requireList("azs")),
+        indexes(settings, ZONES_KEY, settings.requireList(ZONES_KEY)),
         classes,
-        indexes(settings, "grades", classes),
-        indexes(settings, "kinds", settings.listOrEmpty("kinds")),
+        indexes(settings, CLASSES_KEY, classes),
+        indexes(settings, MACHINE_TYPES_KEY, settings.listOrEmpty(MACHINE_TYPES_KEY)),
         metrics);
   }
 
--- a/src/test/java/pearusher/config/AssignerConfigTest.java
+++ b/src/test/java/pearusher/config/AssignerConfigTest.java
@@ -12,7 +12,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -183,20 +182,6 @@
         message);
   }
 
-  @ParameterizedTest
-  @ValueSource(
-      strings = {
-        "127.0.0.1",
-        "localhost:80",
-        "127.0.0.1:",
-        "127.0.0.1:99999",
-        "1.2.3:80",
-        "300.0.0.1:80"
-      })
-  void onlyNumericAddressesWithAPortAreAddresses(String text) {
-    assertEquals(Optional.empty(), SocketAddresses.parse(text));
-  }
-
   @Test
   void theSimulatorReadsTheSameSettings() throws Exception {
     PathValues all =
