--- a/src/test/java/pearusher/ArchitectureTest.java
+++ b/src/test/java/pearusher/ArchitectureTest.java
@@ -3,10 +3,23 @@
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import com.tngtech.archunit.base.DescribedPredicate;
+import com.tngtech.archunit.core.domain.JavaClass;
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Arrays;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
 /** The layers and package dependencies that docs/architecture.md draws. */
@@ -81,6 +94,38 @@
         .check(MAIN_CLASSES);
   }
 
+  /** Each line of the list is {@code package -> packages it uses}. */
+  @Test
+  void packageDependenciesAreThoseOfTheArchitecturePage() throws IOException {
+    String page = Files.readString(Path.of("docs", "architecture.md"));
+    Matcher line = Pattern.compile("(?m)^  (\\w+) +-> ?(.*)$").matcher(page);
+    Map<String, Set<String>> drawn = new TreeMap<>();
+    while (line.find()) {
+      drawn.put(line.group(1), new TreeSet<>(Arrays.asList(line.group(2).split("[, ]+"))));
+      drawn.get(line.group(1)).remove("");
+    }
+    assertEquals(drawn, actualDependencies());
+  }
+
+  private static Map<String, Set<String>> actualDependencies() {
+    Map<String, Set<String>> dependencies = new TreeMap<>();
+    for (JavaClass type : MAIN_CLASSES) {
+      String from = packageName(type);
+      Set<String> uses = dependencies.computeIfAbsent(from, name -> new TreeSet<>());
+      type.getDirectDependenciesFromSelf().stream()
+          .map(dependency -> dependency.getTargetClass().getBaseComponentType())
+          .filter(target -> target.getPackageName().startsWith("pearusher."))
+          .map(ArchitectureTest::packageName)
+          .filter(name -> !name.equals(from))
+          .forEach(uses::add);
+    }
+    return dependencies;
+  }
+
+  private static String packageName(JavaClass type) {
+    return type.getPackageName().replaceFirst("^pearusher\\.", "");
+  }
+
   @Test
   void packagesAreFreeOfCycles() {
     slices().matching("pearusher.(*)..").should().beFreeOfCycles().check(MAIN_CLASSES);
@@ -93,7 +138,7 @@
         .resideInAnyPackage("pearusher.store..", "pearusher.intake..")
         .should()
         .dependOnClassesThat(
-            com.tngtech.archunit.base.DescribedPredicate.describe(
+            DescribedPredicate.describe(
                 "are of another package of the project",
                 type ->
                     type.getPackageName().startsWith("pearusher.")
@@ -109,7 +154,7 @@
         .resideInAPackage("pearusher.policy..")
         .should()
         .dependOnClassesThat(
-            com.tngtech.archunit.base.DescribedPredicate.describe(
+            DescribedPredicate.describe(
                 "are of another package of the project",
                 type ->
                     type.getPackageName().startsWith("pearusher.")
