--- a/src/bench/java/pearusher/server/StartBench.java
+++ b/src/bench/java/pearusher/server/StartBench.java
@@ -63,9 +63,8 @@
     Process p = how.start();
     try {
       while (true) {
-        try (TestPeers.RespClient caller =
-            new TestPeers.RespClient(
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), port))) {
+        try (RespClient caller =
+            new RespClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))) {
           caller.socket.setSoTimeout(20_000);
           caller.send("ping");
           if (caller.socket.getInputStream().read() >= 0) {
--- a/src/test/java/pearusher/config/EndpointListLimitsTest.java
+++ b/src/test/java/pearusher/config/EndpointListLimitsTest.java
@@ -10,7 +10,9 @@
 import org.junit.jupiter.api.Test;
 import pearusher.policy.PolicyCommands;
 import pearusher.protocol.EndpointListLimits;
+import pearusher.server.HttpStub;
 import pearusher.server.LoopbackFixture;
+import pearusher.server.StubRequest;
 import pearusher.server.TestPeers;
 
 /**
@@ -36,7 +38,7 @@
   }
 
   private long logged(String text, int times) throws InterruptedException {
-    logged(text);
+    awaitLog(text);
     synchronized (log) {
       return log.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains(text)).count()
           - times;
@@ -45,10 +47,10 @@
 
   @Test
   void aWatchWithAListOverTheLimitHasFailed() throws Exception {
-    TestPeers.Request watch = watch();
+    StubRequest watch = startWithWatch();
     module.hear("onEndpointList CACHED");
-    watch.beginWatch();
-    watch.line(list(43, true, 0, 4));
+    watch.startWatch();
+    watch.writeLine(list(43, true, 0, 4));
     module.hear("onEndpointList COMPLETE [ServerEntry[server=2,");
     for (int time = 1; time <= 3; time++) {
       // Refused at its fifth server: the line never ends.
@@ -56,13 +58,13 @@
       watch.write("100000\r\n" + text.substring(0, text.length() - 2));
       module.hear("onEndpointList FAILED []");
       module.order(o -> o.watchEndpoints(true));
-      watch = discovery.next();
+      watch = discovery.awaitRequest();
       assertEquals("/catalog/members?follow=1&since=43", watch.path(), "the last good list stays");
-      watch.beginWatch();
+      watch.startWatch();
     }
     assertEquals(0, logged(REFUSED, 2), "told at 1, 2, 4, 8 ...");
-    logged("WARN discovery lost: WATCH ended: TOO_LONG");
-    watch.line(list(51, true, 1, 4));
+    awaitLog("WARN discovery lost: WATCH ended: TOO_LONG");
+    watch.writeLine(list(51, true, 1, 4));
     module.hear("onEndpointList COMPLETE [ServerEntry[server=3,");
     assertEquals(List.of(), module.told);
   }
@@ -72,14 +74,14 @@
     start();
     module.hear("onEndpointList CACHED");
     module.order(PolicyCommands::fetchEndpoints);
-    discovery.next().answer(200, list(45, true, 0, 5));
+    discovery.awaitRequest().respond(200, list(45, true, 0, 5));
     module.hear("onEndpointList FAILED []");
     assertEquals(0, logged(REFUSED, 1));
-    logged("WARN discovery lost: FETCH ended: TOO_LONG");
+    awaitLog("WARN discovery lost: FETCH ended: TOO_LONG");
     assertFalse(
         log.toString(StandardCharsets.UTF_8).contains("can't be read"), "one line tells it");
     module.order(PolicyCommands::fetchEndpoints);
-    discovery.next().answer(200, list(45, true, 0, 4));
+    discovery.awaitRequest().respond(200, list(45, true, 0, 4));
     module.hear("onEndpointList COMPLETE");
     assertEquals(List.of(), module.told);
   }
@@ -89,9 +91,9 @@
     start();
     module.hear("onEndpointList CACHED");
     module.order(PolicyCommands::fetchEndpoints);
-    discovery.next().answer(200, list(45, true, 0, 1).replace("s-0", "x".repeat(256)));
+    discovery.awaitRequest().respond(200, list(45, true, 0, 1).replace("s-0", "x".repeat(256)));
     module.hear("onEndpointList FAILED []");
-    logged(
+    awaitLog(
         "WARN discovery: a list can't be read: list: the key instances.0.instanceId is longer than "
             + "255 characters: 'xxx");
   }
@@ -99,16 +101,16 @@
   /** Changes that are short one by one must not make more known than the heap holds. */
   @Test
   void changesThatNameNewServersWithoutEndAreRefused() throws Exception {
-    TestPeers.Request watch = watch();
+    StubRequest watch = startWithWatch();
     module.hear("onEndpointList CACHED");
-    watch.beginWatch();
+    watch.startWatch();
     for (int k = 0; k < 4; k++) {
-      watch.line(list(43 + k, false, k, k + 1));
+      watch.writeLine(list(43 + k, false, k, k + 1));
       module.hear("onEndpointList DELTA [ServerEntry[server=" + (2 + k) + ",");
     }
-    watch.line(list(47, false, 3, 4));
+    watch.writeLine(list(47, false, 3, 4));
     module.hear("onEndpointList DELTA [ServerEntry[server=5,");
-    watch.line(list(48, false, 3, 5));
+    watch.writeLine(list(48, false, 3, 5));
     module.hear("onEndpointList FAILED []");
     assertEquals(
         0,
@@ -117,7 +119,7 @@
                 + "heap of 40 MB holds no more",
             1));
     module.order(o -> o.watchEndpoints(true));
-    assertEquals("/catalog/members?follow=1&since=47", discovery.next().path());
+    assertEquals("/catalog/members?follow=1&since=47", discovery.awaitRequest().path());
     assertEquals(List.of(), module.told);
   }
 
@@ -127,11 +129,11 @@
    */
   @Test
   void ofAServerThatIsListedTwiceTheLastCounts() throws Exception {
-    try (TestPeers.HttpStub task = new TestPeers.HttpStub()) {
-      TestPeers.Request watch = watch();
+    try (HttpStub task = new HttpStub()) {
+      StubRequest watch = startWithWatch();
       module.hear("onEndpointList CACHED");
-      watch.beginWatch();
-      watch.line(
+      watch.startWatch();
+      watch.writeLine(
           TestPeers.listing(
               43,
               true,
@@ -142,7 +144,7 @@
               + " lifecycle=DRAINING, weight=1.0, startedUs=0], ServerEntry[server=1, zone=1,"
               + " machineType=0, cell=0, lifecycle=READY, weight=1.0, startedUs=0]]");
       module.order(o -> o.checkHealth(1));
-      task.next().answer(200, "TEXT util=0.5");
+      task.awaitRequest().respond(200, "TEXT util=0.5");
       module.hear("onHealthCheckResult 1 OK");
     }
   }
--- a/src/test/java/pearusher/server/AssignerProcessTest.java
+++ b/src/test/java/pearusher/server/AssignerProcessTest.java
@@ -28,8 +28,8 @@
 
 /** The real process: its starts and ends, as the page for on-call staff tells them. */
 class AssignerProcessTest {
-  @TempDir Path dir;
-  private final List<Process> started = new ArrayList<>();
+  @TempDir Path directory;
+  private final List<Process> processes = new ArrayList<>();
 
   /** Runs serve with a module that fails, as no real one does on order. */
   public static final class Failing {
@@ -58,8 +58,8 @@
   }
 
   @AfterEach
-  void end() {
-    started.forEach(Process::destroyForcibly);
+  void killProcesses() {
+    processes.forEach(Process::destroyForcibly);
   }
 
   private Process start(Map<String, String> environment, String name, String... command)
@@ -67,28 +67,28 @@
     return launch(environment, name, java(command));
   }
 
-  private static String[] java(String... command) {
-    List<String> all =
+  private static String[] java(String... arguments) {
+    List<String> command =
         new ArrayList<>(
             List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
                 System.getProperty("java.class.path")));
-    all.addAll(List.of(command));
-    return all.toArray(String[]::new);
+    command.addAll(List.of(arguments));
+    return command.toArray(String[]::new);
   }
 
   private Process launch(Map<String, String> environment, String name, String... command)
       throws IOException {
-    ProcessBuilder how =
+    ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
-            .redirectOutput(dir.resolve(name).toFile());
-    how.environment().keySet().removeIf(k -> k.startsWith("EDGE_"));
-    how.environment().putAll(environment);
-    Process out = how.start();
-    started.add(out);
-    return out;
+            .redirectOutput(directory.resolve(name).toFile());
+    builder.environment().keySet().removeIf(k -> k.startsWith("EDGE_"));
+    builder.environment().putAll(environment);
+    Process result = builder.start();
+    processes.add(result);
+    return result;
   }
 
   /** The deploy file's own line, with the classes of this build. */
@@ -106,15 +106,15 @@
 
   private String log(String name) {
     try {
-      return Files.readString(dir.resolve(name), StandardCharsets.UTF_8);
+      return Files.readString(directory.resolve(name), StandardCharsets.UTF_8);
     } catch (IOException e) {
       return "";
     }
   }
 
-  private int status(Process p) throws Exception {
-    assertTrue(p.waitFor(20, TimeUnit.SECONDS), "it doesn't end");
-    return p.exitValue();
+  private int awaitExit(Process process) throws Exception {
+    assertTrue(process.waitFor(20, TimeUnit.SECONDS), "it doesn't end");
+    return process.exitValue();
   }
 
   @Test
@@ -123,7 +123,8 @@
     try (ServerSocket free = new ServerSocket(0)) {
       port = free.getLocalPort();
     }
-    Map<String, String> environment = new ExampleConfig().listen("127.0.0.1:" + port).write(dir);
+    Map<String, String> environment =
+        new ExampleConfig().listen("127.0.0.1:" + port).write(directory);
     Process first = start(environment, "first", "pearusher.cli.Main", "serve");
     TestPeers.until("ready", () -> log("first").contains("INFO ready: n0"));
     assertTrue(
@@ -138,57 +139,58 @@
         "discovery lost", () -> log("first").contains("WARN discovery lost: WATCH ended: REFUSED"));
     TestPeers.until("list lost", () -> log("first").contains("INFO list lost"));
     Process second = start(environment, "second", "pearusher.cli.Main", "serve");
-    assertEquals(1, status(second));
+    assertEquals(1, awaitExit(second));
     assertTrue(
         log("second").contains("ERROR can't start on 127.0.0.1:" + port + ": "), log("second"));
     first.destroy();
-    assertEquals(0, status(first));
+    assertEquals(0, awaitExit(first));
     assertTrue(log("first").endsWith("INFO shutdown: n0 ends on SIGTERM\n"), log("first"));
   }
 
   /** The lines that the page for on-call staff quotes, each said once. */
   @Test
-  void theLogTellsChangesOfState() throws Exception {
-    try (TestPeers.HttpStub discovery = new TestPeers.HttpStub();
+  void logReportsChangesOfState() throws Exception {
+    try (HttpStub discovery = new HttpStub();
         DatagramSocket stranger = new DatagramSocket()) {
       int port;
       try (ServerSocket free = new ServerSocket(0)) {
         port = free.getLocalPort();
       }
-      int mail;
+      int peerPort;
       try (DatagramSocket free = new DatagramSocket()) {
-        mail = free.getLocalPort();
+        peerPort = free.getLocalPort();
       }
       start(
           new ExampleConfig()
               .listen("127.0.0.1:" + port)
               .discovery(discovery.address())
               .with(
-                  "\"peer_listen\": \"127.0.0.1:0\"", "\"peer_listen\": \"127.0.0.1:" + mail + "\"")
-              .write(dir),
+                  "\"peer_listen\": \"127.0.0.1:0\"",
+                  "\"peer_listen\": \"127.0.0.1:" + peerPort + "\"")
+              .write(directory),
           "log",
           "pearusher.cli.Main",
           "serve");
       TestPeers.until("ready", () -> log("log").contains("INFO ready: n0"));
-      discovery.next().answer(503, "");
+      discovery.awaitRequest().respond(503, "");
       TestPeers.until(
           "lost", () -> log("log").contains("WARN discovery lost: WATCH ended: UNAVAILABLE"));
-      discovery.next().answer(503, "");
-      TestPeers.Request watch = discovery.next();
-      watch.beginWatch();
-      watch.line(TestPeers.listing(42, false));
+      discovery.awaitRequest().respond(503, "");
+      StubRequest watch = discovery.awaitRequest();
+      watch.startWatch();
+      watch.writeLine(TestPeers.listing(42, false));
       TestPeers.until(
           "back",
           () ->
               log("log").contains("INFO discovery back") && log("log").contains("INFO list back"));
-      InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-      TestPeers.RespClient proxy = new TestPeers.RespClient(at);
+      InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+      RespClient proxy = new RespClient(address);
       proxy.send("joined proxy 3 zone north weight 2.5 fresh 1");
       assertEquals('*', proxy.socket.getInputStream().read(), "its table comes");
       proxy.reset();
       TestPeers.until(
           "its end", () -> log("log").contains("INFO connection of proxy 3 ended: RESET"));
-      TestPeers.RespClient garbage = new TestPeers.RespClient(at).reading();
+      RespClient garbage = new RespClient(address).startReading();
       garbage.send("GET / HTTP/1.1\r\n".getBytes(StandardCharsets.UTF_8));
       TestPeers.until(
           "garbage",
@@ -199,12 +201,12 @@
                           + " RESP"));
       stranger.send(
           new DatagramPacket(
-              new byte[1], 1, new InetSocketAddress(InetAddress.getLoopbackAddress(), mail)));
+              new byte[1], 1, new InetSocketAddress(InetAddress.getLoopbackAddress(), peerPort)));
       TestPeers.until(
           "the datagram", () -> log("log").contains("WARN datagrams dropped: 1 so far"));
       assertEquals(
           1, log("log").lines().filter(l -> l.contains("discovery lost")).count(), log("log"));
-      watch.line("{}");
+      watch.writeLine("{}");
       TestPeers.until(
           "the line",
           () ->
@@ -215,41 +217,41 @@
     }
   }
 
-  private static void hangUp(Process p) throws Exception {
-    assertEquals(0, new ProcessBuilder("kill", "-HUP", "" + p.pid()).start().waitFor());
+  private static void sendHangup(Process process) throws Exception {
+    assertEquals(0, new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor());
   }
 
   /**
    * SIGHUP asks for the file again: moved, faulty, gone, and twice in a row; the process goes on.
    */
   @Test
-  void aHangUpIsAReload() throws Exception {
-    try (TestPeers.HttpStub discovery = new TestPeers.HttpStub();
-        TestPeers.HttpStub elsewhere = new TestPeers.HttpStub()) {
+  void sighupReloadsTheConfiguration() throws Exception {
+    try (HttpStub discovery = new HttpStub();
+        HttpStub otherDiscovery = new HttpStub()) {
       int port;
       try (ServerSocket free = new ServerSocket(0)) {
         port = free.getLocalPort();
       }
       ExampleConfig example =
           new ExampleConfig().listen("127.0.0.1:" + port).discovery(discovery.address());
-      Map<String, String> environment = Map.copyOf(example.write(dir));
-      Process p = start(environment, "log", "pearusher.cli.Main", "serve");
+      Map<String, String> environment = Map.copyOf(example.write(directory));
+      Process process = start(environment, "log", "pearusher.cli.Main", "serve");
       TestPeers.until("ready", () -> log("log").contains("INFO ready: n0"));
-      TestPeers.Request watch = discovery.next();
-      watch.beginWatch();
-      watch.line(TestPeers.listing(42, false));
-      TestPeers.RespClient proxy =
-          new TestPeers.RespClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
-              .reading();
+      StubRequest watch = discovery.awaitRequest();
+      watch.startWatch();
+      watch.writeLine(TestPeers.listing(42, false));
+      RespClient proxy =
+          new RespClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
+              .startReading();
       proxy.send("joined proxy 3 zone north weight 2.5 fresh 1");
-      TestPeers.until("its table", () -> !proxy.came.isEmpty());
+      TestPeers.until("its table", () -> !proxy.received.isEmpty());
       Path file = Path.of(environment.get("EDGE_CONFIG"));
       Files.writeString(file, "{\"name\":\"n0\",\"seed\":");
-      hangUp(p);
+      sendHangup(process);
       TestPeers.until(
           "a fault", () -> log("log").contains("WARN reload: configuration: malformed JSON: "));
       Files.delete(file);
-      hangUp(p);
+      sendHangup(process);
       TestPeers.until(
           "no file",
           () ->
@@ -258,14 +260,15 @@
                       "WARN reload: EDGE_CONFIG: "
                           + file
                           + " can't be read; the old configuration stays"));
-      example.discovery(elsewhere.address()).write(dir);
-      hangUp(p);
-      elsewhere.next().beginWatch();
-      assertTrue(log("log").contains("INFO reload: discovery " + elsewhere.address()), log("log"));
-      hangUp(p);
-      elsewhere.next().beginWatch();
-      assertFalse(proxy.ended);
-      assertTrue(p.isAlive());
+      example.discovery(otherDiscovery.address()).write(directory);
+      sendHangup(process);
+      otherDiscovery.awaitRequest().startWatch();
+      assertTrue(
+          log("log").contains("INFO reload: discovery " + otherDiscovery.address()), log("log"));
+      sendHangup(process);
+      otherDiscovery.awaitRequest().startWatch();
+      assertFalse(proxy.isEnded);
+      assertTrue(process.isAlive());
       assertFalse(log("log").contains("list lost"), log("log"));
     }
   }
@@ -276,18 +279,19 @@
    * takes it back.
    */
   @Test
-  void aHangUpIsAReloadThoughWhoeverStartedItIgnoresTheSignal() throws Exception {
-    try (TestPeers.HttpStub discovery = new TestPeers.HttpStub();
-        TestPeers.HttpStub elsewhere = new TestPeers.HttpStub()) {
+  void sighupReloadsThoughTheParentIgnoresIt() throws Exception {
+    try (HttpStub discovery = new HttpStub();
+        HttpStub otherDiscovery = new HttpStub()) {
       ExampleConfig example = new ExampleConfig().discovery(discovery.address());
-      Map<String, String> environment = Map.copyOf(example.write(dir));
-      Process p = launch(environment, "log", "/bin/sh", "-c", "trap '' HUP; " + runLine());
+      Map<String, String> environment = Map.copyOf(example.write(directory));
+      Process process = launch(environment, "log", "/bin/sh", "-c", "trap '' HUP; " + runLine());
       TestPeers.until("ready", () -> log("log").contains("INFO ready: n0"));
-      discovery.next().beginWatch();
-      example.discovery(elsewhere.address()).write(dir);
-      hangUp(p);
-      elsewhere.next().beginWatch();
-      assertTrue(log("log").contains("INFO reload: discovery " + elsewhere.address()), log("log"));
+      discovery.awaitRequest().startWatch();
+      example.discovery(otherDiscovery.address()).write(directory);
+      sendHangup(process);
+      otherDiscovery.awaitRequest().startWatch();
+      assertTrue(
+          log("log").contains("INFO reload: discovery " + otherDiscovery.address()), log("log"));
       assertFalse(log("log").contains("no reload on SIGHUP"), log("log"));
     }
   }
@@ -298,60 +302,62 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void sigtermAmidWorkEndsCleanly(boolean reloadFirst) throws Exception {
+  void sigtermUnderLoadEndsCleanly(boolean reloadFirst) throws Exception {
     int port;
     try (ServerSocket free = new ServerSocket(0)) {
       port = free.getLocalPort();
     }
-    Process p =
+    Process process =
         start(
-            new ExampleConfig().listen("127.0.0.1:" + port).write(dir),
+            new ExampleConfig().listen("127.0.0.1:" + port).write(directory),
             "log",
             "pearusher.cli.Main",
             "serve");
     TestPeers.until("ready", () -> log("log").contains("INFO ready: n0"));
-    List<TestPeers.RespClient> callers = new ArrayList<>();
+    List<RespClient> callers = new ArrayList<>();
     for (int k = 0; k < 8; k++) {
       callers.add(
-          new TestPeers.RespClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
-              .reading());
+          new RespClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
+              .startReading());
       callers.get(k).send("joined proxy " + k + " zone north weight 2.5 fresh 1");
     }
-    TestPeers.until("their tables", () -> callers.stream().noneMatch(c -> c.came.isEmpty()));
-    TestPeers.RespClient late =
-        new TestPeers.RespClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
-            .reading();
+    TestPeers.until("their tables", () -> callers.stream().noneMatch(c -> c.received.isEmpty()));
+    RespClient late =
+        new RespClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
+            .startReading();
     if (reloadFirst) {
-      hangUp(p);
+      sendHangup(process);
     }
     late.send("ping");
     callers.get(0).send("usage proxy 0 class order tries 1 failed 0 span_ms 1000");
-    p.destroy();
+    process.destroy();
     if (!reloadFirst) {
-      new ProcessBuilder("kill", "-HUP", "" + p.pid()).start().waitFor();
+      new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor();
     }
-    assertEquals(0, status(p));
+    assertEquals(0, awaitExit(process));
     assertTrue(log("log").contains("INFO shutdown: n0 ends on SIGTERM"), log("log"));
     assertFalse(log("log").contains("ERROR") || log("log").contains("xception"), log("log"));
-    TestPeers.until("all streams end", () -> late.ended && callers.stream().allMatch(c -> c.ended));
+    TestPeers.until(
+        "all streams end", () -> late.isEnded && callers.stream().allMatch(c -> c.isEnded));
   }
 
   /** Before the hook is there the virtual machine ends by itself, with the signal's status. */
   @Test
   void sigtermDuringTheStartIsNoFailure() throws Exception {
-    Process p = start(new ExampleConfig().write(dir), "log", "pearusher.cli.Main", "serve");
+    Process process =
+        start(new ExampleConfig().write(directory), "log", "pearusher.cli.Main", "serve");
     TestPeers.until("its first line", () -> log("log").contains("INFO start: n0"));
-    p.destroy();
-    int status = status(p);
+    process.destroy();
+    int status = awaitExit(process);
     assertTrue(status == 0 || status == 143, "status " + status);
     assertFalse(log("log").contains("ERROR"), log("log"));
   }
 
   @Test
-  void whereAHangUpCannotBeTakenTheLogSaysSo() throws Exception {
-    Process p =
+  void logWarnsWhereSighupIsIgnored() throws Exception {
+    Process process =
         launch(
-            new ExampleConfig().write(dir),
+            new ExampleConfig().write(directory),
             "log",
             "/bin/sh",
             "-c",
@@ -360,28 +366,29 @@
     assertTrue(
         log("log").contains("WARN no reload on SIGHUP: it was ignored when the process began"),
         log("log"));
-    hangUp(p);
-    assertTrue(p.isAlive());
+    sendHangup(process);
+    assertTrue(process.isAlive());
   }
 
   @Test
-  void aFaultyConfigurationIsOneLineAndStatusTwo() throws Exception {
-    Process p =
+  void invalidConfigurationIsOneLineAndStatusTwo() throws Exception {
+    Process process =
         start(
-            new ExampleConfig().with("\"tickUs\": 5000", "\"tickUs\": true").write(dir),
+            new ExampleConfig().with("\"tickUs\": 5000", "\"tickUs\": true").write(directory),
             "log",
             "pearusher.cli.Main",
             "serve");
-    assertEquals(2, status(p));
+    assertEquals(2, awaitExit(process));
     assertEquals(
         "pearusher: configuration: the key settings.tickUs is unreadable: 'true'\n", log("log"));
   }
 
-  private static String servers(int from, int to, int idLength) {
-    StringBuilder out = new StringBuilder();
+  private static String serverEntries(int from, int to, int idLength) {
+    StringBuilder result = new StringBuilder();
     for (int k = from; k < to; k++) {
       String id = "s-" + k;
-      out.append(k == from ? "" : ",")
+      result
+          .append(k == from ? "" : ",")
           .append(
               TestPeers.instance(
                   id + "x".repeat(Math.max(0, idLength - id.length())),
@@ -390,13 +397,13 @@
                   "in_service",
                   0));
     }
-    return out.toString();
+    return result.toString();
   }
 
-  private static void pings(InetSocketAddress at) throws Exception {
-    try (TestPeers.RespClient one = new TestPeers.RespClient(at).reading()) {
-      one.send("ping");
-      TestPeers.until("a pong", () -> one.came.contains(List.of("pong")));
+  private static void assertAnswersPing(InetSocketAddress address) throws Exception {
+    try (RespClient client = new RespClient(address).startReading()) {
+      client.send("ping");
+      TestPeers.until("a pong", () -> client.received.contains(List.of("pong")));
     }
   }
 
@@ -405,8 +412,8 @@
    * refused, one of 10,000 taken of which 6,000 are new. The process lives through all of it.
    */
   @Test
-  void listsOfAnySizeAreTakenOrRefusedWithinTheHeapOfTheRunLine() throws Exception {
-    try (TestPeers.HttpStub discovery = new TestPeers.HttpStub()) {
+  void endpointListsAreAcceptedOrRefusedWithinTheHeapOfTheRunLine() throws Exception {
+    try (HttpStub discovery = new HttpStub()) {
       int port;
       try (ServerSocket free = new ServerSocket(0)) {
         port = free.getLocalPort();
@@ -415,48 +422,48 @@
           new ExampleConfig()
               .listen("127.0.0.1:" + port)
               .discovery(discovery.address())
-              .with("\"instances\": [", "\"instances\": [" + servers(0, 10_000, 255) + ",")
-              .write(dir);
-      Process p = launch(environment, "log", "/bin/sh", "-c", runLine());
+              .with("\"instances\": [", "\"instances\": [" + serverEntries(0, 10_000, 255) + ",")
+              .write(directory);
+      Process process = launch(environment, "log", "/bin/sh", "-c", runLine());
       TestPeers.until("ready", () -> log("log").contains("INFO ready: n0"));
       assertTrue(log("log").contains("10002 servers known"), log("log"));
-      InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-      pings(at);
-      TestPeers.Request watch = discovery.next();
-      watch.beginWatch();
+      InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+      assertAnswersPing(address);
+      StubRequest watch = discovery.awaitRequest();
+      watch.startWatch();
       try {
-        watch.line(TestPeers.listing(42, true, servers(0, 100_000, 10)));
+        watch.writeLine(TestPeers.listing(42, true, serverEntries(0, 100_000, 10)));
       } catch (IOException closed) {
-        assertTrue(p.isAlive(), log("log"));
+        assertTrue(process.isAlive(), log("log"));
       }
       TestPeers.until("the refusal", () -> log("log").contains("WARN discovery: a list of over "));
       TestPeers.until(
           "the loss", () -> log("log").contains("WARN discovery lost: WATCH ended: TOO_LONG"));
       assertTrue(log("log").contains(" servers: the heap of 39 MB holds no more"), log("log"));
-      pings(at);
-      TestPeers.Request next = discovery.next();
+      assertAnswersPing(address);
+      StubRequest next = discovery.awaitRequest();
       assertEquals("/catalog/members?follow=1&since=41", next.path(), "the last good list stays");
-      next.beginWatch();
-      next.line(TestPeers.listing(43, true, servers(6_000, 16_000, 255)));
+      next.startWatch();
+      next.writeLine(TestPeers.listing(43, true, serverEntries(6_000, 16_000, 255)));
       TestPeers.until("the list", () -> log("log").contains("INFO list back"));
-      pings(at);
-      assertTrue(p.isAlive(), log("log"));
+      assertAnswersPing(address);
+      assertTrue(process.isAlive(), log("log"));
       assertFalse(log("log").contains("ERROR") || log("log").contains("OutOfMemory"), log("log"));
     }
   }
 
   @Test
-  void aKnownListThatTheHeapCannotHoldIsStatusTwo() throws Exception {
-    Process p =
+  void configuredListTooLargeForTheHeapIsStatusTwo() throws Exception {
+    Process process =
         launch(
             new ExampleConfig()
-                .with("\"instances\": [", "\"instances\": [" + servers(0, 100_000, 10) + ",")
-                .write(dir),
+                .with("\"instances\": [", "\"instances\": [" + serverEntries(0, 100_000, 10) + ",")
+                .write(directory),
             "log",
             "/bin/sh",
             "-c",
             runLine());
-    assertEquals(2, status(p));
+    assertEquals(2, awaitExit(process));
     assertTrue(
         log("log")
             .matches(
@@ -466,9 +473,9 @@
   }
 
   @Test
-  void aFailureOfTheModuleEndsTheProcessWithItsPlace() throws Exception {
-    Process p = start(new ExampleConfig().write(dir), "log", Failing.class.getName());
-    assertEquals(1, status(p));
+  void failureOfThePolicyEndsTheProcessWithAStackTrace() throws Exception {
+    Process process = start(new ExampleConfig().write(directory), "log", Failing.class.getName());
+    assertEquals(1, awaitExit(process));
     assertTrue(log("log").contains("ERROR the policy failed, ending with status 1"), log("log"));
     assertTrue(log("log").contains("no such weight") && log("log").contains("at "), log("log"));
   }
--- a/src/test/java/pearusher/server/DurableProcessTest.java
+++ b/src/test/java/pearusher/server/DurableProcessTest.java
@@ -33,21 +33,21 @@
   private static final int SERVERS = 6;
   private static final long SLACK_US = 1_500_000;
 
-  @TempDir Path dir;
-  private final List<Process> started = new ArrayList<>();
-  private final UpdateChecker check =
+  @TempDir Path directory;
+  private final List<Process> processes = new ArrayList<>();
+  private final UpdateChecker checker =
       new UpdateChecker(List.of("lookup", "order"), Set.of("order"), SLACK_US);
   private final String[] lifecycle = new String[SERVERS];
   private final List<Proxy> proxies = new ArrayList<>();
-  private TestPeers.HttpStub discovery;
-  private volatile TestPeers.Request watch;
+  private HttpStub discovery;
+  private volatile StubRequest watch;
   private long generation = 50;
   private int port;
-  private long killed;
-  private Thread lists;
+  private long killedUs;
+  private Thread listThread;
 
   /** A relay: its orders go to the checker, its marks are answered. */
-  private final class Proxy extends TestPeers.RespClient {
+  private final class Proxy extends RespClient {
     private final int number;
 
     Proxy(int number) throws IOException {
@@ -56,52 +56,52 @@
     }
 
     @Override
-    void message(List<String> words) throws IOException {
+    void onMessage(List<String> words) throws IOException {
       int ticket = words.indexOf("ticket");
-      synchronized (check) {
-        check.part(number, words, now());
+      synchronized (checker) {
+        checker.part(number, words, nowUs());
       }
       if (ticket > 0) {
         send("applied proxy " + number + " mark " + words.get(ticket + 1) + " took_ms 0.0");
-        synchronized (check) {
-          check.answered(number, now());
+        synchronized (checker) {
+          checker.answered(number, nowUs());
         }
       }
     }
   }
 
-  private static long now() {
+  private static long nowUs() {
     return System.nanoTime() / 1000;
   }
 
   @BeforeEach
-  void discovery() throws IOException {
+  void startDiscovery() throws IOException {
     java.util.Arrays.fill(lifecycle, "in_service");
-    discovery = new TestPeers.HttpStub();
-    lists =
+    discovery = new HttpStub();
+    listThread =
         new Thread(
             () -> {
               try {
                 while (true) {
-                  TestPeers.Request one = discovery.calls.take();
+                  StubRequest proxy = discovery.requests.take();
                   synchronized (lifecycle) {
-                    one.beginWatch();
-                    one.line(list(0, SERVERS));
-                    watch = one;
+                    proxy.startWatch();
+                    proxy.writeLine(listOf(0, SERVERS));
+                    watch = proxy;
                   }
                 }
               } catch (InterruptedException | IOException ended) {
                 return;
               }
             });
-    lists.setDaemon(true);
-    lists.start();
+    listThread.setDaemon(true);
+    listThread.start();
     try (ServerSocket free = new ServerSocket(0)) {
       port = free.getLocalPort();
     }
   }
 
-  private String list(int from, int to) {
+  private String listOf(int from, int to) {
     String[] some = new String[to - from];
     for (int k = from; k < to; k++) {
       some[k - from] =
@@ -115,29 +115,29 @@
     synchronized (lifecycle) {
       generation++;
       lifecycle[server] = "terminating";
-      synchronized (check) {
-        check.listed("s" + server, true, now());
+      synchronized (checker) {
+        checker.listed("s" + server, true, nowUs());
       }
-      watch.line(list(server, server + 1));
+      watch.writeLine(listOf(server, server + 1));
     }
   }
 
   @AfterEach
-  void end() throws Exception {
-    started.forEach(Process::destroyForcibly);
-    lists.interrupt();
+  void stopAll() throws Exception {
+    processes.forEach(Process::destroyForcibly);
+    listThread.interrupt();
     discovery.close();
   }
 
   private Process start(String name, String settings) throws IOException {
-    Path file = Files.writeString(dir.resolve("p.conf"), settings);
+    Path file = Files.writeString(directory.resolve("p.conf"), settings);
     Map<String, String> environment =
         new ExampleConfig()
             .listen("127.0.0.1:" + port)
             .discovery(discovery.address())
             .with("\"reportEveryUs\": 1000000", "\"reportEveryUs\": 200000")
-            .write(dir);
-    ProcessBuilder how =
+            .write(directory);
+    ProcessBuilder builder =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
@@ -147,48 +147,48 @@
                 "--settings",
                 file.toString())
             .redirectErrorStream(true)
-            .redirectOutput(dir.resolve(name).toFile());
-    how.environment().keySet().removeIf(k -> k.startsWith("EDGE_"));
-    how.environment().putAll(environment);
-    Process out = how.start();
-    started.add(out);
+            .redirectOutput(directory.resolve(name).toFile());
+    builder.environment().keySet().removeIf(k -> k.startsWith("EDGE_"));
+    builder.environment().putAll(environment);
+    Process out = builder.start();
+    processes.add(out);
     return out;
   }
 
   private String log(String name) {
     try {
-      return Files.readString(dir.resolve(name), StandardCharsets.UTF_8);
+      return Files.readString(directory.resolve(name), StandardCharsets.UTF_8);
     } catch (IOException e) {
       return "";
     }
   }
 
-  private String store(String more) {
-    return "store {\n directory \"" + dir.resolve("store") + "\"\n" + more + "}\n";
+  private String storeSettings(String more) {
+    return "store {\n directory \"" + directory.resolve("store") + "\"\n" + more + "}\n";
   }
 
-  private void join() throws Exception {
+  private void joinProxies() throws Exception {
     proxies.clear();
     for (int k = 0; k < PROXIES; k++) {
-      Proxy one = new Proxy(k);
+      Proxy proxy = new Proxy(k);
       boolean fresh;
-      synchronized (check) {
-        fresh = check.held(k).by.get("lookup").lines.isEmpty();
-        check.joined(k, fresh, killed);
+      synchronized (checker) {
+        fresh = checker.held(k).by.get("lookup").lines.isEmpty();
+        checker.joined(k, fresh, killedUs);
       }
-      one.reading();
-      one.send(
+      proxy.startReading();
+      proxy.send(
           "joined proxy "
               + k
               + " zone "
               + (k % 2 == 0 ? "north" : "south")
               + " weight 2.5 fresh "
               + (fresh ? 1 : 0));
-      proxies.add(one);
+      proxies.add(proxy);
     }
   }
 
-  private void reports(TestPeers.RespClient collector, Random random) throws IOException {
+  private void sendReports(RespClient collector, Random random) throws IOException {
     for (int server = 0; server < SERVERS; server++) {
       collector.send(
           "heard zone north server s"
@@ -201,63 +201,64 @@
     }
   }
 
-  private void kill(Process p, TestPeers.RespClient collector) throws Exception {
-    p.destroyForcibly();
-    assertTrue(p.waitFor(20, TimeUnit.SECONDS));
-    killed = now();
-    for (Proxy one : proxies) {
-      TestPeers.until("its end", () -> one.ended);
-      one.close();
-      synchronized (check) {
-        check.ended(one.number);
+  private void kill(Process process, RespClient collector) throws Exception {
+    process.destroyForcibly();
+    assertTrue(process.waitFor(20, TimeUnit.SECONDS));
+    killedUs = nowUs();
+    for (Proxy proxy : proxies) {
+      TestPeers.until("its end", () -> proxy.isEnded);
+      proxy.close();
+      synchronized (checker) {
+        checker.ended(proxy.number);
       }
     }
     collector.close();
   }
 
   @Test
-  void overManyKillsNoOrderIsGivenTwiceHalfOrToADrainedServer() throws Exception {
+  void killsNeitherRepeatNorTruncateCommandsNorReviveDrainedServers() throws Exception {
     Random random = new Random(4);
-    for (int life = 0; life < 5; life++) {
-      String name = "life" + life;
-      Process p = start(name, store(life % 2 == 0 ? "" : " sync interval\n interval 10ms\n"));
+    for (int run = 0; run < 5; run++) {
+      String name = "life" + run;
+      Process process =
+          start(name, storeSettings(run % 2 == 0 ? "" : " sync interval\n interval 10ms\n"));
       TestPeers.until("ready", () -> log(name).contains("INFO ready: n0"));
       assertTrue(
-          log(name)
-              .contains(life == 0 ? "belief=\"it is new\"" : "belief=\"all of it is trusted\""),
+          log(name).contains(run == 0 ? "belief=\"it is new\"" : "belief=\"all of it is trusted\""),
           log(name));
-      assertTrue(log(name).contains("epoch=" + (life + 1) + " "), log(name));
-      join();
-      TestPeers.RespClient collector =
-          new TestPeers.RespClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+      assertTrue(log(name).contains("epoch=" + (run + 1) + " "), log(name));
+      joinProxies();
+      RespClient collector =
+          new RespClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
       collector.send("collector zone north");
       int rounds = 8 + random.nextInt(8);
       for (int round = 0; round < rounds; round++) {
-        reports(collector, random);
-        if (round == 3 && life > 0 && life < 4) {
-          drain(life);
+        sendReports(collector, random);
+        if (round == 3 && run > 0 && run < 4) {
+          drain(run);
         }
         Thread.sleep(100);
       }
-      if (life % 2 == 1) {
+      if (run % 2 == 1) {
         // All answers have surely been heard by the kill: nothing of them may come again.
         Thread.sleep(SLACK_US / 1000 + 300);
       }
-      kill(p, collector);
-      synchronized (check) {
+      kill(process, collector);
+      synchronized (checker) {
         for (int k = 0; k < PROXIES; k++) {
-          check.drained(k, now());
+          checker.drained(k, nowUs());
         }
-        assertEquals(List.of(), check.faults, log(name));
+        assertEquals(List.of(), checker.faults, log(name));
       }
     }
-    assertTrue(check.orders > 60, check.orders + " orders, " + check.deltas + " to who rejoined");
-    assertEquals(0, check.wholes, "who holds its table gets what it lacks");
-    assertTrue(check.deltas > 0);
+    assertTrue(
+        checker.orders > 60, checker.orders + " orders, " + checker.deltas + " to who rejoined");
+    assertEquals(0, checker.wholes, "who holds its table gets what it lacks");
+    assertTrue(checker.deltas > 0);
   }
 
   private Path newestLog() throws IOException {
-    try (Stream<Path> files = Files.list(dir.resolve("store"))) {
+    try (Stream<Path> files = Files.list(directory.resolve("store"))) {
       return files
           .filter(f -> f.getFileName().toString().startsWith("log-"))
           .max(Path::compareTo)
@@ -267,22 +268,22 @@
 
   /** An orderly end, a damaged byte, a cut end, a copy, and a disk that goes away. */
   @Test
-  void theLogTellsWhatBecameOfTheStore() throws Exception {
-    Process first = start("first", store(""));
+  void logReportsTheStateOfTheStore() throws Exception {
+    Process first = start("first", storeSettings(""));
     TestPeers.until("ready", () -> log("first").contains("INFO ready: n0"));
-    join();
-    TestPeers.until("orders", () -> check.orders >= PROXIES);
-    Process second = start("second", store(""));
-    assertEquals(1, status(second));
+    joinProxies();
+    TestPeers.until("orders", () -> checker.orders >= PROXIES);
+    Process second = start("second", storeSettings(""));
+    assertEquals(1, awaitExit(second));
     assertTrue(
         log("second")
             .contains(
                 "ERROR can't start on the store: store "
-                    + dir.resolve("store")
+                    + directory.resolve("store")
                     + " is in use by another process; stop it, or name another directory"),
         log("second"));
     first.destroy();
-    assertEquals(0, status(first));
+    assertEquals(0, awaitExit(first));
     Path log = newestLog();
     try (RandomAccessFile file = new RandomAccessFile(log.toFile(), "rw")) {
       file.seek(80);
@@ -290,8 +291,8 @@
       file.seek(80);
       file.write(was ^ 1);
     }
-    Process refused = start("refused", store(""));
-    assertEquals(1, status(refused));
+    Process refused = start("refused", storeSettings(""));
+    assertEquals(1, awaitExit(refused));
     assertTrue(
         log("refused")
             .contains(
@@ -300,21 +301,21 @@
                     + " at byte 36: record 1 can't be "
                     + "read, and it was confirmed; "),
         log("refused"));
-    start("stopped", store(" damage stop\n compact-at 16KiB\n compact-times 1\n"));
+    start("stopped", storeSettings(" damage stop\n compact-at 16KiB\n compact-times 1\n"));
     TestPeers.until("ready", () -> log("stopped").contains("INFO ready: n0"));
     assertTrue(
         log("stopped").contains("WARN store damaged: sequence=0 lost=\"" + log.getFileName()),
         log("stopped"));
-    join();
-    TestPeers.RespClient collector =
-        new TestPeers.RespClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+    joinProxies();
+    RespClient collector =
+        new RespClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     collector.send("collector zone north");
     Random random = new Random(5);
     TestPeers.until(
         "a compaction",
         () -> {
           try {
-            reports(collector, random);
+            sendReports(collector, random);
             Thread.sleep(20);
           } catch (IOException | InterruptedException e) {
             throw new IllegalStateException(e);
@@ -322,39 +323,39 @@
           return log("stopped").contains("INFO store compacted: took_ms=");
         });
     // The directory goes away under it: the next log can't be begun.
-    try (Stream<Path> files = Files.list(dir.resolve("store"))) {
-      for (Path one : files.toList()) {
-        Files.delete(one);
+    try (Stream<Path> files = Files.list(directory.resolve("store"))) {
+      for (Path proxy : files.toList()) {
+        Files.delete(proxy);
       }
     }
-    Files.delete(dir.resolve("store"));
+    Files.delete(directory.resolve("store"));
     TestPeers.until(
         "given up",
         () -> {
           try {
-            reports(collector, random);
+            sendReports(collector, random);
             Thread.sleep(20);
           } catch (IOException | InterruptedException e) {
             throw new IllegalStateException(e);
           }
           return log("stopped").contains("ERROR store given up: waiting=");
         });
-    int before = check.orders;
+    int before = checker.orders;
     drain(1);
-    TestPeers.until("orders without a store", () -> check.orders > before);
+    TestPeers.until("orders without a store", () -> checker.orders > before);
     assertEquals(1, log("stopped").lines().filter(l -> l.contains("store given up")).count());
   }
 
-  private static int status(Process p) throws Exception {
-    assertTrue(p.waitFor(20, TimeUnit.SECONDS), "it doesn't end");
-    return p.exitValue();
+  private static int awaitExit(Process process) throws Exception {
+    assertTrue(process.waitFor(20, TimeUnit.SECONDS), "it doesn't end");
+    return process.exitValue();
   }
 
   @Test
-  void faultySettingsAreStatusTwoWithTheirPlaces() throws Exception {
-    Process p = start("log", store(" sync evry\n patience 5\n"));
-    assertEquals(2, status(p));
-    String file = dir.resolve("p.conf").toString();
+  void invalidSettingsAreStatusTwoWithTheirPlaces() throws Exception {
+    Process process = start("log", storeSettings(" sync evry\n patience 5\n"));
+    assertEquals(2, awaitExit(process));
+    String file = directory.resolve("p.conf").toString();
     assertEquals(
         "pearusher: "
             + file
--- a/src/test/java/pearusher/server/ExampleConfig.java
+++ b/src/test/java/pearusher/server/ExampleConfig.java
@@ -13,7 +13,7 @@
 public final class ExampleConfig {
   private String json;
   private final Map<String, String> environment = new HashMap<>();
-  private EndpointListLimits lists = EndpointListLimits.ofThisProcess();
+  private EndpointListLimits listLimits = EndpointListLimits.ofThisProcess();
 
   public ExampleConfig() throws IOException {
     json = Files.readString(Path.of("docs", "example.json"));
@@ -31,12 +31,12 @@
     return environment;
   }
 
-  /** Replaces a piece of the text, which must be there. */
-  public ExampleConfig with(String old, String now) {
-    if (!json.contains(old)) {
-      throw new AssertionError("the example has no " + old);
+  /** Replaces a part of the text, which must contain it. */
+  public ExampleConfig with(String original, String replacement) {
+    if (!json.contains(original)) {
+      throw new AssertionError("the example has no " + original);
     }
-    json = json.replace(old, now);
+    json = json.replace(original, replacement);
     return this;
   }
 
@@ -54,20 +54,20 @@
     return address("EDGE_DISCOVERY", "discovery", address);
   }
 
-  /** Writes the file and gives the environment that names it. */
-  public Map<String, String> write(Path dir) throws IOException {
-    Path file = Files.writeString(dir.resolve("config.json"), json);
+  /** Writes the file and returns the environment that names it. */
+  public Map<String, String> write(Path directory) throws IOException {
+    Path file = Files.writeString(directory.resolve("config.json"), json);
     environment.put("EDGE_CONFIG", file.toString());
     return environment;
   }
 
-  /** Limits of lists other than those of this process. */
+  /** Sets limits of endpoint lists other than those of this process. */
   public ExampleConfig lists(EndpointListLimits limits) {
-    lists = limits;
+    listLimits = limits;
     return this;
   }
 
-  public AssignerConfig read(Path dir) throws IOException, SettingsException {
-    return AssignerConfig.read(write(dir), lists);
+  public AssignerConfig read(Path directory) throws IOException, SettingsException {
+    return AssignerConfig.read(write(directory), listLimits);
   }
 }
--- /dev/null
+++ b/src/test/java/pearusher/server/HealthCheckTest.java
@@ -0,0 +1,133 @@
+package pearusher.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.nio.channels.SocketChannel;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import pearusher.protocol.EndpointList;
+
+/** Health checks of servers. */
+class HealthCheckTest extends LoopbackFixture {
+  @ParameterizedTest
+  @CsvSource({
+    "200,OK",
+    "503,REJECTED",
+    "500,ERROR",
+    "404,ERROR",
+    "hang,TIMED_OUT",
+    "reset,DISCONNECTED",
+    "close,DISCONNECTED",
+    "cut,DISCONNECTED",
+    "garbage,DISCONNECTED",
+    "long,DISCONNECTED",
+    "refused,UNREACHABLE",
+    "nowhere,UNREACHABLE",
+    "full,UNREACHABLE"
+  })
+  void healthCheckHasExactlyOneOutcome(String failure, String outcome) throws Exception {
+    example
+        .with("\"answer_ms\": 3000", "\"answer_ms\": 200")
+        .with("\"connect_ms\": 1000", "\"connect_ms\": 100");
+    try (HttpStub serverStub = new HttpStub();
+        FullAcceptQueue fullQueue = new FullAcceptQueue()) {
+      if (failure.equals("refused")) {
+        serverStub.refuseConnections();
+      }
+      start();
+      module.hear("onEndpointList CACHED");
+      moveServer(
+          switch (failure) {
+            case "nowhere" -> "task.example:80";
+            case "full" -> fullQueue.address();
+            default -> serverStub.address();
+          });
+      module.hear("onEndpointList DELTA");
+      module.order(commands -> commands.checkHealth(0));
+      if (!List.of("refused", "nowhere", "full").contains(failure)) {
+        StubRequest request = serverStub.awaitRequest();
+        assertEquals("/_load", request.path());
+        respond(request, failure);
+      }
+      module.hear("onHealthCheckResult 0 " + outcome);
+      module.order(commands -> commands.checkHealth(1));
+      module.hear("onHealthCheckResult 1 UNREACHABLE");
+      assertEquals(List.of(), module.told, "one outcome for each health check");
+    }
+  }
+
+  /** Gives the first server of the list another address. */
+  private void moveServer(String address) throws Exception {
+    String entry = TestPeers.instance("s-5be2a07c", address, "north", "in_service", 0);
+    EndpointList list =
+        TestPeers.read(TestPeers.listing(60, false, entry), example.read(directory).names());
+    servers.get(0).controller().onEndpointList(list, false);
+  }
+
+  private static void respond(StubRequest request, String failure) throws IOException {
+    switch (failure) {
+      case "200" -> request.respond(200, "TEXT inflight=7, queue=2, util=0.61");
+      case "503", "500", "404" -> request.respond(Integer.parseInt(failure), "");
+      case "reset" -> request.reset();
+      case "close" -> request.socket().close();
+      case "cut" -> {
+        request.write("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nTEXT infl");
+        request.socket().close();
+      }
+      case "garbage" -> request.write("\u0001\u0002 nonsense\r\n\r\n");
+      case "long" -> request.respond(200, "x".repeat(100_000));
+      default -> {}
+    }
+  }
+
+  /** A server socket that accepts nothing: a connection to it is never established. */
+  private static final class FullAcceptQueue implements AutoCloseable {
+    private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+    private final List<SocketChannel> queue = new ArrayList<>();
+
+    FullAcceptQueue() throws IOException {
+      for (int k = 0; k < 4; k++) {
+        SocketChannel channel = SocketChannel.open();
+        channel.configureBlocking(false);
+        channel.connect(server.getLocalSocketAddress());
+        queue.add(channel);
+      }
+    }
+
+    String address() {
+      return "127.0.0.1:" + server.getLocalPort();
+    }
+
+    @Override
+    public void close() throws IOException {
+      server.close();
+      for (SocketChannel channel : queue) {
+        channel.close();
+      }
+    }
+  }
+
+  @Test
+  void loadOfAHealthCheckIsInTheOrderOfTheSettings() throws Exception {
+    HttpStub stub = new HttpStub();
+    example.with("127.0.0.1:9001", stub.address());
+    start();
+    module.order(commands -> commands.checkHealth(0));
+    stub.awaitRequest().respond(200, "TEXT inflight=7, queue=2, util=0.61");
+    TestPeers.until(
+        "the report",
+        () ->
+            module.told.stream()
+                .anyMatch(
+                    event ->
+                        event.startsWith("onHealthCheckResult 0 OK")
+                            && event.endsWith("[0.61, 7.0]")));
+    stub.close();
+  }
+}
--- a/src/test/java/pearusher/server/LoopbackFixture.java
+++ b/src/test/java/pearusher/server/LoopbackFixture.java
@@ -20,49 +20,50 @@
 import pearusher.policy.PolicyCommands;
 import pearusher.policy.PolicySettings;
 
-/** An assigner on loopback with a scripted module, its discovery, and what the log said. */
+/** An assigner on loopback with a scripted policy, a stub of discovery, and its log. */
 public abstract class LoopbackFixture {
   static final List<String> CLASSES = List.of("lookup", "order");
-  @TempDir Path dir;
+  @TempDir Path directory;
   public final ScriptedPolicy module = new ScriptedPolicy();
   final AtomicReference<Throwable> failure = new AtomicReference<>();
-  final List<AssignerServer> running = new ArrayList<>();
-  public TestPeers.HttpStub discovery;
+  final List<AssignerServer> servers = new ArrayList<>();
+  public HttpStub discovery;
   public ExampleConfig example;
-  InetSocketAddress at;
+  InetSocketAddress address;
 
-  /** What the log said; it goes to standard output all the same. */
+  /** Captured log lines, which go to standard output too. */
   public final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
-  private PrintStream standard;
+  private PrintStream standardOutput;
 
   @BeforeEach
-  void outside() throws Exception {
-    standard = System.out;
+  void startDiscoveryAndCaptureLog() throws Exception {
+    standardOutput = System.out;
     System.setOut(
-        new PrintStream(standard) {
+        new PrintStream(standardOutput) {
           @Override
-          public void write(byte[] raw, int from, int n) {
+          public void write(byte[] bytes, int offset, int length) {
             synchronized (log) {
-              log.write(raw, from, n);
+              log.write(bytes, offset, length);
             }
-            super.write(raw, from, n);
+            super.write(bytes, offset, length);
           }
         });
-    discovery = new TestPeers.HttpStub();
+    discovery = new HttpStub();
     example = new ExampleConfig().discovery(discovery.address());
   }
 
   @AfterEach
-  void end() throws Exception {
-    for (AssignerServer one : running) {
-      one.stop();
+  void stopServers() throws Exception {
+    for (AssignerServer server : servers) {
+      server.stop();
     }
     discovery.close();
-    System.setOut(standard);
+    System.setOut(standardOutput);
   }
 
-  public void logged(String text) throws InterruptedException {
+  /** Waits until the log contains a text. */
+  public void awaitLog(String text) throws InterruptedException {
     TestPeers.until(
         text,
         () -> {
@@ -72,43 +73,44 @@
         });
   }
 
-  AssignerServer start(BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> maker)
+  AssignerServer start(BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> policyFactory)
       throws Exception {
-    AssignerServer serve =
+    AssignerServer server =
         new AssignerServer(
-            example.read(dir),
-            maker,
+            example.read(directory),
+            policyFactory,
             Controller.unixClock(),
             failure::set,
             Optional.empty(),
             Optional.empty());
-    running.add(serve);
-    module.on(serve.controller());
-    at = serve.start();
-    return serve;
+    servers.add(server);
+    module.on(server.controller());
+    address = server.start();
+    return server;
   }
 
+  /** Starts an assigner with the scripted policy. */
   public AssignerServer start() throws Exception {
     return start(module);
   }
 
-  TestPeers.ProxyClient proxy(int number, TestPeers.AppliedUpdates held, boolean fresh)
+  ProxyClient joinProxy(int number, TestPeers.AppliedUpdates held, boolean isFresh)
       throws IOException {
-    TestPeers.ProxyClient out = new TestPeers.ProxyClient(at, held);
-    out.send("joined proxy " + number + " zone north weight 2.5 fresh " + (fresh ? 1 : 0));
-    return out;
+    ProxyClient client = new ProxyClient(address, held);
+    client.send("joined proxy " + number + " zone north weight 2.5 fresh " + (isFresh ? 1 : 0));
+    return client;
   }
 
-  TestPeers.ProxyClient proxy(int number) throws Exception {
-    TestPeers.ProxyClient out = proxy(number, new TestPeers.AppliedUpdates(CLASSES), true);
+  ProxyClient joinProxy(int number) throws Exception {
+    ProxyClient client = joinProxy(number, new TestPeers.AppliedUpdates(CLASSES), true);
     module.hear("onProxyJoined " + number);
-    return out;
+    return client;
   }
 
-  /** Starts with a watch that the module asked for. */
-  public TestPeers.Request watch() throws Exception {
+  /** Starts an assigner whose policy commands a watch of the endpoint list. */
+  public StubRequest startWithWatch() throws Exception {
     start();
-    module.order(o -> o.watchEndpoints(true));
-    return discovery.next();
+    module.order(commands -> commands.watchEndpoints(true));
+    return discovery.awaitRequest();
   }
 }
--- a/src/test/java/pearusher/server/OverloadIntakeTest.java
+++ b/src/test/java/pearusher/server/OverloadIntakeTest.java
@@ -31,22 +31,22 @@
 
 /** The intake before the module: the same events below the limit, bounded and fair above it. */
 class OverloadIntakeTest {
-  @TempDir Path dir;
+  @TempDir Path directory;
 
   /**
    * A day of reports, joins and lists drawn from a seed; what the module was told, event by event.
    */
-  private List<String> told(SynchronizedIntake intake, long seed) throws Exception {
+  private List<String> eventsOf(SynchronizedIntake intake, long seed) throws Exception {
     ScriptedPolicy module = new ScriptedPolicy();
     AtomicLong clock = new AtomicLong(1_000_000_000_000_000L);
-    Controller exchange =
+    Controller controller =
         new Controller(
-            new ExampleConfig().read(dir), module, clock::get, failure -> {}, null, intake) {
+            new ExampleConfig().read(directory), module, clock::get, failure -> {}, null, intake) {
           @Override
           public void awaitTick() {}
         };
-    module.on(exchange);
-    exchange.start();
+    module.on(controller);
+    controller.start();
     Random random = new Random(seed);
     // Each report from a source of its own: of two from one that wait together the first is old.
     int origins = 0;
@@ -55,7 +55,7 @@
         int proxy = random.nextInt(8);
         switch (random.nextInt(6)) {
           case 0 ->
-              exchange.onProxyJoined(
+              controller.onProxyJoined(
                   new ProxyStream() {
                     @Override
                     public void send(byte[] message) {}
@@ -64,9 +64,9 @@
                     public void onReplaced() {}
                   },
                   new Message.ProxyJoin(proxy, proxy % 2, 2.5, true));
-          case 1 -> exchange.onEndpointList(new EndpointList(50 + turn, false, List.of()), false);
+          case 1 -> controller.onEndpointList(new EndpointList(50 + turn, false, List.of()), false);
           case 2 ->
-              exchange.onUsageReport(
+              controller.onUsageReport(
                   new Message.UsageReport(
                       proxy, 0, random.nextInt(50), random.nextInt(60), 1_000_000),
                   -1 - origins++);
@@ -75,7 +75,7 @@
             long failed = random.nextInt((int) tries + 1);
             // Where no try was good a message has no mean.
             long mean = failed < tries ? 1000L * random.nextInt(500) : 0;
-            exchange.onLoadReport(
+            controller.onLoadReport(
                 new Message.LoadReport(
                     proxy % 2, "s-5be2a07c", tries, failed, mean, 1_000_000, new float[] {1, 2}),
                 -1 - origins++);
@@ -83,19 +83,19 @@
         }
       }
       clock.addAndGet(5000);
-      exchange.execute(() -> {});
-      exchange.runIteration();
+      controller.execute(() -> {});
+      controller.runIteration();
     }
     return List.copyOf(module.told);
   }
 
   @Test
-  void belowTheLimitTheModuleHearsTheSameEventByEvent() throws Exception {
+  void belowTheLimitThePolicyReceivesTheSameEvents() throws Exception {
     for (long seed = 0; seed < 20; seed++) {
-      List<String> before = told(null, seed);
+      List<String> before = eventsOf(null, seed);
       assertTrue(before.size() > 300, "" + before.size());
       List<String> now =
-          told(
+          eventsOf(
               new SynchronizedIntake(
                   new Intake.Bounds(1000, 100, 10, 1_000_000, 3_600_000_000L, true, 1)),
               seed);
@@ -110,37 +110,37 @@
    * One collector floods over a real socket; another's word of each instant is heard all the same.
    */
   @Test
-  void aLoudCollectorOnLoopbackCostsItselfOnly() throws Exception {
-    PrintStream standard = System.out;
+  void busyCollectorDoesNotAffectAnother() throws Exception {
+    PrintStream standardOutput = System.out;
     ByteArrayOutputStream log = new ByteArrayOutputStream();
     System.setOut(new PrintStream(log, true, StandardCharsets.UTF_8));
     ScriptedPolicy module = new ScriptedPolicy();
-    AssignerServer serve = null;
-    try (TestPeers.HttpStub discovery = new TestPeers.HttpStub()) {
-      SynchronizedIntake waiting =
+    AssignerServer server = null;
+    try (HttpStub discovery = new HttpStub()) {
+      SynchronizedIntake intake =
           new SynchronizedIntake(new Intake.Bounds(500, 100, 50, 300_000, 3_600_000_000L, true, 1));
-      serve =
+      server =
           new AssignerServer(
-              new ExampleConfig().discovery(discovery.address()).read(dir),
+              new ExampleConfig().discovery(discovery.address()).read(directory),
               module,
               Controller.unixClock(),
               failure -> {},
               Optional.empty(),
-              Optional.of(waiting));
-      module.on(serve.controller());
-      InetSocketAddress at = serve.start();
-      TestPeers.RespClient loud = new TestPeers.RespClient(at);
-      TestPeers.RespClient quiet = new TestPeers.RespClient(at);
-      loud.send("collector zone north");
-      quiet.send("collector zone south");
+              Optional.of(intake));
+      module.on(server.controller());
+      InetSocketAddress at = server.start();
+      RespClient busyCollector = new RespClient(at);
+      RespClient otherCollector = new RespClient(at);
+      busyCollector.send("collector zone north");
+      otherCollector.send("collector zone south");
       ByteArrayOutputStream burst = new ByteArrayOutputStream();
       for (int k = 0; k < 500; k++) {
         burst.writeBytes(
-            TestPeers.say(
+            TestPeers.encodeLine(
                 "heard zone north server s-5be2a07c tries 9 failed 1 mean_ms 40.0 "
                     + "span_ms 1000.0"));
         burst.writeBytes(
-            TestPeers.say(
+            TestPeers.encodeLine(
                 "heard zone north server new-"
                     + k
                     + " tries 9 failed 1 mean_ms 40.0 "
@@ -148,10 +148,10 @@
       }
       for (int round = 1; round <= 20; round++) {
         for (int k = 0; k < 10; k++) {
-          loud.send(burst.toByteArray());
+          busyCollector.send(burst.toByteArray());
         }
         int tries = 1000 + round;
-        quiet.send(
+        otherCollector.send(
             "heard zone south server s-0badcafe tries "
                 + tries
                 + " failed 0 mean_ms 50.0 "
@@ -162,9 +162,9 @@
             () ->
                 module.told.stream()
                     .anyMatch(t -> t.startsWith("onLoadReport 1 1 " + tries + " 0 ")));
-        assertTrue(waiting.waiting() <= 100 + 2 * 50, waiting.waiting() + " wait");
+        assertTrue(intake.waiting() <= 100 + 2 * 50, intake.waiting() + " wait");
       }
-      TestPeers.until("the end", () -> !waiting.flooded());
+      TestPeers.until("the end", () -> !intake.flooded());
       String said = log.toString(StandardCharsets.UTF_8);
       assertTrue(
           said.matches(
@@ -177,45 +177,45 @@
                   .matches("(?s).*INFO flood of reports over: merged=\\d+ refused=\\d+\n.*"));
       long heard = module.told.stream().filter(t -> t.startsWith("onLoadReport 0 0 ")).count();
       assertTrue(heard < 20 * 10 * 500, heard + " lines of the loud one");
-      assertFalse(waiting.flooded());
+      assertFalse(intake.flooded());
     } finally {
-      System.setOut(standard);
-      if (serve != null) {
-        serve.stop();
+      System.setOut(standardOutput);
+      if (server != null) {
+        server.stop();
       }
     }
   }
 
   /** The lines that no socket shows at will: a sample, and reports too old to be heard. */
   @Test
-  void theLogTellsOfSamplesAndOfOldReports() throws Exception {
-    PrintStream standard = System.out;
+  void logReportsSamplesAndExpiredReports() throws Exception {
+    PrintStream standardOutput = System.out;
     ByteArrayOutputStream log = new ByteArrayOutputStream();
     System.setOut(new PrintStream(log, true, StandardCharsets.UTF_8));
     try {
-      SynchronizedIntake waiting =
+      SynchronizedIntake intake =
           new SynchronizedIntake(new Intake.Bounds(100, 100, 1000, 300_000, 5_000_000, true, 1));
       for (int k = 0; k < 50; k++) {
-        waiting.offer(report(3, "s1"), () -> {});
+        intake.offer(report(3, "s1"), () -> {});
       }
       for (int k = 0; k < 50; k++) {
-        waiting.next(1_000_000, item -> {});
+        intake.next(1_000_000, report -> {});
       }
       assertTrue(
           log.toString(StandardCharsets.UTF_8)
               .matches("(?s).*WARN reports expired: count=32 origin=\"proxy 3\"\n"),
           log.toString(StandardCharsets.UTF_8));
       for (int k = 0; k < 1500; k++) {
-        waiting.offer(report(-7 - k % 2, "s" + k), () -> {});
+        intake.offer(report(-7 - k % 2, "s" + k), () -> {});
       }
-      waiting.serve(1_000_000, item -> {});
-      waiting.serve(2_000_000, item -> {});
+      intake.serve(1_000_000, report -> {});
+      intake.serve(2_000_000, report -> {});
       assertTrue(
           log.toString(StandardCharsets.UTF_8)
               .matches("(?s).*WARN reports sampled: times=1 " + "kept=0\\.07 error=0\\.\\d+\n.*"),
           log.toString(StandardCharsets.UTF_8));
     } finally {
-      System.setOut(standard);
+      System.setOut(standardOutput);
     }
   }
 
@@ -232,14 +232,14 @@
    * stated error of the truth for most of them.
    */
   @Test
-  void fiveHundredRelaysAtOneTenAndAHundredTimesTheBudget() throws Exception {
+  void viewUnderLoadLiesWithinTheStatedError() throws Exception {
     for (int times : new int[] {1, 10, 100}) {
-      flood(times);
+      assertViewUnderLoad(times);
     }
   }
 
-  private void flood(int times) throws Exception {
-    int relays = 500;
+  private void assertViewUnderLoad(int times) throws Exception {
+    int collectors = 500;
     int servers = 120;
     StringBuilder known = new StringBuilder();
     for (int k = 0; k < servers; k++) {
@@ -250,41 +250,41 @@
     ExampleConfig example = new ExampleConfig();
     String json = example.json();
     int from = json.indexOf("\"instances\": [") + "\"instances\": [".length();
-    SynchronizedIntake waiting =
+    SynchronizedIntake intake =
         new SynchronizedIntake(
-            new Intake.Bounds(relays, 4 * relays, 200, 300_000, 3_600_000_000L, true, 7));
+            new Intake.Bounds(collectors, 4 * collectors, 200, 300_000, 3_600_000_000L, true, 7));
     long[] view = new long[servers];
     double[] variance = new double[servers];
-    List<TestPeers.RespClient> callers = new ArrayList<>();
-    AssignerServer serve = null;
-    try (TestPeers.HttpStub discovery = new TestPeers.HttpStub()) {
+    List<RespClient> callers = new ArrayList<>();
+    AssignerServer server = null;
+    try (HttpStub discovery = new HttpStub()) {
       AssignerConfig config =
           example
               .with(json.substring(from, json.indexOf("]", from)), known.toString())
               .discovery(discovery.address())
-              .read(dir);
-      serve =
+              .read(directory);
+      server =
           new AssignerServer(
               config,
               FaastPolicy::new,
               Controller.unixClock(),
               failure -> {},
               Optional.empty(),
-              Optional.of(waiting));
+              Optional.of(intake));
       // The decision thread hears them one by one; nothing else touches the sums.
-      serve
+      server
           .controller()
           .setReportListener(
-              item -> {
-                int server =
+              report -> {
+                int serverNumber =
                     Integer.parseInt(
-                        ((QueuedReport.ServerAttempts) item.subject()).server().substring(1));
-                view[server] += item.totals().attempts();
-                variance[server] += item.totals().variance();
+                        ((QueuedReport.ServerAttempts) report.subject()).server().substring(1));
+                view[serverNumber] += report.totals().attempts();
+                variance[serverNumber] += report.totals().variance();
               });
-      InetSocketAddress at = serve.start();
-      for (int k = 0; k < relays; k++) {
-        TestPeers.RespClient one = new TestPeers.RespClient(at);
+      InetSocketAddress at = server.start();
+      for (int k = 0; k < collectors; k++) {
+        RespClient one = new RespClient(at);
         one.send("collector zone north");
         callers.add(one);
       }
@@ -292,16 +292,16 @@
       Random random = new Random(times);
       for (int second = 0; second < 3; second++) {
         long start = System.nanoTime();
-        for (int k = 0; k < relays; k++) {
+        for (int k = 0; k < collectors; k++) {
           ByteArrayOutputStream lines = new ByteArrayOutputStream();
           for (int line = 0; line < times; line++) {
-            int server = (k * 7 + line * 11 + second) % servers;
+            int serverNumber = (k * 7 + line * 11 + second) % servers;
             int tries = 1 + random.nextInt(60);
-            truth[server] += tries;
+            truth[serverNumber] += tries;
             lines.writeBytes(
-                TestPeers.say(
+                TestPeers.encodeLine(
                     "heard zone north server s"
-                        + server
+                        + serverNumber
                         + " tries "
                         + tries
                         + " failed "
@@ -309,7 +309,8 @@
                         + " mean_ms 40.0 span_ms 1000.0"));
           }
           callers.get(k).send(lines.toByteArray());
-          assertTrue(waiting.waiting() <= 4 * relays + relays * 120, "what waits is bounded");
+          assertTrue(
+              intake.waiting() <= 4 * collectors + collectors * 120, "what waits is bounded");
         }
         long left = 1_000 - (System.nanoTime() - start) / 1_000_000;
         Thread.sleep(Math.max(0, left));
@@ -320,26 +321,29 @@
       TestPeers.until(
           "all of them",
           () ->
-              !waiting.flooded()
-                  && waiting.waiting() == 0
+              !intake.flooded()
+                  && intake.waiting() == 0
                   && (times > 1 || Arrays.stream(view).sum() == sent));
-      int met = 0;
+      int withinError = 0;
       for (int k = 0; k < servers; k++) {
-        met += Math.abs(view[k] - truth[k]) <= 2 * Math.sqrt(variance[k]) + 1 ? 1 : 0;
+        withinError += Math.abs(view[k] - truth[k]) <= 2 * Math.sqrt(variance[k]) + 1 ? 1 : 0;
       }
       assertTrue(
-          met >= 5 * servers / 6,
-          times + " times: " + met + " of " + servers + " within two errors");
-      double off = Math.abs(1.0 * Arrays.stream(view).sum() / sent - 1);
-      double stated = Math.sqrt(Arrays.stream(variance).sum()) / sent;
-      assertTrue(off <= 3 * stated + 1e-9, times + " times: off by " + off + ", stated " + stated);
-      assertTrue(times > 1 || (stated == 0 && off == 0), "at the budget nothing is left out");
+          withinError >= 5 * servers / 6,
+          times + " times: " + withinError + " of " + servers + " within two errors");
+      double error = Math.abs(1.0 * Arrays.stream(view).sum() / sent - 1);
+      double statedError = Math.sqrt(Arrays.stream(variance).sum()) / sent;
+      assertTrue(
+          error <= 3 * statedError + 1e-9,
+          times + " times: off by " + error + ", stated " + statedError);
+      assertTrue(
+          times > 1 || (statedError == 0 && error == 0), "at the budget nothing is left out");
     } finally {
-      for (TestPeers.RespClient one : callers) {
+      for (RespClient one : callers) {
         one.close();
       }
-      if (serve != null) {
-        serve.stop();
+      if (server != null) {
+        server.stop();
       }
     }
   }
--- a/src/test/java/pearusher/server/ProtocolTranscriptTest.java
+++ b/src/test/java/pearusher/server/ProtocolTranscriptTest.java
@@ -165,13 +165,13 @@
   private final Map<Integer, RawConnection> proxies = new LinkedHashMap<>();
 
   private static String resp(String line) {
-    return new String(TestPeers.say(line), StandardCharsets.US_ASCII);
+    return new String(TestPeers.encodeLine(line), StandardCharsets.US_ASCII);
   }
 
   /** Joins, and waits until the module was told of it. */
   private void join(int proxy, boolean fresh, int events) throws Exception {
     int before = module.told.size();
-    RawConnection stream = new RawConnection(at);
+    RawConnection stream = new RawConnection(address);
     stream.send(resp("joined proxy " + proxy + " zone north weight 2.5 fresh " + (fresh ? 1 : 0)));
     TestPeers.until("the joining", () -> module.told.size() == before + events);
     proxies.put(proxy, stream);
@@ -359,8 +359,8 @@
   void messagesOfEveryKindAreReadFromTheRecordedBytes() throws Exception {
     serve = start();
     TestPeers.until("the first list", () -> module.told.size() == 1);
-    try (RawConnection proxy = new RawConnection(at);
-        RawConnection collector = new RawConnection(at)) {
+    try (RawConnection proxy = new RawConnection(address);
+        RawConnection collector = new RawConnection(address)) {
       tell(
           proxy,
           "*9\r\n$6\r\njoined\r\n$5\r\nproxy\r\n$1\r\n3\r\n$4\r\nzone\r\n$5\r\nsouth\r\n"
@@ -404,9 +404,9 @@
     TestPeers.until("the first list", () -> module.told.size() == 1);
     String ping = "*1\r\n$4\r\nping\r\n";
     String pong = "*1\r\n$4\r\npong\r\n";
-    try (RawConnection stranger = new RawConnection(at);
-        RawConnection collector = new RawConnection(at);
-        RawConnection proxy = new RawConnection(at)) {
+    try (RawConnection stranger = new RawConnection(address);
+        RawConnection collector = new RawConnection(address);
+        RawConnection proxy = new RawConnection(address)) {
       stranger.send(ping);
       assertEquals(pong, stranger.upTo(pong));
       stranger.send(ping + ping + ping);
@@ -630,7 +630,7 @@
 
   @Test
   void messagesAreReadOrRefusedAsRecorded() throws Exception {
-    AssignerConfig config = example.read(dir);
+    AssignerConfig config = example.read(directory);
     for (String message : messages()) {
       transcript
           .append('[')
--- /dev/null
+++ b/src/test/java/pearusher/server/RestartTest.java
@@ -0,0 +1,61 @@
+package pearusher.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import pearusher.policy.FaastPolicy;
+
+/** An assigner that is restarted without a store. */
+class RestartTest extends LoopbackFixture {
+  /**
+   * A server drains, the assigner is killed, its successor starts from an old list or none, and the
+   * server comes back: a proxy ends with exactly what the new assigner ordered.
+   */
+  @ParameterizedTest
+  @ValueSource(strings = {"old", "empty"})
+  void restartedAssignerReplacesTheTablesOfItsPredecessor(String known) throws Exception {
+    example.with("\"reportEveryUs\": 1000000", "\"reportEveryUs\": 100000");
+    AssignerServer first = start(FaastPolicy::new);
+    StubRequest watch = discovery.awaitRequest();
+    watch.startWatch();
+    watch.writeLine(TestPeers.listing(41, false));
+    TestPeers.AppliedUpdates held = new TestPeers.AppliedUpdates(CLASSES);
+    ProxyClient stream = joinProxy(3, held, true);
+    TestPeers.until(
+        "a table",
+        () -> held.open("order").keySet().containsAll(List.of("s-5be2a07c", "s-0badcafe")));
+    watch.writeLine(
+        TestPeers.listing(
+            42, false, TestPeers.instance("s-0badcafe", "127.0.0.1:9", "south", "terminating", 0)));
+    TestPeers.until("the drain", () -> held.out.contains("s-0badcafe"));
+    first.stop();
+    servers.clear();
+    TestPeers.until("the end", () -> stream.isEnded);
+    if (known.equals("empty")) {
+      example.with("\"known\"", "\"unknown\"");
+    }
+    start(FaastPolicy::new);
+    StubRequest nextWatch = discovery.awaitRequest();
+    assertEquals(
+        "/catalog/members?follow=1&since=" + (known.equals("empty") ? 0 : 41), nextWatch.path());
+    nextWatch.startWatch();
+    nextWatch.writeLine(
+        TestPeers.listing(
+            50,
+            true,
+            TestPeers.instance("s-0badcafe", "127.0.0.1:9", "south", "in_service", 0),
+            TestPeers.instance("s-5be2a07c", "127.0.0.1:8", "north", "in_service", 0)));
+    int before = held.messages;
+    ProxyClient anew = joinProxy(3, held, false);
+    TestPeers.until(
+        "the new table",
+        () ->
+            held.messages > before
+                && held.open("order").keySet().containsAll(List.of("s-5be2a07c", "s-0badcafe")));
+    assertEquals(List.of(), held.faults);
+    assertEquals("[]", held.out.toString());
+    anew.close();
+  }
+}
--- a/src/test/java/pearusher/server/SimulatorParityTest.java
+++ b/src/test/java/pearusher/server/SimulatorParityTest.java
@@ -169,13 +169,13 @@
 
   private final Simulated simulated = new Simulated();
   private final AtomicLong clock = new AtomicLong(START);
-  private final Map<Integer, TestPeers.ProxyClient> streams = new TreeMap<>();
+  private final Map<Integer, ProxyClient> streams = new TreeMap<>();
   private final Map<Integer, TestPeers.AppliedUpdates> held = new TreeMap<>();
   private final List<String> records = new ArrayList<>();
   private Controller exchange;
   private int queued;
 
-  private void both(TestPeers.RespClient through, String line, String record) throws Exception {
+  private void both(RespClient through, String line, String record) throws Exception {
     through.send(line);
     queued++;
     TestPeers.until(line, () -> exchange.pendingEvents() == queued);
@@ -203,7 +203,7 @@
 
   private void join(int proxy, boolean fresh) throws Exception {
     held.putIfAbsent(proxy, new TestPeers.AppliedUpdates(CLASSES));
-    TestPeers.ProxyClient stream = new TestPeers.ProxyClient(address, held.get(proxy));
+    ProxyClient stream = new ProxyClient(address, held.get(proxy));
     streams.put(proxy, stream);
     both(
         stream,
@@ -234,7 +234,7 @@
     ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("timers", true);
     threads.start();
     scheduler.start();
-    TestPeers.HttpStub discovery = new TestPeers.HttpStub();
+    HttpStub discovery = new HttpStub();
     ExampleConfig example = new ExampleConfig().discovery(discovery.address());
     String json = example.json();
     int known = json.indexOf("\"known\"");
@@ -277,9 +277,9 @@
         List.of(
             "01" + BatchWriter.u64(config.settings().seed()) + text(example.json()),
             "0202" + BatchWriter.u32(41) + BatchWriter.u32(6) + entries));
-    TestPeers.Request watch = discovery.next();
-    watch.beginWatch();
-    TestPeers.RespClient collector = new TestPeers.RespClient(address).reading();
+    StubRequest watch = discovery.awaitRequest();
+    watch.startWatch();
+    RespClient collector = new RespClient(address).startReading();
     collector.send("collector zone north");
     int compared = 0;
     for (int step = 1; step <= 120; step++) {
@@ -290,7 +290,7 @@
       world(step, now, watch, collector);
       exchange.runIteration();
       simulated.batch(now, records);
-      for (Map.Entry<Integer, TestPeers.ProxyClient> e : streams.entrySet()) {
+      for (Map.Entry<Integer, ProxyClient> e : streams.entrySet()) {
         String wanted = simulated.shown(e.getKey());
         TestPeers.AppliedUpdates at = held.get(e.getKey());
         if (!wanted.equals("unbound")) {
@@ -312,8 +312,7 @@
     threads.stop();
   }
 
-  private void world(int step, long now, TestPeers.Request watch, TestPeers.RespClient collector)
-      throws Exception {
+  private void world(int step, long now, StubRequest watch, RespClient collector) throws Exception {
     if (step == 1) {
       list(watch, 42);
     }
@@ -392,7 +391,7 @@
     assertTrue(queued > 0 && now > 0);
   }
 
-  private void list(TestPeers.Request watch, int generation, int[]... changes) throws Exception {
+  private void list(StubRequest watch, int generation, int[]... changes) throws Exception {
     StringBuilder entries = new StringBuilder();
     List<String> instances = new ArrayList<>();
     for (int[] change : changes) {
@@ -400,7 +399,7 @@
       instances.add(instance(change[0], change[1], started));
       entries.append(entry(change[0], change[1], started));
     }
-    watch.line(TestPeers.listing(generation, false, instances.toArray(new String[0])));
+    watch.writeLine(TestPeers.listing(generation, false, instances.toArray(new String[0])));
     queued++;
     TestPeers.until("the list", () -> exchange.pendingEvents() == queued);
     records.add("0200" + BatchWriter.u32(generation) + BatchWriter.u32(changes.length) + entries);
--- /dev/null
+++ b/src/test/java/pearusher/server/StreamTest.java
@@ -0,0 +1,160 @@
+package pearusher.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.concurrent.atomic.AtomicReference;
+import org.junit.jupiter.api.Test;
+import pearusher.protocol.EndpointList;
+
+/** Streams of proxies: readiness, replacement, and a proxy that stops reading. */
+class StreamTest extends LoopbackFixture {
+  private static final int MANY_SERVERS = 4000;
+
+  /** Updates that are small, before the list has many servers. */
+  private static final int SMALL_UPDATES = 50;
+
+  /** A pong says that the assigner may be used. */
+  @Test
+  void pongIsSentOnlyOnceThePolicyKnowsTheServers() throws Exception {
+    ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+    int port = free.getLocalPort();
+    free.close();
+    example.listen("127.0.0.1:" + port);
+    AtomicReference<RespClient> early = new AtomicReference<>();
+    AtomicInteger before = new AtomicInteger(-1);
+    start(
+        (settings, commands) -> {
+          try {
+            early.set(
+                new RespClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
+                    .startReading());
+            early.get().send("ping");
+            early.get().send("ping");
+            before.set(early.get().received.size());
+          } catch (IOException e) {
+            throw new IllegalStateException(e);
+          }
+          return module.apply(settings, commands);
+        });
+    assertEquals(0, before.get());
+    TestPeers.until("pongs", () -> early.get().received.size() == 2);
+    assertEquals(List.of("pong"), early.get().received.get(0));
+    assertTrue(
+        module.told.get(0).startsWith("onEndpointList CACHED [ServerEntry[server=0, zone=0"),
+        module.told.get(0));
+    try (RespClient late = new RespClient(address).startReading()) {
+      late.send("ping");
+      TestPeers.until("the pong", () -> late.received.size() == 1);
+    }
+  }
+
+  /** The end of the old stream, which may be seen late, must not count for the new one. */
+  @Test
+  void newStreamOfAProxyReplacesTheOldOne() throws Exception {
+    start();
+    TestPeers.AppliedUpdates held = new TestPeers.AppliedUpdates(CLASSES);
+    ProxyClient old = joinProxy(3, held, true);
+    module.hear("onProxyJoined 3");
+    ProxyClient now = joinProxy(3, held, false);
+    module.hear("onProxyLeft 3");
+    module.hear("onProxyJoined 3 0 2.5 false");
+    old.send("applied proxy 3 mark 9 took_ms 1");
+    old.send("usage proxy 3 class lookup tries 5 failed 0 span_ms 1000");
+    module.hear("onUsageReport 3 0 5");
+    old.close();
+    module.order(commands -> commands.requestAck(10, true));
+    TestPeers.until("the acknowledgement request", () -> held.tickets.contains(10));
+    now.send("applied proxy 3 mark 10 took_ms 0.1");
+    module.hear("onAcknowledgement 3 10");
+    assertTrue(
+        module.told.stream()
+            .noneMatch(
+                event ->
+                    event.startsWith("onProxyLeft") || event.startsWith("onAcknowledgement 3 9")));
+    module.order(
+        commands -> {
+          commands.setWeight(0, 1, 0.5);
+          commands.bindProxy(3, 0, 0);
+        });
+    TestPeers.until("the table", () -> held.open("lookup").equals(Map.of("s-0badcafe", 0.5f)));
+    assertEquals(2, now.received.size());
+    assertEquals(0, old.received.size());
+    now.close();
+    module.hear("onProxyLeft 3");
+  }
+
+  /** Its connection is ended once too much is buffered for it. */
+  @Test
+  void proxyThatStopsReadingDoesNotDelayOthers() throws Exception {
+    start();
+    RespClient stopped = new RespClient(address);
+    stopped.send("joined proxy 3 zone north weight 1 fresh 1");
+    module.hear("onProxyJoined 3");
+    ProxyClient quick = joinProxy(5);
+    module.order(
+        commands -> {
+          commands.bindProxy(3, 0, 0);
+          commands.bindProxy(5, 0, 0);
+        });
+    int updates = 0;
+    while (module.told.stream().noneMatch(event -> event.equals("onProxyLeft 3"))) {
+      assertTrue(updates < 5000, "the stopped proxy is never disconnected");
+      updates++;
+      int number = updates;
+      commandSmallUpdate(number);
+      TestPeers.until("update " + number, () -> quick.held.tickets.contains(number));
+      if (updates == SMALL_UPDATES) {
+        addServers();
+      }
+      if (updates > SMALL_UPDATES) {
+        commandLargeUpdate(number);
+      }
+    }
+    awaitLog("WARN connection of proxy 3 ended: SEND_BUFFER_FULL: 524288 bytes wait for it");
+    assertEquals(List.of(), quick.held.faults);
+    assertFalse(quick.isEnded);
+    stopped.close();
+  }
+
+  private void commandSmallUpdate(int number) {
+    module.order(
+        commands -> {
+          for (int server = 0; server < 2; server++) {
+            commands.setWeight(0, server, number);
+          }
+          for (int requestClass = 0; requestClass < 2; requestClass++) {
+            commands.setAdmission(0, 1 << requestClass, number + requestClass, 1);
+          }
+          commands.requestAck(number, true);
+        });
+  }
+
+  private void commandLargeUpdate(int number) {
+    module.order(
+        commands -> {
+          for (int server = 2; server < MANY_SERVERS; server++) {
+            commands.setWeight(0, server, number);
+          }
+        });
+  }
+
+  private void addServers() throws Exception {
+    String[] entries = new String[MANY_SERVERS];
+    for (int k = 0; k < MANY_SERVERS; k++) {
+      entries[k] = TestPeers.instance("s-many-" + k, "127.0.0.1:1", "north", "in_service", 0);
+    }
+    EndpointList list =
+        TestPeers.read(TestPeers.listing(99, false, entries), example.read(directory).names());
+    servers.get(0).controller().onEndpointList(list, false);
+    module.hear("onEndpointList DELTA");
+  }
+}
--- /dev/null
+++ b/src/test/java/pearusher/server/UnidentifiedConnectionTest.java
@@ -0,0 +1,176 @@
+package pearusher.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Connections that have not joined yet: their limits, and that they keep no proxy out. */
+class UnidentifiedConnectionTest extends LoopbackFixture {
+  /** None of its messages reaches the policy. */
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "!GET / HTTP/1.1\r\n\r\n",
+        "!*1\r\n$9000\r\n",
+        "!*9999999\r\n",
+        "jump",
+        "joined proxy",
+        "joined proxy 99 zone north weight 1 fresh 1",
+        "joined proxy 3 zone west weight 1 fresh 1",
+        "collector zone west",
+        "collector",
+        "usage proxy 3 class order tries 1 failed 0 span_ms 1",
+        "heard zone north server s-5be2a07c tries 1 failed 0 mean_ms 1 span_ms 1",
+        "applied proxy 3 mark 1 took_ms 1",
+        "update lines s-5be2a07c:1",
+        "applied proxy -1 mark 1 took_ms 1"
+      })
+  void unidentifiedConnectionIsClosedAtItsFirstInvalidMessage(String message) throws Exception {
+    example.with("\"stranger_ms\": 2000", "\"stranger_ms\": 600000");
+    start();
+    module.hear("onEndpointList");
+    RespClient connection = new RespClient(address).startReading();
+    connection.send(
+        message.startsWith("!")
+            ? message.substring(1).getBytes(StandardCharsets.UTF_8)
+            : TestPeers.encodeLine(message));
+    TestPeers.until("the end of the connection", () -> connection.isEnded);
+    awaitLog("WARN strangers refused: 1 so far, the last was a stranger: ");
+    assertEquals(List.of(), module.told);
+  }
+
+  /** The limit runs from connecting. */
+  @ParameterizedTest
+  @ValueSource(strings = {"pings", "bytes"})
+  void messagesOfAnUnidentifiedConnectionDoNotExtendItsTimeout(String what) throws Exception {
+    example.with("\"stranger_ms\": 2000", "\"stranger_ms\": 300");
+    start();
+    ProxyClient good = joinProxy(3);
+    RespClient connection = new RespClient(address).startReading();
+    byte[] joined =
+        TestPeers.encodeLine("joined proxy 5 zone north weight 1 note " + "x".repeat(8000));
+    int[] sent = {0};
+    TestPeers.until(
+        "the end of the connection",
+        () -> {
+          try {
+            connection.send(
+                what.equals("pings")
+                    ? TestPeers.encodeLine("ping")
+                    : new byte[] {joined[sent[0]++]});
+          } catch (IOException e) {
+            return true;
+          }
+          return connection.isEnded;
+        });
+    good.send("usage proxy 3 class lookup tries 5 failed 0 span_ms 1000");
+    module.hear("onUsageReport 3");
+    assertFalse(good.isEnded);
+  }
+
+  /** A count that they left behind would keep proxies out forever. */
+  @Test
+  void connectionsThatEndAtOnceAreNotCounted() throws Exception {
+    AssignerServer server = start();
+    ProxyClient first = joinProxy(3);
+    for (int k = 0; k < 300; k++) {
+      RespClient connection = new RespClient(address);
+      if (k % 3 == 0) {
+        connection.send("collector zone north");
+      }
+      if (k % 2 == 0) {
+        connection.reset();
+      } else {
+        connection.close();
+      }
+    }
+    TestPeers.until("only the proxy counts", () -> server.streams().connections() == 1);
+    assertFalse(first.isEnded);
+  }
+
+  /**
+   * Hundreds of connections with half a message each compete for few descriptors, while a proxy
+   * joins by a message in two pieces.
+   */
+  @Test
+  void incompleteMessagesDoNotKeepProxiesOut() throws Exception {
+    example
+        .with("\"sockets\": 1024", "\"sockets\": 128")
+        .with("\"stranger_ms\": 2000", "\"stranger_ms\": 400");
+    start();
+    ProxyClient first = joinProxy(3);
+    List<RespClient> connections = new ArrayList<>();
+    byte[] half = Arrays.copyOf(TestPeers.encodeLine("joined proxy 6 zone north weight 1"), 30);
+    for (int k = 0; k < 300; k++) {
+      connections.add(new RespClient(address).startReading());
+      try {
+        connections.get(k).send(half);
+      } catch (IOException e) {
+        // The assigner ended this connection; the other ones are tried too.
+      }
+    }
+    byte[] joined = TestPeers.encodeLine("joined proxy 5 zone north weight 2.5 fresh 1");
+    RespClient second = new RespClient(address);
+    second.send(Arrays.copyOf(joined, 40));
+    second.send(Arrays.copyOfRange(joined, 40, joined.length));
+    module.hear("onProxyJoined 5");
+    TestPeers.until(
+        "connections are closed",
+        () -> connections.stream().allMatch(connection -> connection.isEnded));
+    assertFalse(first.isEnded);
+    for (RespClient connection : connections) {
+      connection.close();
+    }
+    second.close();
+  }
+
+  /**
+   * Descriptors are reserved for proxies: the unidentified connection that has been silent the
+   * longest is closed first.
+   */
+  @Test
+  void silentUnidentifiedConnectionsDoNotKeepProxiesOut() throws Exception {
+    example.with("\"sockets\": 1024", "\"sockets\": 160");
+    start();
+    ProxyClient first = joinProxy(3);
+    List<RespClient> connections = new ArrayList<>();
+    for (int k = 0; k < 300; k++) {
+      connections.add(new RespClient(address).startReading());
+    }
+    ProxyClient second = joinProxy(5);
+    TestPeers.until(
+        "connections are closed",
+        () -> connections.stream().filter(connection -> connection.isEnded).count() >= 230);
+    assertFalse(first.isEnded || second.isEnded);
+    for (RespClient connection : connections) {
+      connection.close();
+    }
+  }
+
+  /** A proxy or collector may be silent forever. */
+  @Test
+  void silentUnidentifiedConnectionsTimeOutAndStreamsDoNot() throws Exception {
+    example.with("\"stranger_ms\": 2000", "\"stranger_ms\": 300");
+    start();
+    ProxyClient quiet = joinProxy(3);
+    RespClient collector = new RespClient(address).startReading();
+    collector.send("collector zone north");
+    RespClient connection = new RespClient(address).startReading();
+    TestPeers.until("the end of the first connection", () -> connection.isEnded);
+    RespClient next = new RespClient(address).startReading();
+    TestPeers.until("the end of the second connection", () -> next.isEnded);
+    collector.send("usage proxy 3 class lookup tries 5 failed 0 span_ms 1000");
+    module.hear("onUsageReport 3");
+    quiet.send("usage proxy 3 class order tries 1 failed 0 span_ms 1000");
+    module.hear("onUsageReport 3 1");
+    collector.close();
+  }
+}
