--- a/src/main/java/pearusher/control/DurablePublisher.java
+++ b/src/main/java/pearusher/control/DurablePublisher.java
@@ -18,54 +18,31 @@
 import pearusher.recovery.CatchUp;
 import pearusher.recovery.Ledger;
 import pearusher.recovery.ListedServer;
-import pearusher.recovery.Outbox;
 import pearusher.recovery.RecoveredServerList;
 import pearusher.recovery.RecoveryTrust;
 import pearusher.store.FileDisk;
-import pearusher.store.GroupCommitter;
 import pearusher.store.Store;
-import pearusher.store.WriteBatch;
 
 /**
- * The persistence of an assigner with a store: it submits the ledger's changes of each iteration to
- * the store and holds every message back until the iteration that made it is durable. After a fault
- * of the store it gives the store up and sends at once.
- *
- * <p>Messages are released on the store's thread, all else runs on the event-loop thread, which
- * never waits for the disk. It grows with the messages that wait for the disk, and with the ledger.
+ * The persistence of an assigner with a store: it records commands and acknowledgements in the
+ * ledger, and passes the ledger's changes and the messages of each iteration on to the {@link
+ * CommitPipeline}. The event-loop thread uses it, but where a method says otherwise. It grows with
+ * the ledger.
  */
 public final class DurablePublisher implements Persistence, AutoCloseable {
 
-  /** A message that waits for its iteration to become durable. */
-  private record PendingMessage(ProxyStream stream, byte[] message) {
-    void send() {
-      stream.send(message);
-    }
-  }
-
-  private final LongSupplier clock;
-  private final GroupCommitter committer;
+  private final CommitPipeline pipeline;
   private final Ledger ledger;
   private final long heartbeatUs;
 
   /** Messages of this iteration. */
-  private final List<PendingMessage> messages = new ArrayList<>();
+  private final List<CommitPipeline.PendingMessage> messages = new ArrayList<>();
 
   /** What the proxies that joined in this iteration lack, until they are bound. */
   private final Map<Integer, CatchUp> catchUpByJoiner = new HashMap<>();
 
   private long lastCommitUs;
 
-  private final Object lock = new Object();
-
-  // All below is guarded by the lock.
-
-  private final Outbox<PendingMessage> outbox;
-  private boolean hasGivenUp;
-
-  /** Whether an earlier process gave the store up; the first commit makes it complete again. */
-  private boolean isStoreAbandoned;
-
   /**
    * Takes over an open store.
    *
@@ -73,10 +50,8 @@
    */
   public DurablePublisher(
       AssignerConfig config, PersistenceOptions options, Store store, LongSupplier clock) {
-    this.clock = clock;
     Store.Recovered found = store.recovered();
     lastCommitUs = clock.getAsLong();
-    isStoreAbandoned = found.abandoned();
     heartbeatUs = options.heartbeatUs();
     ledger =
         Ledger.of(
@@ -86,9 +61,7 @@
             lastCommitUs,
             options.maxTrustedAgeUs(),
             config.settings().instances() > 1);
-    outbox = new Outbox<>(PendingMessage::send, options.maxCommitDelayUs());
-    committer =
-        new GroupCommitter(store, options.storeOptions(), new StoreEventLog(this::giveUpStore));
+    pipeline = new CommitPipeline(store, options, found.abandoned(), clock);
     StoreEventLog.logRecovery(found, ledger);
   }
 
@@ -124,7 +97,7 @@
 
   /** Starts the store's thread. */
   public void start() {
-    committer.start();
+    pipeline.start();
   }
 
   // Start.
@@ -222,7 +195,7 @@
   @Override
   public void send(int proxy, ProxyStream stream, byte[] message) {
     ledger.onMessageSent(proxy);
-    messages.add(new PendingMessage(stream, message));
+    messages.add(new CommitPipeline.PendingMessage(stream, message));
   }
 
   @Override
@@ -233,35 +206,12 @@
       ledger.requestHeartbeat();
     }
     Map<String, byte[]> changes = ledger.endIteration(nowUs);
-    synchronized (lock) {
-      if (changes != null) {
-        lastCommitUs = nowUs;
-        submit(changes, nowUs);
-      }
-      messages.clear();
-      checkDeadline();
-    }
-  }
-
-  private void submit(Map<String, byte[]> changes, long nowUs) {
-    long ticket = outbox.offer(messages, nowUs);
-    if (ticket == 0) {
-      // The store was given up: the messages are sent already.
-      return;
-    }
-    WriteBatch batch = WriteBatch.ofChanges(changes);
-    if (isStoreAbandoned) {
-      isStoreAbandoned = false;
-      committer.submitAndClearAbandoned(batch, () -> onDurable(ticket));
-    } else {
-      committer.submit(batch, () -> onDurable(ticket));
-    }
-  }
-
-  private void onDurable(long ticket) {
-    synchronized (lock) {
-      outbox.release(ticket);
+    if (changes != null) {
+      lastCommitUs = nowUs;
+      pipeline.submit(changes, messages, nowUs);
     }
+    messages.clear();
+    pipeline.checkDeadline();
   }
 
   /**
@@ -269,26 +219,7 @@
    * not hold up an ejection. To be called regularly, on any thread.
    */
   public void checkDeadline() {
-    synchronized (lock) {
-      if (!hasGivenUp && outbox.isOverdue(clock.getAsLong())) {
-        giveUpStore("a message waited for the disk longer than store.patience");
-      }
-    }
-  }
-
-  /** From here on the assigner runs as without a store. */
-  private void giveUpStore(String cause) {
-    synchronized (lock) {
-      if (hasGivenUp) {
-        return;
-      }
-      hasGivenUp = true;
-      Logger.error("store given up: waiting={} cause=\"{}\"", outbox.size(), cause);
-      // Started before the messages are sent, but not waited for: they may be sent before the mark
-      // is durable (docs/ROADMAP.md).
-      committer.markAbandoned();
-      outbox.abandon();
-    }
+    pipeline.checkDeadline();
   }
 
   /** Closes the store as {@link #close} does; a fault is logged. */
@@ -302,14 +233,12 @@
 
   /** Whether the store's thread is running. */
   boolean isRunning() {
-    return committer.isRunning();
+    return pipeline.isRunning();
   }
 
-  /** Returns the number of iterations whose messages wait for the disk. */
+  /** Returns the number of iterations whose messages wait for the disk, on any thread. */
   public int pendingIterations() {
-    synchronized (lock) {
-      return outbox.size();
-    }
+    return pipeline.pendingIterations();
   }
 
   /**
@@ -319,6 +248,6 @@
    */
   @Override
   public void close() throws IOException {
-    committer.close();
+    pipeline.close();
   }
 }
