--- a/src/main/java/pearusher/control/StateRestorer.java
+++ b/src/main/java/pearusher/control/StateRestorer.java
@@ -67,7 +67,7 @@
     for (int requestClass = 0; requestClass < classCount; requestClass++) {
       AdmissionLevel level = levels.getOrDefault(requestClass, NOT_SET);
       levelByClass[requestClass] = level.probabilityOrRate();
-      retryByClass[requestClass] = level.retry();
+      retryByClass[requestClass] = level.retryMode();
     }
     policy.onTableRestored(
         nowUs, number, weights, levelByClass, retryByClass, ledger.lastAckNumber());
--- a/src/main/java/pearusher/policy/PolicySettings.java
+++ b/src/main/java/pearusher/policy/PolicySettings.java
@@ -16,7 +16,7 @@
  * @param limits limits that the service sets
  * @param costs what each action costs
  * @param admissionMode what an admission level means
- * @param defaultRetry retry mode of proxies for which none was published
+ * @param defaultRetryMode retry mode of proxies for which none was published
  * @param attemptTimeoutObjectives timeout of an attempt, in latency objectives
  * @param controlPeriodUs length of the control period, in microseconds
  * @param maxReportsPerSecond most report lines that are taken in
@@ -44,7 +44,7 @@
     ServiceLimits limits,
     Costs costs,
     AdmissionMode admissionMode,
-    int defaultRetry,
+    int defaultRetryMode,
     double attemptTimeoutObjectives,
     long controlPeriodUs,
     double maxReportsPerSecond,
--- a/src/main/java/pearusher/policy/ZoneTables.java
+++ b/src/main/java/pearusher/policy/ZoneTables.java
@@ -25,7 +25,7 @@
             new ZoneTable(
                 settings.requestClasses().size(),
                 AdmissionLevels.fullLevel(settings),
-                settings.defaultRetry()));
+                settings.defaultRetryMode()));
   }
 
   boolean contains(int number) {
--- a/src/main/java/pearusher/protocol/MessageEncoder.java
+++ b/src/main/java/pearusher/protocol/MessageEncoder.java
@@ -76,7 +76,7 @@
 
   private static void addAdmission(List<String> fields, AdmissionLevel admission) {
     add(fields, ADMISSION_LEVEL, formatDecimal(admission.probabilityOrRate()));
-    add(fields, RETRY_POLICY, Integer.toString(admission.retry()));
+    add(fields, RETRY_POLICY, Integer.toString(admission.retryMode()));
   }
 
   private static void add(List<String> fields, String name, String value) {
--- a/src/main/java/pearusher/publish/GlobalAdmissionLevels.java
+++ b/src/main/java/pearusher/publish/GlobalAdmissionLevels.java
@@ -41,7 +41,7 @@
       return Optional.ofNullable(own == null ? global : own);
     }
     double lower = Math.min(own.probabilityOrRate(), global.probabilityOrRate());
-    return Optional.of(new AdmissionLevel(lower, own.retry()));
+    return Optional.of(new AdmissionLevel(lower, own.retryMode()));
   }
 
   void endIteration() {
--- a/src/main/java/pearusher/recovery/LedgerCodec.java
+++ b/src/main/java/pearusher/recovery/LedgerCodec.java
@@ -86,7 +86,7 @@
     return encode(
         output -> {
           output.writeDouble(entry.level().probabilityOrRate());
-          output.writeByte(entry.level().retry());
+          output.writeByte(entry.level().retryMode());
           output.writeLong(entry.iteration());
         });
   }
--- a/src/main/java/pearusher/recovery/LedgerTable.java
+++ b/src/main/java/pearusher/recovery/LedgerTable.java
@@ -58,7 +58,7 @@
     if (idempotency != Idempotency.NOT_IDEMPOTENT) {
       return level;
     }
-    int retry = Math.min(MAX_SAFE_RETRY, level.retry());
+    int retry = Math.min(MAX_SAFE_RETRY, level.retryMode());
     return new AdmissionLevel(level.probabilityOrRate(), retry);
   }
 
--- a/src/test/java/pearusher/control/StoredDataWriter.java
+++ b/src/test/java/pearusher/control/StoredDataWriter.java
@@ -277,7 +277,7 @@
   private static String describe(AdmissionLevel level) {
     return level == null
         ? "no level"
-        : "level " + level.probabilityOrRate() + " retry " + level.retry();
+        : "level " + level.probabilityOrRate() + " retry " + level.retryMode();
   }
 
   private static String describe(CatchUp lacking) {
--- a/src/test/java/pearusher/server/ConfigurationValuesTest.java
+++ b/src/test/java/pearusher/server/ConfigurationValuesTest.java
@@ -137,7 +137,7 @@
     add("own number", settings.instance());
     add("instances", settings.instances());
     add("levels", text(settings.admissionMode()));
-    add("usual retry", settings.defaultRetry());
+    add("usual retry", settings.defaultRetryMode());
     add("try aims", settings.attemptTimeoutObjectives());
     add("period us", settings.controlPeriodUs());
     add("reports a second", settings.maxReportsPerSecond());
