--- a/src/main/java/pearusher/control/EventLoop.java
+++ b/src/main/java/pearusher/control/EventLoop.java
@@ -49,7 +49,7 @@
   private long nowUs;
 
   /**
-   * @param clock gives microseconds; it must not run back by itself
+   * @param clock gives microseconds
    * @param failureHandler called with what an event, a timer or the end of an iteration threw,
    *     which ends the loop
    */
