--- a/src/main/java/pearusher/discovery/DiscoveryClient.java
+++ b/src/main/java/pearusher/discovery/DiscoveryClient.java
@@ -6,7 +6,7 @@
 import org.tinylog.Logger;
 import pearusher.config.AssignerConfig;
 import pearusher.config.Timeouts;
-import pearusher.control.Controller;
+import pearusher.control.DiscoveryEvents;
 import pearusher.logging.RepeatedEvent;
 import pearusher.protocol.EndpointList;
 import pearusher.protocol.EndpointListReader;
@@ -25,7 +25,7 @@
   private static final int STATUS_OK = 200;
 
   private final HttpConnector connector;
-  private final Controller controller;
+  private final DiscoveryEvents controller;
   private volatile AssignerConfig config;
 
   /** The current watch, or null; events of an earlier one are ignored. */
@@ -50,7 +50,7 @@
    * @param controller receives lists and failures
    * @param connector opens the connections
    */
-  DiscoveryClient(AssignerConfig config, Controller controller, HttpConnector connector) {
+  DiscoveryClient(AssignerConfig config, DiscoveryEvents controller, HttpConnector connector) {
     this.config = config;
     this.controller = controller;
     this.connector = connector;
--- a/src/main/java/pearusher/discovery/HealthChecker.java
+++ b/src/main/java/pearusher/discovery/HealthChecker.java
@@ -6,7 +6,7 @@
 import pearusher.config.AssignerConfig;
 import pearusher.config.SocketAddresses;
 import pearusher.config.Timeouts;
-import pearusher.control.Controller;
+import pearusher.control.DiscoveryEvents;
 import pearusher.policy.LoadReportSource;
 import pearusher.protocol.HttpPaths;
 import pearusher.protocol.LoadReportParser;
@@ -22,7 +22,7 @@
   private static final int NS_PER_US = 1000;
 
   private final HttpConnector connector;
-  private final Controller controller;
+  private final DiscoveryEvents controller;
   private final LoadReportParser loadReports;
   private final String path;
   private volatile Timeouts timeouts;
@@ -34,7 +34,7 @@
    * @param controller receives the results
    * @param connector opens the connections
    */
-  HealthChecker(AssignerConfig config, Controller controller, HttpConnector connector) {
+  HealthChecker(AssignerConfig config, DiscoveryEvents controller, HttpConnector connector) {
     this.connector = connector;
     this.controller = controller;
     loadReports = new LoadReportParser(config.names());
--- a/src/main/java/pearusher/discovery/OutboundClient.java
+++ b/src/main/java/pearusher/discovery/OutboundClient.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.Executor;
 import org.eclipse.jetty.util.thread.Scheduler;
 import pearusher.config.AssignerConfig;
-import pearusher.control.Controller;
+import pearusher.control.DiscoveryEvents;
 import pearusher.control.OutboundCalls;
 
 /**
@@ -24,7 +24,7 @@
    * @param scheduler runs timeouts
    */
   public OutboundClient(
-      AssignerConfig config, Controller controller, Executor executor, Scheduler scheduler) {
+      AssignerConfig config, DiscoveryEvents controller, Executor executor, Scheduler scheduler) {
     connector = new HttpConnector(executor, scheduler);
     connector.setConnectTimeout(config.timeouts().connectMs());
     discovery = new DiscoveryClient(config, controller, connector);
--- a/src/main/java/pearusher/transport/PeerSocket.java
+++ b/src/main/java/pearusher/transport/PeerSocket.java
@@ -12,7 +12,7 @@
 import org.tinylog.Logger;
 import pearusher.config.AssignerConfig;
 import pearusher.config.PeerAddresses;
-import pearusher.control.Controller;
+import pearusher.control.PeerEvents;
 import pearusher.control.PeerMessenger;
 import pearusher.logging.RepeatedEvent;
 
@@ -29,7 +29,7 @@
   private static final int ALL_PEERS = -1;
 
   private volatile AssignerConfig config;
-  private final Controller controller;
+  private final PeerEvents controller;
   private final Executor executor;
   private final RepeatedEvent droppedDatagrams = new RepeatedEvent();
 
@@ -43,7 +43,7 @@
    * @param controller receives the messages of peers
    * @param executor runs the sending
    */
-  public PeerSocket(AssignerConfig config, Controller controller, Executor executor) {
+  public PeerSocket(AssignerConfig config, PeerEvents controller, Executor executor) {
     this.config = config;
     this.controller = controller;
     this.executor = executor;
--- a/src/main/java/pearusher/transport/StreamConnection.java
+++ b/src/main/java/pearusher/transport/StreamConnection.java
@@ -8,7 +8,7 @@
 import org.eclipse.jetty.io.AbstractConnection;
 import org.eclipse.jetty.io.EndPoint;
 import org.tinylog.Logger;
-import pearusher.control.Controller;
+import pearusher.control.ProxyEvents;
 import pearusher.control.ProxyStream;
 import pearusher.protocol.MalformedMessageException;
 import pearusher.protocol.Message;
@@ -46,7 +46,7 @@
    * @param buffers a buffer for the reads of each thread
    */
   record Context(
-      Controller controller,
+      ProxyEvents controller,
       ConnectionRegistry registry,
       RejectionLog rejections,
       MessageDecoder decoder,
@@ -187,7 +187,7 @@
   }
 
   private void processIdentified(Message message) throws MalformedMessageException {
-    Controller controller = context.controller();
+    ProxyEvents controller = context.controller();
     PeerIdentity sender = identity;
     if (message instanceof Message.Acknowledgement ack && sender.isProxy(ack.proxy())) {
       controller.onAcknowledgement(this, ack);
--- a/src/main/java/pearusher/transport/StreamServer.java
+++ b/src/main/java/pearusher/transport/StreamServer.java
@@ -19,7 +19,7 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 import pearusher.config.AssignerConfig;
 import pearusher.config.Timeouts;
-import pearusher.control.Controller;
+import pearusher.control.ProxyEvents;
 import pearusher.protocol.MessageDecoder;
 
 /**
@@ -62,7 +62,7 @@
    * @param scheduler runs timeouts
    */
   public StreamServer(
-      AssignerConfig config, Controller controller, Executor executor, Scheduler scheduler) {
+      AssignerConfig config, ProxyEvents controller, Executor executor, Scheduler scheduler) {
     super(executor, scheduler, SELECTORS);
     this.config = config;
     this.scheduler = scheduler;
