--- a/src/test/java/pearusher/server/DurableProcessTest.java
+++ b/src/test/java/pearusher/server/DurableProcessTest.java
@@ -7,16 +7,15 @@
 import java.io.RandomAccessFile;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.ServerSocket;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -24,20 +23,21 @@
 import org.junit.jupiter.api.io.TempDir;
 import pearusher.control.UpdateChecker;
 
-/**
- * The real process with a store: killed again and again, and each line that the operators' page
- * quotes.
- */
+/** The real process with a store: killed repeatedly, and the log lines that docs quote. */
 class DurableProcessTest {
   private static final int PROXIES = 6;
   private static final int SERVERS = 6;
+  private static final int RUNS = 5;
   private static final long SLACK_US = 1_500_000;
 
+  /** A place in the first record of a log. */
+  private static final int OFFSET_IN_FIRST_RECORD = 80;
+
   @TempDir Path directory;
-  private final List<Process> processes = new ArrayList<>();
+  private AssignerProcesses processes;
   private final UpdateChecker checker =
       new UpdateChecker(List.of("lookup", "order"), Set.of("order"), SLACK_US);
-  private final String[] lifecycle = new String[SERVERS];
+  private final String[] lifecycles = new String[SERVERS];
   private final List<Proxy> proxies = new ArrayList<>();
   private HttpStub discovery;
   private volatile StubRequest watch;
@@ -46,23 +46,23 @@
   private long killedUs;
   private Thread listThread;
 
-  /** A relay: its orders go to the checker, its marks are answered. */
+  /** A proxy that hands updates to the checker and acknowledges them. */
   private final class Proxy extends RespClient {
     private final int number;
 
     Proxy(int number) throws IOException {
-      super(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+      super(address());
       this.number = number;
     }
 
     @Override
     void onMessage(List<String> words) throws IOException {
-      int ticket = words.indexOf("ticket");
+      int ackIndex = words.indexOf("ticket");
       synchronized (checker) {
         checker.part(number, words, nowUs());
       }
-      if (ticket > 0) {
-        send("applied proxy " + number + " mark " + words.get(ticket + 1) + " took_ms 0.0");
+      if (ackIndex > 0) {
+        send("applied proxy " + number + " mark " + words.get(ackIndex + 1) + " took_ms 0.0");
         synchronized (checker) {
           checker.answered(number, nowUs());
         }
@@ -74,47 +74,50 @@
     return System.nanoTime() / 1000;
   }
 
+  private InetSocketAddress address() {
+    return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+  }
+
   @BeforeEach
   void startDiscovery() throws IOException {
-    java.util.Arrays.fill(lifecycle, "in_service");
+    processes = new AssignerProcesses(directory);
+    Arrays.fill(lifecycles, "in_service");
     discovery = new HttpStub();
-    listThread =
-        new Thread(
-            () -> {
-              try {
-                while (true) {
-                  StubRequest proxy = discovery.requests.take();
-                  synchronized (lifecycle) {
-                    proxy.startWatch();
-                    proxy.writeLine(listOf(0, SERVERS));
-                    watch = proxy;
-                  }
-                }
-              } catch (InterruptedException | IOException ended) {
-                return;
-              }
-            });
+    listThread = new Thread(this::serveWatches);
     listThread.setDaemon(true);
     listThread.start();
-    try (ServerSocket free = new ServerSocket(0)) {
-      port = free.getLocalPort();
+    port = AssignerProcesses.freePort();
+  }
+
+  private void serveWatches() {
+    try {
+      while (true) {
+        StubRequest request = discovery.requests.take();
+        synchronized (lifecycles) {
+          request.startWatch();
+          request.writeLine(listOf(0, SERVERS));
+          watch = request;
+        }
+      }
+    } catch (InterruptedException | IOException ended) {
+      return;
     }
   }
 
   private String listOf(int from, int to) {
-    String[] some = new String[to - from];
-    for (int k = from; k < to; k++) {
-      some[k - from] =
-          TestPeers.instance(
-              "s" + k, "127.0.0.1:1", k % 2 == 0 ? "north" : "south", lifecycle[k], 0);
+    String[] entries = new String[to - from];
+    for (int server = from; server < to; server++) {
+      String zone = server % 2 == 0 ? "north" : "south";
+      entries[server - from] =
+          TestPeers.instance("s" + server, "127.0.0.1:1", zone, lifecycles[server], 0);
     }
-    return TestPeers.listing(generation, to - from == SERVERS, some);
+    return TestPeers.listing(generation, entries.length == SERVERS, entries);
   }
 
   private void drain(int server) throws IOException {
-    synchronized (lifecycle) {
+    synchronized (lifecycles) {
       generation++;
-      lifecycle[server] = "terminating";
+      lifecycles[server] = "terminating";
       synchronized (checker) {
         checker.listed("s" + server, true, nowUs());
       }
@@ -124,7 +127,7 @@
 
   @AfterEach
   void stopAll() throws Exception {
-    processes.forEach(Process::destroyForcibly);
+    processes.close();
     listThread.interrupt();
     discovery.close();
   }
@@ -137,57 +140,44 @@
             .discovery(discovery.address())
             .with("\"reportEveryUs\": 1000000", "\"reportEveryUs\": 200000")
             .write(directory);
-    ProcessBuilder builder =
-        new ProcessBuilder(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-cp",
-                System.getProperty("java.class.path"),
-                "pearusher.cli.Main",
-                "serve",
-                "--settings",
-                file.toString())
-            .redirectErrorStream(true)
-            .redirectOutput(directory.resolve(name).toFile());
-    builder.environment().keySet().removeIf(k -> k.startsWith("EDGE_"));
-    builder.environment().putAll(environment);
-    Process out = builder.start();
-    processes.add(out);
-    return out;
+    return processes.serve(environment, name, "--settings", file.toString());
   }
 
-  private String log(String name) {
-    try {
-      return Files.readString(directory.resolve(name), StandardCharsets.UTF_8);
-    } catch (IOException e) {
-      return "";
-    }
+  private Path storeDirectory() {
+    return directory.resolve("store");
   }
 
   private String storeSettings(String more) {
-    return "store {\n directory \"" + directory.resolve("store") + "\"\n" + more + "}\n";
+    return "store {\n directory \"" + storeDirectory() + "\"\n" + more + "}\n";
   }
 
   private void joinProxies() throws Exception {
     proxies.clear();
-    for (int k = 0; k < PROXIES; k++) {
-      Proxy proxy = new Proxy(k);
-      boolean fresh;
+    for (int number = 0; number < PROXIES; number++) {
+      Proxy proxy = new Proxy(number);
+      boolean isFresh;
       synchronized (checker) {
-        fresh = checker.held(k).by.get("lookup").lines.isEmpty();
-        checker.joined(k, fresh, killedUs);
+        isFresh = checker.held(number).by.get("lookup").lines.isEmpty();
+        checker.joined(number, isFresh, killedUs);
       }
       proxy.startReading();
       proxy.send(
           "joined proxy "
-              + k
+              + number
               + " zone "
-              + (k % 2 == 0 ? "north" : "south")
+              + (number % 2 == 0 ? "north" : "south")
               + " weight 2.5 fresh "
-              + (fresh ? 1 : 0));
+              + (isFresh ? 1 : 0));
       proxies.add(proxy);
     }
   }
 
+  private RespClient connectCollector() throws IOException {
+    RespClient collector = new RespClient(address());
+    collector.send("collector zone north");
+    return collector;
+  }
+
   private void sendReports(RespClient collector, Random random) throws IOException {
     for (int server = 0; server < SERVERS; server++) {
       collector.send(
@@ -203,10 +193,10 @@
 
   private void kill(Process process, RespClient collector) throws Exception {
     process.destroyForcibly();
-    assertTrue(process.waitFor(20, TimeUnit.SECONDS));
+    AssignerProcesses.awaitExit(process);
     killedUs = nowUs();
     for (Proxy proxy : proxies) {
-      TestPeers.until("its end", () -> proxy.isEnded);
+      TestPeers.until("the end of the connection", () -> proxy.isEnded);
       proxy.close();
       synchronized (checker) {
         checker.ended(proxy.number);
@@ -218,119 +208,130 @@
   @Test
   void killsNeitherRepeatNorTruncateCommandsNorReviveDrainedServers() throws Exception {
     Random random = new Random(4);
-    for (int run = 0; run < 5; run++) {
-      String name = "life" + run;
-      Process process =
-          start(name, storeSettings(run % 2 == 0 ? "" : " sync interval\n interval 10ms\n"));
-      TestPeers.until("ready", () -> log(name).contains("INFO ready: n0"));
-      assertTrue(
-          log(name).contains(run == 0 ? "belief=\"it is new\"" : "belief=\"all of it is trusted\""),
-          log(name));
-      assertTrue(log(name).contains("epoch=" + (run + 1) + " "), log(name));
+    for (int run = 0; run < RUNS; run++) {
+      String name = "run" + run;
+      String sync = run % 2 == 0 ? "" : " sync interval\n interval 10ms\n";
+      Process process = start(name, storeSettings(sync));
+      processes.awaitReady(name);
+      String trust = run == 0 ? "it is new" : "all of it is trusted";
+      processes.assertLogContains(name, "belief=\"" + trust + "\"");
+      processes.assertLogContains(name, "epoch=" + (run + 1) + " ");
       joinProxies();
-      RespClient collector =
-          new RespClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-      collector.send("collector zone north");
-      int rounds = 8 + random.nextInt(8);
-      for (int round = 0; round < rounds; round++) {
-        sendReports(collector, random);
-        if (round == 3 && run > 0 && run < 4) {
-          drain(run);
-        }
-        Thread.sleep(100);
-      }
+      RespClient collector = connectCollector();
+      playRounds(run, collector, random);
       if (run % 2 == 1) {
-        // All answers have surely been heard by the kill: nothing of them may come again.
+        // All acknowledgements have arrived by the kill: nothing of them may be sent again.
         Thread.sleep(SLACK_US / 1000 + 300);
       }
       kill(process, collector);
-      synchronized (checker) {
-        for (int k = 0; k < PROXIES; k++) {
-          checker.drained(k, nowUs());
-        }
-        assertEquals(List.of(), checker.faults, log(name));
-      }
+      assertNoFaults(name);
     }
     assertTrue(
-        checker.orders > 60, checker.orders + " orders, " + checker.deltas + " to who rejoined");
-    assertEquals(0, checker.wholes, "who holds its table gets what it lacks");
+        checker.orders > 60, checker.orders + " updates, " + checker.deltas + " after a join");
+    assertEquals(0, checker.wholes, "a proxy that holds its table is sent what it lacks");
     assertTrue(checker.deltas > 0);
   }
 
+  private void playRounds(int run, RespClient collector, Random random) throws Exception {
+    int rounds = 8 + random.nextInt(8);
+    for (int round = 0; round < rounds; round++) {
+      sendReports(collector, random);
+      if (round == 3 && run > 0 && run < RUNS - 1) {
+        drain(run);
+      }
+      Thread.sleep(100);
+    }
+  }
+
+  private void assertNoFaults(String logName) {
+    synchronized (checker) {
+      for (int proxy = 0; proxy < PROXIES; proxy++) {
+        checker.drained(proxy, nowUs());
+      }
+      assertEquals(List.of(), checker.faults, processes.log(logName));
+    }
+  }
+
+  private List<Path> storeFiles() throws IOException {
+    try (Stream<Path> files = Files.list(storeDirectory())) {
+      return files.toList();
+    }
+  }
+
   private Path newestLog() throws IOException {
-    try (Stream<Path> files = Files.list(directory.resolve("store"))) {
-      return files
-          .filter(f -> f.getFileName().toString().startsWith("log-"))
-          .max(Path::compareTo)
-          .orElseThrow();
+    return storeFiles().stream()
+        .filter(file -> file.getFileName().toString().startsWith("log-"))
+        .max(Path::compareTo)
+        .orElseThrow();
+  }
+
+  private static void flipBit(Path path, int offset) throws IOException {
+    try (RandomAccessFile file = new RandomAccessFile(path.toFile(), "rw")) {
+      file.seek(offset);
+      int original = file.read();
+      file.seek(offset);
+      file.write(original ^ 1);
     }
   }
 
-  /** An orderly end, a damaged byte, a cut end, a copy, and a disk that goes away. */
+  /** A store that is in use, is damaged, is compacted, and whose directory is deleted. */
   @Test
   void logReportsTheStateOfTheStore() throws Exception {
     Process first = start("first", storeSettings(""));
-    TestPeers.until("ready", () -> log("first").contains("INFO ready: n0"));
+    processes.awaitReady("first");
     joinProxies();
-    TestPeers.until("orders", () -> checker.orders >= PROXIES);
-    Process second = start("second", storeSettings(""));
-    assertEquals(1, awaitExit(second));
-    assertTrue(
-        log("second")
-            .contains(
-                "ERROR can't start on the store: store "
-                    + directory.resolve("store")
-                    + " is in use by another process; stop it, or name another directory"),
-        log("second"));
+    TestPeers.until("updates", () -> checker.orders >= PROXIES);
+    assertSecondStartIsRefused();
     first.destroy();
-    assertEquals(0, awaitExit(first));
+    assertEquals(0, AssignerProcesses.awaitExit(first));
     Path log = newestLog();
-    try (RandomAccessFile file = new RandomAccessFile(log.toFile(), "rw")) {
-      file.seek(80);
-      int was = file.read();
-      file.seek(80);
-      file.write(was ^ 1);
-    }
-    Process refused = start("refused", storeSettings(""));
-    assertEquals(1, awaitExit(refused));
-    assertTrue(
-        log("refused")
-            .contains(
-                "is damaged: "
-                    + log.getFileName()
-                    + " at byte 36: record 1 can't be "
-                    + "read, and it was confirmed; "),
-        log("refused"));
+    flipBit(log, OFFSET_IN_FIRST_RECORD);
+    assertDamagedStoreIsRefused(log);
     start("stopped", storeSettings(" damage stop\n compact-at 16KiB\n compact-times 1\n"));
-    TestPeers.until("ready", () -> log("stopped").contains("INFO ready: n0"));
-    assertTrue(
-        log("stopped").contains("WARN store damaged: sequence=0 lost=\"" + log.getFileName()),
-        log("stopped"));
+    processes.awaitReady("stopped");
+    processes.assertLogContains(
+        "stopped", "WARN store damaged: sequence=0 lost=\"" + log.getFileName());
     joinProxies();
-    RespClient collector =
-        new RespClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-    collector.send("collector zone north");
+    RespClient collector = connectCollector();
     Random random = new Random(5);
-    TestPeers.until(
-        "a compaction",
-        () -> {
-          try {
-            sendReports(collector, random);
-            Thread.sleep(20);
-          } catch (IOException | InterruptedException e) {
-            throw new IllegalStateException(e);
-          }
-          return log("stopped").contains("INFO store compacted: took_ms=");
-        });
-    // The directory goes away under it: the next log can't be begun.
-    try (Stream<Path> files = Files.list(directory.resolve("store"))) {
-      for (Path proxy : files.toList()) {
-        Files.delete(proxy);
-      }
+    reportUntilLogged("INFO store compacted: took_ms=", collector, random);
+    // Without its directory the store can't begin the next log.
+    for (Path file : storeFiles()) {
+      Files.delete(file);
     }
-    Files.delete(directory.resolve("store"));
-    TestPeers.until(
-        "given up",
+    Files.delete(storeDirectory());
+    reportUntilLogged("ERROR store given up: waiting=", collector, random);
+    int updatesBefore = checker.orders;
+    drain(1);
+    TestPeers.until("updates without a store", () -> checker.orders > updatesBefore);
+    assertEquals(
+        1,
+        processes.log("stopped").lines().filter(line -> line.contains("store given up")).count());
+  }
+
+  private void assertSecondStartIsRefused() throws Exception {
+    Process second = start("second", storeSettings(""));
+    assertEquals(1, AssignerProcesses.awaitExit(second));
+    processes.assertLogContains(
+        "second",
+        "ERROR can't start on the store: store "
+            + storeDirectory()
+            + " is in use by another process; stop it, or name another directory");
+  }
+
+  private void assertDamagedStoreIsRefused(Path log) throws Exception {
+    Process refused = start("refused", storeSettings(""));
+    assertEquals(1, AssignerProcesses.awaitExit(refused));
+    processes.assertLogContains(
+        "refused",
+        "is damaged: "
+            + log.getFileName()
+            + " at byte 36: record 1 can't be read, and it was confirmed; ");
+  }
+
+  private void reportUntilLogged(String text, RespClient collector, Random random)
+      throws InterruptedException {
+    BooleanSupplier isLogged =
         () -> {
           try {
             sendReports(collector, random);
@@ -338,23 +339,15 @@
           } catch (IOException | InterruptedException e) {
             throw new IllegalStateException(e);
           }
-          return log("stopped").contains("ERROR store given up: waiting=");
-        });
-    int before = checker.orders;
-    drain(1);
-    TestPeers.until("orders without a store", () -> checker.orders > before);
-    assertEquals(1, log("stopped").lines().filter(l -> l.contains("store given up")).count());
-  }
-
-  private static int awaitExit(Process process) throws Exception {
-    assertTrue(process.waitFor(20, TimeUnit.SECONDS), "it doesn't end");
-    return process.exitValue();
+          return processes.log("stopped").contains(text);
+        };
+    TestPeers.until(text, isLogged);
   }
 
   @Test
   void invalidSettingsAreStatusTwoWithTheirPlaces() throws Exception {
     Process process = start("log", storeSettings(" sync evry\n patience 5\n"));
-    assertEquals(2, awaitExit(process));
+    assertEquals(2, AssignerProcesses.awaitExit(process));
     String file = directory.resolve("p.conf").toString();
     assertEquals(
         "pearusher: "
@@ -364,6 +357,6 @@
             + file
             + ":4:2: store.patience: '5' is not a duration; write one like 20ms, 5s or "
             + "10min\n",
-        log("log"));
+        processes.log("log"));
   }
 }
