--- a/src/test/java/pearusher/server/OverloadIntakeTest.java
+++ b/src/test/java/pearusher/server/OverloadIntakeTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.ByteArrayOutputStream;
+import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -15,6 +16,7 @@
 import java.util.Optional;
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicLong;
+import java.util.function.BiFunction;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import pearusher.config.AssignerConfig;
@@ -25,158 +27,205 @@
 import pearusher.intake.Intake;
 import pearusher.intake.QueuedReport;
 import pearusher.intake.ReportTotals;
+import pearusher.policy.AssignmentPolicy;
 import pearusher.policy.FaastPolicy;
+import pearusher.policy.PolicyCommands;
+import pearusher.policy.PolicySettings;
 import pearusher.protocol.EndpointList;
 import pearusher.protocol.Message;
 
-/** The intake before the module: the same events below the limit, bounded and fair above it. */
+/** The intake in front of the policy: unchanged below its limit, bounded and fair above it. */
 class OverloadIntakeTest {
+  private static final long HOUR_US = 3_600_000_000L;
+
   @TempDir Path directory;
+  private final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
-  /**
-   * A day of reports, joins and lists drawn from a seed; what the module was told, event by event.
-   */
+  private static void runIteration(Controller controller, AtomicLong clockUs) throws Exception {
+    clockUs.addAndGet(5000);
+    controller.execute(() -> {});
+    controller.runIteration();
+  }
+
+  /** Random reports, joins and lists, and the events that the policy received. */
   private List<String> eventsOf(SynchronizedIntake intake, long seed) throws Exception {
-    ScriptedPolicy module = new ScriptedPolicy();
-    AtomicLong clock = new AtomicLong(1_000_000_000_000_000L);
+    ScriptedPolicy policy = new ScriptedPolicy();
+    AtomicLong clockUs = new AtomicLong(1_000_000_000_000_000L);
     Controller controller =
         new Controller(
-            new ExampleConfig().read(directory), module, clock::get, failure -> {}, null, intake) {
+            new ExampleConfig().read(directory),
+            policy,
+            clockUs::get,
+            failure -> {},
+            null,
+            intake) {
           @Override
           public void awaitTick() {}
         };
-    module.on(controller);
+    policy.on(controller);
     controller.start();
-    Random random = new Random(seed);
-    // Each report from a source of its own: of two from one that wait together the first is old.
-    int origins = 0;
-    for (int turn = 0; turn < 60; turn++) {
-      for (int k = random.nextInt(40); k > 0; k--) {
+    RandomEvents events = new RandomEvents(controller, new Random(seed));
+    for (int iteration = 0; iteration < 60; iteration++) {
+      events.sendSome(iteration);
+      runIteration(controller, clockUs);
+    }
+    return List.copyOf(policy.told);
+  }
+
+  /** Sends random events to a controller. */
+  private static final class RandomEvents {
+    private final Controller controller;
+    private final Random random;
+
+    /** Each report has an origin of its own: of two that wait together the first is older. */
+    private int origins;
+
+    RandomEvents(Controller controller, Random random) {
+      this.controller = controller;
+      this.random = random;
+    }
+
+    void sendSome(int iteration) {
+      for (int left = random.nextInt(40); left > 0; left--) {
         int proxy = random.nextInt(8);
         switch (random.nextInt(6)) {
           case 0 ->
               controller.onProxyJoined(
-                  new ProxyStream() {
-                    @Override
-                    public void send(byte[] message) {}
-
-                    @Override
-                    public void onReplaced() {}
-                  },
-                  new Message.ProxyJoin(proxy, proxy % 2, 2.5, true));
-          case 1 -> controller.onEndpointList(new EndpointList(50 + turn, false, List.of()), false);
-          case 2 ->
-              controller.onUsageReport(
-                  new Message.UsageReport(
-                      proxy, 0, random.nextInt(50), random.nextInt(60), 1_000_000),
-                  -1 - origins++);
-          default -> {
-            long tries = random.nextInt(50);
-            long failed = random.nextInt((int) tries + 1);
-            // Where no try was good a message has no mean.
-            long mean = failed < tries ? 1000L * random.nextInt(500) : 0;
-            controller.onLoadReport(
-                new Message.LoadReport(
-                    proxy % 2, "s-5be2a07c", tries, failed, mean, 1_000_000, new float[] {1, 2}),
-                -1 - origins++);
-          }
+                  new IgnoringStream(), new Message.ProxyJoin(proxy, proxy % 2, 2.5, true));
+          case 1 ->
+              controller.onEndpointList(new EndpointList(50 + iteration, false, List.of()), false);
+          case 2 -> sendUsageReport(proxy);
+          default -> sendLoadReport(proxy);
         }
       }
-      clock.addAndGet(5000);
-      controller.execute(() -> {});
-      controller.runIteration();
     }
-    return List.copyOf(module.told);
+
+    private int nextOrigin() {
+      origins++;
+      return -origins;
+    }
+
+    private void sendUsageReport(int proxy) {
+      Message.UsageReport report =
+          new Message.UsageReport(proxy, 0, random.nextInt(50), random.nextInt(60), 1_000_000);
+      controller.onUsageReport(report, nextOrigin());
+    }
+
+    private void sendLoadReport(int proxy) {
+      long attempts = random.nextInt(50);
+      long failed = random.nextInt((int) attempts + 1);
+      // A message without successful attempts has no mean.
+      long meanUs = failed < attempts ? 1000L * random.nextInt(500) : 0;
+      float[] load = {1, 2};
+      controller.onLoadReport(
+          new Message.LoadReport(
+              proxy % 2, "s-5be2a07c", attempts, failed, meanUs, 1_000_000, load),
+          nextOrigin());
+    }
+  }
+
+  private record IgnoringStream() implements ProxyStream {
+    @Override
+    public void send(byte[] message) {}
+
+    @Override
+    public void onReplaced() {}
   }
 
   @Test
   void belowTheLimitThePolicyReceivesTheSameEvents() throws Exception {
     for (long seed = 0; seed < 20; seed++) {
-      List<String> before = eventsOf(null, seed);
-      assertTrue(before.size() > 300, "" + before.size());
-      List<String> now =
-          eventsOf(
-              new SynchronizedIntake(
-                  new Intake.Bounds(1000, 100, 10, 1_000_000, 3_600_000_000L, true, 1)),
-              seed);
-      for (int k = 0; k < before.size(); k++) {
-        assertEquals(before.get(k), now.get(k), "seed " + seed + " event " + k);
+      List<String> withoutIntake = eventsOf(null, seed);
+      assertTrue(withoutIntake.size() > 300, "" + withoutIntake.size());
+      SynchronizedIntake intake =
+          new SynchronizedIntake(new Intake.Bounds(1000, 100, 10, 1_000_000, HOUR_US, true, 1));
+      List<String> withIntake = eventsOf(intake, seed);
+      for (int k = 0; k < withoutIntake.size(); k++) {
+        assertEquals(withoutIntake.get(k), withIntake.get(k), "seed " + seed + " event " + k);
       }
-      assertEquals(before.size(), now.size());
+      assertEquals(withoutIntake.size(), withIntake.size());
     }
   }
 
-  /**
-   * One collector floods over a real socket; another's word of each instant is heard all the same.
-   */
-  @Test
-  void busyCollectorDoesNotAffectAnother() throws Exception {
+  private String log() {
+    return log.toString(StandardCharsets.UTF_8);
+  }
+
+  private PrintStream captureLog() {
     PrintStream standardOutput = System.out;
-    ByteArrayOutputStream log = new ByteArrayOutputStream();
     System.setOut(new PrintStream(log, true, StandardCharsets.UTF_8));
-    ScriptedPolicy module = new ScriptedPolicy();
-    AssignerServer server = null;
-    try (HttpStub discovery = new HttpStub()) {
-      SynchronizedIntake intake =
-          new SynchronizedIntake(new Intake.Bounds(500, 100, 50, 300_000, 3_600_000_000L, true, 1));
-      server =
-          new AssignerServer(
-              new ExampleConfig().discovery(discovery.address()).read(directory),
-              module,
-              Controller.unixClock(),
-              failure -> {},
-              Optional.empty(),
-              Optional.of(intake));
-      module.on(server.controller());
-      InetSocketAddress at = server.start();
-      RespClient busyCollector = new RespClient(at);
-      RespClient otherCollector = new RespClient(at);
-      busyCollector.send("collector zone north");
-      otherCollector.send("collector zone south");
-      ByteArrayOutputStream burst = new ByteArrayOutputStream();
-      for (int k = 0; k < 500; k++) {
-        burst.writeBytes(
-            TestPeers.encodeLine(
-                "heard zone north server s-5be2a07c tries 9 failed 1 mean_ms 40.0 "
-                    + "span_ms 1000.0"));
+    return standardOutput;
+  }
+
+  private static AssignerServer server(
+      AssignerConfig config,
+      BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> policyFactory,
+      SynchronizedIntake intake) {
+    return new AssignerServer(
+        config,
+        policyFactory,
+        Controller.unixClock(),
+        failure -> {},
+        Optional.empty(),
+        Optional.of(intake));
+  }
+
+  private static RespClient connectCollector(InetSocketAddress address, String zone)
+      throws IOException {
+    RespClient collector = new RespClient(address);
+    collector.send("collector zone " + zone);
+    return collector;
+  }
+
+  private static byte[] burstOfReports() {
+    ByteArrayOutputStream burst = new ByteArrayOutputStream();
+    for (int k = 0; k < 500; k++) {
+      for (String server : List.of("s-5be2a07c", "new-" + k)) {
         burst.writeBytes(
             TestPeers.encodeLine(
-                "heard zone north server new-"
-                    + k
-                    + " tries 9 failed 1 mean_ms 40.0 "
-                    + "span_ms 1000.0"));
+                "heard zone north server "
+                    + server
+                    + " tries 9 failed 1 mean_ms 40.0 span_ms 1000.0"));
       }
+    }
+    return burst.toByteArray();
+  }
+
+  /** One collector sends bursts over a socket; another's reports arrive all the same. */
+  @Test
+  void busyCollectorDoesNotAffectAnother() throws Exception {
+    PrintStream standardOutput = captureLog();
+    ScriptedPolicy policy = new ScriptedPolicy();
+    SynchronizedIntake intake =
+        new SynchronizedIntake(new Intake.Bounds(500, 100, 50, 300_000, HOUR_US, true, 1));
+    AssignerServer server = null;
+    try (HttpStub discovery = new HttpStub()) {
+      AssignerConfig config = new ExampleConfig().discovery(discovery.address()).read(directory);
+      server = server(config, policy, intake);
+      policy.on(server.controller());
+      InetSocketAddress address = server.start();
+      RespClient busyCollector = connectCollector(address, "north");
+      RespClient otherCollector = connectCollector(address, "south");
+      byte[] burst = burstOfReports();
       for (int round = 1; round <= 20; round++) {
         for (int k = 0; k < 10; k++) {
-          busyCollector.send(burst.toByteArray());
+          busyCollector.send(burst);
         }
-        int tries = 1000 + round;
-        otherCollector.send(
-            "heard zone south server s-0badcafe tries "
-                + tries
-                + " failed 0 mean_ms 50.0 "
-                + "span_ms 1000.0");
-        // Whole and alone: the quiet one's report is merged with nobody else's.
-        TestPeers.until(
-            "report " + round,
-            () ->
-                module.told.stream()
-                    .anyMatch(t -> t.startsWith("onLoadReport 1 1 " + tries + " 0 ")));
+        assertReportArrives(otherCollector, 1000 + round, policy);
         assertTrue(intake.waiting() <= 100 + 2 * 50, intake.waiting() + " wait");
       }
-      TestPeers.until("the end", () -> !intake.flooded());
-      String said = log.toString(StandardCharsets.UTF_8);
+      TestPeers.until("the end of the overload", () -> !intake.flooded());
       assertTrue(
-          said.matches(
-              "(?s).*WARN flood of reports: origin=\"collector \\d+\" " + "part=[01]\\.\\d+\n.*"),
-          said);
+          log()
+              .matches(
+                  "(?s).*WARN flood of reports: origin=\"collector \\d+\" part=[01]\\.\\d+\n.*"),
+          log());
       TestPeers.until(
-          "its line",
-          () ->
-              log.toString(StandardCharsets.UTF_8)
-                  .matches("(?s).*INFO flood of reports over: merged=\\d+ refused=\\d+\n.*"));
-      long heard = module.told.stream().filter(t -> t.startsWith("onLoadReport 0 0 ")).count();
-      assertTrue(heard < 20 * 10 * 500, heard + " lines of the loud one");
+          "its log line",
+          () -> log().matches("(?s).*INFO flood of reports over: merged=\\d+ refused=\\d+\n.*"));
+      long ofBusyCollector =
+          policy.told.stream().filter(event -> event.startsWith("onLoadReport 0 0 ")).count();
+      assertTrue(ofBusyCollector < 20 * 10 * 500, ofBusyCollector + " of the busy collector");
       assertFalse(intake.flooded());
     } finally {
       System.setOut(standardOutput);
@@ -186,12 +235,23 @@
     }
   }
 
-  /** The lines that no socket shows at will: a sample, and reports too old to be heard. */
+  /** The report arrives unchanged: it is not merged with any other. */
+  private static void assertReportArrives(RespClient collector, int attempts, ScriptedPolicy policy)
+      throws Exception {
+    collector.send(
+        "heard zone south server s-0badcafe tries "
+            + attempts
+            + " failed 0 mean_ms 50.0 span_ms 1000.0");
+    TestPeers.until(
+        "a report of " + attempts + " attempts",
+        () ->
+            policy.told.stream()
+                .anyMatch(event -> event.startsWith("onLoadReport 1 1 " + attempts + " 0 ")));
+  }
+
   @Test
-  void logReportsSamplesAndExpiredReports() throws Exception {
-    PrintStream standardOutput = System.out;
-    ByteArrayOutputStream log = new ByteArrayOutputStream();
-    System.setOut(new PrintStream(log, true, StandardCharsets.UTF_8));
+  void logReportsSamplesAndExpiredReports() {
+    PrintStream standardOutput = captureLog();
     try {
       SynchronizedIntake intake =
           new SynchronizedIntake(new Intake.Bounds(100, 100, 1000, 300_000, 5_000_000, true, 1));
@@ -201,19 +261,15 @@
       for (int k = 0; k < 50; k++) {
         intake.next(1_000_000, report -> {});
       }
-      assertTrue(
-          log.toString(StandardCharsets.UTF_8)
-              .matches("(?s).*WARN reports expired: count=32 origin=\"proxy 3\"\n"),
-          log.toString(StandardCharsets.UTF_8));
+      assertTrue(log().matches("(?s).*WARN reports expired: count=32 origin=\"proxy 3\"\n"), log());
       for (int k = 0; k < 1500; k++) {
         intake.offer(report(-7 - k % 2, "s" + k), () -> {});
       }
       intake.serve(1_000_000, report -> {});
       intake.serve(2_000_000, report -> {});
       assertTrue(
-          log.toString(StandardCharsets.UTF_8)
-              .matches("(?s).*WARN reports sampled: times=1 " + "kept=0\\.07 error=0\\.\\d+\n.*"),
-          log.toString(StandardCharsets.UTF_8));
+          log().matches("(?s).*WARN reports sampled: times=1 kept=0\\.07 error=0\\.\\d+\n.*"),
+          log());
     } finally {
       System.setOut(standardOutput);
     }
@@ -227,124 +283,154 @@
   }
 
   /**
-   * 500 relays that report each second against the real assigner, 120 servers, at 1, 10 and 100
-   * times the budget: what waits stays bounded, and the view of each server lies within twice its
-   * stated error of the truth for most of them.
+   * 500 collectors that report each second about 120 servers, at 1, 10 and 100 times the rate
+   * limit: waiting reports stay bounded, and the totals of most servers lie within twice their
+   * stated error.
    */
   @Test
   void viewUnderLoadLiesWithinTheStatedError() throws Exception {
-    for (int times : new int[] {1, 10, 100}) {
-      assertViewUnderLoad(times);
+    for (int loadFactor : new int[] {1, 10, 100}) {
+      new LoadedAssigner(loadFactor).assertViewLiesWithinTheStatedError(directory);
     }
   }
 
-  private void assertViewUnderLoad(int times) throws Exception {
-    int collectors = 500;
-    int servers = 120;
-    StringBuilder known = new StringBuilder();
-    for (int k = 0; k < servers; k++) {
-      known
-          .append(k == 0 ? "" : ",")
-          .append(TestPeers.instance("s" + k, "127.0.0.1:1", "north", "in_service", 0));
-    }
-    ExampleConfig example = new ExampleConfig();
-    String json = example.json();
-    int from = json.indexOf("\"instances\": [") + "\"instances\": [".length();
-    SynchronizedIntake intake =
+  /** An assigner, its collectors, and the totals that its policy receives. */
+  private static final class LoadedAssigner {
+    private static final int COLLECTORS = 500;
+    private static final int SERVERS = 120;
+
+    private final int loadFactor;
+    private final Random random;
+    private final SynchronizedIntake intake =
         new SynchronizedIntake(
-            new Intake.Bounds(collectors, 4 * collectors, 200, 300_000, 3_600_000_000L, true, 7));
-    long[] view = new long[servers];
-    double[] variance = new double[servers];
-    List<RespClient> callers = new ArrayList<>();
-    AssignerServer server = null;
-    try (HttpStub discovery = new HttpStub()) {
-      AssignerConfig config =
-          example
-              .with(json.substring(from, json.indexOf("]", from)), known.toString())
-              .discovery(discovery.address())
-              .read(directory);
-      server =
-          new AssignerServer(
-              config,
-              FaastPolicy::new,
-              Controller.unixClock(),
-              failure -> {},
-              Optional.empty(),
-              Optional.of(intake));
-      // The decision thread hears them one by one; nothing else touches the sums.
-      server
-          .controller()
-          .setReportListener(
-              report -> {
-                int serverNumber =
-                    Integer.parseInt(
-                        ((QueuedReport.ServerAttempts) report.subject()).server().substring(1));
-                view[serverNumber] += report.totals().attempts();
-                variance[serverNumber] += report.totals().variance();
-              });
-      InetSocketAddress at = server.start();
-      for (int k = 0; k < collectors; k++) {
-        RespClient one = new RespClient(at);
-        one.send("collector zone north");
-        callers.add(one);
-      }
-      long[] truth = new long[servers];
-      Random random = new Random(times);
-      for (int second = 0; second < 3; second++) {
-        long start = System.nanoTime();
-        for (int k = 0; k < collectors; k++) {
-          ByteArrayOutputStream lines = new ByteArrayOutputStream();
-          for (int line = 0; line < times; line++) {
-            int serverNumber = (k * 7 + line * 11 + second) % servers;
-            int tries = 1 + random.nextInt(60);
-            truth[serverNumber] += tries;
-            lines.writeBytes(
-                TestPeers.encodeLine(
-                    "heard zone north server s"
-                        + serverNumber
-                        + " tries "
-                        + tries
-                        + " failed "
-                        + tries / 10
-                        + " mean_ms 40.0 span_ms 1000.0"));
-          }
-          callers.get(k).send(lines.toByteArray());
-          assertTrue(
-              intake.waiting() <= 4 * collectors + collectors * 120, "what waits is bounded");
+            new Intake.Bounds(COLLECTORS, 4 * COLLECTORS, 200, 300_000, HOUR_US, true, 7));
+    private final List<RespClient> collectors = new ArrayList<>();
+    private final long[] sentAttempts = new long[SERVERS];
+
+    /** Written by the decision thread only. */
+    private final long[] receivedAttempts = new long[SERVERS];
+
+    private final double[] variances = new double[SERVERS];
+
+    LoadedAssigner(int loadFactor) {
+      this.loadFactor = loadFactor;
+      random = new Random(loadFactor);
+    }
+
+    void assertViewLiesWithinTheStatedError(Path directory) throws Exception {
+      AssignerServer server = null;
+      try (HttpStub discovery = new HttpStub()) {
+        server = server(config(discovery, directory), FaastPolicy::new, intake);
+        server.controller().setReportListener(this::addReceived);
+        InetSocketAddress address = server.start();
+        for (int k = 0; k < COLLECTORS; k++) {
+          collectors.add(connectCollector(address, "north"));
+        }
+        for (int second = 0; second < 3; second++) {
+          sendForASecond(second);
         }
-        long left = 1_000 - (System.nanoTime() - start) / 1_000_000;
-        Thread.sleep(Math.max(0, left));
+        awaitAllReports();
+        assertMostServersLieWithinTwoErrors();
+        assertTotalLiesWithinThreeErrors();
+      } finally {
+        for (RespClient collector : collectors) {
+          collector.close();
+        }
+        if (server != null) {
+          server.stop();
+        }
+      }
+    }
+
+    private static AssignerConfig config(HttpStub discovery, Path directory) throws Exception {
+      List<String> entries = new ArrayList<>();
+      for (int k = 0; k < SERVERS; k++) {
+        entries.add(TestPeers.instance("s" + k, "127.0.0.1:1", "north", "in_service", 0));
       }
-      // A report that is still on its way is no error of the sample: it comes, then the flood is
-      // over.
-      long sent = Arrays.stream(truth).sum();
+      ExampleConfig example = new ExampleConfig();
+      String json = example.json();
+      String key = "\"instances\": [";
+      int start = json.indexOf(key) + key.length();
+      return example
+          .with(json.substring(start, json.indexOf("]", start)), String.join(",", entries))
+          .discovery(discovery.address())
+          .read(directory);
+    }
+
+    private void addReceived(QueuedReport report) {
+      String name = ((QueuedReport.ServerAttempts) report.subject()).server();
+      int server = Integer.parseInt(name.substring(1));
+      receivedAttempts[server] += report.totals().attempts();
+      variances[server] += report.totals().variance();
+    }
+
+    private void sendForASecond(int second) throws Exception {
+      long startNs = System.nanoTime();
+      for (int collector = 0; collector < COLLECTORS; collector++) {
+        collectors.get(collector).send(reports(collector, second));
+        int limit = 4 * COLLECTORS + COLLECTORS * SERVERS;
+        assertTrue(intake.waiting() <= limit, "waiting reports are bounded");
+      }
+      long remainingMs = 1_000 - (System.nanoTime() - startNs) / 1_000_000;
+      Thread.sleep(Math.max(0, remainingMs));
+    }
+
+    private byte[] reports(int collector, int second) {
+      ByteArrayOutputStream messages = new ByteArrayOutputStream();
+      for (int k = 0; k < loadFactor; k++) {
+        int server = (collector * 7 + k * 11 + second) % SERVERS;
+        int attempts = 1 + random.nextInt(60);
+        sentAttempts[server] += attempts;
+        messages.writeBytes(
+            TestPeers.encodeLine(
+                "heard zone north server s"
+                    + server
+                    + " tries "
+                    + attempts
+                    + " failed "
+                    + attempts / 10
+                    + " mean_ms 40.0 span_ms 1000.0"));
+      }
+      return messages.toByteArray();
+    }
+
+    private long sentTotal() {
+      return Arrays.stream(sentAttempts).sum();
+    }
+
+    private long receivedTotal() {
+      return Arrays.stream(receivedAttempts).sum();
+    }
+
+    /** Reports that are still under way would count as an error of the sample. */
+    private void awaitAllReports() throws InterruptedException {
       TestPeers.until(
-          "all of them",
+          "all reports",
           () ->
               !intake.flooded()
                   && intake.waiting() == 0
-                  && (times > 1 || Arrays.stream(view).sum() == sent));
+                  && (loadFactor > 1 || receivedTotal() == sentTotal()));
+    }
+
+    private void assertMostServersLieWithinTwoErrors() {
       int withinError = 0;
-      for (int k = 0; k < servers; k++) {
-        withinError += Math.abs(view[k] - truth[k]) <= 2 * Math.sqrt(variance[k]) + 1 ? 1 : 0;
+      for (int k = 0; k < SERVERS; k++) {
+        double error = Math.abs(receivedAttempts[k] - sentAttempts[k]);
+        withinError += error <= 2 * Math.sqrt(variances[k]) + 1 ? 1 : 0;
       }
       assertTrue(
-          withinError >= 5 * servers / 6,
-          times + " times: " + withinError + " of " + servers + " within two errors");
-      double error = Math.abs(1.0 * Arrays.stream(view).sum() / sent - 1);
-      double statedError = Math.sqrt(Arrays.stream(variance).sum()) / sent;
+          withinError >= 5 * SERVERS / 6,
+          loadFactor + " times: " + withinError + " of " + SERVERS + " within two errors");
+    }
+
+    private void assertTotalLiesWithinThreeErrors() {
+      double error = Math.abs(1.0 * receivedTotal() / sentTotal() - 1);
+      double statedError = Math.sqrt(Arrays.stream(variances).sum()) / sentTotal();
       assertTrue(
           error <= 3 * statedError + 1e-9,
-          times + " times: off by " + error + ", stated " + statedError);
+          loadFactor + " times: off by " + error + ", stated " + statedError);
       assertTrue(
-          times > 1 || (statedError == 0 && error == 0), "at the budget nothing is left out");
-    } finally {
-      for (RespClient one : callers) {
-        one.close();
-      }
-      if (server != null) {
-        server.stop();
-      }
+          loadFactor > 1 || (statedError == 0 && error == 0), "at the limit nothing is left out");
     }
   }
 }
