--- a/src/bench/java/pearusher/capacity/Apportionment.java
+++ b/src/bench/java/pearusher/capacity/Apportionment.java
@@ -8,21 +8,21 @@
   private Apportionment() {}
 
   /** Everyone gets {@code least}; the rest goes by weight. */
-  static int[] split(int total, double[] weights, int least) {
-    int free = total - least * weights.length;
+  static int[] split(int total, double[] weights, int minimum) {
+    int free = total - minimum * weights.length;
     if (free < 0) {
       throw new IllegalArgumentException(
-          total + " are too few for " + weights.length + " times " + least);
+          total + " are too few for " + weights.length + " times " + minimum);
     }
     double sum = DoubleStream.of(weights).sum();
     int[] parts = new int[weights.length];
     double[] remainders = new double[weights.length];
-    int given = 0;
+    int assigned = 0;
     for (int k = 0; k < weights.length; k++) {
       double exact = free * weights[k] / sum;
-      parts[k] = least + (int) exact;
+      parts[k] = minimum + (int) exact;
       remainders[k] = exact - (int) exact;
-      given += parts[k];
+      assigned += parts[k];
     }
     int[] order =
         IntStream.range(0, weights.length)
@@ -30,9 +30,9 @@
             .sorted((a, b) -> Double.compare(remainders[b], remainders[a]))
             .mapToInt(Integer::intValue)
             .toArray();
-    for (int k = 0; given < total; k++) {
+    for (int k = 0; assigned < total; k++) {
       parts[order[k % order.length]]++;
-      given++;
+      assigned++;
     }
     return parts;
   }
--- a/src/bench/java/pearusher/capacity/AssignerLoad.java
+++ b/src/bench/java/pearusher/capacity/AssignerLoad.java
@@ -12,29 +12,29 @@
     double zonesKnown,
     double zonesInScope,
     double proxies,
-    double requests,
-    double heardLines,
-    double bytesIn,
-    double bytesOut,
+    double requestsPerSecond,
+    double reportsPerSecond,
+    double bytesInPerSecond,
+    double bytesOutPerSecond,
     double listBytes,
     double bindBytes,
     double pairsKnown,
     double pairsInScope,
-    double listEntries) {
+    double listEntriesPerSecond) {
   /** Tries a request: some are tried again. */
-  static final double TRIES_PER_REQUEST = 1.1;
+  static final double ATTEMPTS_PER_REQUEST = 1.1;
 
   /**
    * Of the servers heard of in a period, those whose line goes to a proxy: 90 KB/s of 7,800
    * lines/s.
    */
-  static final double LINES_CHANGED = 0.46;
+  static final double CHANGED_WEIGHT_SHARE = 0.46;
 
-  static final double PERIOD_S = 1;
+  static final double PERIOD_SECONDS = 1;
   static final int CLASSES = 2;
 
   /** An empty line that shows that the watch lives, with its chunk's frame. */
-  private static final double BEAT_BYTES_PER_S = "2\r\n\n\r\n".length() / 2.0;
+  private static final double HEARTBEAT_BYTES_PER_SECOND = "2\r\n\n\r\n".length() / 2.0;
 
   /** List entries that a restart of a task makes: it drains, it is gone, it is back. */
   static final int ENTRIES_PER_RESTART = 3;
@@ -43,7 +43,7 @@
   static final int ENTRIES_PER_FAILURE = 2;
 
   /** List entries a second of the whole fleet on an ordinary day. */
-  static double fleetEntriesPerS() {
+  static double fleetListEntriesPerSecond() {
     double ofTasks = 1.0 * CapacityTarget.TASKS / (CapacityTarget.TASKS + CapacityTarget.ASSIGNERS);
     return ofTasks
         * (ENTRIES_PER_RESTART * CapacityTarget.RESTARTS_PER_DAY
@@ -54,40 +54,41 @@
   static AssignerLoad of(TierMap.Tier tier, MessageSizes sizes) {
     double proxies = 1.0 * tier.proxies() / tier.assigners();
     double requests = tier.requests() / tier.assigners();
-    double zones = zonesMet(tier.proxiesByZone(), proxies);
-    double pairs = tier.listed() * zones;
-    double lines = linesHeard(requests * TRIES_PER_REQUEST, pairs);
-    double entries = fleetEntriesPerS() * tier.listed() / CapacityTarget.TASKS;
-    double usage = Math.min(requests, proxies * CLASSES / PERIOD_S);
-    double probes = tier.listed() / PERIOD_S / tier.assigners();
-    double in =
-        lines * sizes.heard()
-            + usage * sizes.usage()
+    double zones = expectedZones(tier.proxiesByZone(), proxies);
+    double pairs = tier.listedServers() * zones;
+    double reports = reportsPerSecond(requests * ATTEMPTS_PER_REQUEST, pairs);
+    double entries = fleetListEntriesPerSecond() * tier.listedServers() / CapacityTarget.TASKS;
+    double usage = Math.min(requests, proxies * CLASSES / PERIOD_SECONDS);
+    double healthChecks = tier.listedServers() / PERIOD_SECONDS / tier.assigners();
+    double bytesIn =
+        reports * sizes.loadReport()
+            + usage * sizes.usageReport()
             + entries * sizes.listEntry()
-            + BEAT_BYTES_PER_S
-            + probes * sizes.probeAnswer();
-    double changed = LINES_CHANGED * Math.min(tier.listed() / PERIOD_S, lines);
-    double out =
-        proxies * (changed * sizes.tableLine() + sizes.updateHead() / PERIOD_S)
-            + probes * sizes.probeRequest();
+            + HEARTBEAT_BYTES_PER_SECOND
+            + healthChecks * sizes.healthCheckResponse();
+    double changedWeights =
+        CHANGED_WEIGHT_SHARE * Math.min(tier.listedServers() / PERIOD_SECONDS, reports);
+    double bytesOut =
+        proxies * (changedWeights * sizes.weightEntry() + sizes.updateOverhead() / PERIOD_SECONDS)
+            + healthChecks * sizes.healthCheckRequest();
     return new AssignerLoad(
-        tier.listed(),
+        tier.listedServers(),
         tier.zonesKnown(),
         zones,
         proxies,
         requests,
-        lines,
-        in,
-        out,
-        tier.listed() * sizes.listEntry(),
-        proxies * (sizes.updateHead() + tier.listed() * sizes.tableLine()),
-        1.0 * tier.listed() * tier.zonesKnown(),
+        reports,
+        bytesIn,
+        bytesOut,
+        tier.listedServers() * sizes.listEntry(),
+        proxies * (sizes.updateOverhead() + tier.listedServers() * sizes.weightEntry()),
+        1.0 * tier.listedServers() * tier.zonesKnown(),
         pairs,
         entries);
   }
 
   /** Zones that so many of the tier's proxies come from, drawn at random: one at least. */
-  static double zonesMet(int[] proxiesByZone, double proxies) {
+  static double expectedZones(int[] proxiesByZone, double proxies) {
     double all = Arrays.stream(proxiesByZone).sum();
     double met =
         Arrays.stream(proxiesByZone).mapToDouble(p -> 1 - Math.pow(1 - p / all, proxies)).sum();
@@ -98,7 +99,7 @@
    * Pairs of server and zone with a try in a period, tries spread evenly: never more than the
    * tries.
    */
-  static double linesHeard(double triesPerS, double pairs) {
-    return pairs / PERIOD_S * -Math.expm1(-triesPerS * PERIOD_S / pairs);
+  static double reportsPerSecond(double attemptsPerSecond, double pairs) {
+    return pairs / PERIOD_SECONDS * -Math.expm1(-attemptsPerSecond * PERIOD_SECONDS / pairs);
   }
 }
--- a/src/bench/java/pearusher/capacity/CapacityModel.java
+++ b/src/bench/java/pearusher/capacity/CapacityModel.java
@@ -59,31 +59,33 @@
     return 0;
   }
 
-  static void line(String name, double value, String unit) {
+  static void print(String name, double value, String unit) {
     String text = value >= 100 || value == Math.rint(value) ? "%.0f" : "%.3g";
     System.out.println(name + " " + String.format(Locale.ROOT, text, value) + " " + unit);
   }
 
   private static void printSizes(MessageSizes sizes) {
-    line("size.heard", sizes.heard(), "bytes");
-    line("size.heard_without_load", sizes.heardWithoutLoad(), "bytes");
-    line("size.usage", sizes.usage(), "bytes");
-    line("size.joined", sizes.joined(), "bytes");
-    line("size.applied", sizes.applied(), "bytes");
-    line("size.list_entry", sizes.listEntry(), "bytes");
-    line("size.table_line", sizes.tableLine(), "bytes");
-    line("size.update_head", sizes.updateHead(), "bytes");
-    line("size.probe_request", sizes.probeRequest(), "bytes");
-    line("size.probe_answer", sizes.probeAnswer(), "bytes");
+    print("size.heard", sizes.loadReport(), "bytes");
+    print("size.heard_without_load", sizes.loadReportWithoutLoad(), "bytes");
+    print("size.usage", sizes.usageReport(), "bytes");
+    print("size.joined", sizes.proxyJoin(), "bytes");
+    print("size.applied", sizes.acknowledgement(), "bytes");
+    print("size.list_entry", sizes.listEntry(), "bytes");
+    print("size.table_line", sizes.weightEntry(), "bytes");
+    print("size.update_head", sizes.updateOverhead(), "bytes");
+    print("size.probe_request", sizes.healthCheckRequest(), "bytes");
+    print("size.probe_answer", sizes.healthCheckResponse(), "bytes");
   }
 
   private static void printFleet(FleetModel fleet) {
     List<FleetModel.Service> services = fleet.services();
-    line("fleet.services", services.size(), "services");
-    line("fleet.zones", fleet.zones().size(), "zones");
-    line("fleet.tasks", services.stream().mapToInt(FleetModel.Service::tasks).sum(), "tasks");
-    line("fleet.requests", services.stream().mapToDouble(FleetModel.Service::requests).sum(), "/s");
-    line("fleet.proxies", services.stream().mapToInt(FleetModel.Service::proxies).sum(), "proxies");
+    print("fleet.services", services.size(), "services");
+    print("fleet.zones", fleet.zones().size(), "zones");
+    print("fleet.tasks", services.stream().mapToInt(FleetModel.Service::tasks).sum(), "tasks");
+    print(
+        "fleet.requests", services.stream().mapToDouble(FleetModel.Service::requests).sum(), "/s");
+    print(
+        "fleet.proxies", services.stream().mapToInt(FleetModel.Service::proxies).sum(), "proxies");
     spread("fleet.service.tasks", services, s -> s.tasks(), s -> 1, "tasks");
     spread("fleet.service.requests", services, FleetModel.Service::requests, s -> 1, "/s");
     spread(
@@ -113,46 +115,50 @@
   private static void printMap(TierMap map, FleetModel fleet, MessageSizes sizes) {
     List<TierMap.Tier> tiers = map.tiers(fleet);
     String name = map.name().toLowerCase(Locale.ROOT) + ".";
-    line(name + "tiers", tiers.size(), "tiers");
-    line(name + "assigners", tiers.stream().mapToInt(TierMap.Tier::assigners).sum(), "assigners");
+    print(name + "tiers", tiers.size(), "tiers");
+    print(name + "assigners", tiers.stream().mapToInt(TierMap.Tier::assigners).sum(), "assigners");
     spread(name + "tier_assigners", tiers, TierMap.Tier::assigners, t -> 1, "assigners");
     spreadLoad(name + "servers", tiers, sizes, AssignerLoad::servers, "servers");
     spreadLoad(name + "zones_known", tiers, sizes, AssignerLoad::zonesKnown, "zones");
     spreadLoad(name + "zones_in_scope", tiers, sizes, AssignerLoad::zonesInScope, "zones");
     spreadLoad(name + "proxies", tiers, sizes, AssignerLoad::proxies, "proxies");
-    spreadLoad(name + "requests", tiers, sizes, AssignerLoad::requests, "/s");
-    spreadLoad(name + "heard", tiers, sizes, AssignerLoad::heardLines, "lines/s");
+    spreadLoad(name + "requests", tiers, sizes, AssignerLoad::requestsPerSecond, "/s");
+    spreadLoad(name + "heard", tiers, sizes, AssignerLoad::reportsPerSecond, "lines/s");
     spreadLoad(
         name + "core_ratio",
         tiers,
         sizes,
-        l -> l.heardLines() * Scenarios.CORE_S_PER_LINE / CapacityTarget.CORE_SHARE,
+        l -> l.reportsPerSecond() * Scenarios.CPU_SECONDS_PER_REPORT / CapacityTarget.CORE_SHARE,
         "of_limit");
     spreadLoad(
         name + "state_ratio",
         tiers,
         sizes,
-        l -> l.pairsKnown() * Scenarios.BYTES_PER_PAIR / CapacityTarget.STATE_BYTES,
+        l -> l.pairsKnown() * Scenarios.BYTES_PER_SERVER_ZONE_PAIR / CapacityTarget.STATE_BYTES,
         "of_limit");
     spreadLoad(
         name + "state_in_scope_ratio",
         tiers,
         sizes,
-        l -> l.pairsInScope() * Scenarios.BYTES_PER_PAIR / CapacityTarget.STATE_BYTES,
+        l -> l.pairsInScope() * Scenarios.BYTES_PER_SERVER_ZONE_PAIR / CapacityTarget.STATE_BYTES,
         "of_limit");
-    spreadLoad(name + "bytes_in", tiers, sizes, AssignerLoad::bytesIn, "bytes/s");
-    spreadLoad(name + "bytes_out", tiers, sizes, AssignerLoad::bytesOut, "bytes/s");
+    spreadLoad(name + "bytes_in", tiers, sizes, AssignerLoad::bytesInPerSecond, "bytes/s");
+    spreadLoad(name + "bytes_out", tiers, sizes, AssignerLoad::bytesOutPerSecond, "bytes/s");
     spreadLoad(
         name + "bytes_ratio",
         tiers,
         sizes,
-        l -> (l.bytesIn() + l.bytesOut()) / CapacityTarget.BYTES_PER_S,
+        l -> (l.bytesInPerSecond() + l.bytesOutPerSecond()) / CapacityTarget.BYTES_PER_SECOND,
         "of_limit");
     spreadLoad(name + "list", tiers, sizes, AssignerLoad::listBytes, "bytes");
     spreadLoad(
-        name + "list_time", tiers, sizes, l -> l.listBytes() / CapacityTarget.BYTES_PER_S, "s");
+        name + "list_time",
+        tiers,
+        sizes,
+        l -> l.listBytes() / CapacityTarget.BYTES_PER_SECOND,
+        "s");
     spreadLoad(name + "bind", tiers, sizes, AssignerLoad::bindBytes, "bytes");
-    spreadLoad(name + "list_entries", tiers, sizes, l -> 3600 * l.listEntries(), "/h");
+    spreadLoad(name + "list_entries", tiers, sizes, l -> 3600 * l.listEntriesPerSecond(), "/h");
     spreadLoad(name + "pairs_known", tiers, sizes, AssignerLoad::pairsKnown, "pairs");
     spreadLoad(name + "pairs_in_scope", tiers, sizes, AssignerLoad::pairsInScope, "pairs");
     double overBytes =
@@ -160,20 +166,21 @@
             .filter(
                 t -> {
                   AssignerLoad load = AssignerLoad.of(t, sizes);
-                  return load.bytesIn() + load.bytesOut() > CapacityTarget.BYTES_PER_S;
+                  return load.bytesInPerSecond() + load.bytesOutPerSecond()
+                      > CapacityTarget.BYTES_PER_SECOND;
                 })
             .mapToInt(TierMap.Tier::assigners)
             .sum();
-    line(name + "assigners_over_bytes", overBytes, "assigners");
+    print(name + "assigners_over_bytes", overBytes, "assigners");
     double overState =
         tiers.stream()
             .filter(
                 t ->
-                    AssignerLoad.of(t, sizes).pairsKnown() * Scenarios.BYTES_PER_PAIR
+                    AssignerLoad.of(t, sizes).pairsKnown() * Scenarios.BYTES_PER_SERVER_ZONE_PAIR
                         > CapacityTarget.STATE_BYTES)
             .mapToInt(TierMap.Tier::assigners)
             .sum();
-    line(name + "assigners_over_state", overState, "assigners");
+    print(name + "assigners_over_state", overState, "assigners");
   }
 
   /** Over assigners: each of a tier counts. */
@@ -206,8 +213,8 @@
       seen += weight.applyAsDouble(item);
       most = what.applyAsDouble(item);
     }
-    line(name + ".mean", mean, unit);
-    line(name + ".p90", p90, unit);
-    line(name + ".most", most, unit);
+    print(name + ".mean", mean, unit);
+    print(name + ".p90", p90, unit);
+    print(name + ".most", most, unit);
   }
 }
--- a/src/bench/java/pearusher/capacity/FleetModel.java
+++ b/src/bench/java/pearusher/capacity/FleetModel.java
@@ -13,7 +13,7 @@
  */
 final class FleetModel {
   /** Every service has so many tasks at least: one may restart. */
-  static final int LEAST_TASKS = 2;
+  static final int MIN_TASKS_PER_SERVICE = 2;
 
   /** A service spreads over one region for so many of its tasks. */
   private static final double TASKS_PER_REGION = 8;
@@ -47,15 +47,15 @@
   FleetModel(Skew skew) {
     this.skew = skew;
     SplittableRandom random = new SplittableRandom(skew.seed());
-    layOutZones();
+    createZones();
     int[] tasks =
         Apportionment.split(
             CapacityTarget.TASKS,
             Apportionment.zipf(CapacityTarget.SERVICES, skew.tasks()),
-            LEAST_TASKS);
+            MIN_TASKS_PER_SERVICE);
     double[] requests = requestsByService(random);
     for (int rank = 0; rank < CapacityTarget.SERVICES; rank++) {
-      services.add(place(rank, tasks[rank], requests[rank], random));
+      services.add(createService(rank, tasks[rank], requests[rank], random));
     }
   }
 
@@ -68,11 +68,12 @@
   }
 
   /** 98 zones in 25 regions: four each, three in the two smallest. */
-  private void layOutZones() {
+  private void createZones() {
     double[] regionWeights = Apportionment.zipf(CapacityTarget.REGIONS, skew.regions());
-    int short3 = CapacityTarget.REGIONS * ZONE_WEIGHTS.length - CapacityTarget.ZONES;
+    int regionsWithThreeZones = CapacityTarget.REGIONS * ZONE_WEIGHTS.length - CapacityTarget.ZONES;
     for (int region = 0; region < CapacityTarget.REGIONS; region++) {
-      int count = ZONE_WEIGHTS.length - (region >= CapacityTarget.REGIONS - short3 ? 1 : 0);
+      int count =
+          ZONE_WEIGHTS.length - (region >= CapacityTarget.REGIONS - regionsWithThreeZones ? 1 : 0);
       double sum = Arrays.stream(ZONE_WEIGHTS, 0, count).sum();
       for (int k = 0; k < count; k++) {
         zones.add(new Zone(region, regionWeights[region] * ZONE_WEIGHTS[k] / sum));
@@ -92,31 +93,33 @@
       sum += requests[k];
     }
     for (int k = 0; k < requests.length; k++) {
-      requests[k] *= CapacityTarget.REQUESTS_PER_S / sum;
+      requests[k] *= CapacityTarget.REQUESTS_PER_SECOND / sum;
     }
     return requests;
   }
 
-  private Service place(int rank, int tasks, double requests, SplittableRandom random) {
-    boolean[] chosen = regions(tasks, random);
-    int[] in =
+  private Service createService(int rank, int tasks, double requests, SplittableRandom random) {
+    boolean[] chosen = drawRegions(tasks, random);
+    int[] serviceZones =
         IntStream.range(0, zones.size()).filter(z -> chosen[zones.get(z).region()]).toArray();
-    double[] weights = Arrays.stream(in).mapToDouble(z -> zones.get(z).weight()).toArray();
+    double[] weights =
+        Arrays.stream(serviceZones).mapToDouble(z -> zones.get(z).weight()).toArray();
     double sum = Arrays.stream(weights).sum();
-    int[] tasksHere = Apportionment.split(tasks, weights, 0);
+    int[] zoneTasks = Apportionment.split(tasks, weights, 0);
     int[] tasksByZone = new int[zones.size()];
     double[] requestsByZone = new double[zones.size()];
     int[] proxiesByZone = new int[zones.size()];
-    for (int k = 0; k < in.length; k++) {
-      tasksByZone[in[k]] = tasksHere[k];
-      requestsByZone[in[k]] = requests * weights[k] / sum;
-      proxiesByZone[in[k]] = (int) Math.ceil(requestsByZone[in[k]] / skew.requestsPerProxy());
+    for (int k = 0; k < serviceZones.length; k++) {
+      tasksByZone[serviceZones[k]] = zoneTasks[k];
+      requestsByZone[serviceZones[k]] = requests * weights[k] / sum;
+      proxiesByZone[serviceZones[k]] =
+          (int) Math.ceil(requestsByZone[serviceZones[k]] / skew.requestsPerProxy());
     }
     return new Service(rank, tasks, tasksByZone, requestsByZone, proxiesByZone);
   }
 
   /** Drawn by weight without replacement (the keys of Efraimidis and Spirakis). */
-  private boolean[] regions(int tasks, SplittableRandom random) {
+  private boolean[] drawRegions(int tasks, SplittableRandom random) {
     int count =
         (int) Math.max(1, Math.min(CapacityTarget.REGIONS, Math.round(tasks / TASKS_PER_REGION)));
     double[] weights = Apportionment.zipf(CapacityTarget.REGIONS, skew.regions());
--- a/src/bench/java/pearusher/capacity/IdleProcessBench.java
+++ b/src/bench/java/pearusher/capacity/IdleProcessBench.java
@@ -27,7 +27,7 @@
 @Command(name = "floor", mixinStandardHelpOptions = true, description = "Memory of idle processes.")
 final class IdleProcessBench implements Callable<Integer> {
   private static final int KIB = 1024;
-  private static final int TICKS_PER_S = 100;
+  private static final int TICKS_PER_SECOND = 100;
   private static final byte[] PING = "*1\r\n$4\r\nping\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
   @Option(names = "--idle", description = "seconds that each is watched (${DEFAULT-VALUE})")
@@ -43,17 +43,25 @@
     Path dir = Files.createTempDirectory("floor");
     Path archive = dir.resolve("classes.jsa");
     try {
-      observe("empty", emptyMain(flags), dir, false);
-      observe("assigner", assigner(flags), dir, true);
-      observe("assigner_small_heap", assigner(changed(flags, "-Xms40m", "-Xms8m")), dir, true);
-      observe("assigner_interpreted", assigner(with(flags, "-Xint")), dir, true);
+      observe("empty", emptyMainCommand(flags), dir, false);
+      observe("assigner", assignerCommand(flags), dir, true);
       observe(
-          "archive_run", assigner(with(flags, "-XX:ArchiveClassesAtExit=" + archive)), dir, true);
+          "assigner_small_heap", assignerCommand(replace(flags, "-Xms40m", "-Xms8m")), dir, true);
+      observe("assigner_interpreted", assignerCommand(append(flags, "-Xint")), dir, true);
       observe(
-          "assigner_archive", assigner(with(flags, "-XX:SharedArchiveFile=" + archive)), dir, true);
+          "archive_run",
+          assignerCommand(append(flags, "-XX:ArchiveClassesAtExit=" + archive)),
+          dir,
+          true);
+      observe(
+          "assigner_archive",
+          assignerCommand(append(flags, "-XX:SharedArchiveFile=" + archive)),
+          dir,
+          true);
       observe(
           "assigner_archive_small_heap",
-          assigner(with(changed(flags, "-Xms40m", "-Xms8m"), "-XX:SharedArchiveFile=" + archive)),
+          assignerCommand(
+              append(replace(flags, "-Xms40m", "-Xms8m"), "-XX:SharedArchiveFile=" + archive)),
           dir,
           true);
     } finally {
@@ -77,60 +85,61 @@
     return List.of(between.split(" "));
   }
 
-  private static List<String> with(List<String> flags, String more) {
-    List<String> out = new ArrayList<>(flags);
-    out.add(more);
-    return out;
+  private static List<String> append(List<String> flags, String flag) {
+    List<String> appended = new ArrayList<>(flags);
+    appended.add(flag);
+    return appended;
   }
 
-  private static List<String> changed(List<String> flags, String old, String now) {
+  private static List<String> replace(List<String> flags, String old, String replacement) {
     if (!flags.contains(old)) {
       throw new IllegalStateException("the run line has no " + old);
     }
-    return flags.stream().map(flag -> flag.equals(old) ? now : flag).toList();
+    return flags.stream().map(flag -> flag.equals(old) ? replacement : flag).toList();
   }
 
-  private static List<String> emptyMain(List<String> flags) {
-    List<String> out = new ArrayList<>(List.of("java"));
-    out.addAll(flags);
-    out.addAll(List.of("-cp", System.getProperty("java.class.path"), EmptyMain.class.getName()));
-    return out;
+  private static List<String> emptyMainCommand(List<String> flags) {
+    List<String> command = new ArrayList<>(List.of("java"));
+    command.addAll(flags);
+    command.addAll(
+        List.of("-cp", System.getProperty("java.class.path"), EmptyMain.class.getName()));
+    return command;
   }
 
-  private static List<String> assigner(List<String> flags) {
-    List<String> out = new ArrayList<>(List.of("java"));
-    out.addAll(flags);
-    out.addAll(List.of("-jar", "target/pearusher.jar", "serve"));
-    return out;
+  private static List<String> assignerCommand(List<String> flags) {
+    List<String> command = new ArrayList<>(List.of("java"));
+    command.addAll(flags);
+    command.addAll(List.of("-jar", "target/pearusher.jar", "serve"));
+    return command;
   }
 
-  private void observe(String name, List<String> command, Path dir, boolean serves)
+  private void observe(String name, List<String> command, Path dir, boolean isAssigner)
       throws Exception {
     int[] ports = freePorts(3);
-    ProcessBuilder how =
+    ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
             .redirectOutput(dir.resolve("log").toFile());
-    if (serves) {
-      how.environment().putAll(configure(dir, ports));
+    if (isAssigner) {
+      builder.environment().putAll(configure(dir, ports));
     }
-    long begin = System.nanoTime();
-    Process process = how.start();
+    long startNs = System.nanoTime();
+    Process process = builder.start();
     try {
-      if (serves) {
+      if (isAssigner) {
         awaitPong(process, ports[0]);
-        CapacityModel.line(name + ".ready", (System.nanoTime() - begin) / 1e9, "s");
+        CapacityModel.print(name + ".ready", (System.nanoTime() - startNs) / 1e9, "s");
       }
       TimeUnit.SECONDS.sleep(idleSeconds / 2);
-      double before = processorSeconds(process);
+      double before = cpuSeconds(process);
       TimeUnit.SECONDS.sleep(idleSeconds);
-      double used = processorSeconds(process) - before;
-      CapacityModel.line(name + ".core", used / idleSeconds, "of_a_core");
+      double used = cpuSeconds(process) - before;
+      CapacityModel.print(name + ".core", used / idleSeconds, "of_a_core");
       for (String field : List.of("VmRSS", "RssAnon", "RssFile")) {
-        CapacityModel.line(name + "." + field, status(process, field) / KIB, "MiB");
+        CapacityModel.print(name + "." + field, statusValue(process, field) / KIB, "MiB");
       }
-      CapacityModel.line(name + ".threads", status(process, "Threads"), "threads");
-      CapacityModel.line(name + ".live_heap", liveBytes(process) / KIB / KIB, "MiB");
+      CapacityModel.print(name + ".threads", statusValue(process, "Threads"), "threads");
+      CapacityModel.print(name + ".live_heap", liveHeapBytes(process) / KIB / KIB, "MiB");
     } finally {
       process.destroy();
       if (!process.waitFor(20, TimeUnit.SECONDS)) {
@@ -140,14 +149,14 @@
   }
 
   private static int[] freePorts(int count) throws IOException {
-    List<ServerSocket> held = new ArrayList<>();
+    List<ServerSocket> sockets = new ArrayList<>();
     try {
       for (int k = 0; k < count; k++) {
-        held.add(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
+        sockets.add(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
       }
-      return held.stream().mapToInt(ServerSocket::getLocalPort).toArray();
+      return sockets.stream().mapToInt(ServerSocket::getLocalPort).toArray();
     } finally {
-      for (ServerSocket socket : held) {
+      for (ServerSocket socket : sockets) {
         socket.close();
       }
     }
@@ -189,13 +198,13 @@
   }
 
   /** User and system time: the 14th and 15th word of /proc/PID/stat, after the name in brackets. */
-  private static double processorSeconds(Process process) throws IOException {
+  private static double cpuSeconds(Process process) throws IOException {
     String stat = Files.readString(Path.of("/proc", Long.toString(process.pid()), "stat"));
-    String[] words = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-    return (Double.parseDouble(words[11]) + Double.parseDouble(words[12])) / TICKS_PER_S;
+    String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+    return (Double.parseDouble(fields[11]) + Double.parseDouble(fields[12])) / TICKS_PER_SECOND;
   }
 
-  private static double status(Process process, String field) throws IOException {
+  private static double statusValue(Process process, String field) throws IOException {
     return Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status")).stream()
         .filter(line -> line.startsWith(field + ":"))
         .map(line -> line.split("\\s+")[1])
@@ -205,7 +214,7 @@
   }
 
   /** Bytes of live objects, after a full collection. */
-  private static double liveBytes(Process process) throws IOException {
+  private static double liveHeapBytes(Process process) throws IOException {
     Process jcmd =
         new ProcessBuilder("jcmd", Long.toString(process.pid()), "GC.class_histogram").start();
     String[] lines =
--- a/src/bench/java/pearusher/capacity/PickBench.java
+++ b/src/bench/java/pearusher/capacity/PickBench.java
@@ -20,9 +20,9 @@
     mixinStandardHelpOptions = true,
     description = "Times picks and updates of a table.")
 final class PickBench implements Callable<Integer> {
-  private static final int LEAST_UPDATES = 3_000;
-  private static final int MOST_UPDATES = 100_000;
-  private static final long MOST_NS = 10_000_000_000L;
+  private static final int MIN_UPDATES = 3_000;
+  private static final int MAX_UPDATES = 100_000;
+  private static final long MAX_RECORDED_NS = 10_000_000_000L;
 
   @Option(names = "--lines", split = ",", description = "sizes of tables (${DEFAULT-VALUE})")
   private List<Integer> sizes = List.of(30, 300, 2_000, 9_100);
@@ -57,55 +57,55 @@
   }
 
   private void measure(int size, SplittableRandom random) {
-    String[] lines = new String[size];
+    String[] entries = new String[size];
     for (int k = 0; k < size; k++) {
-      lines[k] = line(k, random);
+      entries[k] = randomEntry(k, random);
     }
-    int updates = Math.max(LEAST_UPDATES, Math.min(MOST_UPDATES, updatedLines / size));
-    String whole = String.join(",", lines);
+    int updates = Math.max(MIN_UPDATES, Math.min(MAX_UPDATES, updatedLines / size));
+    String table = String.join(",", entries);
     String[] changes = new String[updates];
     for (int k = 0; k < updates; k++) {
-      changes[k] = line(random.nextInt(size), random);
+      changes[k] = randomEntry(random.nextInt(size), random);
     }
-    ProxyTable table = new ProxyTable();
-    table.replace(whole);
-    table.buildAlias();
-    String at = "lines_" + size + ".";
-    time(at + "pick_sums", picks, k -> checksum += table.pickBySums(random));
-    time(at + "pick_alias", picks, k -> checksum += table.pickByAlias(random));
-    time(at + "pick_of_two", picks, k -> checksum += table.pickOfTwo(random));
-    time(at + "change_line_sums", updates, k -> table.change(changes[k]));
+    ProxyTable proxyTable = new ProxyTable();
+    proxyTable.replace(table);
+    proxyTable.buildAlias();
+    String prefix = "lines_" + size + ".";
+    time(prefix + "pick_sums", picks, k -> checksum += proxyTable.pickBySums(random));
+    time(prefix + "pick_alias", picks, k -> checksum += proxyTable.pickByAlias(random));
+    time(prefix + "pick_of_two", picks, k -> checksum += proxyTable.pickOfTwo(random));
+    time(prefix + "change_line_sums", updates, k -> proxyTable.change(changes[k]));
     time(
-        at + "change_line_alias",
+        prefix + "change_line_alias",
         updates,
         k -> {
-          table.change(changes[k]);
-          table.buildAlias();
+          proxyTable.change(changes[k]);
+          proxyTable.buildAlias();
         });
-    time(at + "whole_table_sums", updates, k -> table.replace(whole));
+    time(prefix + "whole_table_sums", updates, k -> proxyTable.replace(table));
     time(
-        at + "whole_table_alias",
+        prefix + "whole_table_alias",
         updates,
         k -> {
-          table.replace(whole);
-          table.buildAlias();
+          proxyTable.replace(table);
+          proxyTable.buildAlias();
         });
   }
 
-  private static String line(int server, SplittableRandom random) {
+  private static String randomEntry(int server, SplittableRandom random) {
     float weight = (float) (0.1 + random.nextDouble());
     return "s-" + Integer.toHexString(0x5be2a07c + 7919 * server) + ":" + weight;
   }
 
   /** Runs it once untimed for the compiler, then timed. */
-  private static void time(String name, int calls, IntConsumer what) {
+  private static void time(String name, int calls, IntConsumer operation) {
     for (int k = 0; k < calls; k++) {
-      what.accept(k);
+      operation.accept(k);
     }
-    Histogram times = new Histogram(MOST_NS, 3);
+    Histogram times = new Histogram(MAX_RECORDED_NS, 3);
     for (int k = 0; k < calls; k++) {
       long start = System.nanoTime();
-      what.accept(k);
+      operation.accept(k);
       times.recordValue(System.nanoTime() - start);
     }
     for (double percentile : new double[] {50, 99, 99.9}) {
--- a/src/bench/java/pearusher/capacity/ProxyTable.java
+++ b/src/bench/java/pearusher/capacity/ProxyTable.java
@@ -11,104 +11,104 @@
  * table.
  */
 final class ProxyTable {
-  private final Map<String, Integer> places = new HashMap<>();
+  private final Map<String, Integer> indexByServer = new HashMap<>();
   private double[] weights = new double[0];
 
   /** Sums of the weights up to each line. */
-  private double[] sums = new double[0];
+  private double[] cumulativeWeights = new double[0];
 
   /** Vose's alias table: the chance to stay with a line, and the line that is picked else. */
-  private double[] stay = new double[0];
+  private double[] stayProbabilities = new double[0];
 
-  private int[] other = new int[0];
+  private int[] aliases = new int[0];
   private int[] inFlight = new int[0];
 
   /** Takes a whole table from an update's text. */
-  void replace(String lines) {
-    String[] each = lines.split(",");
-    places.clear();
-    weights = new double[each.length];
-    for (int k = 0; k < each.length; k++) {
-      int colon = each[k].lastIndexOf(':');
-      places.put(each[k].substring(0, colon), k);
-      weights[k] = Double.parseDouble(each[k].substring(colon + 1));
+  void replace(String table) {
+    String[] entries = table.split(",");
+    indexByServer.clear();
+    weights = new double[entries.length];
+    for (int k = 0; k < entries.length; k++) {
+      int colon = entries[k].lastIndexOf(':');
+      indexByServer.put(entries[k].substring(0, colon), k);
+      weights[k] = Double.parseDouble(entries[k].substring(colon + 1));
     }
-    sums = new double[weights.length];
+    cumulativeWeights = new double[weights.length];
     inFlight = new int[weights.length];
-    addUp(0);
+    updateSums(0);
   }
 
   /** Takes one changed line of a server that the table has; the sums behind it are made anew. */
-  void change(String line) {
-    int colon = line.lastIndexOf(':');
-    int place = places.get(line.substring(0, colon));
-    weights[place] = Double.parseDouble(line.substring(colon + 1));
-    addUp(place);
+  void change(String entry) {
+    int colon = entry.lastIndexOf(':');
+    int index = indexByServer.get(entry.substring(0, colon));
+    weights[index] = Double.parseDouble(entry.substring(colon + 1));
+    updateSums(index);
   }
 
-  private void addUp(int from) {
-    double sum = from > 0 ? sums[from - 1] : 0;
+  private void updateSums(int from) {
+    double sum = from > 0 ? cumulativeWeights[from - 1] : 0;
     for (int k = from; k < weights.length; k++) {
       sum += weights[k];
-      sums[k] = sum;
+      cumulativeWeights[k] = sum;
     }
   }
 
   /** Makes the alias table of the weights as they are: all of it, whatever changed. */
   void buildAlias() {
-    int n = weights.length;
-    double mean = sums[n - 1] / n;
-    stay = new double[n];
-    other = new int[n];
-    int[] stack = new int[n];
-    int small = 0;
-    int large = n;
-    for (int k = 0; k < n; k++) {
-      stay[k] = weights[k] / mean;
-      if (stay[k] < 1) {
-        stack[small++] = k;
+    int size = weights.length;
+    double mean = cumulativeWeights[size - 1] / size;
+    stayProbabilities = new double[size];
+    aliases = new int[size];
+    int[] stack = new int[size];
+    int smallCount = 0;
+    int largeStart = size;
+    for (int k = 0; k < size; k++) {
+      stayProbabilities[k] = weights[k] / mean;
+      if (stayProbabilities[k] < 1) {
+        stack[smallCount++] = k;
       } else {
-        stack[--large] = k;
+        stack[--largeStart] = k;
       }
     }
-    while (small > 0 && large < n) {
-      int less = stack[--small];
-      int more = stack[large];
-      other[less] = more;
-      stay[more] -= 1 - stay[less];
-      if (stay[more] < 1) {
-        large++;
-        stack[small++] = more;
+    while (smallCount > 0 && largeStart < size) {
+      int less = stack[--smallCount];
+      int more = stack[largeStart];
+      aliases[less] = more;
+      stayProbabilities[more] -= 1 - stayProbabilities[less];
+      if (stayProbabilities[more] < 1) {
+        largeStart++;
+        stack[smallCount++] = more;
       }
     }
     // What rounding leaves over stays with itself.
-    while (small > 0) {
-      stay[stack[--small]] = 1;
+    while (smallCount > 0) {
+      stayProbabilities[stack[--smallCount]] = 1;
     }
   }
 
   int pickBySums(SplittableRandom random) {
-    double at = random.nextDouble() * sums[sums.length - 1];
-    int place = Arrays.binarySearch(sums, at);
-    return Math.min(place < 0 ? -place - 1 : place + 1, sums.length - 1);
+    double target = random.nextDouble() * cumulativeWeights[cumulativeWeights.length - 1];
+    int index = Arrays.binarySearch(cumulativeWeights, target);
+    return Math.min(index < 0 ? -index - 1 : index + 1, cumulativeWeights.length - 1);
   }
 
   int pickByAlias(SplittableRandom random) {
-    int place = random.nextInt(stay.length);
-    return random.nextDouble() < stay[place] ? place : other[place];
+    int index = random.nextInt(stayProbabilities.length);
+    return random.nextDouble() < stayProbabilities[index] ? index : aliases[index];
   }
 
   /** Two picks by weight, the one with fewer requests in flight. */
   int pickOfTwo(SplittableRandom random) {
-    int one = pickBySums(random);
-    int two = pickBySums(random);
-    int best = inFlight[one] <= inFlight[two] ? one : two;
+    int first = pickBySums(random);
+    int second = pickBySums(random);
+    int best = inFlight[first] <= inFlight[second] ? first : second;
     inFlight[best]++;
     return best;
   }
 
   /** The share of a server by its weight. */
-  double share(int place) {
-    return weights[place] / sums[sums.length - 1];
+  double share(int index) {
+    return weights[index] / cumulativeWeights[cumulativeWeights.length - 1];
   }
 }
--- a/src/bench/java/pearusher/capacity/Scenarios.java
+++ b/src/bench/java/pearusher/capacity/Scenarios.java
@@ -14,27 +14,27 @@
  */
 final class Scenarios {
   /** Measured once on an earlier text (issue 34): live bytes a pair of server and zone. */
-  static final double BYTES_PER_PAIR = 900;
+  static final double BYTES_PER_SERVER_ZONE_PAIR = 900;
 
   /** Measured once (issue 34): processor time a report line at 2,000 servers and 4 zones. */
-  static final double CORE_S_PER_LINE = 52e-6;
+  static final double CPU_SECONDS_PER_REPORT = 52e-6;
 
   /** Measured once each (issue 34): from a start to ready with a small list. */
-  private static final double READY_S = 0.7;
+  private static final double READY_SECONDS = 0.7;
 
   /**
    * And what comes before it in a planned restart: the program may run on so long after SIGTERM.
    */
-  private static final double TERM_S = 0.7;
+  private static final double TERMINATION_SECONDS = 0.7;
 
   /** Assumed: of a day's changes, the part that the busiest hour brings. */
   private static final double PEAK_HOUR_SHARE = 0.2;
 
   /** Assumed: machines in a rack. */
-  private static final int RACK = 40;
+  private static final int MACHINES_PER_RACK = 40;
 
   /** Assumed: what a control machine's network carries. */
-  private static final double CONTROL_BYTES_PER_S = 125e6;
+  private static final double CONTROL_BYTES_PER_SECOND = 125e6;
 
   private final String name;
   private final FleetModel fleet;
@@ -51,25 +51,25 @@
   }
 
   void print() {
-    ordinaryDay();
-    changesOfConfiguration();
-    double rack = 1.0 * RACK / (CapacityTarget.TASKS + CapacityTarget.ASSIGNERS);
-    double zone = share(z -> z == largestZone());
-    double region = share(z -> fleet.zones().get(z).region() == 0);
-    outage("rack", rack, rack);
+    printOrdinaryDay();
+    printConfigurationChanges();
+    double rack = 1.0 * MACHINES_PER_RACK / (CapacityTarget.TASKS + CapacityTarget.ASSIGNERS);
+    double zone = taskShare(z -> z == largestZone());
+    double region = taskShare(z -> fleet.zones().get(z).region() == 0);
+    printOutage("rack", rack, rack);
     // The zone's own proxies are dead with it; others whose assigner was there join anew.
-    outage("zone", zone, zone * (1 - (tiersCrossRegions ? zone : zone / region)));
+    printOutage("zone", zone, zone * (1 - (tiersCrossRegions ? zone : zone / region)));
     // A cut: proxies on either side lose their assigners on the other.
-    outage("region", region, tiersCrossRegions ? 2 * region * (1 - region) : 0);
-    outage("all", 1, 1);
+    printOutage("region", region, tiersCrossRegions ? 2 * region * (1 - region) : 0);
+    printOutage("all", 1, 1);
   }
 
-  private void line(String what, double value, String unit) {
-    CapacityModel.line(name + what, value, unit);
+  private void print(String figure, double value, String unit) {
+    CapacityModel.print(name + figure, value, unit);
   }
 
   /** Of all tasks, those in these zones. */
-  private double share(IntPredicate zone) {
+  private double taskShare(IntPredicate zone) {
     return fleet.services().stream()
             .mapToInt(
                 s ->
@@ -90,122 +90,139 @@
   }
 
   /** Lists' entries to each who watches, whole lists to each assigner that starts. */
-  private void ordinaryDay() {
+  private void printOrdinaryDay() {
     double ofAssigners =
         1.0 * CapacityTarget.ASSIGNERS / (CapacityTarget.TASKS + CapacityTarget.ASSIGNERS);
     double starts =
         ofAssigners * (CapacityTarget.RESTARTS_PER_DAY + CapacityTarget.FAILURES_PER_DAY);
-    double entries = AssignerLoad.fleetEntriesPerS() * CapacityTarget.SECONDS_PER_DAY;
-    double told = entries * watchersPerTask();
-    line("day.assigner_starts", starts, "/day");
-    line("day.list_entries", entries, "/day");
-    line("day.watchers_a_task", watchersPerTask(), "assigners");
-    line("day.entries_told", told, "/day");
-    line(
+    double entries = AssignerLoad.fleetListEntriesPerSecond() * CapacityTarget.SECONDS_PER_DAY;
+    double entriesSent = entries * watchersPerTask();
+    print("day.assigner_starts", starts, "/day");
+    print("day.list_entries", entries, "/day");
+    print("day.watchers_a_task", watchersPerTask(), "assigners");
+    print("day.entries_told", entriesSent, "/day");
+    print(
         "day.watch_bytes_a_control_machine",
-        told * sizes.listEntry() / CapacityTarget.SECONDS_PER_DAY / CapacityTarget.CONTROL_MACHINES,
+        entriesSent
+            * sizes.listEntry()
+            / CapacityTarget.SECONDS_PER_DAY
+            / CapacityTarget.CONTROL_MACHINES,
         "bytes/s");
-    line("day.whole_list_bytes", starts * meanList(), "bytes/day");
-    line("day.rejoining_proxies", starts * proxies() / CapacityTarget.ASSIGNERS, "/day");
+    print("day.whole_list_bytes", starts * meanListBytes(), "bytes/day");
+    print("day.rejoining_proxies", starts * proxyCount() / CapacityTarget.ASSIGNERS, "/day");
   }
 
   /** Assigners that list one task, on average. */
   private double watchersPerTask() {
-    return tiers.stream().mapToDouble(t -> 1.0 * t.assigners() * t.listed()).sum()
+    return tiers.stream().mapToDouble(t -> 1.0 * t.assigners() * t.listedServers()).sum()
         / CapacityTarget.TASKS;
   }
 
-  private double meanList() {
-    return tiers.stream().mapToDouble(t -> t.assigners() * t.listed() * sizes.listEntry()).sum()
+  private double meanListBytes() {
+    return tiers.stream()
+            .mapToDouble(t -> t.assigners() * t.listedServers() * sizes.listEntry())
+            .sum()
         / CapacityTarget.ASSIGNERS;
   }
 
-  private double proxies() {
+  private double proxyCount() {
     return tiers.stream().mapToInt(TierMap.Tier::proxies).sum();
   }
 
   /** Read as a change of settings, which today needs a restart of each assigner of the tier. */
-  private void changesOfConfiguration() {
+  private void printConfigurationChanges() {
     double meanTier = 1.0 * CapacityTarget.ASSIGNERS / tiers.size();
     double restarts = CapacityTarget.CHANGES_PER_DAY * meanTier;
-    line("change.peak_rate", CapacityTarget.CHANGES_PER_DAY * PEAK_HOUR_SHARE / 3600, "/s");
-    line("change.restarts", restarts, "/day");
-    line("change.restarts_an_assigner", restarts / CapacityTarget.ASSIGNERS, "/day");
-    line("change.list_bytes", restarts * meanList(), "bytes/day");
+    print("change.peak_rate", CapacityTarget.CHANGES_PER_DAY * PEAK_HOUR_SHARE / 3600, "/s");
+    print("change.restarts", restarts, "/day");
+    print("change.restarts_an_assigner", restarts / CapacityTarget.ASSIGNERS, "/day");
+    print("change.list_bytes", restarts * meanListBytes(), "bytes/day");
     int largest = tiers.stream().mapToInt(TierMap.Tier::assigners).max().orElseThrow();
-    line("change.one_by_one_mean", meanTier * (TERM_S + READY_S), "s");
-    line("change.one_by_one_largest", largest * (TERM_S + READY_S), "s");
-    line(
+    print("change.one_by_one_mean", meanTier * (TERMINATION_SECONDS + READY_SECONDS), "s");
+    print("change.one_by_one_largest", largest * (TERMINATION_SECONDS + READY_SECONDS), "s");
+    print(
         "change.one_by_one_largest_ratio",
-        largest * (TERM_S + READY_S) / CapacityTarget.IN_FORCE_S,
+        largest * (TERMINATION_SECONDS + READY_SECONDS) / CapacityTarget.IN_FORCE_SECONDS,
         "of_limit");
-    line(
+    print(
         "change.at_once_largest",
-        Math.ceil(largest * (TERM_S + READY_S) / CapacityTarget.IN_FORCE_S),
+        Math.ceil(
+            largest * (TERMINATION_SECONDS + READY_SECONDS) / CapacityTarget.IN_FORCE_SECONDS),
         "assigners");
-    line("change.as_list_entry_bytes", meanTier * sizes.listEntry(), "bytes");
+    print("change.as_list_entry_bytes", meanTier * sizes.listEntry(), "bytes");
     double peakRate = CapacityTarget.CHANGES_PER_DAY * PEAK_HOUR_SHARE / 3600;
-    line("change.restarts_peak", peakRate * meanTier, "/s");
-    line("change.rejoins_peak", peakRate * proxies() / tiers.size(), "/s");
+    print("change.restarts_peak", peakRate * meanTier, "/s");
+    print("change.rejoins_peak", peakRate * proxyCount() / tiers.size(), "/s");
   }
 
   /**
    * This part of all tasks, assigners and proxies goes, and comes back at once; that part joins
    * anew.
    */
-  private void outage(String what, double part, double rejoining) {
-    String at = what + ".";
-    double assigners = part * CapacityTarget.ASSIGNERS;
-    double proxies = part * proxies();
-    line(at + "tasks", part * CapacityTarget.TASKS, "tasks");
-    line(at + "assigners", assigners, "assigners");
-    line(at + "proxies", proxies, "proxies");
-    line(at + "rejoining", rejoining * proxies(), "proxies");
-    line(at + "entries_told", part * CapacityTarget.TASKS * watchersPerTask(), "entries");
-    line(at + "change_bytes_an_assigner_most", part * mostList(), "bytes");
-    line(at + "change_time_an_assigner_most", part * mostList() / CapacityTarget.BYTES_PER_S, "s");
-    double lists = assigners * meanList();
-    line(at + "whole_lists", assigners, "lists");
-    line(at + "whole_list_bytes", lists, "bytes");
-    line(
-        at + "whole_list_bytes_a_control_machine",
-        lists / CapacityTarget.CONTROL_MACHINES,
+  private void printOutage(String name, double lostShare, double rejoiningShare) {
+    String prefix = name + ".";
+    double assigners = lostShare * CapacityTarget.ASSIGNERS;
+    double proxies = lostShare * proxyCount();
+    print(prefix + "tasks", lostShare * CapacityTarget.TASKS, "tasks");
+    print(prefix + "assigners", assigners, "assigners");
+    print(prefix + "proxies", proxies, "proxies");
+    print(prefix + "rejoining", rejoiningShare * proxyCount(), "proxies");
+    print(prefix + "entries_told", lostShare * CapacityTarget.TASKS * watchersPerTask(), "entries");
+    print(prefix + "change_bytes_an_assigner_most", lostShare * maxListBytes(), "bytes");
+    print(
+        prefix + "change_time_an_assigner_most",
+        lostShare * maxListBytes() / CapacityTarget.BYTES_PER_SECOND,
+        "s");
+    double listBytes = assigners * meanListBytes();
+    print(prefix + "whole_lists", assigners, "lists");
+    print(prefix + "whole_list_bytes", listBytes, "bytes");
+    print(
+        prefix + "whole_list_bytes_a_control_machine",
+        listBytes / CapacityTarget.CONTROL_MACHINES,
         "bytes");
-    line(
-        at + "control_network_time",
-        lists / CapacityTarget.CONTROL_MACHINES / CONTROL_BYTES_PER_S,
+    print(
+        prefix + "control_network_time",
+        listBytes / CapacityTarget.CONTROL_MACHINES / CONTROL_BYTES_PER_SECOND,
         "s");
-    line(at + "assigner_list_time_mean", meanList() / CapacityTarget.BYTES_PER_S, "s");
-    line(at + "assigner_list_time_most", mostList() / CapacityTarget.BYTES_PER_S, "s");
-    line(at + "assigner_bind_time_mean", meanBind() / CapacityTarget.BYTES_PER_S, "s");
-    line(at + "assigner_bind_time_most", mostBind() / CapacityTarget.BYTES_PER_S, "s");
-    line(
-        at + "list_and_bind_ratio_mean",
-        (meanList() + meanBind()) / CapacityTarget.BYTES_PER_S / CapacityTarget.IN_FORCE_S,
+    print(
+        prefix + "assigner_list_time_mean", meanListBytes() / CapacityTarget.BYTES_PER_SECOND, "s");
+    print(
+        prefix + "assigner_list_time_most", maxListBytes() / CapacityTarget.BYTES_PER_SECOND, "s");
+    print(
+        prefix + "assigner_bind_time_mean", meanBindBytes() / CapacityTarget.BYTES_PER_SECOND, "s");
+    print(
+        prefix + "assigner_bind_time_most", maxBindBytes() / CapacityTarget.BYTES_PER_SECOND, "s");
+    print(
+        prefix + "list_and_bind_ratio_mean",
+        (meanListBytes() + meanBindBytes())
+            / CapacityTarget.BYTES_PER_SECOND
+            / CapacityTarget.IN_FORCE_SECONDS,
         "of_limit");
-    line(
-        at + "list_and_bind_ratio_most",
-        mostStart() / CapacityTarget.BYTES_PER_S / CapacityTarget.IN_FORCE_S,
+    print(
+        prefix + "list_and_bind_ratio_most",
+        maxListAndBindBytes() / CapacityTarget.BYTES_PER_SECOND / CapacityTarget.IN_FORCE_SECONDS,
         "of_limit");
   }
 
-  private double[] of(ToDoubleFunction<AssignerLoad> what) {
-    return tiers.stream().mapToDouble(t -> what.applyAsDouble(AssignerLoad.of(t, sizes))).toArray();
+  private double[] loads(ToDoubleFunction<AssignerLoad> figure) {
+    return tiers.stream()
+        .mapToDouble(t -> figure.applyAsDouble(AssignerLoad.of(t, sizes)))
+        .toArray();
   }
 
-  private double mostList() {
-    return Arrays.stream(of(AssignerLoad::listBytes)).max().orElseThrow();
+  private double maxListBytes() {
+    return Arrays.stream(loads(AssignerLoad::listBytes)).max().orElseThrow();
   }
 
-  private double mostBind() {
-    return Arrays.stream(of(AssignerLoad::bindBytes)).max().orElseThrow();
+  private double maxBindBytes() {
+    return Arrays.stream(loads(AssignerLoad::bindBytes)).max().orElseThrow();
   }
 
-  private double mostStart() {
-    return Arrays.stream(of(l -> l.listBytes() + l.bindBytes())).max().orElseThrow();
+  private double maxListAndBindBytes() {
+    return Arrays.stream(loads(l -> l.listBytes() + l.bindBytes())).max().orElseThrow();
   }
 
-  private double meanBind() {
+  private double meanBindBytes() {
     return tiers.stream()
             .mapToDouble(t -> t.assigners() * AssignerLoad.of(t, sizes).bindBytes())
             .sum()
--- a/src/bench/java/pearusher/capacity/TierMap.java
+++ b/src/bench/java/pearusher/capacity/TierMap.java
@@ -16,7 +16,7 @@
     @Override
     List<Tier> tiers(FleetModel fleet) {
       double[] alike = fleet.services().stream().mapToDouble(s -> 1).toArray();
-      return services(fleet, Apportionment.split(CapacityTarget.ASSIGNERS, alike, 1));
+      return tiersByService(fleet, Apportionment.split(CapacityTarget.ASSIGNERS, alike, 1));
     }
   },
   /** A tier for each service, two assigners at least and the others by requests. */
@@ -24,7 +24,8 @@
     @Override
     List<Tier> tiers(FleetModel fleet) {
       double[] load = fleet.services().stream().mapToDouble(FleetModel.Service::requests).toArray();
-      return services(fleet, Apportionment.split(CapacityTarget.ASSIGNERS, load, LEAST_ASSIGNERS));
+      return tiersByService(
+          fleet, Apportionment.split(CapacityTarget.ASSIGNERS, load, MIN_ASSIGNERS_PER_TIER));
     }
   },
   /** One tier for all: every assigner lists every task, proxies join anyone. */
@@ -33,21 +34,21 @@
     List<Tier> tiers(FleetModel fleet) {
       return List.of(
           Tier.of(fleet, fleet.services(), z -> true, CapacityTarget.TASKS, CapacityTarget.ZONES)
-              .with(CapacityTarget.ASSIGNERS));
+              .withAssigners(CapacityTarget.ASSIGNERS));
     }
   },
   /** A tier for each region's proxies, whose list holds all tasks of the fleet. */
   REGION_ALL_TASKS {
     @Override
     List<Tier> tiers(FleetModel fleet) {
-      return regions(fleet, true);
+      return tiersByRegion(fleet, true);
     }
   },
   /** A tier for each region's proxies, whose list holds the region's tasks alone. */
   REGION_OWN_TASKS {
     @Override
     List<Tier> tiers(FleetModel fleet) {
-      return regions(fleet, false);
+      return tiersByRegion(fleet, false);
     }
   },
   /** A tier for each service in each of its regions. */
@@ -65,21 +66,23 @@
           }
         }
       }
-      return byLoad(out, 1);
+      return assignByLoad(out, 1);
     }
   };
 
   /** One may restart while the other steers. */
-  private static final int LEAST_ASSIGNERS = 2;
+  private static final int MIN_ASSIGNERS_PER_TIER = 2;
 
   /**
    * A tier.
    *
-   * @param listed servers on its list
-   * @param zonesKnown zones in its settings, for each of which today's text keeps a figure a server
-   * @param proxiesByZone who joins it
+   * @param listedServers servers in its endpoint list
+   * @param zonesKnown zones in its settings; an assigner keeps state for each server in each of
+   *     them
+   * @param proxiesByZone proxies that join its assigners
    */
-  record Tier(int assigners, int listed, int zonesKnown, double requests, int[] proxiesByZone) {
+  record Tier(
+      int assigners, int listedServers, int zonesKnown, double requests, int[] proxiesByZone) {
 
     /** Of these services what is in these zones; tasks and zones below 0 are counted, not given. */
     static Tier of(
@@ -104,8 +107,8 @@
       return new Tier(0, tasks < 0 ? listed : tasks, zones < 0 ? used : zones, requests, proxies);
     }
 
-    Tier with(int number) {
-      return new Tier(number, listed, zonesKnown, requests, proxiesByZone);
+    Tier withAssigners(int number) {
+      return new Tier(number, listedServers, zonesKnown, requests, proxiesByZone);
     }
 
     int proxies() {
@@ -120,16 +123,16 @@
     return this == SERVICE_EVEN || this == SERVICE_BY_LOAD || this == ONE_TIER;
   }
 
-  private static List<Tier> services(FleetModel fleet, int[] assigners) {
+  private static List<Tier> tiersByService(FleetModel fleet, int[] assigners) {
     return IntStream.range(0, assigners.length)
         .mapToObj(
             k ->
                 Tier.of(fleet, List.of(fleet.services().get(k)), z -> true, -1, -1)
-                    .with(assigners[k]))
+                    .withAssigners(assigners[k]))
         .toList();
   }
 
-  private static List<Tier> regions(FleetModel fleet, boolean allTasks) {
+  private static List<Tier> tiersByRegion(FleetModel fleet, boolean allTasks) {
     List<Tier> out =
         IntStream.range(0, CapacityTarget.REGIONS)
             .mapToObj(
@@ -141,15 +144,15 @@
                         allTasks ? CapacityTarget.TASKS : -1,
                         allTasks ? CapacityTarget.ZONES : -1))
             .toList();
-    return byLoad(out, LEAST_ASSIGNERS);
+    return assignByLoad(out, MIN_ASSIGNERS_PER_TIER);
   }
 
-  private static List<Tier> byLoad(List<Tier> tiers, int least) {
+  private static List<Tier> assignByLoad(List<Tier> tiers, int least) {
     int[] assigners =
         Apportionment.split(
             CapacityTarget.ASSIGNERS, tiers.stream().mapToDouble(Tier::requests).toArray(), least);
     return IntStream.range(0, assigners.length)
-        .mapToObj(k -> tiers.get(k).with(assigners[k]))
+        .mapToObj(k -> tiers.get(k).withAssigners(assigners[k]))
         .toList();
   }
 }
--- a/src/bench/java/pearusher/scale/AssignerConfig.java
+++ b/src/bench/java/pearusher/scale/AssignerConfigWriter.java
@@ -14,9 +14,9 @@
  * Writes what one assigner is told at its start: the documented example, changed to the size of the
  * run.
  */
-final class AssignerConfig {
+final class AssignerConfigWriter {
   /** Where an assigner listens and finds discovery. */
-  record Place(int number, InetSocketAddress listen, InetSocketAddress discovery) {
+  record Endpoints(int number, InetSocketAddress listen, InetSocketAddress discovery) {
     String name() {
       return "n" + number;
     }
@@ -25,43 +25,44 @@
   private final RunDescription run;
   private final Path example;
 
-  AssignerConfig(RunDescription run, Path example) {
+  AssignerConfigWriter(RunDescription run, Path example) {
     this.run = run;
     this.example = example;
   }
 
   /** Writes the file into a directory and returns the environment that names it. */
-  Map<String, String> write(Path directory, Place place, ServerCatalog catalog) throws IOException {
+  Map<String, String> write(Path directory, Endpoints endpoints, ServerCatalog catalog)
+      throws IOException {
     JsonTree json = JsonTree.read(example);
-    String listen = text(place.listen());
-    String discovery = text(place.discovery());
+    String listen = format(endpoints.listen());
+    String discovery = format(endpoints.discovery());
     String known =
-        run.known()
-            ? new String(catalog.whole(), StandardCharsets.US_ASCII)
+        run.listsServersAsKnown()
+            ? new String(catalog.encodeFullList(), StandardCharsets.US_ASCII)
             : "{\"generation\":0,\"reset\":true,\"instances\":[]}";
-    json.set("name", place.name())
+    json.set("name", endpoints.name())
         .set("listen", listen)
         .set("discovery", discovery)
         .set("limits.sockets", run.sockets())
         .set("known", new JsonTree.Raw(known))
-        .set("settings.azs", zones())
-        .set("settings.myNumber", place.number())
+        .set("settings.azs", zoneNames())
+        .set("settings.myNumber", endpoints.number())
         .set("settings.replicasOfMe", Math.max(1, run.assigners()))
         .set("settings.ceilings.peers", false)
         .set("settings.ceilings.probes", false)
         .set("settings.familyInfo.channelRate", run.channelRate())
-        .set("settings.familyInfo.mostWaiting", run.mostWaiting())
+        .set("settings.familyInfo.mostWaiting", run.maxBacklog())
         .set("settings.familyInfo.proxyCount", proxyCount())
-        .set("settings.familyInfo.reportsPerS", run.settingsReportsPerS())
+        .set("settings.familyInfo.reportsPerS", run.settingsReportsPerSecond())
         .set("settings.familyInfo.reportEveryUs", run.periodMs() * 1000L)
         .remove("peer_listen")
         .remove("peers")
         .remove("peers_all");
-    classes(json);
+    setClasses(json);
     Path file = Files.writeString(directory.resolve("config.json"), json.toString());
     return Map.of(
         "EDGE_NAME",
-        place.name(),
+        endpoints.name(),
         "EDGE_LISTEN",
         listen,
         "EDGE_DISCOVERY",
@@ -70,21 +71,21 @@
         file.toAbsolutePath().toString());
   }
 
-  private List<String> zones() {
+  private List<String> zoneNames() {
     return IntStream.range(0, run.zones()).mapToObj(ServerCatalog::zoneName).toList();
   }
 
   private int proxyCount() {
-    return Math.max(RunDescription.LEAST_PROXY_COUNT, run.proxies());
+    return Math.max(RunDescription.MIN_PROXY_COUNT, run.proxies());
   }
 
   /** The example's classes by turns, under names of our own. */
-  private void classes(JsonTree json) {
+  private void setClasses(JsonTree json) {
     List<Object> grades = new ArrayList<>();
     List<Object> writes = new ArrayList<>();
     List<Object> ownZone = new ArrayList<>();
     for (int k = 0; k < run.classes(); k++) {
-      List<Map<String, Object>> examples = json.objects("settings", "grades");
+      List<Map<String, Object>> examples = json.copyObjects("settings", "grades");
       Map<String, Object> grade = examples.get(k % examples.size());
       grade.put("name", UpdateFieldReader.className(k));
       grades.add(grade);
@@ -96,7 +97,7 @@
         .set("settings.familyInfo.classOwnZone", ownZone);
   }
 
-  static String text(InetSocketAddress address) {
+  static String format(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 }
--- a/src/bench/java/pearusher/scale/AssignerProcess.java
+++ b/src/bench/java/pearusher/scale/AssignerProcess.java
@@ -22,21 +22,22 @@
  * id.
  */
 final class AssignerProcess implements AutoCloseable {
-  private static final byte[] PING = RespWriter.message("ping");
-  private static final int PONG_WAIT_MS = 120_000;
+  private static final byte[] PING = RespWriter.encode("ping");
+  private static final int CONNECT_TIMEOUT_MS = 120_000;
   private static final long POLL_MS = 2;
-  private static final long TERM_MS = 2_000;
-  private static final Pattern DROPPED = Pattern.compile("reports dropped no more: (\\d+) in all");
-  private static final String DROPPING = "reports dropped";
+  private static final long TERMINATION_TIMEOUT_MS = 2_000;
+  private static final Pattern DROP_TOTAL =
+      Pattern.compile("reports dropped no more: (\\d+) in all");
+  private static final String DROPPING_TEXT = "reports dropped";
 
   private final Path directory;
   private final InetSocketAddress address;
   private final Process process;
   private final long startNs = System.nanoTime();
   private double readyMs = -1;
-  private long readyTicks = -1;
-  private long readyRssKb = -1;
-  private boolean ended;
+  private long readyCpuTicks = -1;
+  private long readyResidentKb = -1;
+  private boolean wasStopped;
 
   /** Processes that run; ended even where the runner itself is ended by a signal. */
   private static final Set<Process> RUNNING = ConcurrentHashMap.newKeySet();
@@ -53,15 +54,18 @@
   }
 
   static AssignerProcess start(
-      RunCommand line, Path directory, InetSocketAddress listen, Map<String, String> environment)
+      RunCommand runCommand,
+      Path directory,
+      InetSocketAddress listen,
+      Map<String, String> environment)
       throws IOException {
-    ProcessBuilder how =
-        new ProcessBuilder("/bin/sh", "-c", line.command())
-            .directory(line.root().toFile())
+    ProcessBuilder builder =
+        new ProcessBuilder("/bin/sh", "-c", runCommand.command())
+            .directory(runCommand.root().toFile())
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(log(directory)));
-    how.environment().putAll(environment);
-    Process process = how.start();
+    builder.environment().putAll(environment);
+    Process process = builder.start();
     RUNNING.add(process);
     CompletableFuture<Void> unused = process.onExit().thenAccept(RUNNING::remove);
     return new AssignerProcess(directory, listen, process);
@@ -79,14 +83,14 @@
   }
 
   /** Waits for the first pong; false where the process died or said nothing in time. */
-  boolean awaitPong(double mostS) throws InterruptedException {
-    long endNs = System.nanoTime() + (long) (mostS * 1e9);
-    while (alive() && System.nanoTime() < endNs) {
-      if (pong(endNs)) {
+  boolean awaitPong(double timeoutSeconds) throws InterruptedException {
+    long endNs = System.nanoTime() + (long) (timeoutSeconds * 1e9);
+    while (isAlive() && System.nanoTime() < endNs) {
+      if (receivesPong(endNs)) {
         readyMs = (System.nanoTime() - startNs) / 1e6;
         try {
-          readyTicks = ProcessFigures.ticks(pid());
-          readyRssKb = ProcessFigures.residentKb(pid());
+          readyCpuTicks = ProcessFigures.cpuTicks(pid());
+          readyResidentKb = ProcessFigures.residentKb(pid());
         } catch (IOException e) {
           return false;
         }
@@ -97,9 +101,9 @@
     return false;
   }
 
-  private boolean pong(long endNs) {
+  private boolean receivesPong(long endNs) {
     try (Socket socket = new Socket()) {
-      socket.connect(address, PONG_WAIT_MS);
+      socket.connect(address, CONNECT_TIMEOUT_MS);
       socket.setSoTimeout((int) Math.max(1, (endNs - System.nanoTime()) / 1_000_000));
       socket.getOutputStream().write(PING);
       return socket.getInputStream().read() >= 0;
@@ -112,7 +116,7 @@
     return process.pid();
   }
 
-  boolean alive() {
+  boolean isAlive() {
     return process.isAlive();
   }
 
@@ -124,12 +128,12 @@
     return readyMs;
   }
 
-  long readyTicks() {
-    return readyTicks;
+  long readyCpuTicks() {
+    return readyCpuTicks;
   }
 
-  long readyRssKb() {
-    return readyRssKb;
+  long readyResidentKb() {
+    return readyResidentKb;
   }
 
   private List<String> log() throws IOException {
@@ -137,7 +141,7 @@
   }
 
   /** The last line of its log: why it died, if it did. */
-  String lastLine() throws IOException {
+  String lastLogLine() throws IOException {
     List<String> lines = log();
     return lines.isEmpty() ? "(the log is empty)" : lines.get(lines.size() - 1);
   }
@@ -146,7 +150,7 @@
    * What it says against taking connections or messages, the last of it; empty where it says
    * nothing.
    */
-  String complaint() throws IOException {
+  String lastWarning() throws IOException {
     return log().stream()
         .filter(line -> line.contains(" WARN ") || line.contains(" ERROR "))
         .reduce("", (earlier, later) -> later);
@@ -154,38 +158,38 @@
 
   /** Reports that it says it dropped, or -1 where it began to and has not said how many. */
   long reportsDropped() throws IOException {
-    long out = 0;
+    long dropped = 0;
     for (String line : log()) {
-      Matcher matcher = DROPPED.matcher(line);
+      Matcher matcher = DROP_TOTAL.matcher(line);
       if (matcher.find()) {
-        out = Long.parseLong(matcher.group(1));
-      } else if (line.contains(DROPPING)) {
-        out = -1;
+        dropped = Long.parseLong(matcher.group(1));
+      } else if (line.contains(DROPPING_TEXT)) {
+        dropped = -1;
       }
     }
-    return out;
+    return dropped;
   }
 
   /** Kills it outright, as a machine's death would. */
   void kill() throws InterruptedException {
-    ended = true;
+    wasStopped = true;
     process.destroyForcibly();
-    process.waitFor(TERM_MS, TimeUnit.MILLISECONDS);
+    process.waitFor(TERMINATION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
   /** It ended though nobody ended it. */
-  boolean died() {
-    return !ended && !process.isAlive();
+  boolean hasDied() {
+    return !wasStopped && !process.isAlive();
   }
 
   @Override
   public void close() {
-    ended = true;
+    wasStopped = true;
     process.destroy();
     try {
-      if (!process.waitFor(TERM_MS, TimeUnit.MILLISECONDS)) {
+      if (!process.waitFor(TERMINATION_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
         process.destroyForcibly();
-        process.waitFor(TERM_MS, TimeUnit.MILLISECONDS);
+        process.waitFor(TERMINATION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
       }
     } catch (InterruptedException e) {
       process.destroyForcibly();
--- a/src/bench/java/pearusher/scale/ChangeFeed.java
+++ b/src/bench/java/pearusher/scale/ChangeFeed.java
@@ -12,13 +12,13 @@
  */
 final class ChangeFeed {
   /** No multiple of usual distances between changes, so that two runs make the same changes. */
-  private static final long DRAIN_NS = 3_770_000_000L;
+  private static final long DRAIN_DURATION_NS = 3_770_000_000L;
 
   /** Who has to know of changes before they are told. */
   interface Listener {
-    void drains(int server);
+    void onServerDraining(int server);
 
-    void inService(int[] servers);
+    void onServersInService(int[] servers);
   }
 
   private record Draining(int server, long sinceNs) {}
@@ -26,109 +26,109 @@
   private final SimulatedDiscovery discovery;
   private final ServerCatalog catalog;
   private final Listener listener;
-  private final ChangeTimestamps times;
+  private final ChangeTimestamps timestamps;
   private final SplittableRandom random;
   private final ArrayDeque<Draining> draining = new ArrayDeque<>();
   private final List<Integer> serving;
-  private boolean on;
-  private volatile long made;
+  private boolean isRunning;
+  private volatile long changeCount;
 
   ChangeFeed(
       SimulatedDiscovery discovery,
       ServerCatalog catalog,
-      ChangeTimestamps times,
+      ChangeTimestamps timestamps,
       Listener listener,
       long seed) {
     this.discovery = discovery;
     this.catalog = catalog;
-    this.times = times;
+    this.timestamps = timestamps;
     this.listener = listener;
     random = new SplittableRandom(seed);
     serving = new ArrayList<>(catalog.inService());
   }
 
   /** Makes so many changes a second from now on, the first after half of their distance. */
-  void start(double perS) {
-    if (perS > 0) {
-      long distanceNs = (long) (1e9 / perS);
+  void start(double changesPerSecond) {
+    if (changesPerSecond > 0) {
+      long intervalNs = (long) (1e9 / changesPerSecond);
       discovery
           .loop()
           .execute(
               () -> {
-                on = true;
+                isRunning = true;
                 discovery
                     .loop()
                     .schedule(
-                        distanceNs / 2,
+                        intervalNs / 2,
                         () -> {
-                          change();
-                          discovery.loop().every(distanceNs, this::change);
+                          makeChange();
+                          discovery.loop().scheduleAtFixedRate(intervalNs, this::makeChange);
                         });
               });
     }
   }
 
   void stop() {
-    discovery.loop().execute(() -> on = false);
+    discovery.loop().execute(() -> isRunning = false);
   }
 
-  private void change() {
-    if (!on) {
+  private void makeChange() {
+    if (!isRunning) {
       return;
     }
-    long now = System.nanoTime();
-    if (!draining.isEmpty() && now - draining.peek().sinceNs() >= DRAIN_NS) {
+    long nowNs = System.nanoTime();
+    if (!draining.isEmpty() && nowNs - draining.peek().sinceNs() >= DRAIN_DURATION_NS) {
       replace(List.of(draining.poll().server()));
     } else if (serving.size() > 1) {
       int server = serving.remove(random.nextInt(serving.size()));
-      draining.add(new Draining(server, now));
-      catalog.set(server, ServerCatalog.Lifecycle.TERMINATING);
-      listener.drains(server);
-      tell(List.of(server));
+      draining.add(new Draining(server, nowNs));
+      catalog.setLifecycle(server, ServerCatalog.Lifecycle.TERMINATING);
+      listener.onServerDraining(server);
+      publish(List.of(server));
     }
   }
 
-  private void replace(List<Integer> gone) {
+  private void replace(List<Integer> removed) {
     List<Integer> changed = new ArrayList<>();
-    for (int server : gone) {
-      catalog.set(server, ServerCatalog.Lifecycle.TERMINATED);
-      int next = catalog.add(catalog.zone(server), System.currentTimeMillis());
-      serving.add(next);
+    for (int server : removed) {
+      catalog.setLifecycle(server, ServerCatalog.Lifecycle.TERMINATED);
+      int replacement = catalog.addServer(catalog.zone(server), System.currentTimeMillis());
+      serving.add(replacement);
       changed.add(server);
-      changed.add(next);
+      changed.add(replacement);
     }
-    tell(changed);
+    publish(changed);
   }
 
   /**
-   * All servers of a zone go in one change; they are what {@link #returnZone} brings new ones for.
+   * All servers of a zone go in one change; they are what {@link #restoreZone} brings new ones for.
    */
-  List<Integer> loseZone(int zone) {
+  List<Integer> removeZone(int zone) {
     List<Integer> lost = serving.stream().filter(server -> catalog.zone(server) == zone).toList();
     serving.removeAll(lost);
     for (int server : lost) {
-      catalog.set(server, ServerCatalog.Lifecycle.TERMINATED);
-      listener.drains(server);
+      catalog.setLifecycle(server, ServerCatalog.Lifecycle.TERMINATED);
+      listener.onServerDraining(server);
     }
-    tell(lost);
+    publish(lost);
     return lost;
   }
 
-  void returnZone(List<Integer> lost) {
+  void restoreZone(List<Integer> lost) {
     replace(lost);
   }
 
   // Only one thread writes the count.
   @SuppressWarnings("NonAtomicVolatileUpdate")
-  private void tell(List<Integer> changed) {
-    made = made + 1;
-    listener.inService(serving.stream().mapToInt(Integer::intValue).toArray());
-    times.told(catalog.generation() + 1, System.nanoTime());
-    discovery.changed(changed);
+  private void publish(List<Integer> changed) {
+    changeCount = changeCount + 1;
+    listener.onServersInService(serving.stream().mapToInt(Integer::intValue).toArray());
+    timestamps.recordPublication(catalog.generation() + 1, System.nanoTime());
+    discovery.publishChange(changed);
   }
 
   /** Changes told so far. */
-  long made() {
-    return made;
+  long changeCount() {
+    return changeCount;
   }
 }
--- a/src/bench/java/pearusher/scale/ChangeTimestamps.java
+++ b/src/bench/java/pearusher/scale/ChangeTimestamps.java
@@ -1,19 +1,25 @@
 package pearusher.scale;
 
 import java.util.Map;
+import java.util.OptionalLong;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** When each generation of the list was told, for whoever measures how long it took to arrive. */
+/**
+ * When each generation of the endpoint list was published, to measure how long a change takes to
+ * arrive. Thread-safe; grows with the changes of a run.
+ */
 final class ChangeTimestamps {
-  private final Map<Long, Long> toldNs = new ConcurrentHashMap<>();
+  private final Map<Long, Long> publishedNs = new ConcurrentHashMap<>();
 
-  void told(long generation, long nowNs) {
-    toldNs.put(generation, nowNs);
+  void recordPublication(long generation, long nowNs) {
+    publishedNs.put(generation, nowNs);
   }
 
-  /** Time since a generation was told, or -1 for one that is older than the run's first change. */
-  long sinceNs(long generation, long nowNs) {
-    Long at = toldNs.get(generation);
-    return at == null ? -1 : nowNs - at;
+  /**
+   * The time since a generation was published; empty if it is older than the run's first change.
+   */
+  OptionalLong sinceNs(long generation, long nowNs) {
+    Long publicationNs = publishedNs.get(generation);
+    return publicationNs == null ? OptionalLong.empty() : OptionalLong.of(nowNs - publicationNs);
   }
 }
--- a/src/bench/java/pearusher/scale/Comparison.java
+++ b/src/bench/java/pearusher/scale/Comparison.java
@@ -4,26 +4,26 @@
 import java.util.Locale;
 
 /**
- * Simulated assigners held against real ones: the same fleet once all real, once with one real
- * assigner only. For each role both runs' bytes and messages a second and their ratio. The number
- * of changed lines and updates that simulated ones write is taken from the real run, since they
- * decide nothing; sizes and forms are their own.
+ * Compares simulated assigners with real ones: the same fleet runs once all real and once with one
+ * real assigner only. Reports for each role the bytes and messages per second of both runs and
+ * their ratio. The rates of updates and changed weights that simulated assigners send are taken
+ * from the real run, since they make no decisions; the sizes and forms are their own.
  */
 final class Comparison {
-  /** Both must agree within this share. */
-  static final double MOST_OFF = 0.05;
+  /** The largest deviation of a ratio from 1. */
+  static final double TOLERANCE = 0.05;
 
-  /** Who says it to whom, and the kind of what is said. */
+  /** Senders and the kinds of messages that they send. */
   private enum Role {
     DISCOVERY(
-        TrafficCounter.Kind.LIST_WHOLE,
+        TrafficCounter.Kind.FULL_LIST,
         TrafficCounter.Kind.LIST_CHANGE,
-        TrafficCounter.Kind.LIST_BEAT),
-    COLLECTORS(TrafficCounter.Kind.HEARD),
-    PROXIES(TrafficCounter.Kind.USAGE, TrafficCounter.Kind.APPLIED),
-    ASSIGNERS(TrafficCounter.Kind.ORDER);
+        TrafficCounter.Kind.LIST_HEARTBEAT),
+    COLLECTORS(TrafficCounter.Kind.LOAD_REPORT),
+    PROXIES(TrafficCounter.Kind.USAGE_REPORT, TrafficCounter.Kind.ACKNOWLEDGEMENT),
+    ASSIGNERS(TrafficCounter.Kind.UPDATE);
 
-    // Only read.
+    // Never modified.
     @SuppressWarnings("ImmutableEnumChecker")
     private final TrafficCounter.Kind[] kinds;
 
@@ -35,27 +35,28 @@
   private final RunDescription run;
   private final Sweep.Runner runner;
   private final Report report = new Report();
-  private boolean within = true;
+  private boolean isWithinTolerance = true;
 
   Comparison(RunDescription run, Sweep.Runner runner) {
     this.run = run;
     this.runner = runner;
   }
 
-  ScaleRun.Outcome execute() throws IOException, InterruptedException, RunDescription.Fault {
+  RunOutcome execute() throws IOException, InterruptedException, RunDescriptionException {
     int count = run.assigners();
-    RunDescription allReal = run.with(RunKey.ASSIGNERS, count).with(RunKey.SIMULATED_ASSIGNERS, 0);
-    ScaleRun.Outcome real = runner.run(allReal);
-    if (!real.reached()) {
-      return new ScaleRun.Outcome(real.report(), "all real: " + real.limit());
+    RunDescription allReal =
+        run.with(RunOption.ASSIGNERS, count).with(RunOption.SIMULATED_ASSIGNERS, 0);
+    RunOutcome real = runner.run(allReal);
+    if (!real.isComplete()) {
+      return new RunOutcome(real.report(), "all real: " + real.limit());
     }
-    ScaleRun.Outcome simulated =
+    RunOutcome simulated =
         runner.run(
-            paced(allReal, real.report())
-                .with(RunKey.ASSIGNERS, 1)
-                .with(RunKey.SIMULATED_ASSIGNERS, count - 1.0));
-    if (!simulated.reached()) {
-      return new ScaleRun.Outcome(simulated.report(), "mostly simulated: " + simulated.limit());
+            withRatesOf(allReal, real.report())
+                .with(RunOption.ASSIGNERS, 1)
+                .with(RunOption.SIMULATED_ASSIGNERS, count - 1.0));
+    if (!simulated.isComplete()) {
+      return new RunOutcome(simulated.report(), "mostly simulated: " + simulated.limit());
     }
     for (Role role : Role.values()) {
       String name = role.name().toLowerCase(Locale.ROOT);
@@ -64,41 +65,48 @@
     }
     String bind = "bind_bytes_p50";
     compare("bind_bytes", real.report().value(bind), simulated.report().value(bind), "B");
-    report.add("within_5_percent", within ? 1 : 0, "yes");
-    return new ScaleRun.Outcome(report, within ? null : "a ratio is off by more than 5 percent");
+    report.add("within_5_percent", isWithinTolerance ? 1 : 0, "yes");
+    return new RunOutcome(
+        report, isWithinTolerance ? null : "a ratio is off by more than 5 percent");
   }
 
-  /** The same run with the pace of updates and lines that real assigners showed. */
-  private RunDescription paced(RunDescription allReal, Report real) throws RunDescription.Fault {
-    double perProxy = run.periodMs() / 1000.0 / run.proxies();
-    double orders = sum(real, TrafficCounter.Kind.ORDER, "_messages");
-    double updates = (orders - sum(real, TrafficCounter.Kind.ORDER_OUT, "_messages")) * perProxy;
-    double lines = sum(real, TrafficCounter.Kind.ORDER_LINE, "_messages") * perProxy;
+  /** The same run with the rates of updates and weight changes of the real assigners. */
+  private RunDescription withRatesOf(RunDescription allReal, Report real)
+      throws RunDescriptionException {
+    double periodsPerProxySecond = run.periodMs() / 1000.0 / run.proxies();
+    double updatesPerSecond = sum(real, TrafficCounter.Kind.UPDATE, "_messages");
+    double updatesPerPeriod =
+        (updatesPerSecond - sum(real, TrafficCounter.Kind.EJECTION, "_messages"))
+            * periodsPerProxySecond;
+    double entriesPerPeriod =
+        sum(real, TrafficCounter.Kind.WEIGHT_ENTRY, "_messages") * periodsPerProxySecond;
     return allReal
-        .with(RunKey.SIMULATED_UPDATES, Math.max(0, updates))
-        .with(RunKey.SIMULATED_LINES, updates > 0 ? lines / updates : 0);
+        .with(RunOption.SIMULATED_UPDATES, Math.max(0, updatesPerPeriod))
+        .with(
+            RunOption.SIMULATED_LINES,
+            updatesPerPeriod > 0 ? entriesPerPeriod / updatesPerPeriod : 0);
   }
 
-  private double sum(Report from, Role role, String what) {
-    double out = 0;
+  private double sum(Report report, Role role, String suffix) {
+    double total = 0;
     for (TrafficCounter.Kind kind : role.kinds) {
-      out += sum(from, kind, what);
+      total += sum(report, kind, suffix);
     }
-    return out;
+    return total;
   }
 
   /** Over all assigners of a run, real and simulated. */
-  private double sum(Report from, TrafficCounter.Kind kind, String what) {
-    String name = (kind.in() ? "in." : "out.") + kind.name().toLowerCase(Locale.ROOT) + what;
-    return from.figures().stream()
+  private double sum(Report report, TrafficCounter.Kind kind, String suffix) {
+    String name = kind.figureName() + suffix;
+    return report.figures().stream()
         .filter(one -> one.name().matches("[ah]\\d+\\." + name))
         .mapToDouble(Report.Figure::value)
         .sum();
   }
 
   private void compareRole(
-      String name, Role role, String what, String unit, Report real, Report simulated) {
-    compare(name + what, sum(real, role, what), sum(simulated, role, what), unit);
+      String name, Role role, String suffix, String unit, Report real, Report simulated) {
+    compare(name + suffix, sum(real, role, suffix), sum(simulated, role, suffix), unit);
   }
 
   private void compare(String name, double real, double simulated, String unit) {
@@ -106,6 +114,6 @@
     report.add(name + ".simulated", simulated, unit);
     double ratio = simulated / real;
     report.add(name + ".ratio", ratio, "simulated_to_real");
-    within &= Math.abs(ratio - 1) <= MOST_OFF;
+    isWithinTolerance &= Math.abs(ratio - 1) <= TOLERANCE;
   }
 }
--- a/src/bench/java/pearusher/scale/Connection.java
+++ b/src/bench/java/pearusher/scale/Connection.java
@@ -9,81 +9,85 @@
 
 /** A non-blocking connection of an {@link EventLoop}; used on the loop's thread only. */
 final class Connection {
-  /** What is told of a connection. */
+  /** Receives the events of a connection, on the loop's thread. */
   interface Handler {
-    /** It is up. */
-    default void opened(Connection connection) {}
+    /** The connection is established. */
+    default void onOpened(Connection connection) {}
 
-    /** Bytes came; what is not taken from the buffer is lost. */
-    void received(Connection connection, ByteBuffer bytes);
+    /** Bytes arrived; bytes left in the buffer are lost. */
+    void onReceived(Connection connection, ByteBuffer bytes);
 
-    /** It ended, by the other side (why is null) or by a failure; not told where we closed it. */
-    default void ended(Connection connection, IOException why) {}
+    /**
+     * The connection ended by itself; not called after a close on this side.
+     *
+     * @param cause the failure, or null if the other side closed the connection
+     */
+    default void onEnded(Connection connection, IOException cause) {}
   }
 
   private final SocketChannel channel;
-  private final ArrayDeque<ByteBuffer> waiting = new ArrayDeque<>();
+  private final ArrayDeque<ByteBuffer> pendingWrites = new ArrayDeque<>();
   private SelectionKey key;
   private Handler handler;
-  private boolean closed;
-  private boolean silent;
+  private boolean isClosed;
+  private boolean isSilent;
 
   Connection(SocketChannel channel) {
     this.channel = channel;
   }
 
-  void key(SelectionKey made) {
-    key = made;
+  void setKey(SelectionKey registeredKey) {
+    key = registeredKey;
   }
 
-  void handler(Handler made) {
-    handler = made;
+  void setHandler(Handler connectionHandler) {
+    handler = connectionHandler;
   }
 
   Handler handler() {
     return handler;
   }
 
-  boolean open() {
-    return !closed;
+  boolean isOpen() {
+    return !isClosed;
   }
 
-  /** Bytes wait that the other side has not taken. */
-  boolean backlogged() {
-    return !waiting.isEmpty();
+  /** Whether there are bytes that the other side has not accepted yet. */
+  boolean isBacklogged() {
+    return !pendingWrites.isEmpty();
   }
 
-  /** Bounds what the system keeps for us unread. */
-  void receiveBuffer(int bytes) {
+  /** Limits the kernel's receive buffer. */
+  void setReceiveBufferBytes(int bytes) {
     try {
       channel.setOption(StandardSocketOptions.SO_RCVBUF, bytes);
     } catch (IOException e) {
-      end(e);
+      terminate(e);
     }
   }
 
   void finishConnect() {
     try {
       if (channel.finishConnect()) {
-        connected();
+        onConnected();
       }
     } catch (IOException e) {
-      end(e);
+      terminate(e);
     }
   }
 
-  void connected() {
+  void onConnected() {
     key.interestOps(SelectionKey.OP_READ);
-    handler.opened(this);
+    handler.onOpened(this);
   }
 
-  /** Sends bytes, which may be shared by many connections if each has its own duplicate. */
+  /** Sends bytes; connections may share them if each has a duplicate buffer of its own. */
   void send(ByteBuffer bytes) {
-    if (closed) {
+    if (isClosed) {
       return;
     }
-    waiting.add(bytes);
-    if (waiting.size() == 1 && !silent) {
+    pendingWrites.add(bytes);
+    if (pendingWrites.size() == 1 && !isSilent) {
       flush();
     }
   }
@@ -94,24 +98,24 @@
 
   void flush() {
     try {
-      while (!waiting.isEmpty()) {
-        ByteBuffer first = waiting.peek();
+      while (!pendingWrites.isEmpty()) {
+        ByteBuffer first = pendingWrites.peek();
         channel.write(first);
         if (first.hasRemaining()) {
           break;
         }
-        waiting.poll();
+        pendingWrites.poll();
       }
-      interest();
+      updateInterest();
     } catch (IOException e) {
-      end(e);
+      terminate(e);
     }
   }
 
-  private void interest() {
-    if (!closed) {
-      int write = waiting.isEmpty() ? 0 : SelectionKey.OP_WRITE;
-      key.interestOps(silent ? 0 : SelectionKey.OP_READ | write);
+  private void updateInterest() {
+    if (!isClosed) {
+      int write = pendingWrites.isEmpty() ? 0 : SelectionKey.OP_WRITE;
+      key.interestOps(isSilent ? 0 : SelectionKey.OP_READ | write);
     }
   }
 
@@ -120,48 +124,48 @@
       buffer.clear();
       int count = channel.read(buffer);
       if (count < 0) {
-        end(null);
+        terminate(null);
       } else if (count > 0) {
-        handler.received(this, buffer.flip());
+        handler.onReceived(this, buffer.flip());
       }
     } catch (IOException e) {
-      end(e);
+      terminate(e);
     }
   }
 
-  /** While silent it neither reads nor writes, as if the network were cut. */
-  void silent(boolean now) {
-    silent = now;
-    interest();
+  /** While silent the connection neither reads nor writes, as in a network partition. */
+  void setSilent(boolean silent) {
+    isSilent = silent;
+    updateInterest();
   }
 
-  void end(IOException why) {
-    if (!closed) {
+  void terminate(IOException cause) {
+    if (!isClosed) {
       close();
-      handler.ended(this, why);
+      handler.onEnded(this, cause);
     }
   }
 
-  /** Ends it with a reset. */
+  /** Closes the connection with a TCP reset. */
   void reset() {
     try {
-      if (!closed) {
+      if (!isClosed) {
         channel.setOption(StandardSocketOptions.SO_LINGER, 0);
       }
     } catch (IOException e) {
-      waiting.clear();
+      pendingWrites.clear();
     }
     close();
   }
 
   void close() {
-    closed = true;
-    waiting.clear();
+    isClosed = true;
+    pendingWrites.clear();
     key.cancel();
     try {
       channel.close();
     } catch (IOException e) {
-      waiting.clear();
+      pendingWrites.clear();
     }
   }
 }
--- a/src/bench/java/pearusher/scale/DefaultRunMix.java
+++ b/src/bench/java/pearusher/scale/DefaultRunMix.java
@@ -24,7 +24,7 @@
   /**
    * Real assigners' own orders scatter by more than the bound in windows much shorter than this.
    */
-  private static final String COMPARED =
+  private static final String COMPARISON_OPTIONS =
       "servers 120 assigners 3 proxies 60 seconds 30 settle 10 heap 0";
 
   private static final List<Double> SLOPE_SERVERS = List.of(30.0, 100.0, 300.0, 1000.0, 2000.0);
@@ -32,35 +32,36 @@
   private static final double SLOPE_BUDGET_S = 300;
 
   /** A run of the mix, as a description's words. */
-  private record Part(String name, String words) {}
+  private record NamedRun(String name, String options) {}
 
-  private static final List<Part> QUICK =
+  private static final List<NamedRun> QUICK =
       List.of(
-          new Part("30x4", "servers 30 seconds 4 settle 2"),
-          new Part("2000x4", "servers 2000 seconds 4 settle 2"),
-          new Part(
+          new NamedRun("30x4", "servers 30 seconds 4 settle 2"),
+          new NamedRun("2000x4", "servers 2000 seconds 4 settle 2"),
+          new NamedRun(
               "failures",
               "servers 120 assigners 2 proxies 40 seconds 14 settle 2 kill-at 1 "
                   + "zone-lost-at 5 zone-lost-for 2 cut-at 10 cut-for 2 heap 0"),
-          new Part("watchers", "servers 2000 watchers 600 seconds 4 settle 1 changes 2 heap 0"));
+          new NamedRun(
+              "watchers", "servers 2000 watchers 600 seconds 4 settle 1 changes 2 heap 0"));
 
-  private static final List<Part> FULL =
+  private static final List<NamedRun> FULL =
       List.of(
-          new Part("30x4", "servers 30"),
-          new Part("300x4", "servers 300"),
-          new Part("2000x4", "servers 2000"),
-          new Part("9100x1", "servers 9100 zones 1"),
-          new Part("2000x98", "servers 2000 zones 98"),
-          new Part("9100x98", "servers 9100 zones 98"),
-          new Part(
+          new NamedRun("30x4", "servers 30"),
+          new NamedRun("300x4", "servers 300"),
+          new NamedRun("2000x4", "servers 2000"),
+          new NamedRun("9100x1", "servers 9100 zones 1"),
+          new NamedRun("2000x98", "servers 2000 zones 98"),
+          new NamedRun("9100x98", "servers 9100 zones 98"),
+          new NamedRun(
               "tier",
               "servers 300 assigners 4 simulated-assigners 20 proxies 480 simulated-updates 1 "
                   + "simulated-lines 30"),
-          new Part(
+          new NamedRun(
               "failures",
               "servers 300 assigners 3 proxies 120 seconds 30 kill-at 2 zone-lost-at 10 "
                   + "zone-lost-for 5 cut-at 20 cut-for 8"),
-          new Part(
+          new NamedRun(
               "watchers", "servers 9100 zones 98 assigners 0 proxies 0 watchers 3100 changes 2"));
 
   private final RunDescription base;
@@ -77,23 +78,23 @@
     this.charts = charts;
   }
 
-  ScaleRun.Outcome execute() throws IOException, InterruptedException, RunDescription.Fault {
-    for (Part part : quick ? QUICK : FULL) {
-      take(part.name(), runner.run(base.withWords(part.words())));
+  RunOutcome execute() throws IOException, InterruptedException, RunDescriptionException {
+    for (NamedRun run : quick ? QUICK : FULL) {
+      collect(run.name(), runner.run(base.withOptions(run.options())));
     }
     if (!quick) {
-      take("comparison", new Comparison(base.withWords(COMPARED), runner).execute());
+      collect("comparison", new Comparison(base.withOptions(COMPARISON_OPTIONS), runner).execute());
       Sweep.Plan plan =
           new Sweep.Plan(
-              RunKey.SERVERS, SLOPE_SERVERS, SLOPE_RUNS, SLOPE_FIGURES, SLOPE_BUDGET_S, charts);
-      take("slope", new Sweep(base.withWords("seconds 5 settle 3"), plan, runner).execute());
+              RunOption.SERVERS, SLOPE_SERVERS, SLOPE_RUNS, SLOPE_FIGURES, SLOPE_BUDGET_S, charts);
+      collect("slope", new Sweep(base.withOptions("seconds 5 settle 3"), plan, runner).execute());
     }
-    return new ScaleRun.Outcome(report, limits.isEmpty() ? null : limits.toString());
+    return new RunOutcome(report, limits.isEmpty() ? null : limits.toString());
   }
 
-  private void take(String name, ScaleRun.Outcome outcome) {
+  private void collect(String name, RunOutcome outcome) {
     report.addAll(name + ".", outcome.report());
-    if (!outcome.reached()) {
+    if (!outcome.isComplete()) {
       limits.append(limits.isEmpty() ? "" : "; ").append(name).append(": ").append(outcome.limit());
     }
   }
--- a/src/bench/java/pearusher/scale/DrainTimer.java
+++ b/src/bench/java/pearusher/scale/DrainTimer.java
@@ -13,62 +13,63 @@
  * proxies.
  */
 final class DrainTimer {
-  private static final int DIGITS = 3;
+  private static final int SIGNIFICANT_DIGITS = 3;
 
-  private static final class Drain {
+  private static final class PendingDrain {
     private final long startNs;
     private final BitSet holders;
 
-    Drain(long startNs, BitSet holders) {
+    PendingDrain(long startNs, BitSet holders) {
       this.startNs = startNs;
       this.holders = holders;
     }
   }
 
-  private final Map<Integer, Drain> open = new HashMap<>();
-  private final Histogram perProxyUs = new Histogram(DIGITS);
-  private final Histogram everywhereUs = new Histogram(DIGITS);
+  private final Map<Integer, PendingDrain> pending = new HashMap<>();
+  private final Histogram perProxyUs = new Histogram(SIGNIFICANT_DIGITS);
+  private final Histogram everywhereUs = new Histogram(SIGNIFICANT_DIGITS);
 
   void start(int server, BitSet holders, long nowNs) {
     if (!holders.isEmpty()) {
-      open.put(server, new Drain(nowNs, holders));
+      pending.put(server, new PendingDrain(nowNs, holders));
     }
   }
 
-  boolean idle() {
-    return open.isEmpty();
+  boolean isIdle() {
+    return pending.isEmpty();
   }
 
   /** Drains that some proxy still holds. */
-  int unfinished() {
-    return open.size();
+  int unfinishedCount() {
+    return pending.size();
   }
 
   /** A proxy has let a server go. */
-  void released(int server, int proxy, long nowNs) {
-    Drain drain = open.get(server);
+  void recordRelease(int server, int proxy, long nowNs) {
+    PendingDrain drain = pending.get(server);
     if (drain != null && drain.holders.get(proxy)) {
       perProxyUs.recordValue((nowNs - drain.startNs) / 1000);
       drain.holders.clear(proxy);
       if (drain.holders.isEmpty()) {
         everywhereUs.recordValue((nowNs - drain.startNs) / 1000);
-        open.remove(server);
+        pending.remove(server);
       }
     }
   }
 
   /** A proxy has a new whole table: what it does not name is let go. */
-  void recheck(int proxy, IntPredicate holds, long nowNs) {
-    for (int server : List.copyOf(open.keySet())) {
+  void recheckTable(int proxy, IntPredicate holds, long nowNs) {
+    for (int server : List.copyOf(pending.keySet())) {
       if (!holds.test(server)) {
-        released(server, proxy, nowNs);
+        recordRelease(server, proxy, nowNs);
       }
     }
   }
 
   /** A proxy's stream ended: nothing is measured on it any more. */
-  void left(int proxy) {
-    open.values()
+  void removeProxy(int proxy) {
+    pending
+        .values()
         .removeIf(
             drain -> {
               drain.holders.clear(proxy);
--- a/src/bench/java/pearusher/scale/EventLoop.java
+++ b/src/bench/java/pearusher/scale/EventLoop.java
@@ -14,23 +14,25 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Function;
+import java.util.function.Supplier;
 
 /**
  * One thread with one selector: non-blocking connections, tasks from other threads and timers. All
- * handlers of a loop run on its thread, so what belongs to one loop needs no locks. It never blocks
- * but in the selector.
+ * handlers of a loop run on its thread, so state owned by one loop needs no locks. The thread
+ * blocks in the selector only.
  */
 final class EventLoop implements AutoCloseable {
   private static final int READ_BUFFER_BYTES = 256 << 10;
 
-  /** Thousands of watchers would else hold gigabytes of the list in the system's buffers. */
+  /** Bounds the kernel's copies of the endpoint list when thousands of watchers read it. */
   private static final int SEND_BUFFER_BYTES = 256 << 10;
 
   private static final int ACCEPT_BACKLOG = 4096;
   private static final long JOIN_MS = 5_000;
 
-  private record Timer(long dueNs, long order, Runnable task) {}
+  private record Timer(long dueNs, long sequence, Runnable task) {}
 
   private final Selector selector;
   private final Thread thread;
@@ -40,11 +42,11 @@
           (a, b) ->
               a.dueNs() != b.dueNs()
                   ? Long.compare(a.dueNs() - b.dueNs(), 0)
-                  : Long.compare(a.order(), b.order()));
+                  : Long.compare(a.sequence(), b.sequence()));
   private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
-  private volatile boolean stopped;
+  private volatile boolean isStopped;
   private volatile Throwable failure;
-  private long timersMade;
+  private long timerSequence;
 
   EventLoop(String name) throws IOException {
     selector = Selector.open();
@@ -58,7 +60,7 @@
     return "the loop " + thread.getName();
   }
 
-  /** Why the loop's thread ended by itself; null while all is well. */
+  /** The failure that ended the loop's thread; null while it runs. */
   Throwable failure() {
     return failure;
   }
@@ -86,28 +88,45 @@
     }
   }
 
-  /** Only on the loop's thread. */
+  /**
+   * Runs a task on the loop's thread, waits for its end and returns its result.
+   *
+   * @throws IllegalStateException if the loop's thread has ended
+   */
+  <T> T call(Supplier<T> task) throws InterruptedException {
+    AtomicReference<T> result = new AtomicReference<>();
+    executeAndWait(() -> result.set(task.get()));
+    return result.get();
+  }
+
+  /** Whether the loop is being closed, so that no more connections should be opened. */
+  boolean isStopped() {
+    return isStopped;
+  }
+
+  /** Runs a task after a delay. Must be called on the loop's thread. */
   void schedule(long delayNs, Runnable task) {
-    timers.add(new Timer(System.nanoTime() + Math.max(0, delayNs), timersMade++, task));
+    timers.add(new Timer(System.nanoTime() + Math.max(0, delayNs), timerSequence++, task));
   }
 
-  /** Runs a task each {@code periodNs} from now on; from any thread. */
-  void every(long periodNs, Runnable task) {
-    execute(() -> again(System.nanoTime() + periodNs, periodNs, task));
+  /** Runs a task every {@code periodNs}; may be called from any thread. */
+  void scheduleAtFixedRate(long periodNs, Runnable task) {
+    execute(() -> scheduleRepeat(System.nanoTime() + periodNs, periodNs, task));
   }
 
-  private void again(long dueNs, long periodNs, Runnable task) {
+  private void scheduleRepeat(long dueNs, long periodNs, Runnable task) {
     timers.add(
         new Timer(
             dueNs,
-            timersMade++,
+            timerSequence++,
             () -> {
               task.run();
-              again(Math.max(dueNs + periodNs, System.nanoTime() - periodNs), periodNs, task);
+              scheduleRepeat(
+                  Math.max(dueNs + periodNs, System.nanoTime() - periodNs), periodNs, task);
             }));
   }
 
-  /** Listens on loopback, on a port that the system gives. */
+  /** Listens on a free port of the loopback interface. */
   InetSocketAddress listen(Function<Connection, Connection.Handler> handlers) throws IOException {
     ServerSocketChannel server = ServerSocketChannel.open();
     server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), ACCEPT_BACKLOG);
@@ -130,25 +149,27 @@
       for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
         channel.setOption(StandardSocketOptions.SO_SNDBUF, SEND_BUFFER_BYTES);
         Connection connection = register(channel, SelectionKey.OP_READ);
-        connection.handler(handlers.apply(connection));
-        connection.handler().opened(connection);
+        connection.setHandler(handlers.apply(connection));
+        connection.handler().onOpened(connection);
       }
     } catch (IOException e) {
       failure = e;
     }
   }
 
-  /** Dials; how it went is told to the handler. Only on the loop's thread. */
-  Connection dial(InetSocketAddress to, Connection.Handler handler) throws IOException {
+  /**
+   * Opens a connection and reports the result to the handler. Must be called on the loop's thread.
+   */
+  Connection connect(InetSocketAddress address, Connection.Handler handler) throws IOException {
     SocketChannel channel = SocketChannel.open();
     Connection connection = register(channel, SelectionKey.OP_CONNECT);
-    connection.handler(handler);
+    connection.setHandler(handler);
     try {
-      if (channel.connect(to)) {
-        connection.connected();
+      if (channel.connect(address)) {
+        connection.onConnected();
       }
     } catch (IOException e) {
-      execute(() -> connection.end(e));
+      execute(() -> connection.terminate(e));
     }
     return connection;
   }
@@ -157,13 +178,13 @@
     channel.configureBlocking(false);
     channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
     Connection connection = new Connection(channel);
-    connection.key(channel.register(selector, interest, connection));
+    connection.setKey(channel.register(selector, interest, connection));
     return connection;
   }
 
   private void run() {
     try {
-      while (!stopped) {
+      while (!isStopped) {
         select();
         for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
           task.run();
@@ -173,7 +194,7 @@
     } catch (IOException | RuntimeException | Error e) {
       failure = e;
     } finally {
-      closeAll();
+      closeChannels();
     }
   }
 
@@ -187,7 +208,7 @@
     }
     for (SelectionKey key : selector.selectedKeys()) {
       if (key.attachment() instanceof Connection connection) {
-        ready(connection, key);
+        dispatch(connection, key);
       } else {
         ((Runnable) key.attachment()).run();
       }
@@ -195,7 +216,7 @@
     selector.selectedKeys().clear();
   }
 
-  private void ready(Connection connection, SelectionKey key) {
+  private void dispatch(Connection connection, SelectionKey key) {
     try {
       int ready = key.readyOps();
       if ((ready & SelectionKey.OP_CONNECT) != 0) {
@@ -208,18 +229,18 @@
         connection.read(readBuffer);
       }
     } catch (CancelledKeyException e) {
-      connection.end(null);
+      connection.terminate(null);
     }
   }
 
   private void runTimers() {
-    long now = System.nanoTime();
-    while (!timers.isEmpty() && timers.peek().dueNs() - now <= 0) {
+    long nowNs = System.nanoTime();
+    while (!timers.isEmpty() && timers.peek().dueNs() - nowNs <= 0) {
       timers.poll().task().run();
     }
   }
 
-  private void closeAll() {
+  private void closeChannels() {
     try {
       for (SelectionKey key : selector.keys()) {
         key.channel().close();
@@ -232,7 +253,7 @@
 
   @Override
   public void close() {
-    stopped = true;
+    isStopped = true;
     selector.wakeup();
     try {
       thread.join(JOIN_MS);
--- a/src/bench/java/pearusher/scale/FailureInjector.java
+++ b/src/bench/java/pearusher/scale/FailureInjector.java
@@ -10,55 +10,56 @@
 
   /** A check that is made all the while. */
   interface Check {
-    void run() throws LimitReached, IOException;
+    void run() throws LimitReachedException, IOException;
   }
 
   /** What happens at a time of the window. */
   private interface Step {
-    void run() throws IOException, InterruptedException, LimitReached;
+    void run() throws IOException, InterruptedException, LimitReachedException;
   }
 
-  private record Due(double atS, Step step) {}
+  private record ScheduledStep(double atSeconds, Step step) {}
 
   private final TestFleet fleet;
   private final Report report;
-  private final List<Due> dues = new ArrayList<>();
+  private final List<ScheduledStep> pendingSteps = new ArrayList<>();
   private List<Integer> lostServers = List.of();
 
   /** Watches before the cut. */
-  private int watching;
+  private int watchCountBefore;
 
   FailureInjector(TestFleet fleet, Report report) {
     this.fleet = fleet;
     this.report = report;
     RunDescription run = fleet.run();
     int zone = run.proxyZones() - 1;
-    plan(RunKey.KILL_AT, 0, this::kill);
-    plan(RunKey.ZONE_LOST_AT, 0, () -> loseZone(zone));
-    plan(RunKey.ZONE_LOST_AT, run.get(RunKey.ZONE_LOST_FOR), () -> returnZone(zone));
-    plan(RunKey.CUT_AT, 0, () -> cut(true));
-    plan(RunKey.CUT_AT, run.get(RunKey.CUT_FOR), () -> cut(false));
-    dues.sort((a, b) -> Double.compare(a.atS(), b.atS()));
+    schedule(RunOption.KILL_AT, 0, this::killAssigner);
+    schedule(RunOption.ZONE_LOST_AT, 0, () -> removeZone(zone));
+    schedule(RunOption.ZONE_LOST_AT, run.get(RunOption.ZONE_LOST_FOR), () -> restoreZone(zone));
+    schedule(RunOption.CUT_AT, 0, () -> setPartitioned(true));
+    schedule(RunOption.CUT_AT, run.get(RunOption.CUT_FOR), () -> setPartitioned(false));
+    pendingSteps.sort((a, b) -> Double.compare(a.atSeconds(), b.atSeconds()));
   }
 
-  private void plan(RunKey at, double afterS, Step step) {
-    double atS = fleet.run().get(at);
-    if (atS >= 0) {
-      dues.add(new Due(atS + afterS, step));
+  private void schedule(RunOption timeOption, double delaySeconds, Step step) {
+    double startSeconds = fleet.run().get(timeOption);
+    if (startSeconds >= 0) {
+      pendingSteps.add(new ScheduledStep(startSeconds + delaySeconds, step));
     }
   }
 
   /** The window lasts until its time is over and all failures have been mended. */
-  void during(double seconds, Check check) throws IOException, InterruptedException, LimitReached {
+  void runWindow(double seconds, Check check)
+      throws IOException, InterruptedException, LimitReachedException {
     long startNs = System.nanoTime();
-    double nowS = 0;
-    while (nowS < seconds || !dues.isEmpty()) {
-      while (!dues.isEmpty() && dues.get(0).atS() <= nowS) {
-        dues.remove(0).step().run();
+    double elapsedSeconds = 0;
+    while (elapsedSeconds < seconds || !pendingSteps.isEmpty()) {
+      while (!pendingSteps.isEmpty() && pendingSteps.get(0).atSeconds() <= elapsedSeconds) {
+        pendingSteps.remove(0).step().run();
       }
       check.run();
       Thread.sleep(POLL_MS);
-      nowS = (System.nanoTime() - startNs) / 1e9;
+      elapsedSeconds = (System.nanoTime() - startNs) / 1e9;
     }
   }
 
@@ -66,87 +67,91 @@
    * The last assigner is killed and started again: at once where it is alone, else once the others
    * have bound its proxies, so that the time of the takeover has no start in it.
    */
-  private void kill() throws IOException, InterruptedException, LimitReached {
-    if (fleet.members().isEmpty()) {
-      throw new LimitReached("kill-at: there is no real assigner", "the run ended there");
+  private void killAssigner() throws IOException, InterruptedException, LimitReachedException {
+    if (fleet.realAssigners().isEmpty()) {
+      throw new LimitReachedException("kill-at: there is no real assigner", "the run ended there");
     }
     long startNs = System.nanoTime();
-    TestFleet.Member member = fleet.members().get(fleet.members().size() - 1);
-    long before = fleet.proxies().figures().bindUs().getTotalCount();
-    int lost = fleet.proxies().boundAt(member.number());
-    member.process().kill();
-    boolean alone = fleet.run().assigners() == 1;
-    if (!alone) {
-      awaitBound("kill_to_all_bound", startNs, before + lost);
+    RealAssigner assigner = fleet.realAssigners().get(fleet.realAssigners().size() - 1);
+    long bindsBefore = fleet.proxies().figures().bindUs().getTotalCount();
+    int lostProxies = fleet.proxies().boundCountAt(assigner.number());
+    assigner.process().kill();
+    boolean isOnlyAssigner = fleet.run().assigners() == 1;
+    if (!isOnlyAssigner) {
+      awaitBound("kill_to_all_bound", startNs, bindsBefore + lostProxies);
     }
-    if (!fleet.start(member)) {
-      throw new LimitReached(
-          "process: assigner " + member.number() + " gave no pong again", "the run ended there");
+    if (!fleet.start(assigner)) {
+      throw new LimitReachedException(
+          "process: assigner " + assigner.number() + " gave no pong again", "the run ended there");
     }
-    report.add("restart_to_pong", member.process().readyMs(), "ms");
-    if (alone) {
-      awaitBound("kill_to_all_bound", startNs, before + lost);
+    report.add("restart_to_pong", assigner.process().readyMs(), "ms");
+    if (isOnlyAssigner) {
+      awaitBound("kill_to_all_bound", startNs, bindsBefore + lostProxies);
     }
   }
 
-  private void loseZone(int zone) throws InterruptedException {
-    fleet.proxies().loseZone(zone);
-    fleet.discovery().loop().executeAndWait(() -> lostServers = fleet.feed().loseZone(zone));
+  private void removeZone(int zone) throws InterruptedException {
+    fleet.proxies().removeZone(zone);
+    fleet
+        .discovery()
+        .loop()
+        .executeAndWait(() -> lostServers = fleet.changeFeed().removeZone(zone));
     report.add("zone_lost_servers", lostServers.size(), "1");
   }
 
-  private void returnZone(int zone) throws InterruptedException, LimitReached {
+  private void restoreZone(int zone) throws InterruptedException, LimitReachedException {
     long startNs = System.nanoTime();
-    fleet.discovery().loop().executeAndWait(() -> fleet.feed().returnZone(lostServers));
-    fleet.proxies().returnZone(zone);
+    fleet.discovery().loop().executeAndWait(() -> fleet.changeFeed().restoreZone(lostServers));
+    fleet.proxies().restoreZone(zone);
     awaitBound("zone_back_to_all_bound", startNs, 0);
   }
 
   /** What is beyond the cut falls silent, and comes back by new connections. */
-  private void cut(boolean begins) throws InterruptedException, LimitReached {
+  private void setPartitioned(boolean partitioned)
+      throws InterruptedException, LimitReachedException {
     long startNs = System.nanoTime();
-    watching = begins ? fleet.discovery().watching() : watching;
-    fleet.discovery().loop().executeAndWait(() -> fleet.discovery().cut(begins));
-    boolean proxies = fleet.run().get(RunKey.CUT_PROXIES) > 0;
-    if (proxies) {
-      fleet.collectors().cut(begins);
-      fleet.proxies().cut(begins);
+    watchCountBefore = partitioned ? fleet.discovery().watchCount() : watchCountBefore;
+    fleet.discovery().loop().executeAndWait(() -> fleet.discovery().setPartitioned(partitioned));
+    boolean includesProxies = fleet.run().get(RunOption.CUT_PROXIES) > 0;
+    if (includesProxies) {
+      fleet.collectors().setPartitioned(partitioned);
+      fleet.proxies().setPartitioned(partitioned);
     }
-    if (!begins && proxies) {
+    if (!partitioned && includesProxies) {
       awaitBound("cut_back_to_all_bound", startNs, 0);
     }
-    if (!begins) {
-      awaitWatching(startNs);
+    if (!partitioned) {
+      awaitWatches(startNs);
     }
   }
 
-  private void awaitWatching(long startNs) throws InterruptedException, LimitReached {
-    int now = fleet.discovery().watching();
-    while (now < watching) {
-      if (System.nanoTime() - startNs > fleet.run().get(RunKey.READY_WAIT) * 1e9) {
-        throw new LimitReached(
-            "watchers: not all watch again", now + " of " + watching + " watchers");
+  private void awaitWatches(long startNs) throws InterruptedException, LimitReachedException {
+    int watchCount = fleet.discovery().watchCount();
+    while (watchCount < watchCountBefore) {
+      if (System.nanoTime() - startNs > fleet.run().get(RunOption.READY_WAIT) * 1e9) {
+        throw new LimitReachedException(
+            "watchers: not all watch again", watchCount + " of " + watchCountBefore + " watchers");
       }
       Thread.sleep(POLL_MS);
-      now = fleet.discovery().watching();
+      watchCount = fleet.discovery().watchCount();
     }
     report.add("cut_back_to_all_watching", (System.nanoTime() - startNs) / 1e6, "ms");
   }
 
   /** All proxies are bound, and so many binds were made since the start of the run. */
-  private void awaitBound(String name, long startNs, long binds)
-      throws InterruptedException, LimitReached {
-    double mostS = fleet.run().get(RunKey.BIND_WAIT);
-    int wanted = fleet.run().proxies();
-    SimulatedProxies.Figures now = fleet.proxies().figures();
-    while (now.bound() < wanted || now.bindUs().getTotalCount() < binds) {
-      if (System.nanoTime() - startNs > mostS * 1e9) {
-        throw new LimitReached(
-            "binds: not all proxies bound again in " + Report.text(mostS) + " s",
-            now.bound() + " of " + wanted + " proxies");
+  private void awaitBound(String name, long startNs, long minBinds)
+      throws InterruptedException, LimitReachedException {
+    double timeoutSeconds = fleet.run().get(RunOption.BIND_WAIT);
+    int expectedProxies = fleet.run().proxies();
+    ProxyFigures figures = fleet.proxies().figures();
+    while (figures.bound() < expectedProxies || figures.bindUs().getTotalCount() < minBinds) {
+      if (System.nanoTime() - startNs > timeoutSeconds * 1e9) {
+        throw new LimitReachedException(
+            "binds: not all proxies bound again in " + Report.format(timeoutSeconds) + " s",
+            figures.bound() + " of " + expectedProxies + " proxies");
       }
       Thread.sleep(POLL_MS);
-      now = fleet.proxies().figures();
+      figures = fleet.proxies().figures();
     }
     report.add(name, (System.nanoTime() - startNs) / 1e6, "ms");
   }
--- a/src/bench/java/pearusher/scale/JsonTree.java
+++ b/src/bench/java/pearusher/scale/JsonTree.java
@@ -27,35 +27,35 @@
   static JsonTree read(Path file) throws IOException {
     try (JsonParser parser = new JsonFactory().createParser(Files.readAllBytes(file))) {
       parser.nextToken();
-      return new JsonTree(object(parser));
+      return new JsonTree(readObject(parser));
     }
   }
 
-  private static Map<String, Object> object(JsonParser from) throws IOException {
-    Map<String, Object> out = new LinkedHashMap<>();
-    while (from.nextToken() != JsonToken.END_OBJECT) {
-      String key = from.currentName();
-      from.nextToken();
-      out.put(key, value(from));
+  private static Map<String, Object> readObject(JsonParser parser) throws IOException {
+    Map<String, Object> result = new LinkedHashMap<>();
+    while (parser.nextToken() != JsonToken.END_OBJECT) {
+      String key = parser.currentName();
+      parser.nextToken();
+      result.put(key, readValue(parser));
     }
-    return out;
+    return result;
   }
 
-  private static Object value(JsonParser from) throws IOException {
-    return switch (from.currentToken()) {
-      case START_OBJECT -> object(from);
+  private static Object readValue(JsonParser parser) throws IOException {
+    return switch (parser.currentToken()) {
+      case START_OBJECT -> readObject(parser);
       case START_ARRAY -> {
-        List<Object> out = new ArrayList<>();
-        while (from.nextToken() != JsonToken.END_ARRAY) {
-          out.add(value(from));
+        List<Object> result = new ArrayList<>();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+          result.add(readValue(parser));
         }
-        yield out;
+        yield result;
       }
-      case VALUE_STRING -> from.getText();
+      case VALUE_STRING -> parser.getText();
       case VALUE_TRUE -> true;
       case VALUE_FALSE -> false;
-      case VALUE_NUMBER_INT -> from.getLongValue();
-      case VALUE_NUMBER_FLOAT -> from.getDoubleValue();
+      case VALUE_NUMBER_INT -> parser.getLongValue();
+      case VALUE_NUMBER_FLOAT -> parser.getDoubleValue();
       default -> null;
     };
   }
@@ -63,11 +63,11 @@
   /** Sets a value by its path, the keys of which must be there but for the last. */
   JsonTree set(String path, Object value) {
     String[] keys = path.split("\\.");
-    Map<String, Object> at = root;
+    Map<String, Object> parent = root;
     for (int k = 0; k < keys.length - 1; k++) {
-      at = child(at, keys[k]);
+      parent = child(parent, keys[k]);
     }
-    at.put(keys[keys.length - 1], value);
+    parent.put(keys[keys.length - 1], value);
     return this;
   }
 
@@ -77,19 +77,19 @@
   }
 
   /** A copy of the objects of a list. */
-  List<Map<String, Object>> objects(String first, String second) {
-    List<Map<String, Object>> out = new ArrayList<>();
-    for (Object one : (List<?>) child(root, first).get(second)) {
+  List<Map<String, Object>> copyObjects(String first, String second) {
+    List<Map<String, Object>> result = new ArrayList<>();
+    for (Object element : (List<?>) child(root, first).get(second)) {
       Map<String, Object> copy = new LinkedHashMap<>();
-      ((Map<?, ?>) one).forEach((key, value) -> copy.put((String) key, value));
-      out.add(copy);
+      ((Map<?, ?>) element).forEach((key, value) -> copy.put((String) key, value));
+      result.add(copy);
     }
-    return out;
+    return result;
   }
 
   @SuppressWarnings("unchecked")
-  private static Map<String, Object> child(Map<String, Object> at, String key) {
-    if (at.get(key) instanceof Map<?, ?> map) {
+  private static Map<String, Object> child(Map<String, Object> parent, String key) {
+    if (parent.get(key) instanceof Map<?, ?> map) {
       return (Map<String, Object>) map;
     }
     throw new IllegalArgumentException("no object under the key " + key);
@@ -97,33 +97,33 @@
 
   @Override
   public String toString() {
-    StringWriter out = new StringWriter();
-    try (JsonGenerator to = new JsonFactory().createGenerator(out)) {
-      write(to, root);
+    StringWriter result = new StringWriter();
+    try (JsonGenerator generator = new JsonFactory().createGenerator(result)) {
+      write(generator, root);
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
-    return out.toString();
+    return result.toString();
   }
 
-  private static void write(JsonGenerator to, Object value) throws IOException {
+  private static void write(JsonGenerator generator, Object value) throws IOException {
     if (value instanceof Map<?, ?> map) {
-      to.writeStartObject();
+      generator.writeStartObject();
       for (Map.Entry<?, ?> entry : map.entrySet()) {
-        to.writeFieldName((String) entry.getKey());
-        write(to, entry.getValue());
+        generator.writeFieldName((String) entry.getKey());
+        write(generator, entry.getValue());
       }
-      to.writeEndObject();
+      generator.writeEndObject();
     } else if (value instanceof List<?> list) {
-      to.writeStartArray();
-      for (Object one : list) {
-        write(to, one);
+      generator.writeStartArray();
+      for (Object element : list) {
+        write(generator, element);
       }
-      to.writeEndArray();
+      generator.writeEndArray();
     } else if (value instanceof Raw raw) {
-      to.writeRawValue(raw.json());
+      generator.writeRawValue(raw.json());
     } else {
-      to.writeObject(value);
+      generator.writeObject(value);
     }
   }
 }
--- a/src/bench/java/pearusher/scale/LeastSquares.java
+++ b/src/bench/java/pearusher/scale/LeastSquares.java
@@ -8,42 +8,44 @@
  */
 record LeastSquares(double intercept, double slope, double residual, double explained) {
   /** A line whose residual is larger is not called straight. */
-  static final double STRAIGHT = 0.05;
+  static final double MAX_STRAIGHT_RESIDUAL = 0.05;
 
   /** One run at one size. */
-  record Point(double x, double y) {}
+  record Point(double size, double figure) {}
 
   static LeastSquares fit(List<Point> points) {
-    if (points.stream().mapToDouble(Point::x).distinct().count() < 2) {
+    if (points.stream().mapToDouble(Point::size).distinct().count() < 2) {
       throw new IllegalArgumentException("a line needs two sizes");
     }
     int count = points.size();
-    double meanX = points.stream().mapToDouble(Point::x).average().orElseThrow();
-    double meanY = points.stream().mapToDouble(Point::y).average().orElseThrow();
-    double xx = 0;
-    double xy = 0;
-    double yy = 0;
+    double meanSize = points.stream().mapToDouble(Point::size).average().orElseThrow();
+    double meanFigure = points.stream().mapToDouble(Point::figure).average().orElseThrow();
+    double sizeSquares = 0;
+    double products = 0;
+    double figureSquares = 0;
     for (Point point : points) {
-      xx += (point.x() - meanX) * (point.x() - meanX);
-      xy += (point.x() - meanX) * (point.y() - meanY);
-      yy += (point.y() - meanY) * (point.y() - meanY);
+      sizeSquares += (point.size() - meanSize) * (point.size() - meanSize);
+      products += (point.size() - meanSize) * (point.figure() - meanFigure);
+      figureSquares += (point.figure() - meanFigure) * (point.figure() - meanFigure);
     }
-    double slope = xy / xx;
-    double intercept = meanY - slope * meanX;
-    double squares = 0;
+    double slope = products / sizeSquares;
+    double intercept = meanFigure - slope * meanSize;
+    double squaredErrors = 0;
     for (Point point : points) {
-      double off = point.y() - intercept - slope * point.x();
-      squares += off * off;
+      double error = point.figure() - intercept - slope * point.size();
+      squaredErrors += error * error;
     }
-    double residual = Math.sqrt(squares / count) / (meanY == 0 ? 1 : Math.abs(meanY));
-    return new LeastSquares(intercept, slope, residual, yy == 0 ? 1 : 1 - squares / yy);
+    double residual =
+        Math.sqrt(squaredErrors / count) / (meanFigure == 0 ? 1 : Math.abs(meanFigure));
+    return new LeastSquares(
+        intercept, slope, residual, figureSquares == 0 ? 1 : 1 - squaredErrors / figureSquares);
   }
 
-  boolean straight() {
-    return residual <= STRAIGHT;
+  boolean isStraight() {
+    return residual <= MAX_STRAIGHT_RESIDUAL;
   }
 
-  double at(double x) {
-    return intercept + slope * x;
+  double valueAt(double size) {
+    return intercept + slope * size;
   }
 }
--- a/src/bench/java/pearusher/scale/MeasurementWindow.java
+++ b/src/bench/java/pearusher/scale/MeasurementWindow.java
@@ -6,112 +6,135 @@
 import java.util.Map;
 
 /**
- * The time that is measured: what each real assigner used, got and wrote between its begin and its
- * end.
+ * The measured part of a run: the CPU time and the traffic of each assigner from the creation of
+ * the window to its end.
  */
 final class MeasurementWindow {
-  private record Begin(
-      TestFleet.Member member,
+  private record Baseline(
+      RealAssigner assigner,
       AssignerProcess process,
-      long ticks,
+      long cpuTicks,
       Map<TrafficCounter.Kind, TrafficCounter.Count> traffic) {}
 
-  /** With more than this left unread, lines are not what was worked on. */
-  private static final long MOST_UNREAD_BYTES = 64 << 10;
+  /** With more unread bytes the CPU time does not cover the reports that were sent. */
+  private static final long MAX_UNREAD_BYTES = 64 << 10;
 
   /**
-   * The decisions run on one thread: where a core is nearly full, lines wait within the process.
+   * All decisions run on one thread: when a core is nearly busy, reports wait within the process.
    */
-  private static final double MOST_CORE_PERCENT = 90;
+  private static final double MAX_CORE_PERCENT = 90;
 
-  private final List<Begin> begins = new ArrayList<>();
-  private final List<Map<TrafficCounter.Kind, TrafficCounter.Count>> simulated = new ArrayList<>();
+  private final List<Baseline> baselines = new ArrayList<>();
+  private final List<Map<TrafficCounter.Kind, TrafficCounter.Count>> simulatedBaselines =
+      new ArrayList<>();
   private final TestFleet fleet;
   private final long startNs;
 
   MeasurementWindow(TestFleet fleet) throws IOException {
     this.fleet = fleet;
-    for (TestFleet.Member member : fleet.members()) {
-      begins.add(
-          new Begin(
+    for (RealAssigner member : fleet.realAssigners()) {
+      baselines.add(
+          new Baseline(
               member,
               member.process(),
-              ProcessFigures.ticks(member.process().pid()),
+              ProcessFigures.cpuTicks(member.process().pid()),
               member.traffic().snapshot()));
     }
-    fleet.simulatedAssigners().addresses().forEach(one -> simulated.add(one.traffic().snapshot()));
+    fleet
+        .simulatedAssigners()
+        .addresses()
+        .forEach(one -> simulatedBaselines.add(one.traffic().snapshot()));
     startNs = System.nanoTime();
   }
 
+  /** Ends the window and adds its figures. */
   void end(Report report) throws IOException {
     double seconds = (System.nanoTime() - startNs) / 1e9;
     report.add("window", seconds, "s");
-    for (Begin begin : begins) {
-      String name = "a" + begin.member().number() + ".";
-      Map<TrafficCounter.Kind, TrafficCounter.Count> traffic =
-          TrafficCounter.difference(begin.member().traffic().snapshot(), begin.traffic());
-      traffic(report, name, traffic, seconds);
-      // A process that was ended or started anew within the window has no processor time of the
-      // window.
-      if (begin.process() == begin.member().process() && begin.process().alive()) {
-        long ticks = ProcessFigures.ticks(begin.process().pid()) - begin.ticks();
-        long unread = ProcessFigures.unreadBytes(begin.process().address().getPort());
-        report.add(name + "unread_end", (double) unread, "B");
-        double core = ticks * ProcessFigures.TICK_MS / seconds / 10;
-        report.add(name + "core", core, "percent_of_a_core");
-        if (core > MOST_CORE_PERCENT) {
-          report.remark(name + "cpu_per_heard", "not given: a core is full, so lines may wait");
-        } else if (unread > MOST_UNREAD_BYTES || begin.process().reportsDropped() != 0) {
-          report.remark(name + "cpu_per_heard", "not given: lines were not read, or were dropped");
-        } else {
-          perMessage(report, name, ticks * ProcessFigures.TICK_MS, traffic);
-        }
-      }
+    for (Baseline baseline : baselines) {
+      reportAssigner(report, baseline, seconds);
     }
     List<AssignerAddress> addresses = fleet.simulatedAssigners().addresses();
     for (int k = 0; k < addresses.size(); k++) {
-      Map<TrafficCounter.Kind, TrafficCounter.Count> now = addresses.get(k).traffic().snapshot();
-      traffic(report, "h" + k + ".", TrafficCounter.difference(now, simulated.get(k)), seconds);
+      Map<TrafficCounter.Kind, TrafficCounter.Count> traffic =
+          TrafficCounter.difference(
+              addresses.get(k).traffic().snapshot(), simulatedBaselines.get(k));
+      reportTraffic(report, "h" + k + ".", traffic, seconds);
+    }
+  }
+
+  private static void reportAssigner(Report report, Baseline baseline, double seconds)
+      throws IOException {
+    String prefix = "a" + baseline.assigner().number() + ".";
+    Map<TrafficCounter.Kind, TrafficCounter.Count> traffic =
+        TrafficCounter.difference(baseline.assigner().traffic().snapshot(), baseline.traffic());
+    reportTraffic(report, prefix, traffic, seconds);
+    // A process that was stopped or restarted within the window has no CPU time for it.
+    if (baseline.process() == baseline.assigner().process() && baseline.process().isAlive()) {
+      reportCpu(report, prefix, baseline, traffic, seconds);
     }
   }
 
-  private static void perMessage(
+  private static void reportCpu(
       Report report,
-      String name,
+      String prefix,
+      Baseline baseline,
+      Map<TrafficCounter.Kind, TrafficCounter.Count> traffic,
+      double seconds)
+      throws IOException {
+    AssignerProcess process = baseline.process();
+    long ticks = ProcessFigures.cpuTicks(process.pid()) - baseline.cpuTicks();
+    long unreadBytes = ProcessFigures.unreadBytes(process.address().getPort());
+    report.add(prefix + "unread_end", (double) unreadBytes, "B");
+    double corePercent = ticks * ProcessFigures.TICK_MS / seconds / 10;
+    report.add(prefix + "core", corePercent, "percent_of_a_core");
+    if (corePercent > MAX_CORE_PERCENT) {
+      report.remark(prefix + "cpu_per_heard", "not given: a core is full, so lines may wait");
+    } else if (unreadBytes > MAX_UNREAD_BYTES || process.reportsDropped() != 0) {
+      report.remark(prefix + "cpu_per_heard", "not given: lines were not read, or were dropped");
+    } else {
+      reportCpuPerMessage(report, prefix, ticks * ProcessFigures.TICK_MS, traffic);
+    }
+  }
+
+  private static void reportCpuPerMessage(
+      Report report,
+      String prefix,
       double cpuMs,
       Map<TrafficCounter.Kind, TrafficCounter.Count> traffic) {
-    long heard = traffic.get(TrafficCounter.Kind.HEARD).messages();
-    long all =
-        heard
-            + traffic.get(TrafficCounter.Kind.USAGE).messages()
-            + traffic.get(TrafficCounter.Kind.APPLIED).messages();
-    if (heard > 0) {
-      report.add(name + "cpu_per_heard", 1000 * cpuMs / heard, "us");
+    long loadReports = traffic.get(TrafficCounter.Kind.LOAD_REPORT).messages();
+    long inbound =
+        loadReports
+            + traffic.get(TrafficCounter.Kind.USAGE_REPORT).messages()
+            + traffic.get(TrafficCounter.Kind.ACKNOWLEDGEMENT).messages();
+    if (loadReports > 0) {
+      report.add(prefix + "cpu_per_heard", 1000 * cpuMs / loadReports, "us");
     }
-    if (all > 0) {
-      report.add(name + "cpu_per_message_in", 1000 * cpuMs / all, "us");
+    if (inbound > 0) {
+      report.add(prefix + "cpu_per_message_in", 1000 * cpuMs / inbound, "us");
     }
   }
 
-  private static void traffic(
+  private static void reportTraffic(
       Report report,
-      String name,
+      String prefix,
       Map<TrafficCounter.Kind, TrafficCounter.Count> traffic,
       double seconds) {
-    double in = 0;
-    double out = 0;
+    double inboundBytes = 0;
+    double outboundBytes = 0;
     for (Map.Entry<TrafficCounter.Kind, TrafficCounter.Count> entry : traffic.entrySet()) {
       TrafficCounter.Kind kind = entry.getKey();
       TrafficCounter.Count count = entry.getValue();
-      String at =
-          name + (kind.in() ? "in." : "out.") + kind.name().toLowerCase(java.util.Locale.ROOT);
-      report.add(at + "_bytes", count.bytes() / seconds, "B/s");
-      report.add(at + "_messages", count.messages() / seconds, "1/s");
-      in += kind.in() ? count.bytes() : 0;
-      // Lines and names are parts of orders.
-      out += kind == TrafficCounter.Kind.ORDER ? count.bytes() : 0;
+      report.add(prefix + kind.figureName() + "_bytes", count.bytes() / seconds, "B/s");
+      report.add(prefix + kind.figureName() + "_messages", count.messages() / seconds, "1/s");
+      if (kind.isInbound()) {
+        inboundBytes += count.bytes();
+      } else if (kind == TrafficCounter.Kind.UPDATE) {
+        // The other outbound kinds are parts of updates.
+        outboundBytes += count.bytes();
+      }
     }
-    report.add(name + "in_bytes", in / seconds, "B/s");
-    report.add(name + "out_bytes", out / seconds, "B/s");
+    report.add(prefix + "in_bytes", inboundBytes / seconds, "B/s");
+    report.add(prefix + "out_bytes", outboundBytes / seconds, "B/s");
   }
 }
--- a/src/bench/java/pearusher/scale/ProcessFigures.java
+++ b/src/bench/java/pearusher/scale/ProcessFigures.java
@@ -13,33 +13,33 @@
   static final double TICK_MS = 10;
 
   /** Of /proc/PID/stat, counted behind the name in brackets: user and system time. */
-  private static final int USER_TICKS = 11;
+  private static final int USER_TICKS_COLUMN = 11;
 
-  private static final int SYSTEM_TICKS = 12;
-  private static final int STATE = 3;
+  private static final int SYSTEM_TICKS_COLUMN = 12;
+  private static final int STATE_COLUMN = 3;
   private static final String ESTABLISHED = "01";
-  private static final int QUEUES = 4;
-  private static final long JCMD_S = 60;
+  private static final int QUEUES_COLUMN = 4;
+  private static final long JCMD_TIMEOUT_SECONDS = 60;
 
   private ProcessFigures() {}
 
   /** User and system time so far, in ticks. */
-  static long ticks(long pid) throws IOException {
+  static long cpuTicks(long pid) throws IOException {
     String stat = Files.readString(Path.of("/proc", Long.toString(pid), "stat"));
     String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-    return Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[SYSTEM_TICKS]);
+    return Long.parseLong(fields[USER_TICKS_COLUMN]) + Long.parseLong(fields[SYSTEM_TICKS_COLUMN]);
   }
 
   /** Resident memory in kB. */
   static long residentKb(long pid) throws IOException {
-    return status(pid, "VmRSS:");
+    return statusKb(pid, "VmRSS:");
   }
 
   static long peakResidentKb(long pid) throws IOException {
-    return status(pid, "VmHWM:");
+    return statusKb(pid, "VmHWM:");
   }
 
-  private static long status(long pid, String key) throws IOException {
+  private static long statusKb(long pid, String key) throws IOException {
     List<String> lines = Files.readAllLines(Path.of("/proc", Long.toString(pid), "status"));
     for (String line : lines) {
       if (line.startsWith(key)) {
@@ -61,26 +61,27 @@
 
   /** Bytes that have come to a local port and were not read yet, over all its connections. */
   static long unreadBytes(int port) throws IOException {
-    long out = 0;
+    long total = 0;
     for (String table : new String[] {"tcp", "tcp6"}) {
       Path file = Path.of("/proc", "net", table);
       if (Files.exists(file)) {
         for (String line : Files.readAllLines(file)) {
-          out += unread(line.strip().split("\\s+"), port);
+          total += unread(line.strip().split("\\s+"), port);
         }
       }
     }
-    return out;
+    return total;
   }
 
   /** Of a line of /proc/net/tcp: the address, then the two queues, in hexadecimal. */
   private static long unread(String[] fields, int port) {
-    boolean connected = fields.length > QUEUES && fields[STATE].equals(ESTABLISHED);
+    boolean connected = fields.length > QUEUES_COLUMN && fields[STATE_COLUMN].equals(ESTABLISHED);
     if (!connected
         || Integer.parseInt(fields[1].substring(fields[1].indexOf(':') + 1), 16) != port) {
       return 0;
     }
-    return Long.parseLong(fields[QUEUES].substring(fields[QUEUES].indexOf(':') + 1), 16);
+    return Long.parseLong(
+        fields[QUEUES_COLUMN].substring(fields[QUEUES_COLUMN].indexOf(':') + 1), 16);
   }
 
   /** Bytes of live objects, or -1 where the process can't be asked. It makes a full collection. */
@@ -91,9 +92,10 @@
             .redirectErrorStream(true)
             .start();
     try {
-      String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-      process.waitFor(JCMD_S, TimeUnit.SECONDS);
-      return totalBytes(out);
+      String histogram =
+          new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+      process.waitFor(JCMD_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      return totalBytes(histogram);
     } finally {
       process.destroyForcibly();
     }
@@ -102,9 +104,9 @@
   /** The last column of the line "Total instances bytes". */
   static long totalBytes(String histogram) {
     for (String line : histogram.split("\n")) {
-      String[] words = line.strip().split("\\s+");
-      if (words.length == 3 && words[0].equals("Total")) {
-        return Long.parseLong(words[2]);
+      String[] columns = line.strip().split("\\s+");
+      if (columns.length == 3 && columns[0].equals("Total")) {
+        return Long.parseLong(columns[2]);
       }
     }
     return -1;
--- /dev/null
+++ b/src/bench/java/pearusher/scale/ProxyFigures.java
@@ -0,0 +1,21 @@
+package pearusher.scale;
+
+import org.HdrHistogram.Histogram;
+
+/**
+ * The measurements of all simulated proxies at one time.
+ *
+ * @param bound proxies that have a complete table
+ * @param streamsEnded streams that the assigners ended
+ * @param drainsUnfinished draining servers that some proxy still holds
+ * @param connectFailure the last failure to open a connection; null if there was none
+ */
+record ProxyFigures(
+    int bound,
+    int streamsEnded,
+    int drainsUnfinished,
+    Histogram bindUs,
+    Histogram bindBytes,
+    Histogram drainPerProxyUs,
+    Histogram drainEverywhereUs,
+    String connectFailure) {}
--- a/src/bench/java/pearusher/scale/Report.java
+++ b/src/bench/java/pearusher/scale/Report.java
@@ -32,12 +32,12 @@
   }
 
   /** Median, 99th percentile and maximum with the count; only the count where there is nothing. */
-  void times(String name, Histogram histogram, double perUnit, String unit) {
+  void addPercentiles(String name, Histogram histogram, double unitsPerFigure, String unit) {
     add(name + "_count", (double) histogram.getTotalCount(), "1");
     if (histogram.getTotalCount() > 0) {
-      add(name + "_p50", histogram.getValueAtPercentile(50) / perUnit, unit);
-      add(name + "_p99", histogram.getValueAtPercentile(99) / perUnit, unit);
-      add(name + "_max", histogram.getMaxValue() / perUnit, unit);
+      add(name + "_p50", histogram.getValueAtPercentile(50) / unitsPerFigure, unit);
+      add(name + "_p99", histogram.getValueAtPercentile(99) / unitsPerFigure, unit);
+      add(name + "_max", histogram.getMaxValue() / unitsPerFigure, unit);
     }
   }
 
@@ -65,16 +65,16 @@
   }
 
   void print(PrintStream out) {
-    for (Figure one : figures) {
-      out.println(one.name() + " " + text(one.value()) + " " + one.unit());
+    for (Figure figure : figures) {
+      out.println(figure.name() + " " + format(figure.value()) + " " + figure.unit());
     }
-    for (Remark one : remarks) {
-      out.println("# " + one.name() + ": " + one.text());
+    for (Remark figure : remarks) {
+      out.println("# " + figure.name() + ": " + figure.text());
     }
   }
 
   /** Whole numbers as such, others with four digits at least. */
-  static String text(double value) {
+  static String format(double value) {
     if (value == Math.rint(value) && Math.abs(value) < 1e15) {
       return Long.toString((long) value);
     }
@@ -83,31 +83,31 @@
   }
 
   void writeJson(Path file, RunDescription run) throws IOException {
-    try (JsonGenerator to =
+    try (JsonGenerator json =
         new JsonFactory()
             .createGenerator(file.toFile(), com.fasterxml.jackson.core.JsonEncoding.UTF8)) {
-      to.useDefaultPrettyPrinter();
-      to.writeStartObject();
-      to.writeObjectFieldStart("run");
-      for (RunKey key : RunKey.values()) {
-        to.writeNumberField(key.key(), run.get(key));
+      json.useDefaultPrettyPrinter();
+      json.writeStartObject();
+      json.writeObjectFieldStart("run");
+      for (RunOption key : RunOption.values()) {
+        json.writeNumberField(key.key(), run.get(key));
       }
-      to.writeEndObject();
-      to.writeArrayFieldStart("figures");
-      for (Figure one : figures) {
-        to.writeStartObject();
-        to.writeStringField("name", one.name());
-        to.writeNumberField("value", one.value());
-        to.writeStringField("unit", one.unit());
-        to.writeEndObject();
+      json.writeEndObject();
+      json.writeArrayFieldStart("figures");
+      for (Figure figure : figures) {
+        json.writeStartObject();
+        json.writeStringField("name", figure.name());
+        json.writeNumberField("value", figure.value());
+        json.writeStringField("unit", figure.unit());
+        json.writeEndObject();
       }
-      to.writeEndArray();
-      to.writeObjectFieldStart("remarks");
-      for (Remark one : remarks) {
-        to.writeStringField(one.name(), one.text());
+      json.writeEndArray();
+      json.writeObjectFieldStart("remarks");
+      for (Remark figure : remarks) {
+        json.writeStringField(figure.name(), figure.text());
       }
-      to.writeEndObject();
-      to.writeEndObject();
+      json.writeEndObject();
+      json.writeEndObject();
     }
   }
 }
--- a/src/bench/java/pearusher/scale/RespScanner.java
+++ b/src/bench/java/pearusher/scale/RespScanner.java
@@ -3,133 +3,145 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
+import java.util.OptionalInt;
 import java.util.function.Consumer;
 
 /**
- * Cuts RESP2 arrays of bulk strings out of a connection's bytes without making strings of them: a
- * message is a view of the bytes, valid only while its receiver runs. Bytes of an unfinished
- * message are kept till the rest comes.
+ * Splits a connection's bytes into RESP2 arrays of bulk strings without creating strings: a message
+ * is a view of the bytes and valid only while its consumer runs. The bytes of an incomplete message
+ * are kept until the rest arrives.
  */
 final class RespScanner {
-  private static final int MOST_WORDS = 64;
+  private static final int MAX_FIELDS = 64;
 
-  /** A longer buffer is given back once it is empty. */
-  private static final int KEPT_BYTES = 4 << 10;
+  /** A longer buffer is released once it is empty. */
+  private static final int RETAINED_BUFFER_BYTES = 4 << 10;
 
-  /** One message: words within a byte array. */
+  /** One message: its fields within a byte array. */
   static final class View {
     private byte[] bytes;
-    private final int[] starts = new int[MOST_WORDS];
-    private final int[] lengths = new int[MOST_WORDS];
-    private int words;
-    private int size;
+    private final int[] starts = new int[MAX_FIELDS];
+    private final int[] lengths = new int[MAX_FIELDS];
+    private int fieldCount;
+    private int sizeBytes;
 
-    /** Bytes of the whole message, headers included. */
-    int size() {
-      return size;
+    /** The size of the message, including all headers. */
+    int sizeBytes() {
+      return sizeBytes;
     }
 
-    int words() {
-      return words;
+    int fieldCount() {
+      return fieldCount;
     }
 
     byte[] bytes() {
       return bytes;
     }
 
-    int start(int word) {
-      return starts[word];
+    int start(int field) {
+      return starts[field];
     }
 
-    int length(int word) {
-      return lengths[word];
+    int length(int field) {
+      return lengths[field];
     }
 
-    String text(int word) {
-      return new String(bytes, starts[word], lengths[word], StandardCharsets.US_ASCII);
+    String text(int field) {
+      return new String(bytes, starts[field], lengths[field], StandardCharsets.US_ASCII);
     }
 
-    boolean is(int word, byte[] text) {
-      return lengths[word] == text.length
-          && Arrays.equals(bytes, starts[word], starts[word] + lengths[word], text, 0, text.length);
+    boolean fieldEquals(int field, byte[] text) {
+      return lengths[field] == text.length
+          && Arrays.equals(
+              bytes, starts[field], starts[field] + lengths[field], text, 0, text.length);
     }
 
-    /** The position of the value that follows a name, or -1. */
-    int value(byte[] name) {
-      for (int word = 1; word + 1 < words; word += 2) {
-        if (is(word, name)) {
-          return word + 1;
+    /** The position of the value that follows a field's name; empty if there is no such field. */
+    OptionalInt find(byte[] name) {
+      for (int field = 1; field + 1 < fieldCount; field += 2) {
+        if (fieldEquals(field, name)) {
+          return OptionalInt.of(field + 1);
         }
       }
-      return -1;
+      return OptionalInt.empty();
     }
   }
 
   private final View view = new View();
-  private byte[] held = new byte[0];
-  private int heldBytes;
-
-  /** Takes all bytes of the buffer and hands over each whole message. */
-  void take(ByteBuffer from, Consumer<View> to) {
-    if (heldBytes == 0) {
-      int used = scan(from.array(), from.arrayOffset() + from.position(), from.remaining(), to);
-      from.position(from.position() + used);
-    }
-    if (!from.hasRemaining()) {
+  private byte[] partialMessage = new byte[0];
+  private int partialBytes;
+
+  /** Consumes all bytes of the buffer and passes on each complete message. */
+  void feed(ByteBuffer buffer, Consumer<View> consumer) {
+    if (partialBytes == 0) {
+      int consumedBytes =
+          scan(
+              buffer.array(),
+              buffer.arrayOffset() + buffer.position(),
+              buffer.remaining(),
+              consumer);
+      buffer.position(buffer.position() + consumedBytes);
+    }
+    if (!buffer.hasRemaining()) {
       return;
     }
-    int more = from.remaining();
-    if (held.length < heldBytes + more) {
-      held = Arrays.copyOf(held, Math.max(2 * held.length, heldBytes + more));
-    }
-    from.get(held, heldBytes, more);
-    heldBytes += more;
-    int used = scan(held, 0, heldBytes, to);
-    heldBytes -= used;
-    if (heldBytes == 0 && held.length > KEPT_BYTES) {
-      held = new byte[0];
-    } else if (used > 0) {
-      System.arraycopy(held, used, held, 0, heldBytes);
+    int addedBytes = buffer.remaining();
+    if (partialMessage.length < partialBytes + addedBytes) {
+      partialMessage =
+          Arrays.copyOf(
+              partialMessage, Math.max(2 * partialMessage.length, partialBytes + addedBytes));
+    }
+    buffer.get(partialMessage, partialBytes, addedBytes);
+    partialBytes += addedBytes;
+    int consumedBytes = scan(partialMessage, 0, partialBytes, consumer);
+    partialBytes -= consumedBytes;
+    if (partialBytes == 0 && partialMessage.length > RETAINED_BUFFER_BYTES) {
+      partialMessage = new byte[0];
+    } else if (consumedBytes > 0) {
+      System.arraycopy(partialMessage, consumedBytes, partialMessage, 0, partialBytes);
     }
   }
 
-  /** Bytes used up by whole messages. */
-  private int scan(byte[] bytes, int from, int length, Consumer<View> to) {
+  /** Returns the number of bytes consumed by complete messages. */
+  private int scan(byte[] bytes, int from, int length, Consumer<View> consumer) {
     int at = from;
-    while (message(bytes, at, from + length)) {
-      at += view.size;
-      to.accept(view);
+    while (parseMessage(bytes, at, from + length)) {
+      at += view.sizeBytes;
+      consumer.accept(view);
     }
     return at - from;
   }
 
-  private int after;
+  private int headerEnd;
 
-  private boolean message(byte[] bytes, int from, int end) {
-    int words = header(bytes, from, end, '*');
-    if (words < 0) {
+  private boolean parseMessage(byte[] bytes, int from, int end) {
+    int fieldCount = parseHeader(bytes, from, end, '*');
+    if (fieldCount < 0) {
       return false;
     }
-    if (words > MOST_WORDS) {
-      throw new IllegalStateException("a message of " + words + " words");
+    if (fieldCount > MAX_FIELDS) {
+      throw new IllegalStateException("a message of " + fieldCount + " fields");
     }
     view.bytes = bytes;
-    view.words = words;
-    for (int word = 0; word < words; word++) {
-      int length = header(bytes, after, end, '$');
-      if (length < 0 || after + length + 2 > end) {
+    view.fieldCount = fieldCount;
+    for (int field = 0; field < fieldCount; field++) {
+      int length = parseHeader(bytes, headerEnd, end, '$');
+      if (length < 0 || headerEnd + length + 2 > end) {
         return false;
       }
-      view.starts[word] = after;
-      view.lengths[word] = length;
-      after += length + 2;
+      view.starts[field] = headerEnd;
+      view.lengths[field] = length;
+      headerEnd += length + 2;
     }
-    view.size = after - from;
+    view.sizeBytes = headerEnd - from;
     return true;
   }
 
-  /** The number of a header whose end is left in {@link #after}; -1 while it is not whole. */
-  private int header(byte[] bytes, int from, int end, char kind) {
+  /**
+   * Returns the number of a header and stores its end in {@link #headerEnd}; -1 while the header is
+   * incomplete.
+   */
+  private int parseHeader(byte[] bytes, int from, int end, char kind) {
     if (from >= end) {
       return -1;
     }
@@ -139,7 +151,7 @@
     int number = 0;
     for (int at = from + 1; at + 1 < end; at++) {
       if (bytes[at] == '\r') {
-        after = at + 2;
+        headerEnd = at + 2;
         return number;
       }
       number = 10 * number + bytes[at] - '0';
--- a/src/bench/java/pearusher/scale/RespWriter.java
+++ b/src/bench/java/pearusher/scale/RespWriter.java
@@ -6,22 +6,22 @@
 final class RespWriter {
   private RespWriter() {}
 
-  static byte[] message(String... words) {
-    StringBuilder out = new StringBuilder(160).append('*').append(words.length).append("\r\n");
-    for (String word : words) {
-      out.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
+  static byte[] encode(String... fields) {
+    StringBuilder out = new StringBuilder(160).append('*').append(fields.length).append("\r\n");
+    for (String field : fields) {
+      out.append('$').append(field.length()).append("\r\n").append(field).append("\r\n");
     }
     return out.toString().getBytes(StandardCharsets.ISO_8859_1);
   }
 
   /** A message whose words stand in one text with blanks between them. */
-  static byte[] words(String text) {
-    return message(text.split(" "));
+  static byte[] encodeWords(String text) {
+    return encode(text.split(" "));
   }
 
   /** A figure with one decimal, without the cost of a formatter. */
-  static String tenths(double value) {
-    long tenths = Math.round(10 * value);
-    return tenths / 10 + "." + tenths % 10;
+  static String formatTenths(double value) {
+    long rounded = Math.round(10 * value);
+    return rounded / 10 + "." + rounded % 10;
   }
 }
--- a/src/bench/java/pearusher/scale/RunCommand.java
+++ b/src/bench/java/pearusher/scale/RunCommand.java
@@ -8,27 +8,31 @@
 
 /** The command by which the operators start an assigner, as a build's deploy/balancer.toml says. */
 record RunCommand(Path root, String command) {
-  private static final Pattern RUN = Pattern.compile("(?m)^run\\s*=\\s*\"(.*?)\"");
+  private static final Pattern RUN_LINE = Pattern.compile("(?m)^run\\s*=\\s*\"(.*?)\"");
   private static final String JAR_OPTION = " -jar ";
-  private static final String JAR = "target/pearusher.jar";
+  private static final String DEFAULT_JAR = "target/pearusher.jar";
 
   /** Reads the line; a jar takes the place of the build's own, flags go last, so that they win. */
-  static RunCommand read(Path root, Path jar, String flags) throws IOException {
+  static RunCommand fromBuild(Path root, Path jar, String flags) throws IOException {
     String text = Files.readString(root.resolve("deploy").resolve("balancer.toml"));
-    Matcher matcher = RUN.matcher(text);
+    Matcher matcher = RUN_LINE.matcher(text);
     if (!matcher.find()) {
       throw new IOException("deploy/balancer.toml has no run line");
     }
     String command = matcher.group(1);
-    int at = command.indexOf(JAR_OPTION);
-    if (at < 0) {
+    int jarOptionStart = command.indexOf(JAR_OPTION);
+    if (jarOptionStart < 0) {
       throw new IOException("the run line starts no jar: " + command);
     }
     if (!flags.isBlank()) {
-      command = command.substring(0, at) + " " + flags.strip() + command.substring(at);
+      command =
+          command.substring(0, jarOptionStart)
+              + " "
+              + flags.strip()
+              + command.substring(jarOptionStart);
     }
     if (jar != null) {
-      command = command.replace(JAR, jar.toAbsolutePath().toString());
+      command = command.replace(DEFAULT_JAR, jar.toAbsolutePath().toString());
     }
     return new RunCommand(root, command);
   }
--- a/src/bench/java/pearusher/scale/RunDescription.java
+++ b/src/bench/java/pearusher/scale/RunDescription.java
@@ -10,123 +10,118 @@
 /** What a scale run is to do: a value for each key, checked. It never changes. */
 final class RunDescription {
   /** The settings' number of proxies is never less. */
-  static final int LEAST_PROXY_COUNT = 64;
+  static final int MIN_PROXY_COUNT = 64;
 
-  /** A description that can't be used; the text names the key. */
-  static final class Fault extends Exception {
-    private static final long serialVersionUID = 1L;
+  private final Map<RunOption, Double> values;
 
-    Fault(String text) {
-      super(text);
-    }
-  }
-
-  private final Map<RunKey, Double> values;
-
-  private RunDescription(Map<RunKey, Double> values) {
+  private RunDescription(Map<RunOption, Double> values) {
     this.values = values;
   }
 
-  static RunDescription standard() {
-    Map<RunKey, Double> out = new EnumMap<>(RunKey.class);
-    for (RunKey key : RunKey.values()) {
-      out.put(key, Double.valueOf(key.standard()));
+  static RunDescription defaults() {
+    Map<RunOption, Double> values = new EnumMap<>(RunOption.class);
+    for (RunOption key : RunOption.values()) {
+      values.put(key, Double.valueOf(key.defaultValue()));
     }
-    return new RunDescription(out);
+    return new RunDescription(values);
   }
 
   /** Lines of {@code key value}; what follows a # is a remark. */
-  RunDescription withFile(Path file) throws Fault {
+  RunDescription withFile(Path file) throws RunDescriptionException {
     List<String> lines;
     try {
       lines = Files.readAllLines(file);
     } catch (IOException e) {
-      throw new Fault("the run description " + file + " can't be read");
+      throw new RunDescriptionException("the run description " + file + " can't be read");
     }
-    RunDescription out = this;
+    RunDescription description = this;
     for (int number = 1; number <= lines.size(); number++) {
       String line = lines.get(number - 1).replaceFirst("#.*", "").strip();
       if (!line.isEmpty()) {
-        String[] words = line.split("\\s+");
-        String at = file + " line " + number + ": ";
-        if (words.length != 2) {
-          throw new Fault(at + "the key " + words[0] + " wants one value");
+        String[] fields = line.split("\\s+");
+        String position = file + " line " + number + ": ";
+        if (fields.length != 2) {
+          throw new RunDescriptionException(position + "the key " + fields[0] + " wants one value");
         }
-        out = out.with(at, words[0], words[1]);
+        description = description.with(position, fields[0], fields[1]);
       }
     }
-    return out;
+    return description;
   }
 
-  RunDescription with(String key, String value) throws Fault {
+  RunDescription with(String key, String value) throws RunDescriptionException {
     return with("", key, value);
   }
 
-  private RunDescription with(String at, String name, String text) throws Fault {
-    RunKey key =
-        RunKey.of(name).orElseThrow(() -> new Fault(at + "the key " + name + " is not known"));
+  private RunDescription with(String position, String name, String text)
+      throws RunDescriptionException {
+    RunOption key =
+        RunOption.find(name)
+            .orElseThrow(
+                () -> new RunDescriptionException(position + "the key " + name + " is not known"));
     double value;
     try {
       value = Double.parseDouble(text);
     } catch (NumberFormatException e) {
-      throw new Fault(at + "the key " + name + " is not a number: '" + text + "'");
+      throw new RunDescriptionException(
+          position + "the key " + name + " is not a number: '" + text + "'");
     }
-    if (!(value >= key.least() && value <= key.most())) {
-      throw new Fault(at + "the key " + name + " is out of range: " + text);
+    if (!(value >= key.min() && value <= key.max())) {
+      throw new RunDescriptionException(position + "the key " + name + " is out of range: " + text);
     }
-    Map<RunKey, Double> next = new EnumMap<>(values);
+    Map<RunOption, Double> next = new EnumMap<>(values);
     next.put(key, value);
     return new RunDescription(next);
   }
 
   /** Keys and values by turns in one text. */
-  RunDescription withWords(String text) throws Fault {
-    String[] words = text.split(" ");
-    RunDescription out = this;
-    for (int k = 0; k + 1 < words.length; k += 2) {
-      out = out.with(words[k], words[k + 1]);
+  RunDescription withOptions(String text) throws RunDescriptionException {
+    String[] fields = text.split(" ");
+    RunDescription description = this;
+    for (int k = 0; k + 1 < fields.length; k += 2) {
+      description = description.with(fields[k], fields[k + 1]);
     }
-    return out;
+    return description;
   }
 
-  RunDescription with(RunKey key, double value) throws Fault {
+  RunDescription with(RunOption key, double value) throws RunDescriptionException {
     return with(key.key(), Double.toString(value));
   }
 
-  double get(RunKey key) {
+  double get(RunOption key) {
     return values.get(key);
   }
 
-  int whole(RunKey key) {
+  int getInt(RunOption key) {
     return (int) Math.round(get(key));
   }
 
   int servers() {
-    return whole(RunKey.SERVERS);
+    return getInt(RunOption.SERVERS);
   }
 
   int zones() {
-    return whole(RunKey.ZONES);
+    return getInt(RunOption.ZONES);
   }
 
   int proxyZones() {
-    return Math.min(whole(RunKey.PROXY_ZONES), zones());
+    return Math.min(getInt(RunOption.PROXY_ZONES), zones());
   }
 
   int classes() {
-    return whole(RunKey.CLASSES);
+    return getInt(RunOption.CLASSES);
   }
 
   int proxies() {
-    return whole(RunKey.PROXIES);
+    return getInt(RunOption.PROXIES);
   }
 
   int realAssigners() {
-    return whole(RunKey.ASSIGNERS);
+    return getInt(RunOption.ASSIGNERS);
   }
 
   int simulatedAssigners() {
-    return whole(RunKey.SIMULATED_ASSIGNERS);
+    return getInt(RunOption.SIMULATED_ASSIGNERS);
   }
 
   /** Those that take proxies, real and simulated. */
@@ -134,36 +129,37 @@
     return realAssigners() + simulatedAssigners();
   }
 
-  double reportsPerS() {
-    return get(RunKey.REPORTS) < 0 ? servers() : get(RunKey.REPORTS);
+  double reportsPerSecond() {
+    return get(RunOption.REPORTS) < 0 ? servers() : get(RunOption.REPORTS);
   }
 
-  double settingsReportsPerS() {
+  double settingsReportsPerSecond() {
     return Math.max(
-        1, get(RunKey.SETTINGS_REPORTS) < 0 ? reportsPerS() : get(RunKey.SETTINGS_REPORTS));
+        1,
+        get(RunOption.SETTINGS_REPORTS) < 0 ? reportsPerSecond() : get(RunOption.SETTINGS_REPORTS));
   }
 
   double channelRate() {
-    return get(RunKey.CHANNEL_RATE);
+    return get(RunOption.CHANNEL_RATE);
   }
 
-  double mostWaiting() {
-    return get(RunKey.MOST_WAITING);
+  double maxBacklog() {
+    return get(RunOption.MOST_WAITING);
   }
 
   int periodMs() {
-    return whole(RunKey.PERIOD_MS);
+    return getInt(RunOption.PERIOD_MS);
   }
 
   int sockets() {
-    return whole(RunKey.SOCKETS);
+    return getInt(RunOption.SOCKETS);
   }
 
-  boolean known() {
-    return get(RunKey.KNOWN) > 0;
+  boolean listsServersAsKnown() {
+    return get(RunOption.KNOWN) > 0;
   }
 
   long seed() {
-    return Math.round(get(RunKey.SEED));
+    return Math.round(get(RunOption.SEED));
   }
 }
--- a/src/bench/java/pearusher/scale/RunKey.java
+++ b/src/bench/java/pearusher/scale/RunOption.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /** All that a scale run can be told, the same in a description's file and on the command line. */
-enum RunKey {
+enum RunOption {
   SERVERS("servers", "300", 1, 200_000, "servers that discovery lists"),
   ZONES("zones", "4", 1, 98, "zones over which servers are spread evenly"),
   PROXY_ZONES("proxy-zones", "3", 1, 98, "zones that have proxies, from the first on; at most all"),
@@ -56,40 +56,40 @@
   SEED("seed", "1", 0, Long.MAX_VALUE, "seed of all that is drawn");
 
   private final String key;
-  private final String standard;
-  private final double least;
-  private final double most;
-  private final String meaning;
+  private final String defaultValue;
+  private final double min;
+  private final double max;
+  private final String description;
 
-  RunKey(String key, String standard, double least, double most, String meaning) {
+  RunOption(String key, String defaultValue, double min, double max, String description) {
     this.key = key;
-    this.standard = standard;
-    this.least = least;
-    this.most = most;
-    this.meaning = meaning;
+    this.defaultValue = defaultValue;
+    this.min = min;
+    this.max = max;
+    this.description = description;
   }
 
   String key() {
     return key;
   }
 
-  String standard() {
-    return standard;
+  String defaultValue() {
+    return defaultValue;
   }
 
-  double least() {
-    return least;
+  double min() {
+    return min;
   }
 
-  double most() {
-    return most;
+  double max() {
+    return max;
   }
 
-  String meaning() {
-    return meaning;
+  String description() {
+    return description;
   }
 
-  static Optional<RunKey> of(String key) {
+  static Optional<RunOption> find(String key) {
     return Arrays.stream(values()).filter(one -> one.key.equals(key)).findFirst();
   }
 }
--- a/src/bench/java/pearusher/scale/ScaleCommand.java
+++ b/src/bench/java/pearusher/scale/ScaleCommand.java
@@ -24,9 +24,9 @@
           + " wrongly."
     })
 final class ScaleCommand implements Callable<Integer> {
-  static final int LIMIT = 1;
-  static final int USAGE = 2;
-  private static final String STANDARD_FIGURES =
+  static final int EXIT_FAILED = 1;
+  static final int EXIT_USAGE = 2;
+  private static final String DEFAULT_FIGURES =
       "a0.live_heap,a0.rss_end,a0.core,a0.cpu_per_heard,"
           + "a0.cpu_per_message_in,a0.in_bytes,a0.out_bytes,a0.ready,a0.ready_cpu,bind_bytes_p50,"
           + "bind_time_p50,in_force_everywhere_p50,watcher_list_max,watcher_change_max";
@@ -74,12 +74,12 @@
   @Option(
       names = "--figures",
       split = ",",
-      defaultValue = STANDARD_FIGURES,
+      defaultValue = DEFAULT_FIGURES,
       description = "Figures of a sweep.")
   private List<String> figures;
 
   @Option(names = "--budget", defaultValue = "840", description = "Most seconds of a sweep.")
-  private double budgetS;
+  private double budgetSeconds;
 
   @Option(names = "--charts", description = "Directory for the charts of slopes.")
   private Path charts;
@@ -89,105 +89,105 @@
   private ScaleCommand() {}
 
   public static void main(String[] args) {
-    System.exit(line().execute(args));
+    System.exit(commandLine().execute(args));
   }
 
-  static CommandLine line() {
-    CommandLine line = new CommandLine(new ScaleCommand());
-    for (RunKey key : RunKey.values()) {
-      line.getCommandSpec()
+  static CommandLine commandLine() {
+    CommandLine commandLine = new CommandLine(new ScaleCommand());
+    for (RunOption key : RunOption.values()) {
+      commandLine
+          .getCommandSpec()
           .addOption(
               CommandLine.Model.OptionSpec.builder("--" + key.key())
                   .type(String.class)
                   .paramLabel("N")
-                  .description(key.meaning() + " (" + key.standard() + ")")
+                  .description(key.description() + " (" + key.defaultValue() + ")")
                   .build());
     }
-    line.setParameterExceptionHandler(
+    commandLine.setParameterExceptionHandler(
         (e, args) -> {
           e.getCommandLine().getErr().println("scale: " + e.getMessage());
-          return USAGE;
+          return EXIT_USAGE;
         });
-    line.setExecutionExceptionHandler(
+    commandLine.setExecutionExceptionHandler(
         (e, at, parsed) -> {
           at.getErr().println("scale: " + e);
-          return LIMIT;
+          return EXIT_FAILED;
         });
-    return line;
+    return commandLine;
   }
 
   @Override
   public Integer call() throws IOException, InterruptedException {
     try {
-      return show(execute());
-    } catch (RunDescription.Fault e) {
+      return report(execute());
+    } catch (RunDescriptionException e) {
       throw new ParameterException(spec.commandLine(), e.getMessage());
     }
   }
 
-  private int show(ScaleRun.Outcome outcome) throws IOException, RunDescription.Fault {
+  private int report(RunOutcome outcome) throws IOException, RunDescriptionException {
     outcome.report().print(System.out);
     if (json != null) {
       outcome.report().writeJson(json, description());
     }
-    if (!outcome.reached()) {
+    if (!outcome.isComplete()) {
       System.err.println("scale: " + outcome.limit());
     }
-    return outcome.reached() ? 0 : LIMIT;
+    return outcome.isComplete() ? 0 : EXIT_FAILED;
   }
 
-  private ScaleRun.Outcome execute()
-      throws IOException, InterruptedException, RunDescription.Fault {
+  private RunOutcome execute() throws IOException, InterruptedException, RunDescriptionException {
     RunDescription description = description();
-    RunCommand line = RunCommand.read(root.toAbsolutePath().normalize(), jar, flags);
-    Sweep.Runner runner = one -> new ScaleRun(one, line).execute();
+    RunCommand runCommand = RunCommand.fromBuild(root.toAbsolutePath().normalize(), jar, flags);
+    Sweep.Runner runner = one -> new ScaleRun(one, runCommand).execute();
     if (sweep != null) {
-      return new Sweep(description, plan(), runner).execute();
+      return new Sweep(description, sweepPlan(), runner).execute();
     }
     if (compare) {
       return new Comparison(description, runner).execute();
     }
-    return sized()
+    return hasSize()
         ? runner.run(description)
         : new DefaultRunMix(description, runner, quick, charts).execute();
   }
 
-  private Sweep.Plan plan() throws RunDescription.Fault {
-    RunKey key =
-        RunKey.of(sweep)
+  private Sweep.Plan sweepPlan() throws RunDescriptionException {
+    RunOption key =
+        RunOption.find(sweep)
             .orElseThrow(
-                () -> new RunDescription.Fault("--sweep: the key " + sweep + " is not known"));
-    if (sizes.stream().distinct().count() < Sweep.LEAST_SIZES) {
-      throw new RunDescription.Fault(
-          "--sizes: a slope needs " + Sweep.LEAST_SIZES + " sizes at least");
+                () -> new RunDescriptionException("--sweep: the key " + sweep + " is not known"));
+    if (sizes.stream().distinct().count() < Sweep.MIN_SIZES) {
+      throw new RunDescriptionException(
+          "--sizes: a slope needs " + Sweep.MIN_SIZES + " sizes at least");
     }
     for (double size : sizes) {
-      RunDescription.standard().with(key, size);
+      RunDescription.defaults().with(key, size);
     }
-    return new Sweep.Plan(key, sizes, runs, figures, budgetS, charts);
+    return new Sweep.Plan(key, sizes, runs, figures, budgetSeconds, charts);
   }
 
   /** A size is given, so that the mix is not what is wanted. */
-  private boolean sized() {
-    return file != null || given().stream().anyMatch(key -> key != RunKey.SEED);
+  private boolean hasSize() {
+    return file != null || givenOptions().stream().anyMatch(key -> key != RunOption.SEED);
   }
 
-  private List<RunKey> given() {
-    List<RunKey> out = new ArrayList<>();
-    for (RunKey key : RunKey.values()) {
+  private List<RunOption> givenOptions() {
+    List<RunOption> given = new ArrayList<>();
+    for (RunOption key : RunOption.values()) {
       if (spec.findOption("--" + key.key()).getValue() != null) {
-        out.add(key);
+        given.add(key);
       }
     }
-    return out;
+    return given;
   }
 
-  private RunDescription description() throws RunDescription.Fault {
-    RunDescription out = RunDescription.standard();
-    out = file == null ? out : out.withFile(file);
-    for (RunKey key : given()) {
-      out = out.with(key.key(), spec.findOption("--" + key.key()).getValue());
+  private RunDescription description() throws RunDescriptionException {
+    RunDescription description = RunDescription.defaults();
+    description = file == null ? description : description.withFile(file);
+    for (RunOption key : givenOptions()) {
+      description = description.with(key.key(), spec.findOption("--" + key.key()).getValue());
     }
-    return out;
+    return description;
   }
 }
--- a/src/bench/java/pearusher/scale/ServerCatalog.java
+++ b/src/bench/java/pearusher/scale/ServerCatalog.java
@@ -11,7 +11,7 @@
  */
 final class ServerCatalog {
   private static final int FIRST_GENERATION = 41;
-  private static final String[] KINDS = {"small", "large"};
+  private static final String[] MACHINE_TYPES = {"small", "large"};
 
   /** What the list says of a server. */
   enum Lifecycle {
@@ -48,17 +48,17 @@
     }
   }
 
-  static String name(int server) {
+  static String serverName(int server) {
     return "s-" + String.format("%08x", server);
   }
 
   /** The number in a name's bytes, which begin with the two characters of the prefix. */
-  static int number(byte[] bytes, int start) {
-    int out = 0;
+  static int parseServerName(byte[] bytes, int start) {
+    int server = 0;
     for (int at = start + 2; at < start + 10; at++) {
-      out = out << 4 | Character.digit(bytes[at], 16);
+      server = server << 4 | Character.digit(bytes[at], 16);
     }
-    return out;
+    return server;
   }
 
   static String zoneName(int zone) {
@@ -87,30 +87,30 @@
   }
 
   List<Integer> inService() {
-    List<Integer> out = new ArrayList<>();
+    List<Integer> servers = new ArrayList<>();
     for (int server = 0; server < entries.size(); server++) {
       if (entries.get(server).lifecycle == Lifecycle.IN_SERVICE) {
-        out.add(server);
+        servers.add(server);
       }
     }
-    return out;
+    return servers;
   }
 
-  void set(int server, Lifecycle lifecycle) {
+  void setLifecycle(int server, Lifecycle lifecycle) {
     entries.get(server).lifecycle = lifecycle;
   }
 
-  int add(int zone, long startedAtMs) {
+  int addServer(int zone, long startedAtMs) {
     entries.add(new Entry(zone, startedAtMs));
     return entries.size() - 1;
   }
 
-  void nextGeneration() {
+  void incrementGeneration() {
     generation++;
   }
 
   /** The whole list, without the servers that are gone. */
-  byte[] whole() {
+  byte[] encodeFullList() {
     List<Integer> listed = new ArrayList<>();
     for (int server = 0; server < entries.size(); server++) {
       if (entries.get(server).lifecycle != Lifecycle.TERMINATED) {
@@ -120,13 +120,13 @@
     return encode(true, listed);
   }
 
-  byte[] changes(List<Integer> servers) {
+  byte[] encodeChanges(List<Integer> servers) {
     return encode(false, servers);
   }
 
   private byte[] encode(boolean reset, List<Integer> servers) {
-    StringBuilder out = new StringBuilder(64 + 180 * servers.size());
-    out.append("{\"generation\":")
+    StringBuilder json = new StringBuilder(64 + 180 * servers.size());
+    json.append("{\"generation\":")
         .append(generation)
         .append(",\"reset\":")
         .append(reset)
@@ -134,9 +134,9 @@
     for (int k = 0; k < servers.size(); k++) {
       int server = servers.get(k);
       Entry entry = entries.get(server);
-      out.append(k == 0 ? "" : ",")
+      json.append(k == 0 ? "" : ",")
           .append("{\"instanceId\":\"")
-          .append(name(server))
+          .append(serverName(server))
           .append("\",\"hostPort\":\"10.")
           .append(server >> 16 & 255)
           .append('.')
@@ -146,7 +146,7 @@
           .append(":8080\",\"zone\":\"")
           .append(zoneName(entry.zone))
           .append("\",\"machineType\":\"")
-          .append(KINDS[server / zones % KINDS.length])
+          .append(MACHINE_TYPES[server / zones % MACHINE_TYPES.length])
           .append("\",\"cell\":")
           .append(server % 8)
           .append(",\"lifecycle\":\"")
@@ -155,6 +155,6 @@
           .append(entry.startedAtMs)
           .append('}');
     }
-    return out.append("]}").toString().getBytes(StandardCharsets.US_ASCII);
+    return json.append("]}").toString().getBytes(StandardCharsets.US_ASCII);
   }
 }
--- a/src/bench/java/pearusher/scale/SimulatedAssigners.java
+++ b/src/bench/java/pearusher/scale/SimulatedAssigners.java
@@ -15,30 +15,26 @@
  * nothing and keep no reports. Each watches discovery like a real one. All run on one loop.
  */
 final class SimulatedAssigners implements AutoCloseable {
-  private static final byte[] PING = UpdateFieldReader.bytes("ping");
-  private static final byte[] JOINED = UpdateFieldReader.bytes("joined");
-  private static final byte[] PONG = RespWriter.message("pong");
+  private static final byte[] PING = UpdateFieldReader.ascii("ping");
+  private static final byte[] JOINED = UpdateFieldReader.ascii("joined");
+  private static final byte[] PONG = RespWriter.encode("pong");
   private static final double WEIGHT_SPREAD = 1;
   private static final int SLICES = 20;
-  private static final int MOST_MARK = 65_535;
-
-  /** How many there are, and what they write. */
-  record Shape(
-      int count, double updatesPerPeriod, double linesPerUpdate, long periodNs, long seed) {}
+  private static final int MARK_LIMIT = 65_535;
 
   private final EventLoop loop = new EventLoop("simulated-assigners");
-  private final Shape shape;
+  private final SimulatedAssignerWorkload workload;
   private final List<AssignerAddress> addresses = new ArrayList<>();
   private final List<SimulatedWatchers> watchers = new ArrayList<>();
   private final Set<Peer> proxies = new LinkedHashSet<>();
   private final SplittableRandom random;
   private final int[] servers;
-  private int mark;
-  private int joined;
+  private int lastMark;
+  private int joinCount;
   private int slice;
 
   /** Parts of lines that are left over from one update to the next. */
-  private double linesDue;
+  private double entriesDue;
 
   /** One connection: a proxy's stream, a collector, or a stranger. */
   private final class Peer implements Connection.Handler {
@@ -46,44 +42,48 @@
     private Connection connection;
 
     /** The slice of a period in which it is written to: a window has as many updates as another. */
-    private int place;
+    private int slice;
 
     @Override
-    public void received(Connection from, ByteBuffer bytes) {
+    public void onReceived(Connection from, ByteBuffer bytes) {
       connection = from;
-      scanner.take(bytes, this::message);
+      scanner.feed(bytes, this::handle);
     }
 
-    private void message(RespScanner.View view) {
-      if (view.is(0, PING)) {
+    private void handle(RespScanner.View view) {
+      if (view.fieldEquals(0, PING)) {
         connection.send(PONG);
-      } else if (view.is(0, JOINED)) {
-        place = joined++ % SLICES;
+      } else if (view.fieldEquals(0, JOINED)) {
+        slice = joinCount++ % SLICES;
         proxies.add(this);
-        connection.send(bind());
+        connection.send(encodeBinding());
       }
     }
 
     @Override
-    public void ended(Connection from, IOException why) {
+    public void onEnded(Connection from, IOException cause) {
       proxies.remove(this);
     }
   }
 
-  SimulatedAssigners(Shape shape, SimulatedDiscovery discovery, int[] servers) throws IOException {
-    this.shape = shape;
+  SimulatedAssigners(
+      SimulatedAssignerWorkload workload, SimulatedDiscovery discovery, int[] servers)
+      throws IOException {
+    this.workload = workload;
     this.servers = servers.clone();
-    random = new SplittableRandom(shape.seed());
-    for (int k = 0; k < shape.count(); k++) {
+    random = new SplittableRandom(workload.seed());
+    for (int k = 0; k < workload.count(); k++) {
       TrafficCounter traffic = new TrafficCounter();
       addresses.add(new AssignerAddress(loop.listen(connection -> new Peer()), traffic));
       SimulatedWatchers watcher =
           new SimulatedWatchers(1, discovery.listen(traffic), new ChangeTimestamps());
       watchers.add(watcher);
-      watcher.watch();
+      watcher.start();
     }
-    if (shape.updatesPerPeriod() > 0) {
-      loop.every((long) (shape.periodNs() / shape.updatesPerPeriod() / SLICES), this::lines);
+    if (workload.updatesPerPeriod() > 0) {
+      loop.scheduleAtFixedRate(
+          (long) (workload.periodNs() / workload.updatesPerPeriod() / SLICES),
+          this::sendWeightChanges);
     }
   }
 
@@ -92,33 +92,33 @@
   }
 
   private int nextMark() {
-    mark = (mark + 1) % MOST_MARK;
-    return mark;
+    lastMark = (lastMark + 1) % MARK_LIMIT;
+    return lastMark;
   }
 
-  private byte[] bind() {
-    return RespWriter.message(
+  private byte[] encodeBinding() {
+    return RespWriter.encode(
         "update",
         "whole",
         "1",
         "lines",
-        table(servers.length, 0),
+        formatTable(servers.length, 0),
         "ticket",
         Integer.toString(nextMark()));
   }
 
-  private void lines() {
+  private void sendWeightChanges() {
     slice = (slice + 1) % SLICES;
     for (Peer proxy : List.copyOf(proxies)) {
-      linesDue += proxy.place == slice ? shape.linesPerUpdate() : 0;
-      int count = (int) linesDue;
-      if (proxy.place == slice && count > 0) {
-        linesDue -= count;
+      entriesDue += proxy.slice == slice ? workload.entriesPerUpdate() : 0;
+      int count = (int) entriesDue;
+      if (proxy.slice == slice && count > 0) {
+        entriesDue -= count;
         proxy.connection.send(
-            RespWriter.message(
+            RespWriter.encode(
                 "update",
                 "lines",
-                table(count, WEIGHT_SPREAD),
+                formatTable(count, WEIGHT_SPREAD),
                 "ticket",
                 Integer.toString(nextMark())));
       }
@@ -128,33 +128,34 @@
   /**
    * So many lines from a server drawn on: a real one's weights are even at first, and spread later.
    */
-  private String table(int count, double spread) {
-    StringBuilder out = new StringBuilder(22 * count);
+  private String formatTable(int count, double spread) {
+    StringBuilder table = new StringBuilder(22 * count);
     int first = count < servers.length ? random.nextInt(servers.length) : 0;
     for (int k = 0; k < count; k++) {
-      out.append(k == 0 ? "" : ",")
-          .append(ServerCatalog.name(servers[(first + k) % servers.length]))
+      table
+          .append(k == 0 ? "" : ",")
+          .append(ServerCatalog.serverName(servers[(first + k) % servers.length]))
           .append(':')
-          .append(weight(spread));
+          .append(formatWeight(spread));
     }
-    return out.toString();
+    return table.toString();
   }
 
   /** A share of one for each server, as text like a real one's: a float without an exponent. */
-  private String weight(double spread) {
+  private String formatWeight(double spread) {
     float weight = (float) ((1 + spread * (random.nextDouble() - 0.5)) / servers.length);
     return new BigDecimal(Float.toString(weight)).toPlainString();
   }
 
   /** A server drains: every proxy hears so. */
-  void drains(int server) {
+  void ejectServer(int server) {
     loop.execute(
         () -> {
           byte[] message =
-              RespWriter.message(
+              RespWriter.encode(
                   "update",
                   "out",
-                  ServerCatalog.name(server),
+                  ServerCatalog.serverName(server),
                   "ticket",
                   Integer.toString(nextMark()));
           for (Peer proxy : List.copyOf(proxies)) {
--- a/src/bench/java/pearusher/scale/SimulatedCollectors.java
+++ b/src/bench/java/pearusher/scale/SimulatedCollectors.java
@@ -16,68 +16,58 @@
 final class SimulatedCollectors implements AutoCloseable {
   private static final String LOAD = "inflight:7,util:0.61";
   private static final long TICK_NS = 10_000_000L;
-  private static final long REDIAL_NS = 500_000_000L;
-  private static final double LEAST_MEAN_MS = 20;
+  private static final long RECONNECT_DELAY_NS = 500_000_000L;
+  private static final double MIN_MEAN_MS = 20;
   private static final double MEAN_SPREAD_MS = 40;
 
   /** No report may cover more than so many periods. */
-  private static final int MOST_PERIODS = 90;
-
-  /** What collectors say: lines a second to each assigner, and what share of a mean is noise. */
-  record Shape(
-      int zones,
-      double linesPerS,
-      double noise,
-      boolean load,
-      double requestsPerS,
-      long periodNs,
-      long seed) {}
+  private static final int MAX_REPORT_PERIODS = 90;
 
   private final EventLoop loop = new EventLoop("collectors");
-  private final Shape shape;
+  private final CollectorWorkload workload;
   private final List<Target> targets = new ArrayList<>();
   private final SplittableRandom random;
   private volatile int[] servers;
-  private boolean reporting;
-  private boolean cut;
-  private volatile long notSent;
-  private volatile String fault;
+  private boolean isReporting;
+  private boolean isPartitioned;
+  private volatile long reportsNotSent;
+  private volatile String connectFailure;
 
   /** An assigner with its collectors' connections. */
   private final class Target {
     private final List<Link> links = new ArrayList<>();
-    private long said;
-    private double due;
-    private long lastNs;
+    private long reportsSent;
+    private double reportsDue;
+    private long lastTickNs;
 
     Target(AssignerAddress assigner) {
-      for (int zone = 0; zone < shape.zones(); zone++) {
+      for (int zone = 0; zone < workload.zones(); zone++) {
         links.add(new Link(zone, assigner));
       }
     }
 
     void tick() {
-      long now = System.nanoTime();
+      long nowNs = System.nanoTime();
       // By the clock, not by ticks: a stall of the loop must not make the lines fewer.
-      due += shape.linesPerS() * (now - lastNs) / 1e9;
-      lastNs = now;
-      for (; due >= 1; due--) {
-        line();
+      reportsDue += workload.reportsPerSecond() * (nowNs - lastTickNs) / 1e9;
+      lastTickNs = nowNs;
+      for (; reportsDue >= 1; reportsDue--) {
+        sendNextReport();
       }
     }
 
     /**
      * The next pair of zone and server; after as many lines as there are pairs all had their turn.
      */
-    private void line() {
+    private void sendNextReport() {
       int count = servers.length;
       if (count == 0) {
         return;
       }
-      int server = servers[(int) (said % count)];
-      Link link = links.get((int) ((said / count + said) % shape.zones()));
-      said++;
-      link.heard(server, (double) count * shape.zones() / shape.linesPerS());
+      int server = servers[(int) (reportsSent % count)];
+      Link link = links.get((int) ((reportsSent / count + reportsSent) % workload.zones()));
+      reportsSent++;
+      link.sendReport(server, (double) count * workload.zones() / workload.reportsPerSecond());
     }
   }
 
@@ -86,129 +76,130 @@
     private final int zone;
     private final AssignerAddress assigner;
     private Connection connection;
-    private boolean up;
+    private boolean isConnected;
 
     Link(int zone, AssignerAddress assigner) {
       this.zone = zone;
       this.assigner = assigner;
     }
 
-    void dial() {
+    void connect() {
       try {
-        connection = loop.dial(assigner.address(), this);
+        connection = loop.connect(assigner.address(), this);
       } catch (IOException e) {
-        fault = "collector: " + e.getMessage();
+        connectFailure = "collector: " + e.getMessage();
       }
     }
 
     @Override
-    public void opened(Connection made) {
-      up = true;
-      connection.send(RespWriter.message("collector", "zone", ServerCatalog.zoneName(zone)));
+    public void onOpened(Connection opened) {
+      isConnected = true;
+      connection.send(RespWriter.encode("collector", "zone", ServerCatalog.zoneName(zone)));
     }
 
     @Override
-    public void received(Connection from, ByteBuffer bytes) {}
+    public void onReceived(Connection from, ByteBuffer bytes) {}
 
     @Override
-    public void ended(Connection from, IOException why) {
-      up = false;
-      loop.schedule(REDIAL_NS, this::dial);
+    public void onEnded(Connection from, IOException cause) {
+      isConnected = false;
+      loop.schedule(RECONNECT_DELAY_NS, this::connect);
     }
 
     // Only the loop writes the count.
     @SuppressWarnings("NonAtomicVolatileUpdate")
-    void heard(int server, double turnS) {
-      if (!up || cut || connection.backlogged()) {
-        notSent++;
+    void sendReport(int server, double cycleSeconds) {
+      if (!isConnected || isPartitioned || connection.isBacklogged()) {
+        reportsNotSent++;
         return;
       }
-      double spanS = Math.min(turnS, MOST_PERIODS * shape.periodNs() / 1e9);
-      long pairs = (long) servers.length * shape.zones();
-      long tries = Math.max(1, Math.round(shape.requestsPerS() * spanS / pairs));
-      String[] words = {
+      double spanSeconds = Math.min(cycleSeconds, MAX_REPORT_PERIODS * workload.periodNs() / 1e9);
+      long pairs = (long) servers.length * workload.zones();
+      long attempts = Math.max(1, Math.round(workload.requestsPerSecond() * spanSeconds / pairs));
+      String[] fields = {
         "heard",
         "zone",
         ServerCatalog.zoneName(zone),
         "server",
-        ServerCatalog.name(server),
+        ServerCatalog.serverName(server),
         "tries",
-        Long.toString(tries),
+        Long.toString(attempts),
         "failed",
         "0",
         "mean_ms",
-        RespWriter.tenths(mean(server)),
+        RespWriter.formatTenths(meanMs(server)),
         "span_ms",
-        RespWriter.tenths(1000 * spanS),
+        RespWriter.formatTenths(1000 * spanSeconds),
         "load",
         LOAD
       };
       byte[] message =
-          RespWriter.message(shape.load() ? words : Arrays.copyOf(words, words.length - 2));
-      assigner.traffic().add(TrafficCounter.Kind.HEARD, 1, message.length);
+          RespWriter.encode(
+              workload.includesLoad() ? fields : Arrays.copyOf(fields, fields.length - 2));
+      assigner.traffic().add(TrafficCounter.Kind.LOAD_REPORT, 1, message.length);
       connection.send(message);
     }
   }
 
-  SimulatedCollectors(Shape shape, List<AssignerAddress> assigners, int[] servers)
+  SimulatedCollectors(CollectorWorkload workload, List<AssignerAddress> assigners, int[] servers)
       throws IOException {
-    this.shape = shape;
+    this.workload = workload;
     this.servers = servers.clone();
-    random = new SplittableRandom(shape.seed());
+    random = new SplittableRandom(workload.seed());
     for (AssignerAddress one : assigners) {
       targets.add(new Target(one));
     }
   }
 
   /** A server's own mean, by its number, with the noise of this report. */
-  private double mean(int server) {
-    double part = new SplittableRandom(shape.seed() + server).nextDouble();
-    double own = LEAST_MEAN_MS + MEAN_SPREAD_MS * part;
-    double normal = -2;
+  private double meanMs(int server) {
+    double share = new SplittableRandom(workload.seed() + server).nextDouble();
+    double serverMeanMs = MIN_MEAN_MS + MEAN_SPREAD_MS * share;
+    double noise = -2;
     for (int k = 0; k < 4; k++) {
-      normal += random.nextDouble();
+      noise += random.nextDouble();
     }
-    return own * Math.exp(shape.noise() * Math.sqrt(3) * normal);
+    return serverMeanMs * Math.exp(workload.noise() * Math.sqrt(3) * noise);
   }
 
   void connect() {
-    loop.execute(() -> targets.forEach(target -> target.links.forEach(Link::dial)));
-    loop.every(
+    loop.execute(() -> targets.forEach(target -> target.links.forEach(Link::connect)));
+    loop.scheduleAtFixedRate(
         TICK_NS,
         () -> {
-          if (reporting) {
+          if (isReporting) {
             targets.forEach(Target::tick);
           }
         });
   }
 
-  void report(boolean on) {
+  void setReporting(boolean reporting) {
     loop.execute(
         () -> {
-          reporting = on;
-          targets.forEach(target -> target.lastNs = System.nanoTime());
+          isReporting = reporting;
+          targets.forEach(target -> target.lastTickNs = System.nanoTime());
         });
   }
 
   /** The servers that have traffic from now on. */
-  void servers(int[] now) {
-    servers = now.clone();
+  void setServers(int[] inService) {
+    servers = inService.clone();
   }
 
   /** Collectors say nothing during a cut; their connections stay, and are reset at its end. */
-  void cut(boolean begins) {
+  void setPartitioned(boolean partitioned) {
     loop.execute(
         () -> {
-          cut = begins;
-          if (!begins) {
+          isPartitioned = partitioned;
+          if (!partitioned) {
             targets.forEach(
                 target ->
                     target.links.forEach(
                         link -> {
-                          if (link.up) {
+                          if (link.isConnected) {
                             link.connection.reset();
-                            link.up = false;
-                            link.dial();
+                            link.isConnected = false;
+                            link.connect();
                           }
                         }));
           }
@@ -216,12 +207,12 @@
   }
 
   /** Lines that were due and not sent, since an assigner took no more or was away. */
-  long notSent() {
-    return notSent;
+  long reportsNotSent() {
+    return reportsNotSent;
   }
 
   String fault() {
-    return fault;
+    return connectFailure;
   }
 
   EventLoop loop() {
--- a/src/bench/java/pearusher/scale/SimulatedDiscovery.java
+++ b/src/bench/java/pearusher/scale/SimulatedDiscovery.java
@@ -15,13 +15,13 @@
  * the catalog.
  */
 final class SimulatedDiscovery implements AutoCloseable {
-  static final long BEAT_NS = 2_000_000_000L;
-  private static final byte[] BEAT = chunk(new byte[0]);
-  private static final byte[] WATCH_HEAD =
+  static final long HEARTBEAT_INTERVAL_NS = 2_000_000_000L;
+  private static final byte[] HEARTBEAT_CHUNK = chunk(new byte[0]);
+  private static final byte[] WATCH_RESPONSE_HEAD =
       ascii(
           "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
               + "Transfer-Encoding: chunked\r\n\r\n");
-  private static final String SINCE = "since=";
+  private static final String SINCE_PARAMETER = "since=";
 
   /** A change as it was told: the generation that it made and the servers that it names. */
   private record Change(long generation, List<Integer> servers) {}
@@ -30,11 +30,11 @@
   private final ServerCatalog catalog;
   private final List<Change> changes = new ArrayList<>();
   private final Set<Watch> watches = new LinkedHashSet<>();
-  private final Set<Connection> open = new LinkedHashSet<>();
-  private byte[] wholeChunk;
-  private long wholeGeneration = -1;
-  private volatile long lastBeatNs = System.nanoTime();
-  private boolean cut;
+  private final Set<Connection> openConnections = new LinkedHashSet<>();
+  private byte[] fullListChunk;
+  private long fullListGeneration = -1;
+  private volatile long lastHeartbeatNs = System.nanoTime();
+  private boolean isPartitioned;
 
   /** One connection, first a request, then perhaps a watch. */
   private final class Watch implements Connection.Handler {
@@ -47,65 +47,68 @@
     }
 
     @Override
-    public void opened(Connection made) {
-      connection = made;
-      open.add(made);
-      if (cut) {
-        made.silent(true);
+    public void onOpened(Connection opened) {
+      connection = opened;
+      openConnections.add(opened);
+      if (isPartitioned) {
+        opened.setSilent(true);
       }
     }
 
     @Override
-    public void received(Connection from, ByteBuffer bytes) {
+    public void onReceived(Connection from, ByteBuffer bytes) {
       request.append(StandardCharsets.US_ASCII.decode(bytes));
       int end = request.indexOf("\r\n\r\n");
       if (end >= 0) {
         String head = request.substring(0, end);
         request.setLength(0);
-        answer(head);
+        respond(head);
       }
     }
 
-    private void answer(String head) {
-      String path = head.substring(0, head.indexOf("\r\n"));
-      if (!path.contains("follow=1")) {
-        byte[] body = catalog.whole();
+    private void respond(String requestHead) {
+      String requestLine = requestHead.substring(0, requestHead.indexOf("\r\n"));
+      if (!requestLine.contains("follow=1")) {
+        byte[] body = catalog.encodeFullList();
         connection.send(
             ascii(
                 "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
                     + body.length
                     + "\r\n\r\n"));
         connection.send(body);
-        traffic.add(TrafficCounter.Kind.LIST_WHOLE, 1, body.length);
+        traffic.add(TrafficCounter.Kind.FULL_LIST, 1, body.length);
         return;
       }
-      connection.send(WATCH_HEAD);
-      long since = since(path);
-      boolean recent =
-          since >= catalog.generation() - changes.size() && since <= catalog.generation();
-      if (since > 0 && recent) {
-        tell(chunk(catalog.changes(changedAfter(since))), TrafficCounter.Kind.LIST_CHANGE);
+      connection.send(WATCH_RESPONSE_HEAD);
+      long sinceGeneration = sinceGeneration(requestLine);
+      boolean isRecent =
+          sinceGeneration >= catalog.generation() - changes.size()
+              && sinceGeneration <= catalog.generation();
+      if (sinceGeneration > 0 && isRecent) {
+        send(
+            chunk(catalog.encodeChanges(changedAfter(sinceGeneration))),
+            TrafficCounter.Kind.LIST_CHANGE);
       } else {
-        tell(whole(), TrafficCounter.Kind.LIST_WHOLE);
+        send(fullList(), TrafficCounter.Kind.FULL_LIST);
       }
       watches.add(this);
     }
 
-    void tell(byte[] chunk, TrafficCounter.Kind kind) {
+    void send(byte[] chunk, TrafficCounter.Kind kind) {
       connection.send(ByteBuffer.wrap(chunk));
       traffic.add(kind, 1, chunk.length);
     }
 
     @Override
-    public void ended(Connection from, IOException why) {
+    public void onEnded(Connection from, IOException cause) {
       watches.remove(this);
-      open.remove(from);
+      openConnections.remove(from);
     }
   }
 
   SimulatedDiscovery(ServerCatalog catalog) throws IOException {
     this.catalog = catalog;
-    loop.every(BEAT_NS, this::beat);
+    loop.scheduleAtFixedRate(HEARTBEAT_INTERVAL_NS, this::sendHeartbeat);
   }
 
   /** An address of its own for whoever's bytes are counted together. */
@@ -118,84 +121,82 @@
   }
 
   /** Watches that are open now; from any thread. */
-  int watching() throws InterruptedException {
-    int[] out = new int[1];
-    loop.executeAndWait(() -> out[0] = watches.size());
-    return out[0];
+  int watchCount() throws InterruptedException {
+    return loop.call(watches::size);
   }
 
   /** When the last heartbeat was told. */
-  long lastBeatNs() {
-    return lastBeatNs;
+  long lastHeartbeatNs() {
+    return lastHeartbeatNs;
   }
 
   /** Tells a change that has been made in the catalog. On the loop's thread. */
-  void changed(List<Integer> servers) {
-    catalog.nextGeneration();
+  void publishChange(List<Integer> servers) {
+    catalog.incrementGeneration();
     changes.add(new Change(catalog.generation(), List.copyOf(servers)));
-    tellAll(chunk(catalog.changes(servers)), TrafficCounter.Kind.LIST_CHANGE);
+    broadcast(chunk(catalog.encodeChanges(servers)), TrafficCounter.Kind.LIST_CHANGE);
   }
 
   /** From now on nothing is read or written; at the end of the cut all connections are reset. */
-  void cut(boolean begins) {
-    cut = begins;
-    for (Connection connection : List.copyOf(open)) {
-      if (begins) {
-        connection.silent(true);
+  void setPartitioned(boolean partitioned) {
+    isPartitioned = partitioned;
+    for (Connection connection : List.copyOf(openConnections)) {
+      if (partitioned) {
+        connection.setSilent(true);
       } else {
         connection.reset();
       }
     }
-    if (!begins) {
-      open.clear();
+    if (!partitioned) {
+      openConnections.clear();
       watches.clear();
     }
   }
 
-  private void beat() {
-    lastBeatNs = System.nanoTime();
-    tellAll(BEAT, TrafficCounter.Kind.LIST_BEAT);
+  private void sendHeartbeat() {
+    lastHeartbeatNs = System.nanoTime();
+    broadcast(HEARTBEAT_CHUNK, TrafficCounter.Kind.LIST_HEARTBEAT);
   }
 
   /** During a cut nothing leaves, so nothing is counted. */
-  private void tellAll(byte[] chunk, TrafficCounter.Kind kind) {
-    if (!cut) {
+  private void broadcast(byte[] chunk, TrafficCounter.Kind kind) {
+    if (!isPartitioned) {
       for (Watch watch : List.copyOf(watches)) {
-        watch.tell(chunk, kind);
+        watch.send(chunk, kind);
       }
     }
   }
 
-  private byte[] whole() {
-    if (wholeGeneration != catalog.generation()) {
-      wholeChunk = chunk(catalog.whole());
-      wholeGeneration = catalog.generation();
+  private byte[] fullList() {
+    if (fullListGeneration != catalog.generation()) {
+      fullListChunk = chunk(catalog.encodeFullList());
+      fullListGeneration = catalog.generation();
     }
-    return wholeChunk;
+    return fullListChunk;
   }
 
   private List<Integer> changedAfter(long since) {
-    Set<Integer> out = new LinkedHashSet<>();
+    Set<Integer> serversChanged = new LinkedHashSet<>();
     for (Change change : changes) {
       if (change.generation() > since) {
-        out.addAll(change.servers());
+        serversChanged.addAll(change.servers());
       }
     }
-    return List.copyOf(out);
+    return List.copyOf(serversChanged);
   }
 
-  private static long since(String path) {
-    int at = path.indexOf(SINCE);
-    int end = path.indexOf(' ', at);
-    return at < 0 ? 0 : Long.parseLong(path.substring(at + SINCE.length(), end));
+  private static long sinceGeneration(String requestLine) {
+    int at = requestLine.indexOf(SINCE_PARAMETER);
+    int end = requestLine.indexOf(' ', at);
+    return at < 0 ? 0 : Long.parseLong(requestLine.substring(at + SINCE_PARAMETER.length(), end));
   }
 
   /** One line as a chunk of HTTP. */
   private static byte[] chunk(byte[] line) {
     byte[] head = ascii(Integer.toHexString(line.length + 1) + "\r\n");
     byte[] tail = ascii("\n\r\n");
-    ByteBuffer out = ByteBuffer.allocate(head.length + line.length + tail.length);
-    return out.put(head).put(line).put(tail).array();
+    ByteBuffer encoded = ByteBuffer.allocate(head.length + line.length + tail.length);
+    return encoded.put(head).put(line).put(tail).array();
   }
 
   private static byte[] ascii(String text) {
