--- a/src/main/java/pearusher/control/DirectReportDispatcher.java
+++ b/src/main/java/pearusher/control/DirectReportDispatcher.java
@@ -2,6 +2,7 @@
 
 import java.util.function.Supplier;
 import pearusher.policy.AssignmentPolicy;
+import pearusher.policy.AttemptReport;
 import pearusher.protocol.Message;
 
 /**
@@ -31,10 +32,8 @@
   }
 
   private void deliver(Message.LoadReport report, long server) {
-    policy
-        .get()
-        .onLoadReport(
-            loop.nowUs(),
+    AttemptReport attempts =
+        AttemptReport.ofSpanEndingNow(
             server,
             report.zone(),
             report.attempts(),
@@ -42,6 +41,7 @@
             report.spanUs(),
             report.meanUs(),
             report.load());
+    policy.get().onLoadReport(loop.nowUs(), attempts);
   }
 
   @Override
--- a/src/main/java/pearusher/control/IntakeReportDispatcher.java
+++ b/src/main/java/pearusher/control/IntakeReportDispatcher.java
@@ -5,6 +5,7 @@
 import pearusher.intake.QueuedReport;
 import pearusher.intake.ReportTotals;
 import pearusher.policy.AssignmentPolicy;
+import pearusher.policy.AttemptReport;
 import pearusher.protocol.Message;
 
 /**
@@ -106,24 +107,8 @@
 
   private void deliver(QueuedReport report, long server, int zone) {
     ReportTotals totals = report.totals();
-    if (report.ageUs() == 0) {
-      policy
-          .get()
-          .onLoadReport(
-              loop.nowUs(),
-              server,
-              zone,
-              totals.attempts(),
-              totals.failed(),
-              totals.spanUs(),
-              totals.meanUs(),
-              totals.load());
-      return;
-    }
-    policy
-        .get()
-        .onLoadReport(
-            loop.nowUs(),
+    AttemptReport attempts =
+        new AttemptReport(
             server,
             zone,
             totals.attempts(),
@@ -132,5 +117,6 @@
             totals.meanUs(),
             totals.load(),
             report.ageUs());
+    policy.get().onLoadReport(loop.nowUs(), attempts);
   }
 }
--- a/src/main/java/pearusher/policy/AssignmentPolicy.java
+++ b/src/main/java/pearusher/policy/AssignmentPolicy.java
@@ -114,53 +114,12 @@
   void onAcknowledgement(long nowUs, int proxy, int ackNumber, long tookUs);
 
   /**
-   * A load report of a span that ends now; see {@link #onLoadReport(long, long, int, long, long,
-   * long, long, float[], long)}.
+   * A load report.
    *
    * @param nowUs the present time
-   * @param server the server
-   * @param zone the zone of the proxies
-   * @param attempts attempts that ended
-   * @param failedAttempts those that failed
-   * @param spanUs length of the span, in microseconds
-   * @param meanUs mean response time of the successful attempts, in microseconds
-   * @param load the load metrics reported, in the order of the settings
+   * @param report the attempts reported
    */
-  default void onLoadReport(
-      long nowUs,
-      long server,
-      int zone,
-      long attempts,
-      long failedAttempts,
-      long spanUs,
-      long meanUs,
-      float[] load) {
-    onLoadReport(nowUs, server, zone, attempts, failedAttempts, spanUs, meanUs, load, 0);
-  }
-
-  /**
-   * Attempts of a zone's proxies that ended at a server within a span of time.
-   *
-   * @param nowUs the present time
-   * @param server the server
-   * @param zone the zone of the proxies
-   * @param attempts attempts that ended
-   * @param failedAttempts those that failed
-   * @param spanUs length of the span, in microseconds
-   * @param meanUs mean response time of the successful attempts, in microseconds
-   * @param load the load metrics reported, in the order of the settings
-   * @param ageUs time since the end of the span, in microseconds
-   */
-  void onLoadReport(
-      long nowUs,
-      long server,
-      int zone,
-      long attempts,
-      long failedAttempts,
-      long spanUs,
-      long meanUs,
-      float[] load,
-      long ageUs);
+  void onLoadReport(long nowUs, AttemptReport report);
 
   /**
    * Requests of a class that arrived at a proxy within a span of time.
--- a/src/main/java/pearusher/policy/FaastPolicy.java
+++ b/src/main/java/pearusher/policy/FaastPolicy.java
@@ -166,20 +166,9 @@
   }
 
   @Override
-  public void onLoadReport(
-      long nowUs,
-      long server,
-      int zone,
-      long attempts,
-      long failedAttempts,
-      long spanUs,
-      long meanUs,
-      float[] load,
-      long ageUs) {
-    boolean valid =
-        estimator.onLoadReport(server, zone, attempts, failedAttempts, meanUs, spanUs, ageUs);
-    if (valid) {
-      hold.onAttempts(attempts);
+  public void onLoadReport(long nowUs, AttemptReport report) {
+    if (estimator.onLoadReport(report)) {
+      hold.onAttempts(report.attempts());
     }
   }
 
--- a/src/main/java/pearusher/policy/ResponseTimeEstimator.java
+++ b/src/main/java/pearusher/policy/ResponseTimeEstimator.java
@@ -46,35 +46,31 @@
   /**
    * Counts a load report; older evidence counts less.
    *
-   * @param meanUs mean response time of the successful attempts, in microseconds
-   * @param spanUs the time that the report covers
-   * @param ageUs the time since the end of the span
    * @return whether it was valid
    */
-  boolean onLoadReport(
-      long serverId,
-      int zone,
-      long attempts,
-      long failedAttempts,
-      long meanUs,
-      long spanUs,
-      long ageUs) {
-    Optional<Server> server = fleet.servers().find(serverId);
-    if (server.isEmpty() || zone >= settings.zoneCount() || attempts <= 0) {
+  boolean onLoadReport(AttemptReport report) {
+    Optional<Server> server = fleet.servers().find(report.server());
+    if (server.isEmpty() || report.zone() >= settings.zoneCount() || report.attempts() <= 0) {
       return false;
     }
-    double middleAgeUs = Math.max(0, spanUs - settings.controlPeriodUs()) / 2.0 + ageUs;
-    double weight = EvidenceDecay.factor(middleAgeUs, settings.controlPeriodUs());
-    int countedZone = fleet.tables().contains(zone) ? zone : ZoneAttemptStats.ELSEWHERE;
-    AttemptStats stats = server.get().attempts.current(countedZone);
-    long failed = Math.min(failedAttempts, attempts);
-    stats.succeeded += weight * (attempts - failed);
-    stats.totalTimeUs += weight * (attempts - failed) * meanUs;
-    stats.failed += weight * failed;
+    int countedZone =
+        fleet.tables().contains(report.zone()) ? report.zone() : ZoneAttemptStats.ELSEWHERE;
+    long failed = Math.min(report.failedAttempts(), report.attempts());
+    server
+        .get()
+        .attempts
+        .current(countedZone)
+        .add(report.attempts() - failed, failed, report.meanUs(), evidenceWeight(report));
     clock.onLoadReport();
     return true;
   }
 
+  private double evidenceWeight(AttemptReport report) {
+    double middleAgeUs =
+        Math.max(0, report.spanUs() - settings.controlPeriodUs()) / 2.0 + report.ageUs();
+    return EvidenceDecay.factor(middleAgeUs, settings.controlPeriodUs());
+  }
+
   /** Adds the reports of the period that ends to the evidence, which decays. */
   void endPeriod(long elapsedUs) {
     double decay = EvidenceDecay.factor((double) elapsedUs, settings.controlPeriodUs());
--- a/src/main/java/pearusher/simulator/EventDispatcher.java
+++ b/src/main/java/pearusher/simulator/EventDispatcher.java
@@ -4,6 +4,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import pearusher.policy.AssignmentPolicy;
+import pearusher.policy.AttemptReport;
 import pearusher.policy.HealthCheckResult;
 import pearusher.policy.ListUpdateKind;
 import pearusher.policy.PolicySettings;
@@ -135,8 +136,9 @@
     long server = in.readServer();
     long meanUs = in.readU32();
     float[] load = in.readLoad();
-    return policy ->
-        policy.onLoadReport(nowUs, server, zone, attempts, failed, spanUs, meanUs, load);
+    AttemptReport report =
+        AttemptReport.ofSpanEndingNow(server, zone, attempts, failed, spanUs, meanUs, load);
+    return policy -> policy.onLoadReport(nowUs, report);
   }
 
   private Consumer<AssignmentPolicy> usageReport() throws SimulatorProtocolException {
--- a/src/test/java/pearusher/control/ScriptedPolicy.java
+++ b/src/test/java/pearusher/control/ScriptedPolicy.java
@@ -8,7 +8,10 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
 import pearusher.policy.AssignmentPolicy;
+import pearusher.policy.AttemptReport;
 import pearusher.policy.PolicyCommands;
 import pearusher.policy.PolicySettings;
 import pearusher.server.TestPeers;
@@ -71,13 +74,34 @@
     return String.join(" ", texts);
   }
 
-  private static String describe(Object argument) {
+  /** The text of an argument of an event. */
+  public static String describe(Object argument) {
+    if (argument instanceof AttemptReport report) {
+      return describe(report);
+    }
     if (argument instanceof float[] numbers) {
       return Arrays.toString(numbers);
     }
     return argument instanceof byte[] bytes ? Arrays.toString(bytes) : String.valueOf(argument);
   }
 
+  /** The fields of a load report, without its age if that is 0. */
+  private static String describe(AttemptReport report) {
+    Stream<Object> fields =
+        Stream.of(
+            report.server(),
+            report.zone(),
+            report.attempts(),
+            report.failedAttempts(),
+            report.spanUs(),
+            report.meanUs(),
+            report.load());
+    Stream<Object> age = report.ageUs() == 0 ? Stream.empty() : Stream.of(report.ageUs());
+    return Stream.concat(fields, age)
+        .map(ScriptedPolicy::describe)
+        .collect(Collectors.joining(" "));
+  }
+
   /** Sets the controller of this policy. */
   public void on(Controller of) {
     controller = of;
--- a/src/test/java/pearusher/control/StoredDataSite.java
+++ b/src/test/java/pearusher/control/StoredDataSite.java
@@ -16,6 +16,7 @@
 import java.util.stream.Collectors;
 import pearusher.config.AssignerConfig;
 import pearusher.policy.AssignmentPolicy;
+import pearusher.policy.AttemptReport;
 import pearusher.policy.ListUpdateKind;
 import pearusher.policy.PolicyCommands;
 import pearusher.policy.PolicySettings;
@@ -137,16 +138,7 @@
     public void onAcknowledgement(long nowUs, int proxy, int number, long tookUs) {}
 
     @Override
-    public void onLoadReport(
-        long nowUs,
-        long server,
-        int zone,
-        long attempts,
-        long failed,
-        long spanUs,
-        long meanUs,
-        float[] load,
-        long ageUs) {}
+    public void onLoadReport(long nowUs, AttemptReport report) {}
 
     @Override
     public void onUsageReport(
--- a/src/test/java/pearusher/policy/MembershipScenarios.java
+++ b/src/test/java/pearusher/policy/MembershipScenarios.java
@@ -214,10 +214,18 @@
       history.servers.get(100L + round).lifecycle =
           round % 2 == 0 ? Lifecycle.REMOVED : Lifecycle.DRAINING;
       history.sendListUpdate(serverIds(100 + round, 100 + round));
-      policy.onLoadReport(history.nowUs(), 99, 0, 10, 1, SECOND, 200_000, new float[0]);
-      policy.onLoadReport(history.nowUs(), 1, 7, 10, 1, SECOND, 200_000, new float[0]);
-      policy.onLoadReport(history.nowUs(), 1, 1, 0, 0, SECOND, 200_000, new float[0]);
-      policy.onLoadReport(history.nowUs(), 2, 0, 5, 9, SECOND, 200_000, new float[0]);
+      policy.onLoadReport(
+          history.nowUs(),
+          AttemptReport.ofSpanEndingNow(99, 0, 10, 1, SECOND, 200_000, new float[0]));
+      policy.onLoadReport(
+          history.nowUs(),
+          AttemptReport.ofSpanEndingNow(1, 7, 10, 1, SECOND, 200_000, new float[0]));
+      policy.onLoadReport(
+          history.nowUs(),
+          AttemptReport.ofSpanEndingNow(1, 1, 0, 0, SECOND, 200_000, new float[0]));
+      policy.onLoadReport(
+          history.nowUs(),
+          AttemptReport.ofSpanEndingNow(2, 0, 5, 9, SECOND, 200_000, new float[0]));
       policy.onUsageReport(history.nowUs(), 99, 0, 10, 0, SECOND);
       policy.onUsageReport(history.nowUs(), 1, 7, 10, 0, SECOND);
       policy.onUsageReport(history.nowUs(), 1, 0, 10, 0, 0);
--- a/src/test/java/pearusher/policy/PolicyFixture.java
+++ b/src/test/java/pearusher/policy/PolicyFixture.java
@@ -107,7 +107,9 @@
   }
 
   void reportLoad(long server, int zone, long attempts, long failed, long spanUs, long meanUs) {
-    policy.onLoadReport(nowUs, server, zone, attempts, failed, spanUs, meanUs, NO_LOAD);
+    policy.onLoadReport(
+        nowUs,
+        AttemptReport.ofSpanEndingNow(server, zone, attempts, failed, spanUs, meanUs, NO_LOAD));
   }
 
   void reportUsage(int proxy, int requestClass, long requests, long failed, long spanUs) {
--- a/src/test/java/pearusher/policy/PolicyHistory.java
+++ b/src/test/java/pearusher/policy/PolicyHistory.java
@@ -339,11 +339,17 @@
   }
 
   private void reportLoad(long server, int zone, long attempts, long failed, long meanUs) {
-    if (reportAgeUs > 0) {
-      policy.onLoadReport(
-          nowUs(), server, zone, attempts, failed, 3 * SECOND, meanUs, new float[0], reportAgeUs);
-    } else {
-      policy.onLoadReport(nowUs(), server, zone, attempts, failed, SECOND, meanUs, new float[0]);
-    }
+    long spanUs = reportAgeUs > 0 ? 3 * SECOND : SECOND;
+    policy.onLoadReport(
+        nowUs(),
+        new AttemptReport(
+            server,
+            zone,
+            attempts,
+            failed,
+            spanUs,
+            meanUs,
+            new float[0],
+            Math.max(0, reportAgeUs)));
   }
 }
--- a/src/test/java/pearusher/simulator/SimulatorLoopTest.java
+++ b/src/test/java/pearusher/simulator/SimulatorLoopTest.java
@@ -15,6 +15,7 @@
 import java.util.List;
 import java.util.function.BiFunction;
 import org.junit.jupiter.api.Test;
+import pearusher.control.ScriptedPolicy;
 import pearusher.policy.AdmissionMode;
 import pearusher.policy.AssignmentPolicy;
 import pearusher.policy.FaastPolicy;
@@ -40,16 +41,6 @@
     return PolicySettingsReader.read(7, PathValues.parseLines(text));
   }
 
-  private static String textOf(Object argument) {
-    if (argument instanceof float[] floats) {
-      return Arrays.toString(floats);
-    }
-    if (argument instanceof byte[] bytes) {
-      return Arrays.toString(bytes);
-    }
-    return String.valueOf(argument);
-  }
-
   /** A policy that records the events it gets and issues no commands. */
   private AssignmentPolicy recordingPolicy() {
     return (AssignmentPolicy)
@@ -59,7 +50,7 @@
             (self, method, args) -> {
               List<String> fields = new ArrayList<>(List.of(method.getName()));
               for (Object arg : args) {
-                fields.add(textOf(arg));
+                fields.add(ScriptedPolicy.describe(arg));
               }
               receivedEvents.add(String.join(" ", fields));
               return null;
