--- a/src/main/java/pearusher/policy/AdmissionPublisher.java
+++ b/src/main/java/pearusher/policy/AdmissionPublisher.java
@@ -45,11 +45,8 @@
         isChanged(level, table.admissionLevels[requestClass])
             || retryMode != table.retryModes[requestClass];
     if (changed && channel.reserve(table.followers, 1, ChannelPriority.TIMELY)) {
-      int classBit = 1 << requestClass;
-      commands.setAdmission(tableNumber, classBit, level, retryMode);
-      table.admissionLevels[requestClass] = level;
-      table.retryModes[requestClass] = retryMode;
-      table.publishedClassBits |= classBit;
+      commands.setAdmission(tableNumber, 1 << requestClass, level, retryMode);
+      table.recordAdmission(requestClass, level, retryMode);
     }
   }
 
--- a/src/main/java/pearusher/policy/EjectionPublisher.java
+++ b/src/main/java/pearusher/policy/EjectionPublisher.java
@@ -64,7 +64,7 @@
   }
 
   private double linesForFollowers(ZoneTable table) {
-    long listed = ejections.countEjections(table.publishedWeights::containsKey);
+    long listed = ejections.countEjections(table::lists);
     return table.followers.size() * channel.limits().messageLines(listed);
   }
 
@@ -100,8 +100,7 @@
         .all()
         .forEach(
             (number, table) -> {
-              if (table.publishedWeights.containsKey(server)
-                  && channel.reserve(table.followers, 1, PRIORITY)) {
+              if (table.lists(server) && channel.reserve(table.followers, 1, PRIORITY)) {
                 weights.setWeight(number, table, server, 0);
               }
             });
@@ -121,7 +120,6 @@
   }
 
   private boolean mayKnow(ProxyState proxy, long server) {
-    return !proxy.followsTable
-        || fleet.tables().get(proxy.table).publishedWeights.containsKey(server);
+    return !proxy.followsTable || fleet.tables().get(proxy.table).lists(server);
   }
 }
--- a/src/main/java/pearusher/policy/FaastPolicy.java
+++ b/src/main/java/pearusher/policy/FaastPolicy.java
@@ -114,7 +114,7 @@
       scope.invalidate();
     }
     ZoneTable table = tables.get(proxy.zone);
-    table.lastUsedUs = nowUs;
+    table.recordUse(nowUs);
     if (clock.isStarted() && table.plannedShares.isEmpty()) {
       bringIntoScope(proxy.zone);
     }
@@ -162,7 +162,7 @@
     ProxyState proxy = proxies.get(proxyId);
     boolean isRestored =
         tableNumber == proxy.zone && !tables.get(tableNumber).publishedWeights.isEmpty();
-    proxy.missingLines = isRestored ? OptionalInt.of(missingLines) : OptionalInt.empty();
+    proxy.holdRestoredTable(isRestored ? OptionalInt.of(missingLines) : OptionalInt.empty());
   }
 
   @Override
--- a/src/main/java/pearusher/policy/ProxyBinder.java
+++ b/src/main/java/pearusher/policy/ProxyBinder.java
@@ -40,10 +40,10 @@
         .byId()
         .forEach(
             (id, proxy) -> {
-              if (!proxy.bound && proxy.missingLines.isPresent()) {
-                bindRestored(id, proxy, proxy.missingLines.getAsInt());
+              OptionalInt missingLines = proxy.takeMissingLines();
+              if (!proxy.bound && missingLines.isPresent()) {
+                bindRestored(id, proxy, missingLines.getAsInt());
               }
-              proxy.missingLines = OptionalInt.empty();
             });
   }
 
@@ -133,7 +133,7 @@
         table.publishedWeights.keySet().stream()
             .filter(id -> fleet.servers().get(id).staleEjectionRisk.affects(proxy))
             .count();
-    int levels = Integer.bitCount(table.publishedClassBits);
+    int levels = table.publishedClassCount();
     return 1 + table.publishedWeights.size() + reinstatements + levels;
   }
 
--- a/src/main/java/pearusher/policy/ProxyRegistry.java
+++ b/src/main/java/pearusher/policy/ProxyRegistry.java
@@ -22,8 +22,6 @@
   /** Share of the message limit that deferrable messages may use. */
   private static final double DEFERRABLE_MESSAGES_SHARE = 0.5;
 
-  private static final double MICROS_PER_SECOND = 1e6;
-
   private final PolicySettings settings;
   private final PolicyCommands commands;
   private final ControlClock clock;
@@ -65,8 +63,8 @@
     proxies.put(id, proxy);
     double unconfirmedUs = CONFIRMATION_GRACES * settings.limits().drainGraceUs();
     boolean startIsLongAgo = clock.isStarted() && nowUs - clock.startedUs() > unconfirmedUs;
-    proxy.confirmed = !proxy.holdsTables || startIsLongAgo;
-    if (proxy.confirmed) {
+    if (!proxy.holdsTables || startIsLongAgo) {
+      proxy.confirm();
       commands.confirmProxy(id);
     }
   }
@@ -87,16 +85,12 @@
     }
     long periodUs = settings.controlPeriodUs();
     double decay = EvidenceDecay.factor((double) spanUs, periodUs);
-    boolean reportedBefore = proxy.coveredUs[requestClass] > 0;
-    double gapUs = reportedBefore ? nowUs - proxy.lastReportUs[requestClass] - spanUs : 0;
+    double gapUs = proxy.reportGapUs(nowUs, requestClass, spanUs);
     // Proxies send no report without requests: a gap was idle time or a lost report, not a late
     // one.
     boolean wasIdle = gapUs > periodUs * MAX_REPORT_GAP_PERIODS;
-    proxy.coveredUs[requestClass] += spanUs + (wasIdle ? gapUs : 0);
-    proxy.lastReportUs[requestClass] = nowUs;
-    proxy.requestsPerSecond[requestClass] =
-        decay * proxy.requestsPerSecond[requestClass]
-            + (1 - decay) * requests * MICROS_PER_SECOND / spanUs;
+    proxy.recordReport(nowUs, requestClass, spanUs + (wasIdle ? gapUs : 0));
+    proxy.updateDemand(requestClass, decay, requests, spanUs);
     return true;
   }
 
@@ -131,19 +125,16 @@
 
   void dropOldMessages(long nowUs) {
     long windowUs = settings.channel().messageWindowUs();
-    proxies
-        .values()
-        .forEach(proxy -> proxy.recentMessagesUs.removeIf(sentUs -> nowUs - sentUs >= windowUs));
+    proxies.values().forEach(proxy -> proxy.dropMessagesBefore(nowUs, windowUs));
   }
 
   void onMessageSent(long nowUs, int id) {
-    proxies.get(id).recentMessagesUs.add(nowUs);
+    proxies.get(id).recordMessage(nowUs);
   }
 
   /** Whether one of these proxies may get no further deferrable messages for now. */
   boolean isAnyNearMessageLimit(Collection<Integer> ids) {
     double limit = DEFERRABLE_MESSAGES_SHARE * settings.channel().maxMessagesPerProxy();
-    return limit > 0
-        && ids.stream().anyMatch(id -> proxies.get(id).recentMessagesUs.size() >= limit);
+    return limit > 0 && ids.stream().anyMatch(id -> proxies.get(id).recentMessageCount() >= limit);
   }
 }
--- a/src/main/java/pearusher/policy/ReinstatementPublisher.java
+++ b/src/main/java/pearusher/policy/ReinstatementPublisher.java
@@ -43,7 +43,7 @@
         .zoneTables()
         .forEach(
             (zone, table) -> {
-              double share = table.plannedShares.getOrDefault(server.id, 0.0);
+              double share = table.plannedShare(server.id);
               double scale = TableScale.of(table, fleet.scope().servers());
               weights.setWeight(zone, table, server.id, scale * share);
             });
--- a/src/main/java/pearusher/policy/Server.java
+++ b/src/main/java/pearusher/policy/Server.java
@@ -43,7 +43,7 @@
   /** Its subset of the fleet, from 1; 0: none yet. */
   int subset;
 
-  // Written by ResponseTimeEstimator.
+  // Written by ResponseTimeEstimator; ZoneScope releases zones, ServerRegistry resets estimates.
 
   final ZoneAttemptStats attempts = new ZoneAttemptStats();
   double meanTimeUs;
@@ -77,7 +77,7 @@
   /** Product of the factors of its weight. */
   double weightFactor;
 
-  /** Its share of the zone's requests; SlowStart caps it. */
+  /** Its share of the zone's requests; SlowStartBudget caps it. */
   double share;
 
   Server(long id, long scopeRank) {
@@ -96,6 +96,11 @@
     restoredTimeRatio = 1;
   }
 
+  /** Counts the attempts of a zone that left the scope among those of other zones. */
+  void releaseZone(int zone) {
+    attempts.mergeIntoElsewhere(zone);
+  }
+
   /** Sums a figure of the earlier periods over all zones. */
   double sum(ToDoubleFunction<AttemptStats> figure) {
     return attempts.sumPast(figure);
--- a/src/main/java/pearusher/policy/SubsetAssignment.java
+++ b/src/main/java/pearusher/policy/SubsetAssignment.java
@@ -84,12 +84,8 @@
     int number = fleet.tables().subsetTable(zone, subset);
     ZoneTable zoneTable = fleet.tables().get(zone);
     ZoneTable table = fleet.tables().get(number);
-    table.plannedShares.clear();
-    warm.stream()
-        .filter(server -> server.subset == subset)
-        .filter(server -> zoneTable.plannedShares.containsKey(server.id))
-        .forEach(
-            server -> table.plannedShares.put(server.id, zoneTable.plannedShares.get(server.id)));
+    List<Server> members = warm.stream().filter(server -> server.subset == subset).toList();
+    table.plan(members, server -> zoneTable.plannedShare(server.id));
     if (isDepleted(table, warm.size())) {
       fleet.proxies().all().stream()
           .filter(proxy -> proxy.table == number)
--- a/src/main/java/pearusher/policy/TableRestorer.java
+++ b/src/main/java/pearusher/policy/TableRestorer.java
@@ -30,7 +30,7 @@
   /** Restores the table of a zone, as {@link AssignmentPolicy#onTableRestored} describes it. */
   void restore(long nowUs, int zone, Map<Long, Double> weights, double[] levels, int[] retryModes) {
     ZoneTable table = fleet.tables().get(zone);
-    table.lastUsedUs = nowUs;
+    table.recordUse(nowUs);
     restoreWeights(zone, table, weights);
     for (int k = 0; k < admission.classCount(); k++) {
       if (retryModes[k] >= 0) {
@@ -42,15 +42,14 @@
   private void restoreWeights(int zone, ZoneTable table, Map<Long, Double> weights) {
     weights.keySet().stream()
         .filter(fleet.servers()::contains)
-        .forEach(id -> table.publishedWeights.put(id, weights.get(id)));
+        .forEach(id -> table.recordWeight(id, weights.get(id)));
     List<Server> serving =
         table.publishedWeights.keySet().stream()
             .map(fleet.servers()::get)
             .filter(Server::isServing)
             .toList();
     double sum = total(serving, server -> table.publishedWeights.get(server.id));
-    serving.forEach(
-        server -> table.plannedShares.put(server.id, table.publishedWeights.get(server.id) / sum));
+    table.plan(serving, server -> table.publishedWeight(server.id) / sum);
     restoreTimeRatios(
         serving.stream().filter(server -> server.zone == zone).toList(), table.plannedShares);
     if (!serving.isEmpty()) {
@@ -69,9 +68,7 @@
   }
 
   private void restoreClass(ZoneTable table, int requestClass, double level, int retryMode) {
-    table.admissionLevels[requestClass] = level;
-    table.retryModes[requestClass] = retryMode;
-    table.publishedClassBits |= 1 << requestClass;
+    table.recordAdmission(requestClass, level, retryMode);
     admission.restore(requestClass, level);
     if (retryMode == RetryPolicy.NO_RETRY) {
       overload.restoreOverload();
--- a/src/main/java/pearusher/policy/WeightCalculator.java
+++ b/src/main/java/pearusher/policy/WeightCalculator.java
@@ -53,10 +53,7 @@
     assignShares(zone, table, servers);
     normalise(servers);
     slowStartBudget.capShares();
-    table.plannedShares.clear();
-    servers.stream()
-        .filter(server -> server.share > 0)
-        .forEach(server -> table.plannedShares.put(server.id, server.share));
+    table.plan(servers, server -> server.share);
   }
 
   private static void estimateZoneTimes(int zone, List<Server> servers) {
--- a/src/main/java/pearusher/policy/WeightPublisher.java
+++ b/src/main/java/pearusher/policy/WeightPublisher.java
@@ -86,11 +86,11 @@
     double scale = TableScale.of(table, fleet.scope().servers());
     for (long id : ids) {
       Server server = fleet.servers().get(id);
-      double plannedWeight = scale * table.plannedShares.getOrDefault(id, 0.0);
+      double plannedWeight = scale * table.plannedShare(id);
       double weight = server.isServing() ? plannedWeight : 0;
-      double published = table.publishedWeights.getOrDefault(id, 0.0);
+      double published = table.publishedWeight(id);
       if (isDue(id, weight, published)) {
-        int delays = server.isServing() ? table.delayedUpdates.merge(id, 1, Integer::sum) : 0;
+        int delays = server.isServing() ? table.countDueUpdate(id) : 0;
         double importance = delays * Math.abs(weight - published);
         boolean urgent = server.isServing() && server.slowStartFactor < 1 && weight < published;
         updates.add(new WeightUpdate(number, id, weight, importance, urgent));
@@ -106,7 +106,7 @@
   private boolean publish(WeightUpdate update) {
     ZoneTable table = fleet.tables().get(update.tableNumber());
     long id = update.server();
-    boolean isNewEntry = !table.publishedWeights.containsKey(id);
+    boolean isNewEntry = !table.lists(id);
     boolean needsReinstatement =
         isNewEntry && fleet.servers().get(id).staleEjectionRisk != StaleEjectionRisk.NONE;
     ChannelPriority priority =
@@ -122,16 +122,11 @@
 
   /** Sets a weight for which lines are reserved; 0 ends the entry. */
   void setWeight(int tableNumber, ZoneTable table, long server, double weight) {
-    boolean unchanged = weight == table.publishedWeights.getOrDefault(server, 0.0);
+    boolean unchanged = weight == table.publishedWeight(server);
     if (unchanged || (weight > 0 && fleet.scope().isFullFor(table, server))) {
       return;
     }
     commands.setWeight(tableNumber, server, weight);
-    table.delayedUpdates.remove(server);
-    if (weight > 0) {
-      table.publishedWeights.put(server, weight);
-    } else {
-      table.publishedWeights.remove(server);
-    }
+    table.recordWeight(server, weight);
   }
 }
--- a/src/main/java/pearusher/policy/ZoneScope.java
+++ b/src/main/java/pearusher/policy/ZoneScope.java
@@ -103,17 +103,16 @@
 
   /** Whether the table can take no further server: entries of others must end first. */
   boolean isFullFor(ZoneTable table, long server) {
-    return !table.publishedWeights.containsKey(server)
-        && table.publishedWeights.size() >= maxListedServers;
+    return !table.lists(server) && table.publishedWeights.size() >= maxListedServers;
   }
 
   /** Releases the tables of zones that had no proxy here for long. */
   void releaseUnusedZones(long nowUs) {
-    proxies.all().forEach(proxy -> tables.get(proxy.zone).lastUsedUs = nowUs);
+    proxies.all().forEach(proxy -> tables.get(proxy.zone).recordUse(nowUs));
     double releaseUs = RELEASE_GRACES * settings.limits().drainGraceUs();
     List<Integer> unused =
         tables.all().keySet().stream()
-            .filter(number -> nowUs - tables.get(tables.zoneOf(number)).lastUsedUs > releaseUs)
+            .filter(number -> tables.get(tables.zoneOf(number)).unusedUs(nowUs) > releaseUs)
             .toList();
     unused.forEach(this::release);
   }
@@ -121,7 +120,7 @@
   private void release(int number) {
     tables.remove(number);
     commands.clearTable(number);
-    servers.all().forEach(server -> server.attempts.mergeIntoElsewhere(number));
+    servers.all().forEach(server -> server.releaseZone(number));
     outdated = true;
   }
 }
--- a/src/main/java/pearusher/policy/ZoneTables.java
+++ b/src/main/java/pearusher/policy/ZoneTables.java
@@ -76,10 +76,10 @@
 
   /** Whether a published table lists the server. */
   boolean isPublished(long server) {
-    return tables.values().stream().anyMatch(table -> table.publishedWeights.containsKey(server));
+    return tables.values().stream().anyMatch(table -> table.lists(server));
   }
 
   void forgetServer(long server) {
-    tables.values().forEach(table -> table.delayedUpdates.remove(server));
+    tables.values().forEach(table -> table.forgetServer(server));
   }
 }
