--- a/src/main/java/pearusher/policy/FaastPolicy.java
+++ b/src/main/java/pearusher/policy/FaastPolicy.java
@@ -114,7 +114,7 @@
       scope.invalidate();
     }
     ZoneTable table = tables.get(proxy.zone);
-    table.lastUsedUs = nowUs;
+    table.recordUse(nowUs);
     if (clock.isStarted() && table.plannedShares.isEmpty()) {
       bringIntoScope(proxy.zone);
     }
@@ -162,24 +162,13 @@
     ProxyState proxy = proxies.get(proxyId);
     boolean isRestored =
         tableNumber == proxy.zone && !tables.get(tableNumber).publishedWeights.isEmpty();
-    proxy.missingLines = isRestored ? OptionalInt.of(missingLines) : OptionalInt.empty();
+    proxy.holdRestoredTable(isRestored ? OptionalInt.of(missingLines) : OptionalInt.empty());
   }
 
   @Override
-  public void onLoadReport(
-      long nowUs,
-      long server,
-      int zone,
-      long attempts,
-      long failedAttempts,
-      long spanUs,
-      long meanUs,
-      float[] load,
-      long ageUs) {
-    boolean valid =
-        estimator.onLoadReport(server, zone, attempts, failedAttempts, meanUs, spanUs, ageUs);
-    if (valid) {
-      hold.onAttempts(attempts);
+  public void onLoadReport(long nowUs, AttemptReport report) {
+    if (estimator.onLoadReport(report)) {
+      hold.onAttempts(report.attempts());
     }
   }
 
