--- a/src/bench/java/pearusher/capacity/Apportionment.java
+++ b/src/bench/java/pearusher/capacity/Apportionment.java
@@ -3,11 +3,11 @@
 import java.util.stream.DoubleStream;
 import java.util.stream.IntStream;
 
-/** Splits whole numbers by weights so that the parts add up (largest remainder). */
+/** Splits integers by weights so that the parts add up (largest remainder method). */
 final class Apportionment {
   private Apportionment() {}
 
-  /** Everyone gets {@code least}; the rest goes by weight. */
+  /** Each part gets the minimum; the rest is split by weight. */
   static int[] split(int total, double[] weights, int minimum) {
     int free = total - minimum * weights.length;
     if (free < 0) {
@@ -37,7 +37,7 @@
     return parts;
   }
 
-  /** Zipf's weights for ranks from 1. */
+  /** The weights of Zipf's law for ranks from 1. */
   static double[] zipf(int ranks, double exponent) {
     return IntStream.rangeClosed(1, ranks).mapToDouble(rank -> Math.pow(rank, -exponent)).toArray();
   }
--- a/src/bench/java/pearusher/capacity/AssignerLoad.java
+++ b/src/bench/java/pearusher/capacity/AssignerLoad.java
@@ -4,8 +4,8 @@
 import pearusher.server.MessageSizes;
 
 /**
- * What one assigner of a tier is asked: upper bounds, since tries that spread evenly over servers
- * and zones make the most report lines.
+ * Upper bounds of the load of one assigner of a tier: attempts are assumed to spread evenly over
+ * servers and zones, which makes the most load reports.
  */
 record AssignerLoad(
     double servers,
@@ -21,31 +21,29 @@
     double pairsKnown,
     double pairsInScope,
     double listEntriesPerSecond) {
-  /** Tries a request: some are tried again. */
+  /** Attempts per request, including retries. */
   static final double ATTEMPTS_PER_REQUEST = 1.1;
 
-  /**
-   * Of the servers heard of in a period, those whose line goes to a proxy: 90 KB/s of 7,800
-   * lines/s.
-   */
+  /** The share of the servers reported in a period whose weight changes. */
   static final double CHANGED_WEIGHT_SHARE = 0.46;
 
   static final double PERIOD_SECONDS = 1;
   static final int CLASSES = 2;
 
-  /** An empty line that shows that the watch lives, with its chunk's frame. */
+  /** Heartbeats of the watch: empty chunks. */
   private static final double HEARTBEAT_BYTES_PER_SECOND = "2\r\n\n\r\n".length() / 2.0;
 
-  /** List entries that a restart of a task makes: it drains, it is gone, it is back. */
+  /** List entries of the restart of a task: terminating, terminated, in service. */
   static final int ENTRIES_PER_RESTART = 3;
 
-  /** And a failure: it is gone, it is back. */
+  /** List entries of the failure of a task: terminated, in service. */
   static final int ENTRIES_PER_FAILURE = 2;
 
-  /** List entries a second of the whole fleet on an ordinary day. */
+  /** List entries per second of the fleet on an ordinary day. */
   static double fleetListEntriesPerSecond() {
-    double ofTasks = 1.0 * CapacityTarget.TASKS / (CapacityTarget.TASKS + CapacityTarget.ASSIGNERS);
-    return ofTasks
+    double taskShare =
+        1.0 * CapacityTarget.TASKS / (CapacityTarget.TASKS + CapacityTarget.ASSIGNERS);
+    return taskShare
         * (ENTRIES_PER_RESTART * CapacityTarget.RESTARTS_PER_DAY
             + ENTRIES_PER_FAILURE * CapacityTarget.FAILURES_PER_DAY)
         / CapacityTarget.SECONDS_PER_DAY;
@@ -87,7 +85,7 @@
         entries);
   }
 
-  /** Zones that so many of the tier's proxies come from, drawn at random: one at least. */
+  /** The expected number of zones of randomly drawn proxies of the tier; at least one. */
   static double expectedZones(int[] proxiesByZone, double proxies) {
     double all = Arrays.stream(proxiesByZone).sum();
     double met =
@@ -96,8 +94,8 @@
   }
 
   /**
-   * Pairs of server and zone with a try in a period, tries spread evenly: never more than the
-   * tries.
+   * The expected pairs of server and zone with an attempt, per second; never more than the
+   * attempts.
    */
   static double reportsPerSecond(double attemptsPerSecond, double pairs) {
     return pairs / PERIOD_SECONDS * -Math.expm1(-attemptsPerSecond * PERIOD_SECONDS / pairs);
--- a/src/bench/java/pearusher/capacity/CapacityTarget.java
+++ b/src/bench/java/pearusher/capacity/CapacityTarget.java
@@ -1,6 +1,6 @@
 package pearusher.capacity;
 
-/** The operators' figures: the size to plan for, and the limits. */
+/** The fleet size to plan for and the limits of an assigner. */
 final class CapacityTarget {
   static final int ASSIGNERS = 3_100;
   static final int TASKS = 9_100;
--- a/src/bench/java/pearusher/capacity/FleetModel.java
+++ b/src/bench/java/pearusher/capacity/FleetModel.java
@@ -8,20 +8,20 @@
 import java.util.stream.IntStream;
 
 /**
- * A fleet of the target's size with the skew that is assumed of it: tasks a service, requests a
- * service, regions and zones all unequal. The same seed gives the same fleet.
+ * A model of a fleet of the target's size with skewed tasks and requests per service, regions and
+ * zones. Deterministic for a seed.
  */
 final class FleetModel {
-  /** Every service has so many tasks at least: one may restart. */
+  /** One task may restart while another serves. */
   static final int MIN_TASKS_PER_SERVICE = 2;
 
-  /** A service spreads over one region for so many of its tasks. */
+  /** The tasks of a service for each region that it uses. */
   private static final double TASKS_PER_REGION = 8;
 
-  /** Of a region's zones in turn. */
+  /** The relative weights of a region's zones. */
   private static final double[] ZONE_WEIGHTS = {1, 0.85, 0.7, 0.55};
 
-  /** What is assumed where the target gives no figure. */
+  /** Assumptions where the target gives no figure: Zipf exponents and the load of a proxy. */
   record Skew(double tasks, double requests, double regions, double requestsPerProxy, long seed) {
     static final Skew ASSUMED = new Skew(0.9, 1.0, 0.7, 21.5, 1);
   }
--- a/src/bench/java/pearusher/capacity/IdleProcessBench.java
+++ b/src/bench/java/pearusher/capacity/IdleProcessBench.java
@@ -19,10 +19,10 @@
 import picocli.CommandLine.Option;
 
 /**
- * What a process takes before it has anything to do: an empty program and an idle assigner (with
- * docs/example.json, nothing at the address of discovery), both with the flags of
- * deploy/balancer.toml, and the assigner with flags that may lower it. Ends what it started. Run
- * from the project's root after {@code make build}.
+ * Measures the CPU time and memory of idle processes: an empty program and an assigner (with
+ * docs/example.json and no discovery), both with the flags of deploy/balancer.toml, and the
+ * assigner with flags that may reduce them. Stops what it started. Must be run from the project's
+ * root after {@code make build}.
  */
 @Command(name = "floor", mixinStandardHelpOptions = true, description = "Memory of idle processes.")
 final class IdleProcessBench implements Callable<Integer> {
@@ -40,40 +40,43 @@
   @Override
   public Integer call() throws Exception {
     List<String> flags = deployedFlags();
-    Path dir = Files.createTempDirectory("floor");
-    Path archive = dir.resolve("classes.jsa");
+    Path directory = Files.createTempDirectory("floor");
+    Path archive = directory.resolve("classes.jsa");
     try {
-      observe("empty", emptyMainCommand(flags), dir, false);
-      observe("assigner", assignerCommand(flags), dir, true);
+      observe("empty", emptyMainCommand(flags), directory, false);
+      observe("assigner", assignerCommand(flags), directory, true);
       observe(
-          "assigner_small_heap", assignerCommand(replace(flags, "-Xms40m", "-Xms8m")), dir, true);
-      observe("assigner_interpreted", assignerCommand(append(flags, "-Xint")), dir, true);
+          "assigner_small_heap",
+          assignerCommand(replace(flags, "-Xms40m", "-Xms8m")),
+          directory,
+          true);
+      observe("assigner_interpreted", assignerCommand(append(flags, "-Xint")), directory, true);
       observe(
           "archive_run",
           assignerCommand(append(flags, "-XX:ArchiveClassesAtExit=" + archive)),
-          dir,
+          directory,
           true);
       observe(
           "assigner_archive",
           assignerCommand(append(flags, "-XX:SharedArchiveFile=" + archive)),
-          dir,
+          directory,
           true);
       observe(
           "assigner_archive_small_heap",
           assignerCommand(
               append(replace(flags, "-Xms40m", "-Xms8m"), "-XX:SharedArchiveFile=" + archive)),
-          dir,
+          directory,
           true);
     } finally {
       for (String name : List.of("config.json", "log", "classes.jsa")) {
-        Files.deleteIfExists(dir.resolve(name));
+        Files.deleteIfExists(directory.resolve(name));
       }
-      Files.delete(dir);
+      Files.delete(directory);
     }
     return 0;
   }
 
-  /** The virtual machine's flags of the line that starts an assigner. */
+  /** The JVM flags of the command that starts a deployed assigner. */
   private static List<String> deployedFlags() throws IOException {
     String run =
         Files.readAllLines(Path.of("deploy", "balancer.toml")).stream()
@@ -113,33 +116,33 @@
     return command;
   }
 
-  private void observe(String name, List<String> command, Path dir, boolean isAssigner)
+  private void observe(String name, List<String> command, Path directory, boolean isAssigner)
       throws Exception {
     int[] ports = freePorts(3);
     ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
-            .redirectOutput(dir.resolve("log").toFile());
+            .redirectOutput(directory.resolve("log").toFile());
     if (isAssigner) {
-      builder.environment().putAll(configure(dir, ports));
+      builder.environment().putAll(configure(directory, ports));
     }
     long startNs = System.nanoTime();
     Process process = builder.start();
     try {
       if (isAssigner) {
         awaitPong(process, ports[0]);
-        CapacityModel.print(name + ".ready", (System.nanoTime() - startNs) / 1e9, "s");
+        Figures.print(name + ".ready", (System.nanoTime() - startNs) / 1e9, "s");
       }
       TimeUnit.SECONDS.sleep(idleSeconds / 2);
       double before = cpuSeconds(process);
       TimeUnit.SECONDS.sleep(idleSeconds);
       double used = cpuSeconds(process) - before;
-      CapacityModel.print(name + ".core", used / idleSeconds, "of_a_core");
+      Figures.print(name + ".core", used / idleSeconds, "of_a_core");
       for (String field : List.of("VmRSS", "RssAnon", "RssFile")) {
-        CapacityModel.print(name + "." + field, statusValue(process, field) / KIB, "MiB");
+        Figures.print(name + "." + field, statusValue(process, field) / KIB, "MiB");
       }
-      CapacityModel.print(name + ".threads", statusValue(process, "Threads"), "threads");
-      CapacityModel.print(name + ".live_heap", liveHeapBytes(process) / KIB / KIB, "MiB");
+      Figures.print(name + ".threads", statusValue(process, "Threads"), "threads");
+      Figures.print(name + ".live_heap", liveHeapBytes(process) / KIB / KIB, "MiB");
     } finally {
       process.destroy();
       if (!process.waitFor(20, TimeUnit.SECONDS)) {
@@ -162,7 +165,7 @@
     }
   }
 
-  private static Map<String, String> configure(Path dir, int[] ports) throws IOException {
+  private static Map<String, String> configure(Path directory, int[] ports) throws IOException {
     String listen = "127.0.0.1:" + ports[0];
     String discovery = "127.0.0.1:" + ports[1];
     String json =
@@ -170,7 +173,7 @@
             .replace("127.0.0.1:8080", listen)
             .replace("127.0.0.1:8500", discovery)
             .replace("127.0.0.1:7946", "127.0.0.1:" + ports[2]);
-    Path file = Files.writeString(dir.resolve("config.json"), json);
+    Path file = Files.writeString(directory.resolve("config.json"), json);
     return Map.of(
         "EDGE_NAME",
         "n0",
@@ -197,7 +200,7 @@
     throw new IOException("the assigner ended before it answered");
   }
 
-  /** User and system time: the 14th and 15th word of /proc/PID/stat, after the name in brackets. */
+  /** User and system time: columns 14 and 15 of /proc/PID/stat. */
   private static double cpuSeconds(Process process) throws IOException {
     String stat = Files.readString(Path.of("/proc", Long.toString(process.pid()), "stat"));
     String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
@@ -221,7 +224,7 @@
         new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8).split("\n");
     String total = lines[lines.length - 1].trim();
     if (!total.toLowerCase(Locale.ROOT).startsWith("total")) {
-      throw new IOException("jcmd said: " + Arrays.toString(lines));
+      throw new IOException("unexpected output of jcmd: " + Arrays.toString(lines));
     }
     return Double.parseDouble(total.split("\\s+")[2]);
   }
--- a/src/bench/java/pearusher/capacity/PickBench.java
+++ b/src/bench/java/pearusher/capacity/PickBench.java
@@ -10,10 +10,10 @@
 import picocli.CommandLine.Option;
 
 /**
- * What of a request's time is the table's: a pick by a proxy's table, and what it costs to apply an
- * update. One thread, one call after the other (closed loop), so no call waits for another and
- * there is no coordinated omission to correct. The clock's own reading is in each time; the row
- * {@code nothing} shows it.
+ * Measures the time to pick a server from a proxy's table and to apply an update to it. One thread
+ * makes one call after the other (closed loop), so no call waits for another and there is no
+ * coordinated omission to correct. Each time includes the reading of the clock, which the row
+ * {@code nothing} shows.
  */
 @Command(
     name = "pick",
@@ -97,7 +97,7 @@
     return "s-" + Integer.toHexString(0x5be2a07c + 7919 * server) + ":" + weight;
   }
 
-  /** Runs it once untimed for the compiler, then timed. */
+  /** Runs all calls untimed to warm up the compiler, then timed. */
   private static void time(String name, int calls, IntConsumer operation) {
     for (int k = 0; k < calls; k++) {
       operation.accept(k);
--- a/src/bench/java/pearusher/capacity/ProxyTable.java
+++ b/src/bench/java/pearusher/capacity/ProxyTable.java
@@ -6,24 +6,26 @@
 import java.util.SplittableRandom;
 
 /**
- * A stand-in of a proxy's table of weighted servers, with three ways to pick. Its lines are in the
- * form of an update, {@code server:weight} with commas between. It grows with the lines of one
- * table.
+ * A simulated proxy's table of weighted servers, with three ways to pick a server. Tables are
+ * parsed from the form of an update, {@code server:weight,server:weight}. Grows with the entries of
+ * one table.
  */
 final class ProxyTable {
   private final Map<String, Integer> indexByServer = new HashMap<>();
   private double[] weights = new double[0];
 
-  /** Sums of the weights up to each line. */
+  /** The sum of the weights up to and including each entry. */
   private double[] cumulativeWeights = new double[0];
 
-  /** Vose's alias table: the chance to stay with a line, and the line that is picked else. */
+  /**
+   * Vose's alias table: the probability of each entry itself, and the entry that is picked else.
+   */
   private double[] stayProbabilities = new double[0];
 
   private int[] aliases = new int[0];
   private int[] inFlight = new int[0];
 
-  /** Takes a whole table from an update's text. */
+  /** Replaces the table by the entries of an update. */
   void replace(String table) {
     String[] entries = table.split(",");
     indexByServer.clear();
@@ -38,7 +40,7 @@
     updateSums(0);
   }
 
-  /** Takes one changed line of a server that the table has; the sums behind it are made anew. */
+  /** Changes the weight of a server in the table and updates the sums behind it. */
   void change(String entry) {
     int colon = entry.lastIndexOf(':');
     int index = indexByServer.get(entry.substring(0, colon));
@@ -54,7 +56,7 @@
     }
   }
 
-  /** Makes the alias table of the weights as they are: all of it, whatever changed. */
+  /** Rebuilds the complete alias table from the weights. */
   void buildAlias() {
     int size = weights.length;
     double mean = cumulativeWeights[size - 1] / size;
@@ -81,7 +83,7 @@
         stack[smallCount++] = more;
       }
     }
-    // What rounding leaves over stays with itself.
+    // Entries left over by rounding errors.
     while (smallCount > 0) {
       stayProbabilities[stack[--smallCount]] = 1;
     }
@@ -98,7 +100,7 @@
     return random.nextDouble() < stayProbabilities[index] ? index : aliases[index];
   }
 
-  /** Two picks by weight, the one with fewer requests in flight. */
+  /** Picks two servers by weight and takes the one with fewer requests in flight. */
   int pickOfTwo(SplittableRandom random) {
     int first = pickBySums(random);
     int second = pickBySums(random);
@@ -107,7 +109,7 @@
     return best;
   }
 
-  /** The share of a server by its weight. */
+  /** The share of an entry in the sum of all weights. */
   double share(int index) {
     return weights[index] / cumulativeWeights[cumulativeWeights.length - 1];
   }
--- a/src/bench/java/pearusher/capacity/Scenarios.java
+++ b/src/bench/java/pearusher/capacity/Scenarios.java
@@ -9,31 +9,29 @@
 import pearusher.server.MessageSizes;
 
 /**
- * Days and troubles of one map of tiers, derived by formula from the model: who is asked how much
- * at once. Everything here is arithmetic; no figure is measured but the ones named as such.
+ * Derives the load of ordinary days, configuration changes and outages from the model of the fleet
+ * under one {@link TierMap}. All of it is arithmetic on the constants below.
  */
 final class Scenarios {
-  /** Measured once on an earlier text (issue 34): live bytes a pair of server and zone. */
+  /** Live heap for each pair of server and zone (issue 34). */
   static final double BYTES_PER_SERVER_ZONE_PAIR = 900;
 
-  /** Measured once (issue 34): processor time a report line at 2,000 servers and 4 zones. */
+  /** CPU time of a load report at 2,000 servers and 4 zones (issue 34). */
   static final double CPU_SECONDS_PER_REPORT = 52e-6;
 
-  /** Measured once each (issue 34): from a start to ready with a small list. */
+  /** Time from the start to readiness with a small list (issue 34). */
   private static final double READY_SECONDS = 0.7;
 
-  /**
-   * And what comes before it in a planned restart: the program may run on so long after SIGTERM.
-   */
+  /** The longest time from SIGTERM to the end of the process in a planned restart. */
   private static final double TERMINATION_SECONDS = 0.7;
 
-  /** Assumed: of a day's changes, the part that the busiest hour brings. */
+  /** The assumed share of a day's changes in the busiest hour. */
   private static final double PEAK_HOUR_SHARE = 0.2;
 
-  /** Assumed: machines in a rack. */
+  /** Assumed. */
   private static final int MACHINES_PER_RACK = 40;
 
-  /** Assumed: what a control machine's network carries. */
+  /** The assumed network bandwidth of a control machine. */
   private static final double CONTROL_BYTES_PER_SECOND = 125e6;
 
   private final String name;
@@ -57,18 +55,18 @@
     double zone = taskShare(z -> z == largestZone());
     double region = taskShare(z -> fleet.zones().get(z).region() == 0);
     printOutage("rack", rack, rack);
-    // The zone's own proxies are dead with it; others whose assigner was there join anew.
+    // The proxies of the zone fail with it; others whose assigner was there join again.
     printOutage("zone", zone, zone * (1 - (tiersCrossRegions ? zone : zone / region)));
-    // A cut: proxies on either side lose their assigners on the other.
+    // A partition: proxies on either side lose their assigners on the other.
     printOutage("region", region, tiersCrossRegions ? 2 * region * (1 - region) : 0);
     printOutage("all", 1, 1);
   }
 
   private void print(String figure, double value, String unit) {
-    CapacityModel.print(name + figure, value, unit);
+    Figures.print(name + figure, value, unit);
   }
 
-  /** Of all tasks, those in these zones. */
+  /** The share of all tasks in these zones. */
   private double taskShare(IntPredicate zone) {
     return fleet.services().stream()
             .mapToInt(
@@ -89,12 +87,12 @@
         .orElseThrow();
   }
 
-  /** Lists' entries to each who watches, whole lists to each assigner that starts. */
+  /** List entries go to each watcher, complete lists to each assigner that starts. */
   private void printOrdinaryDay() {
-    double ofAssigners =
+    double assignerShare =
         1.0 * CapacityTarget.ASSIGNERS / (CapacityTarget.TASKS + CapacityTarget.ASSIGNERS);
     double starts =
-        ofAssigners * (CapacityTarget.RESTARTS_PER_DAY + CapacityTarget.FAILURES_PER_DAY);
+        assignerShare * (CapacityTarget.RESTARTS_PER_DAY + CapacityTarget.FAILURES_PER_DAY);
     double entries = AssignerLoad.fleetListEntriesPerSecond() * CapacityTarget.SECONDS_PER_DAY;
     double entriesSent = entries * watchersPerTask();
     print("day.assigner_starts", starts, "/day");
@@ -112,7 +110,7 @@
     print("day.rejoining_proxies", starts * proxyCount() / CapacityTarget.ASSIGNERS, "/day");
   }
 
-  /** Assigners that list one task, on average. */
+  /** The average number of assigners that list one task. */
   private double watchersPerTask() {
     return tiers.stream().mapToDouble(t -> 1.0 * t.assigners() * t.listedServers()).sum()
         / CapacityTarget.TASKS;
@@ -129,7 +127,7 @@
     return tiers.stream().mapToInt(TierMap.Tier::proxies).sum();
   }
 
-  /** Read as a change of settings, which today needs a restart of each assigner of the tier. */
+  /** A change of settings needs a restart of each assigner of the tier. */
   private void printConfigurationChanges() {
     double meanTier = 1.0 * CapacityTarget.ASSIGNERS / tiers.size();
     double restarts = CapacityTarget.CHANGES_PER_DAY * meanTier;
@@ -156,8 +154,8 @@
   }
 
   /**
-   * This part of all tasks, assigners and proxies goes, and comes back at once; that part joins
-   * anew.
+   * Prints the load when a share of all tasks, assigners and proxies fails and recovers at once,
+   * and another share of the proxies joins again.
    */
   private void printOutage(String name, double lostShare, double rejoiningShare) {
     String prefix = name + ".";
--- a/src/bench/java/pearusher/capacity/TierMap.java
+++ b/src/bench/java/pearusher/capacity/TierMap.java
@@ -6,10 +6,7 @@
 import java.util.function.IntPredicate;
 import java.util.stream.IntStream;
 
-/**
- * The ways in which 3,100 assigners may be split into tiers, each with a list of servers of its
- * own.
- */
+/** The ways to split 3,100 assigners into tiers, each with an endpoint list of its own. */
 enum TierMap {
   /** A tier of eight or nine for each service, whatever its load. */
   SERVICE_EVEN {
@@ -28,7 +25,7 @@
           fleet, Apportionment.split(CapacityTarget.ASSIGNERS, load, MIN_ASSIGNERS_PER_TIER));
     }
   },
-  /** One tier for all: every assigner lists every task, proxies join anyone. */
+  /** One tier: every assigner lists every task, and proxies join any assigner. */
   ONE_TIER {
     @Override
     List<Tier> tiers(FleetModel fleet) {
@@ -70,7 +67,7 @@
     }
   };
 
-  /** One may restart while the other steers. */
+  /** One assigner may restart while the other serves. */
   private static final int MIN_ASSIGNERS_PER_TIER = 2;
 
   /**
@@ -84,31 +81,36 @@
   record Tier(
       int assigners, int listedServers, int zonesKnown, double requests, int[] proxiesByZone) {
 
-    /** Of these services what is in these zones; tasks and zones below 0 are counted, not given. */
+    /** The part of services in some zones; tasks and zones below 0 are counted. */
     static Tier of(
         FleetModel fleet,
         List<FleetModel.Service> services,
         IntPredicate zone,
         int tasks,
         int zones) {
-      int[] in = IntStream.range(0, fleet.zones().size()).filter(zone).toArray();
+      int[] zonesInScope = IntStream.range(0, fleet.zones().size()).filter(zone).toArray();
       int[] proxies = new int[fleet.zones().size()];
       double requests = 0;
-      int listed = 0;
-      int used = 0;
-      for (int z : in) {
+      int listedServers = 0;
+      int zonesWithProxies = 0;
+      for (int z : zonesInScope) {
         for (FleetModel.Service service : services) {
           proxies[z] += service.proxiesByZone()[z];
           requests += service.requestsByZone()[z];
-          listed += service.tasksByZone()[z];
+          listedServers += service.tasksByZone()[z];
         }
-        used += proxies[z] > 0 ? 1 : 0;
+        zonesWithProxies += proxies[z] > 0 ? 1 : 0;
       }
-      return new Tier(0, tasks < 0 ? listed : tasks, zones < 0 ? used : zones, requests, proxies);
+      return new Tier(
+          0,
+          tasks < 0 ? listedServers : tasks,
+          zones < 0 ? zonesWithProxies : zones,
+          requests,
+          proxies);
     }
 
-    Tier withAssigners(int number) {
-      return new Tier(number, listedServers, zonesKnown, requests, proxiesByZone);
+    Tier withAssigners(int assigners) {
+      return new Tier(assigners, listedServers, zonesKnown, requests, proxiesByZone);
     }
 
     int proxies() {
--- a/src/bench/java/pearusher/intake/IntakeBench.java
+++ b/src/bench/java/pearusher/intake/IntakeBench.java
@@ -2,137 +2,93 @@
 
 import com.sun.management.ThreadMXBean;
 import java.lang.management.ManagementFactory;
-import java.util.ArrayDeque;
-import java.util.HashMap;
-import java.util.Map;
 import java.util.SplittableRandom;
 
 /**
- * Lines a second on one core and bytes allocated a line, from a report to the module's ear: the
- * intake in calm and in floods, beside a plain queue and beside a plain map that merges. Prints
- * {@code name value unit} a line.
+ * Measures reports per second on one core and bytes allocated per report, from the arrival of a
+ * report to its delivery: the intake beside a plain queue and a merging map, at a normal rate and
+ * in floods. Prints {@code name value unit} lines; any argument selects the short run.
  */
 public final class IntakeBench {
   private static final int RELAYS = 500;
   private static final int SERVERS = 120;
-  private static final float[] NONE = new float[0];
+  private static final int FIRST_SERVER = 0x5be2a000;
+  private static final int MAX_ATTEMPTS = 60;
+  private static final int DRAINS_PER_SECOND = 10;
+  private static final int[] REPORTS_PER_RELAY = {1, 10, 100};
+  private static final float[] NO_LOAD = new float[0];
   private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
 
-  private interface Way {
-    void offer(QueuedReport item);
+  private final int reportSeconds;
+  private final int minSeconds;
+  private final String[] serverNames = new String[SERVERS];
 
-    void drain(long nowUs);
+  private IntakeBench(boolean quick) {
+    reportSeconds = quick ? 20 : 100;
+    minSeconds = quick ? 3 : 20;
+    for (int k = 0; k < SERVERS; k++) {
+      serverNames[k] = "s-" + Integer.toHexString(FIRST_SERVER + k);
+    }
   }
 
-  private static long heard;
-  private static boolean quickRun;
-
-  private IntakeBench() {}
-
   public static void main(String[] args) {
-    boolean quick = args.length > 0;
-    quickRun = quick;
-    int seconds = quick ? 20 : 100;
-    for (int round = 0; round < 2; round++) {
-      // The first round compiles.
-      boolean say = round == 1;
-      for (int perRelay : new int[] {1, 10, 100}) {
-        Map<QueuedReport.Subject, ReportTotals> merged = new HashMap<>();
-        ArrayDeque<QueuedReport> queue = new ArrayDeque<>();
-        run(
-            say,
-            "queue_" + perRelay,
-            perRelay,
-            seconds,
-            new Way() {
-              @Override
-              public void offer(QueuedReport item) {
-                queue.add(item);
-              }
-
-              @Override
-              public void drain(long nowUs) {
-                queue.forEach(item -> heard += item.totals().attempts());
-                queue.clear();
-              }
-            });
-        run(
-            say,
-            "map_" + perRelay,
-            perRelay,
-            seconds,
-            new Way() {
-              @Override
-              public void offer(QueuedReport item) {
-                merged.merge(item.subject(), item.totals(), ReportTotals::plus);
-              }
-
-              @Override
-              public void drain(long nowUs) {
-                merged.values().forEach(sums -> heard += sums.attempts());
-                merged.clear();
-              }
-            });
-        Intake intake =
-            new Intake(
-                new Intake.Bounds(20_000, 5000, 1000, 2_000_000, 120_000_000, true, 1),
-                new Intake.Events() {});
-        run(
-            say,
-            "intake_" + perRelay,
-            perRelay,
-            seconds,
-            new Way() {
-              @Override
-              public void offer(QueuedReport item) {
-                intake.offer(item);
-              }
+    IntakeBench bench = new IntakeBench(args.length > 0);
+    // The first round lets the compiler warm up.
+    long attempts = bench.runRound(false) + bench.runRound(true);
+    System.out.println("heard " + attempts + " tries");
+  }
 
-              @Override
-              public void drain(long nowUs) {
-                while (!intake.isOverloaded() && intake.size() > 0) {
-                  intake.pollOldest(nowUs, item -> heard += item.totals().attempts());
-                }
-                intake.serve(nowUs, item -> heard += item.totals().attempts());
-              }
-            });
-      }
+  /** Runs all variants at all rates and returns the attempts that were delivered. */
+  private long runRound(boolean printed) {
+    long attempts = 0;
+    for (int reportsPerRelay : REPORTS_PER_RELAY) {
+      attempts += run(new QueueVariant(), reportsPerRelay, printed);
+      attempts += run(new MapVariant(), reportsPerRelay, printed);
+      attempts += run(new IntakeVariant(), reportsPerRelay, printed);
     }
-    System.out.println("heard " + heard + " tries");
+    return attempts;
   }
 
-  /** Relays report each second about so many servers; the way is drained ten times a second. */
-  private static void run(boolean say, String name, int perRelay, int seconds, Way way) {
+  /** Each relay reports once per second on some servers. */
+  private long run(ReportBuffer buffer, int reportsPerRelay, boolean printed) {
     SplittableRandom random = new SplittableRandom(1);
-    String[] names = new String[SERVERS];
-    for (int k = 0; k < SERVERS; k++) {
-      names[k] = "s-" + Integer.toHexString(0x5be2a000 + k);
-    }
-    int scale = Math.max(quickRun ? 3 : 20, seconds / perRelay);
-    long lines = 0;
-    long bytes = THREADS.getThreadAllocatedBytes(Thread.currentThread().getId());
-    long start = System.nanoTime();
-    for (int second = 0; second < scale; second++) {
-      for (int tenth = 0; tenth < 10; tenth++) {
-        for (int relay = tenth; relay < RELAYS; relay += 10) {
-          for (int k = 0; k < perRelay; k++) {
-            way.offer(
-                new QueuedReport(
-                    relay,
-                    new QueuedReport.ServerAttempts(names[(relay * 7 + k) % SERVERS], 0),
-                    ReportTotals.of(1 + random.nextInt(60), 0, 40_000, 1_000_000, NONE)));
-            lines++;
-          }
+    int seconds = Math.max(minSeconds, reportSeconds / reportsPerRelay);
+    long reports = 0;
+    long allocatedBefore = allocatedBytes();
+    long startNs = System.nanoTime();
+    for (int second = 0; second < seconds; second++) {
+      for (int part = 0; part < DRAINS_PER_SECOND; part++) {
+        for (int relay = part; relay < RELAYS; relay += DRAINS_PER_SECOND) {
+          offerReports(buffer, relay, reportsPerRelay, random);
+          reports += reportsPerRelay;
         }
-        way.drain(second * 1_000_000L + tenth * 100_000L);
+        buffer.drain(second * 1_000_000L + part * 100_000L);
       }
     }
-    double took = (System.nanoTime() - start) / 1e9;
-    bytes = THREADS.getThreadAllocatedBytes(Thread.currentThread().getId()) - bytes;
-    if (say) {
-      System.out.printf(
-          "%s_rate %.0f lines/s%n%s_bytes %.1f bytes/line%n",
-          name, lines / took, name, 1.0 * bytes / lines);
+    double elapsedSeconds = (System.nanoTime() - startNs) / 1e9;
+    long allocated = allocatedBytes() - allocatedBefore;
+    if (printed) {
+      String name = buffer.name() + "_" + reportsPerRelay;
+      System.out.printf("%s_rate %.0f lines/s%n", name, reports / elapsedSeconds);
+      System.out.printf("%s_bytes %.1f bytes/line%n", name, 1.0 * allocated / reports);
     }
+    return buffer.deliveredAttempts();
+  }
+
+  private void offerReports(
+      ReportBuffer buffer, int relay, int reportsPerRelay, SplittableRandom random) {
+    for (int k = 0; k < reportsPerRelay; k++) {
+      String server = serverNames[(relay * 7 + k) % SERVERS];
+      int attempts = 1 + random.nextInt(MAX_ATTEMPTS);
+      buffer.offer(
+          new QueuedReport(
+              relay,
+              new QueuedReport.ServerAttempts(server, 0),
+              ReportTotals.of(attempts, 0, 40_000, 1_000_000, NO_LOAD)));
+    }
+  }
+
+  private static long allocatedBytes() {
+    return THREADS.getThreadAllocatedBytes(Thread.currentThread().getId());
   }
 }
--- /dev/null
+++ b/src/bench/java/pearusher/intake/QueueVariant.java
@@ -0,0 +1,30 @@
+package pearusher.intake;
+
+import java.util.ArrayDeque;
+
+/** A plain queue: the baseline of delivering each report by itself. */
+final class QueueVariant implements ReportBuffer {
+  private final ArrayDeque<QueuedReport> queue = new ArrayDeque<>();
+  private long deliveredAttempts;
+
+  @Override
+  public String name() {
+    return "queue";
+  }
+
+  @Override
+  public void offer(QueuedReport report) {
+    queue.add(report);
+  }
+
+  @Override
+  public void drain(long nowUs) {
+    queue.forEach(report -> deliveredAttempts += report.totals().attempts());
+    queue.clear();
+  }
+
+  @Override
+  public long deliveredAttempts() {
+    return deliveredAttempts;
+  }
+}
--- a/src/bench/java/pearusher/scale/AssignerAddress.java
+++ b/src/bench/java/pearusher/scale/AssignerAddress.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 
 /**
- * Where an assigner, real or simulated, takes proxies and collectors, and where its traffic is
- * counted.
+ * The address of an assigner, real or simulated, for proxies and collectors, and the counter of its
+ * traffic.
  */
 record AssignerAddress(InetSocketAddress address, TrafficCounter traffic) {}
--- a/src/bench/java/pearusher/scale/AssignerConfigWriter.java
+++ b/src/bench/java/pearusher/scale/AssignerConfigWriter.java
@@ -11,11 +11,10 @@
 import java.util.stream.IntStream;
 
 /**
- * Writes what one assigner is told at its start: the documented example, changed to the size of the
- * run.
+ * Writes the configuration of one assigner: the documented example, changed to the size of the run.
  */
 final class AssignerConfigWriter {
-  /** Where an assigner listens and finds discovery. */
+  /** The addresses of an assigner and of its discovery. */
   record Endpoints(int number, InetSocketAddress listen, InetSocketAddress discovery) {
     String name() {
       return "n" + number;
@@ -30,7 +29,7 @@
     this.example = example;
   }
 
-  /** Writes the file into a directory and returns the environment that names it. */
+  /** Writes the file into a directory and returns the environment variables that refer to it. */
   Map<String, String> write(Path directory, Endpoints endpoints, ServerCatalog catalog)
       throws IOException {
     JsonTree json = JsonTree.read(example);
@@ -79,7 +78,7 @@
     return Math.max(RunDescription.MIN_PROXY_COUNT, run.proxies());
   }
 
-  /** The example's classes by turns, under names of our own. */
+  /** Repeats the request classes of the example under generated names. */
   private void setClasses(JsonTree json) {
     List<Object> grades = new ArrayList<>();
     List<Object> writes = new ArrayList<>();
--- a/src/bench/java/pearusher/scale/AssignerProcess.java
+++ b/src/bench/java/pearusher/scale/AssignerProcess.java
@@ -18,8 +18,8 @@
 import java.util.regex.Pattern;
 
 /**
- * One real assigner, started as the operators do, in a directory of its own; ended by its process
- * id.
+ * The process of a real assigner, started by the command of the deployment, with its log in a
+ * directory of its own.
  */
 final class AssignerProcess implements AutoCloseable {
   private static final byte[] PING = RespWriter.encode("ping");
@@ -39,7 +39,7 @@
   private long readyResidentKb = -1;
   private boolean wasStopped;
 
-  /** Processes that run; ended even where the runner itself is ended by a signal. */
+  /** Running processes; they are stopped even if the runner itself is stopped by a signal. */
   private static final Set<Process> RUNNING = ConcurrentHashMap.newKeySet();
 
   static {
@@ -75,14 +75,14 @@
     return directory.resolve("log").toFile();
   }
 
-  /** A port that was free a moment ago. */
+  /** A loopback address with a free port. */
   static InetSocketAddress freeAddress() throws IOException {
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return new InetSocketAddress(free.getInetAddress(), free.getLocalPort());
     }
   }
 
-  /** Waits for the first pong; false where the process died or said nothing in time. */
+  /** Waits for the first pong; returns false if the process died or did not answer in time. */
   boolean awaitPong(double timeoutSeconds) throws InterruptedException {
     long endNs = System.nanoTime() + (long) (timeoutSeconds * 1e9);
     while (isAlive() && System.nanoTime() < endNs) {
@@ -140,23 +140,20 @@
     return Files.readAllLines(directory.resolve("log"), StandardCharsets.UTF_8);
   }
 
-  /** The last line of its log: why it died, if it did. */
+  /** The last line of the log, which gives the cause if the process has died. */
   String lastLogLine() throws IOException {
     List<String> lines = log();
     return lines.isEmpty() ? "(the log is empty)" : lines.get(lines.size() - 1);
   }
 
-  /**
-   * What it says against taking connections or messages, the last of it; empty where it says
-   * nothing.
-   */
+  /** The last warning or error in the log; empty if there is none. */
   String lastWarning() throws IOException {
     return log().stream()
         .filter(line -> line.contains(" WARN ") || line.contains(" ERROR "))
         .reduce("", (earlier, later) -> later);
   }
 
-  /** Reports that it says it dropped, or -1 where it began to and has not said how many. */
+  /** The number of dropped reports according to the log; -1 while reports are still dropped. */
   long reportsDropped() throws IOException {
     long dropped = 0;
     for (String line : log()) {
@@ -170,14 +167,14 @@
     return dropped;
   }
 
-  /** Kills it outright, as a machine's death would. */
+  /** Kills the process without notice, as a machine failure would. */
   void kill() throws InterruptedException {
     wasStopped = true;
     process.destroyForcibly();
     process.waitFor(TERMINATION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** It ended though nobody ended it. */
+  /** Whether the process ended without being stopped. */
   boolean hasDied() {
     return !wasStopped && !process.isAlive();
   }
--- a/src/bench/java/pearusher/scale/ChangeFeed.java
+++ b/src/bench/java/pearusher/scale/ChangeFeed.java
@@ -6,15 +6,15 @@
 import java.util.SplittableRandom;
 
 /**
- * Changes the list: by turns a server begins to drain, and one that has drained goes while a new
- * one comes in its zone. Runs on discovery's loop, which owns the catalog, and tells those who have
- * to know before the list does.
+ * Changes the endpoint list: servers start to drain, and a drained server is replaced by a new one
+ * in its zone. Runs on the event loop of discovery, which owns the catalog, and notifies the
+ * listener before a change is published.
  */
 final class ChangeFeed {
-  /** No multiple of usual distances between changes, so that two runs make the same changes. */
+  /** Not a multiple of usual intervals between changes, so that runs make the same changes. */
   private static final long DRAIN_DURATION_NS = 3_770_000_000L;
 
-  /** Who has to know of changes before they are told. */
+  /** Is notified of changes before they are published. */
   interface Listener {
     void onServerDraining(int server);
 
@@ -47,7 +47,7 @@
     serving = new ArrayList<>(catalog.inService());
   }
 
-  /** Makes so many changes a second from now on, the first after half of their distance. */
+  /** Starts to make changes at a rate, the first after half an interval. */
   void start(double changesPerSecond) {
     if (changesPerSecond > 0) {
       long intervalNs = (long) (1e9 / changesPerSecond);
@@ -100,9 +100,7 @@
     publish(changed);
   }
 
-  /**
-   * All servers of a zone go in one change; they are what {@link #restoreZone} brings new ones for.
-   */
+  /** Terminates all servers of a zone in one change and returns them, for {@link #restoreZone}. */
   List<Integer> removeZone(int zone) {
     List<Integer> lost = serving.stream().filter(server -> catalog.zone(server) == zone).toList();
     serving.removeAll(lost);
@@ -118,7 +116,7 @@
     replace(lost);
   }
 
-  // Only one thread writes the count.
+  // Only the thread of the loop writes the count.
   @SuppressWarnings("NonAtomicVolatileUpdate")
   private void publish(List<Integer> changed) {
     changeCount = changeCount + 1;
@@ -127,7 +125,7 @@
     discovery.publishChange(changed);
   }
 
-  /** Changes told so far. */
+  /** The number of changes published so far. */
   long changeCount() {
     return changeCount;
   }
--- a/src/bench/java/pearusher/scale/CollectorWorkload.java
+++ b/src/bench/java/pearusher/scale/CollectorWorkload.java
@@ -1,6 +1,12 @@
 package pearusher.scale;
 
-/** What collectors say: lines a second to each assigner, and what share of a mean is noise. */
+/**
+ * What collectors report.
+ *
+ * @param reportsPerSecond reports to each assigner
+ * @param noise standard deviation of the logarithm of a mean response time
+ * @param requestsPerSecond requests through each assigner
+ */
 record CollectorWorkload(
     int zones,
     double reportsPerSecond,
--- a/src/bench/java/pearusher/scale/DefaultRunMix.java
+++ b/src/bench/java/pearusher/scale/DefaultRunMix.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * The run without options: a mix of sizes, failures, watchers, the comparison and a slope, within a
- * time.
+ * The default run: a mix of sizes, failures, watchers, the comparison and a slope, within a time
+ * budget.
  */
 final class DefaultRunMix {
   private static final List<String> SLOPE_FIGURES =
@@ -21,9 +21,7 @@
           "bind_bytes_p50",
           "in_force_everywhere_p50");
 
-  /**
-   * Real assigners' own orders scatter by more than the bound in windows much shorter than this.
-   */
+  /** Long enough that the scatter of real assigners' updates is below the tolerance. */
   private static final String COMPARISON_OPTIONS =
       "servers 120 assigners 3 proxies 60 seconds 30 settle 10 heap 0";
 
@@ -31,7 +29,7 @@
   private static final int SLOPE_RUNS = 3;
   private static final double SLOPE_BUDGET_S = 300;
 
-  /** A run of the mix, as a description's words. */
+  /** A run of the mix and its options. */
   private record NamedRun(String name, String options) {}
 
   private static final List<NamedRun> QUICK =
--- a/src/bench/java/pearusher/scale/DrainTimer.java
+++ b/src/bench/java/pearusher/scale/DrainTimer.java
@@ -8,9 +8,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures how long a server that is to drain goes on being held by proxies: a time for each proxy,
- * and one for the change as a whole, when the last of them let it go. Belongs to the loop of the
- * proxies.
+ * Measures how long a draining server is still held by proxies: the time until each proxy releases
+ * it and the time until the last one does. Owned by the event loop of the proxies; grows with the
+ * unfinished drains.
  */
 final class DrainTimer {
   private static final int SIGNIFICANT_DIGITS = 3;
@@ -39,12 +39,12 @@
     return pending.isEmpty();
   }
 
-  /** Drains that some proxy still holds. */
+  /** The number of draining servers that some proxy still holds. */
   int unfinishedCount() {
     return pending.size();
   }
 
-  /** A proxy has let a server go. */
+  /** Records that a proxy has released a server. */
   void recordRelease(int server, int proxy, long nowNs) {
     PendingDrain drain = pending.get(server);
     if (drain != null && drain.holders.get(proxy)) {
@@ -57,7 +57,7 @@
     }
   }
 
-  /** A proxy has a new whole table: what it does not name is let go. */
+  /** Records the release of all servers that a proxy's new table does not contain. */
   void recheckTable(int proxy, IntPredicate holds, long nowNs) {
     for (int server : List.copyOf(pending.keySet())) {
       if (!holds.test(server)) {
@@ -66,7 +66,7 @@
     }
   }
 
-  /** A proxy's stream ended: nothing is measured on it any more. */
+  /** Stops measuring a proxy whose stream has ended. */
   void removeProxy(int proxy) {
     pending
         .values()
--- a/src/bench/java/pearusher/scale/FailureInjector.java
+++ b/src/bench/java/pearusher/scale/FailureInjector.java
@@ -4,16 +4,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Lets the window pass and makes in it the failures that the description asks for. */
+/** Runs the measured window and injects the failures of the description. */
 final class FailureInjector {
   private static final long POLL_MS = 20;
 
-  /** A check that is made all the while. */
+  /** A check that is repeated during the window. */
   interface Check {
     void run() throws LimitReachedException, IOException;
   }
 
-  /** What happens at a time of the window. */
+  /** A failure or its end. */
   private interface Step {
     void run() throws IOException, InterruptedException, LimitReachedException;
   }
@@ -25,7 +25,7 @@
   private final List<ScheduledStep> pendingSteps = new ArrayList<>();
   private List<Integer> lostServers = List.of();
 
-  /** Watches before the cut. */
+  /** The number of watches before the partition. */
   private int watchCountBefore;
 
   FailureInjector(TestFleet fleet, Report report) {
@@ -48,7 +48,7 @@
     }
   }
 
-  /** The window lasts until its time is over and all failures have been mended. */
+  /** Runs until the time is over and all failures have ended. */
   void runWindow(double seconds, Check check)
       throws IOException, InterruptedException, LimitReachedException {
     long startNs = System.nanoTime();
@@ -64,8 +64,8 @@
   }
 
   /**
-   * The last assigner is killed and started again: at once where it is alone, else once the others
-   * have bound its proxies, so that the time of the takeover has no start in it.
+   * Kills the last assigner and restarts it: at once if it is the only one, otherwise after the
+   * others have bound its proxies, so that the time of the takeover does not include the restart.
    */
   private void killAssigner() throws IOException, InterruptedException, LimitReachedException {
     if (fleet.realAssigners().isEmpty()) {
@@ -106,7 +106,7 @@
     awaitBound("zone_back_to_all_bound", startNs, 0);
   }
 
-  /** What is beyond the cut falls silent, and comes back by new connections. */
+  /** Starts or ends a network partition; connections across it are replaced at its end. */
   private void setPartitioned(boolean partitioned)
       throws InterruptedException, LimitReachedException {
     long startNs = System.nanoTime();
@@ -138,7 +138,7 @@
     report.add("cut_back_to_all_watching", (System.nanoTime() - startNs) / 1e6, "ms");
   }
 
-  /** All proxies are bound, and so many binds were made since the start of the run. */
+  /** Waits until all proxies are bound and at least this many binds were made in the run. */
   private void awaitBound(String name, long startNs, long minBinds)
       throws InterruptedException, LimitReachedException {
     double timeoutSeconds = fleet.run().get(RunOption.BIND_WAIT);
--- a/src/bench/java/pearusher/scale/JsonTree.java
+++ b/src/bench/java/pearusher/scale/JsonTree.java
@@ -13,9 +13,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** A JSON document as maps, lists and values, to change an example in a few places. */
+/** A mutable JSON document of maps, lists and values, to adapt an example. */
 final class JsonTree {
-  /** Text that is JSON already and goes into the document as it is. */
+  /** Encoded JSON that is written verbatim. */
   record Raw(String json) {}
 
   private final Map<String, Object> root;
@@ -60,7 +60,7 @@
     };
   }
 
-  /** Sets a value by its path, the keys of which must be there but for the last. */
+  /** Sets a value by its path; all keys but the last must exist. */
   JsonTree set(String path, Object value) {
     String[] keys = path.split("\\.");
     Map<String, Object> parent = root;
@@ -76,7 +76,7 @@
     return this;
   }
 
-  /** A copy of the objects of a list. */
+  /** Copies the objects of a list. */
   List<Map<String, Object>> copyObjects(String first, String second) {
     List<Map<String, Object>> result = new ArrayList<>();
     for (Object element : (List<?>) child(root, first).get(second)) {
--- a/src/bench/java/pearusher/scale/LeastSquares.java
+++ b/src/bench/java/pearusher/scale/LeastSquares.java
@@ -3,14 +3,16 @@
 import java.util.List;
 
 /**
- * A straight line through points by least squares, and how well it fits: the residual is the root
- * of the mean square distance from the line, as a share of the points' mean.
+ * A straight line fitted to points by least squares.
+ *
+ * @param residual the root mean square error as a share of the mean figure
+ * @param explained the coefficient of determination
  */
 record LeastSquares(double intercept, double slope, double residual, double explained) {
-  /** A line whose residual is larger is not called straight. */
+  /** The largest residual of points that count as a straight line. */
   static final double MAX_STRAIGHT_RESIDUAL = 0.05;
 
-  /** One run at one size. */
+  /** The figure of one run at one size. */
   record Point(double size, double figure) {}
 
   static LeastSquares fit(List<Point> points) {
--- a/src/bench/java/pearusher/scale/LimitReachedException.java
+++ b/src/bench/java/pearusher/scale/LimitReachedException.java
@@ -1,6 +1,6 @@
 package pearusher.scale;
 
-/** A run could not reach its size; the text says which limit and what size was reached. */
+/** A run could not reach its size; the message names the limit and the size that was reached. */
 final class LimitReachedException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/bench/java/pearusher/scale/ProcessFigures.java
+++ b/src/bench/java/pearusher/scale/ProcessFigures.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** What the system tells of a process: processor time, memory, live heap. */
+/** Reads the CPU time, the memory and the live heap of a process from the operating system. */
 final class ProcessFigures {
-  /** Processor time is counted in ticks of a hundredth of a second. */
+  /** The unit of CPU time. */
   static final double TICK_MS = 10;
 
   /** Of /proc/PID/stat, counted behind the name in brackets: user and system time. */
@@ -49,7 +49,7 @@
     throw new IOException("no " + key + " of process " + pid);
   }
 
-  /** Memory that the system could still give, in kB. */
+  /** The memory available on the machine, in kB. */
   static long availableKb() throws IOException {
     for (String line : Files.readAllLines(Path.of("/proc/meminfo"))) {
       if (line.startsWith("MemAvailable:")) {
@@ -59,7 +59,7 @@
     throw new IOException("no MemAvailable in /proc/meminfo");
   }
 
-  /** Bytes that have come to a local port and were not read yet, over all its connections. */
+  /** The bytes received on a local port and not read yet, over all its connections. */
   static long unreadBytes(int port) throws IOException {
     long total = 0;
     for (String table : new String[] {"tcp", "tcp6"}) {
@@ -73,7 +73,7 @@
     return total;
   }
 
-  /** Of a line of /proc/net/tcp: the address, then the two queues, in hexadecimal. */
+  /** Parses a row of /proc/net/tcp: the address, then both queues, in hexadecimal. */
   private static long unread(String[] fields, int port) {
     boolean connected = fields.length > QUEUES_COLUMN && fields[STATE_COLUMN].equals(ESTABLISHED);
     if (!connected
@@ -84,7 +84,7 @@
         fields[QUEUES_COLUMN].substring(fields[QUEUES_COLUMN].indexOf(':') + 1), 16);
   }
 
-  /** Bytes of live objects, or -1 where the process can't be asked. It makes a full collection. */
+  /** The bytes of live objects after a full collection; -1 if the process does not answer. */
   static long liveHeapBytes(long pid) throws IOException, InterruptedException {
     Path jcmd = Path.of(System.getProperty("java.home"), "bin", "jcmd");
     Process process =
@@ -101,7 +101,7 @@
     }
   }
 
-  /** The last column of the line "Total instances bytes". */
+  /** The last column of the row "Total instances bytes"; -1 if there is none. */
   static long totalBytes(String histogram) {
     for (String line : histogram.split("\n")) {
       String[] columns = line.strip().split("\\s+");
--- a/src/bench/java/pearusher/scale/ProxyWorkload.java
+++ b/src/bench/java/pearusher/scale/ProxyWorkload.java
@@ -1,6 +1,12 @@
 package pearusher.scale;
 
-/** What proxies are like. */
+/**
+ * The number of simulated proxies and what each of them does.
+ *
+ * @param requestsPerSecond requests of each proxy and class
+ * @param applyDelayNs time from an update to its acknowledgement
+ * @param periodNs time between usage reports
+ */
 record ProxyWorkload(
     int proxies,
     int zones,
--- a/src/bench/java/pearusher/scale/Report.java
+++ b/src/bench/java/pearusher/scale/Report.java
@@ -11,13 +11,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Figures as {@code name value unit} lines and as JSON. A figure is there only if it was measured.
+ * Collects figures and prints them as {@code name value unit} lines or JSON. Only measured figures
+ * are included.
  */
 final class Report {
   /** One figure. */
   record Figure(String name, double value, String unit) {}
 
-  /** A remark in words: why something died, which limit was met. */
+  /** A textual result, such as the limit that was met or the cause of a failure. */
   record Remark(String name, String text) {}
 
   private final List<Figure> figures = new ArrayList<>();
@@ -31,7 +32,7 @@
     remarks.add(new Remark(name, text));
   }
 
-  /** Median, 99th percentile and maximum with the count; only the count where there is nothing. */
+  /** Adds the count and, unless it is 0, the median, the 99th percentile and the maximum. */
   void addPercentiles(String name, Histogram histogram, double unitsPerFigure, String unit) {
     add(name + "_count", (double) histogram.getTotalCount(), "1");
     if (histogram.getTotalCount() > 0) {
@@ -49,7 +50,7 @@
     return List.copyOf(remarks);
   }
 
-  /** A figure by its name; NaN where it was not measured. */
+  /** Returns a figure by its name; NaN if it was not measured. */
   double value(String name) {
     return figures.stream()
         .filter(one -> one.name().equals(name))
@@ -58,7 +59,7 @@
         .orElse(Double.NaN);
   }
 
-  /** Takes over all of another report, under a prefix. */
+  /** Adds all of another report under a prefix. */
   void addAll(String prefix, Report other) {
     other.figures.forEach(one -> add(prefix + one.name(), one.value(), one.unit()));
     other.remarks.forEach(one -> remark(prefix + one.name(), one.text()));
@@ -73,7 +74,7 @@
     }
   }
 
-  /** Whole numbers as such, others with four digits at least. */
+  /** Formats integers without decimals and other numbers with at least four digits. */
   static String format(double value) {
     if (value == Math.rint(value) && Math.abs(value) < 1e15) {
       return Long.toString((long) value);
--- a/src/bench/java/pearusher/scale/RespWriter.java
+++ b/src/bench/java/pearusher/scale/RespWriter.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Writes RESP2 arrays of bulk strings, in ASCII, for the simulated side. */
+/** Encodes ASCII messages of simulated processes as RESP2 arrays of bulk strings. */
 final class RespWriter {
   private RespWriter() {}
 
@@ -14,12 +14,12 @@
     return out.toString().getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  /** A message whose words stand in one text with blanks between them. */
+  /** Encodes a message whose fields are separated by blanks. */
   static byte[] encodeWords(String text) {
     return encode(text.split(" "));
   }
 
-  /** A figure with one decimal, without the cost of a formatter. */
+  /** Formats a number with one decimal, without the cost of a formatter. */
   static String formatTenths(double value) {
     long rounded = Math.round(10 * value);
     return rounded / 10 + "." + rounded % 10;
--- a/src/bench/java/pearusher/scale/RunCommand.java
+++ b/src/bench/java/pearusher/scale/RunCommand.java
@@ -6,13 +6,18 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The command by which the operators start an assigner, as a build's deploy/balancer.toml says. */
+/** The command that starts an assigner of a build, as configured in deploy/balancer.toml. */
 record RunCommand(Path root, String command) {
   private static final Pattern RUN_LINE = Pattern.compile("(?m)^run\\s*=\\s*\"(.*?)\"");
   private static final String JAR_OPTION = " -jar ";
   private static final String DEFAULT_JAR = "target/pearusher.jar";
 
-  /** Reads the line; a jar takes the place of the build's own, flags go last, so that they win. */
+  /**
+   * Reads the command of a build.
+   *
+   * @param jar replaces the jar of the build, unless null
+   * @param flags are added last and so override the flags of the build
+   */
   static RunCommand fromBuild(Path root, Path jar, String flags) throws IOException {
     String text = Files.readString(root.resolve("deploy").resolve("balancer.toml"));
     Matcher matcher = RUN_LINE.matcher(text);
--- a/src/bench/java/pearusher/scale/RunDescription.java
+++ b/src/bench/java/pearusher/scale/RunDescription.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a scale run is to do: a value for each key, checked. It never changes. */
+/** The checked options of a scale run. Immutable. */
 final class RunDescription {
-  /** The settings' number of proxies is never less. */
+  /** The smallest number of proxies that settings allow. */
   static final int MIN_PROXY_COUNT = 64;
 
   private final Map<RunOption, Double> values;
@@ -26,7 +26,7 @@
     return new RunDescription(values);
   }
 
-  /** Lines of {@code key value}; what follows a # is a remark. */
+  /** Reads lines of {@code key value}; a # starts a comment. */
   RunDescription withFile(Path file) throws RunDescriptionException {
     List<String> lines;
     try {
@@ -74,7 +74,7 @@
     return new RunDescription(next);
   }
 
-  /** Keys and values by turns in one text. */
+  /** Replaces options that are given as alternating keys and values in one text. */
   RunDescription withOptions(String text) throws RunDescriptionException {
     String[] fields = text.split(" ");
     RunDescription description = this;
@@ -124,7 +124,7 @@
     return getInt(RunOption.SIMULATED_ASSIGNERS);
   }
 
-  /** Those that take proxies, real and simulated. */
+  /** All assigners that proxies join, real and simulated. */
   int assigners() {
     return realAssigners() + simulatedAssigners();
   }
--- a/src/bench/java/pearusher/scale/RunDescriptionException.java
+++ b/src/bench/java/pearusher/scale/RunDescriptionException.java
@@ -1,6 +1,6 @@
 package pearusher.scale;
 
-/** A description that can't be used; the text names the key. */
+/** A run description is invalid; the message names the key. */
 final class RunDescriptionException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/bench/java/pearusher/scale/RunOption.java
+++ b/src/bench/java/pearusher/scale/RunOption.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** All that a scale run can be told, the same in a description's file and on the command line. */
+/** The options of a scale run, the same in a description file and on the command line. */
 enum RunOption {
   SERVERS("servers", "300", 1, 200_000, "servers that discovery lists"),
   ZONES("zones", "4", 1, 98, "zones over which servers are spread evenly"),
--- a/src/bench/java/pearusher/scale/RunOutcome.java
+++ b/src/bench/java/pearusher/scale/RunOutcome.java
@@ -1,6 +1,10 @@
 package pearusher.scale;
 
-/** Figures of a run, and which limit it met, if any. */
+/**
+ * The figures of a run.
+ *
+ * @param limit the limit that the run met; null if it is complete
+ */
 record RunOutcome(Report report, String limit) {
   boolean isComplete() {
     return limit == null;
--- a/src/bench/java/pearusher/scale/ScaleCommand.java
+++ b/src/bench/java/pearusher/scale/ScaleCommand.java
@@ -11,8 +11,8 @@
 import picocli.CommandLine.ParameterException;
 
 /**
- * The scale run's command line. Exit status: 0 done, 1 a limit was met or a part failed, 2 used
- * wrongly.
+ * The command line of the scale run. Exit status: 0 success, 1 a limit was reached or a run failed,
+ * 2 usage error.
  */
 @Command(
     name = "scale",
@@ -167,7 +167,7 @@
     return new Sweep.Plan(key, sizes, runs, figures, budgetSeconds, charts);
   }
 
-  /** A size is given, so that the mix is not what is wanted. */
+  /** Whether a size is given, which selects a single run in place of the mix. */
   private boolean hasSize() {
     return file != null || givenOptions().stream().anyMatch(key -> key != RunOption.SEED);
   }
--- a/src/bench/java/pearusher/scale/ServerCatalog.java
+++ b/src/bench/java/pearusher/scale/ServerCatalog.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * The servers that the stand-in of discovery knows, spread evenly over zones, and their list as
- * text. A server's name ends in its number, so that names needn't be looked up; a replaced server
- * comes back under a new number.
+ * The servers known to the simulated discovery, spread evenly over zones, and their list as text. A
+ * server's name ends in its number, so that names needn't be looked up; a replaced server comes
+ * back under a new number.
  */
 final class ServerCatalog {
   private static final int FIRST_GENERATION = 41;
   private static final String[] MACHINE_TYPES = {"small", "large"};
 
-  /** What the list says of a server. */
+  /** The lifecycle of a server as listed. */
   enum Lifecycle {
     IN_SERVICE("in_service"),
     TERMINATING("terminating"),
@@ -65,7 +65,7 @@
     return "z" + zone;
   }
 
-  /** All servers that ever were, gone ones included. */
+  /** The number of all servers, including terminated ones. */
   int size() {
     return entries.size();
   }
@@ -109,7 +109,7 @@
     generation++;
   }
 
-  /** The whole list, without the servers that are gone. */
+  /** Encodes the complete list, without terminated servers. */
   byte[] encodeFullList() {
     List<Integer> listed = new ArrayList<>();
     for (int server = 0; server < entries.size(); server++) {
--- a/src/bench/java/pearusher/scale/SimulatedAssigners.java
+++ b/src/bench/java/pearusher/scale/SimulatedAssigners.java
@@ -10,9 +10,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Simulated assigners as proxies and collectors see them: they answer pings, take joinings, write a
- * table of all servers at each bind, changed lines at a given pace, and withdrawals; they decide
- * nothing and keep no reports. Each watches discovery like a real one. All run on one loop.
+ * Simulated assigners as seen by proxies and collectors: they answer pings, send a table of all
+ * servers to each proxy that joins, changed weights at a fixed rate, and ejections. They make no
+ * decisions and discard reports. Each watches discovery like a real one. All run on one event loop.
  */
 final class SimulatedAssigners implements AutoCloseable {
   private static final byte[] PING = UpdateFieldReader.ascii("ping");
@@ -33,15 +33,15 @@
   private int joinCount;
   private int slice;
 
-  /** Parts of lines that are left over from one update to the next. */
+  /** The fraction of a weight entry that is carried over to the next update. */
   private double entriesDue;
 
-  /** One connection: a proxy's stream, a collector, or a stranger. */
+  /** One connection: the stream of a proxy, a collector or an unidentified client. */
   private final class Peer implements Connection.Handler {
     private final RespScanner scanner = new RespScanner();
     private Connection connection;
 
-    /** The slice of a period in which it is written to: a window has as many updates as another. */
+    /** The part of a period in which the proxy is sent updates, the same in each period. */
     private int slice;
 
     @Override
@@ -126,7 +126,7 @@
   }
 
   /**
-   * So many lines from a server drawn on: a real one's weights are even at first, and spread later.
+   * Formats consecutive servers with weights, which real assigners start equal and spread later.
    */
   private String formatTable(int count, double spread) {
     StringBuilder table = new StringBuilder(22 * count);
@@ -141,13 +141,13 @@
     return table.toString();
   }
 
-  /** A share of one for each server, as text like a real one's: a float without an exponent. */
+  /** Formats a weight as real assigners do: a float without an exponent. */
   private String formatWeight(double spread) {
     float weight = (float) ((1 + spread * (random.nextDouble() - 0.5)) / servers.length);
     return new BigDecimal(Float.toString(weight)).toPlainString();
   }
 
-  /** A server drains: every proxy hears so. */
+  /** Sends the ejection of a draining server to all proxies. */
   void ejectServer(int server) {
     loop.execute(
         () -> {
--- a/src/bench/java/pearusher/scale/SimulatedCollectors.java
+++ b/src/bench/java/pearusher/scale/SimulatedCollectors.java
@@ -9,9 +9,9 @@
 
 /**
  * Collectors of the zones that have proxies, a connection for each zone and assigner, all on one
- * loop. They report on all servers in turn, so many lines a second to each assigner; means are
- * noisy, by the seed. A line that its connection has no room for is not sent and counted: no figure
- * is given for it.
+ * loop. They report on all servers one after the other, at a fixed rate to each assigner; mean
+ * response times have seeded noise. A report that its connection cannot accept is counted and not
+ * sent.
  */
 final class SimulatedCollectors implements AutoCloseable {
   private static final String LOAD = "inflight:7,util:0.61";
@@ -20,7 +20,7 @@
   private static final double MIN_MEAN_MS = 20;
   private static final double MEAN_SPREAD_MS = 40;
 
-  /** No report may cover more than so many periods. */
+  /** The longest time that a report may cover. */
   private static final int MAX_REPORT_PERIODS = 90;
 
   private final EventLoop loop = new EventLoop("collectors");
@@ -33,7 +33,7 @@
   private volatile long reportsNotSent;
   private volatile String connectFailure;
 
-  /** An assigner with its collectors' connections. */
+  /** An assigner and the collectors' connections to it. */
   private final class Target {
     private final List<Link> links = new ArrayList<>();
     private long reportsSent;
@@ -48,7 +48,7 @@
 
     void tick() {
       long nowNs = System.nanoTime();
-      // By the clock, not by ticks: a stall of the loop must not make the lines fewer.
+      // By the clock, not by ticks: a stall of the loop must not reduce the number of reports.
       reportsDue += workload.reportsPerSecond() * (nowNs - lastTickNs) / 1e9;
       lastTickNs = nowNs;
       for (; reportsDue >= 1; reportsDue--) {
@@ -57,7 +57,7 @@
     }
 
     /**
-     * The next pair of zone and server; after as many lines as there are pairs all had their turn.
+     * Reports on the next pair of zone and server; as many reports as pairs cover each pair once.
      */
     private void sendNextReport() {
       int count = servers.length;
@@ -106,7 +106,7 @@
       loop.schedule(RECONNECT_DELAY_NS, this::connect);
     }
 
-    // Only the loop writes the count.
+    // Only the thread of the loop writes the count.
     @SuppressWarnings("NonAtomicVolatileUpdate")
     void sendReport(int server, double cycleSeconds) {
       if (!isConnected || isPartitioned || connection.isBacklogged()) {
@@ -151,7 +151,7 @@
     }
   }
 
-  /** A server's own mean, by its number, with the noise of this report. */
+  /** The mean response time of a server, given by its number, with the noise of one report. */
   private double meanMs(int server) {
     double share = new SplittableRandom(workload.seed() + server).nextDouble();
     double serverMeanMs = MIN_MEAN_MS + MEAN_SPREAD_MS * share;
@@ -181,12 +181,12 @@
         });
   }
 
-  /** The servers that have traffic from now on. */
+  /** Replaces the servers that have traffic; may be called from any thread. */
   void setServers(int[] inService) {
     servers = inService.clone();
   }
 
-  /** Collectors say nothing during a cut; their connections stay, and are reset at its end. */
+  /** Collectors send nothing during a partition; their connections are reset at its end. */
   void setPartitioned(boolean partitioned) {
     loop.execute(
         () -> {
@@ -206,7 +206,7 @@
         });
   }
 
-  /** Lines that were due and not sent, since an assigner took no more or was away. */
+  /** Reports that were due and not sent because an assigner did not accept them. */
   long reportsNotSent() {
     return reportsNotSent;
   }
--- a/src/bench/java/pearusher/scale/SimulatedDiscovery.java
+++ b/src/bench/java/pearusher/scale/SimulatedDiscovery.java
@@ -10,9 +10,9 @@
 import java.util.Set;
 
 /**
- * A stand-in of discovery: the whole list, watches with changes, heartbeat lines. Each list and
- * each change is encoded once and shared by all watchers; all of it runs on one loop, which owns
- * the catalog.
+ * A simulated discovery service: the endpoint list, watches with changes and heartbeats. Each list
+ * and each change is encoded once and shared by all watchers. Runs on one event loop, which owns
+ * the catalog; grows with the watches and the changes of a run.
  */
 final class SimulatedDiscovery implements AutoCloseable {
   static final long HEARTBEAT_INTERVAL_NS = 2_000_000_000L;
@@ -23,7 +23,7 @@
               + "Transfer-Encoding: chunked\r\n\r\n");
   private static final String SINCE_PARAMETER = "since=";
 
-  /** A change as it was told: the generation that it made and the servers that it names. */
+  /** A published change: its generation and the changed servers. */
   private record Change(long generation, List<Integer> servers) {}
 
   private final EventLoop loop = new EventLoop("discovery");
@@ -36,7 +36,7 @@
   private volatile long lastHeartbeatNs = System.nanoTime();
   private boolean isPartitioned;
 
-  /** One connection, first a request, then perhaps a watch. */
+  /** One connection, which becomes a watch if it requests one. */
   private final class Watch implements Connection.Handler {
     private final StringBuilder request = new StringBuilder();
     private final TrafficCounter traffic;
@@ -111,7 +111,7 @@
     loop.scheduleAtFixedRate(HEARTBEAT_INTERVAL_NS, this::sendHeartbeat);
   }
 
-  /** An address of its own for whoever's bytes are counted together. */
+  /** Opens another address, whose traffic is counted by itself. */
   InetSocketAddress listen(TrafficCounter traffic) throws IOException {
     return loop.listen(connection -> new Watch(traffic));
   }
@@ -120,24 +120,24 @@
     return loop;
   }
 
-  /** Watches that are open now; from any thread. */
+  /** The number of open watches; may be called from any thread. */
   int watchCount() throws InterruptedException {
     return loop.call(watches::size);
   }
 
-  /** When the last heartbeat was told. */
+  /** When the last heartbeat was sent. */
   long lastHeartbeatNs() {
     return lastHeartbeatNs;
   }
 
-  /** Tells a change that has been made in the catalog. On the loop's thread. */
+  /** Publishes a change of the catalog. Must be called on the loop's thread. */
   void publishChange(List<Integer> servers) {
     catalog.incrementGeneration();
     changes.add(new Change(catalog.generation(), List.copyOf(servers)));
     broadcast(chunk(catalog.encodeChanges(servers)), TrafficCounter.Kind.LIST_CHANGE);
   }
 
-  /** From now on nothing is read or written; at the end of the cut all connections are reset. */
+  /** Silences all connections, or resets them at the end of the partition. */
   void setPartitioned(boolean partitioned) {
     isPartitioned = partitioned;
     for (Connection connection : List.copyOf(openConnections)) {
@@ -158,7 +158,7 @@
     broadcast(HEARTBEAT_CHUNK, TrafficCounter.Kind.LIST_HEARTBEAT);
   }
 
-  /** During a cut nothing leaves, so nothing is counted. */
+  /** During a partition nothing is sent, so nothing is counted. */
   private void broadcast(byte[] chunk, TrafficCounter.Kind kind) {
     if (!isPartitioned) {
       for (Watch watch : List.copyOf(watches)) {
@@ -191,7 +191,7 @@
     return at < 0 ? 0 : Long.parseLong(requestLine.substring(at + SINCE_PARAMETER.length(), end));
   }
 
-  /** One line as a chunk of HTTP. */
+  /** Encodes one list event as an HTTP chunk. */
   private static byte[] chunk(byte[] line) {
     byte[] head = ascii(Integer.toHexString(line.length + 1) + "\r\n");
     byte[] tail = ascii("\n\r\n");
--- a/src/bench/java/pearusher/scale/SlopeChart.java
+++ b/src/bench/java/pearusher/scale/SlopeChart.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A small chart of points and the line through them, as SVG. */
+/** Draws points and the line fitted to them as an SVG chart. */
 final class SlopeChart {
   private static final int WIDTH = 480;
   private static final int HEIGHT = 320;
--- a/src/bench/java/pearusher/scale/Sweep.java
+++ b/src/bench/java/pearusher/scale/Sweep.java
@@ -11,15 +11,14 @@
 import java.util.TreeSet;
 
 /**
- * Runs over sizes of one key, several a size, and the line through each figure. It stops at the
- * first size that can't be reached and at the end of its time, and says which sizes have no figure
- * for that.
+ * Repeats runs over sizes of one option and fits a line to each figure. Stops at the first size
+ * that is not reached and at the end of its time budget, and reports which sizes have no figures.
  */
 final class Sweep {
-  /** Fewer sizes make no slope. */
+  /** The fewest sizes of a slope. */
   static final int MIN_SIZES = 5;
 
-  /** What is swept. */
+  /** The option, its sizes and the figures of a sweep. */
   record Plan(
       RunOption key,
       List<Double> sizes,
@@ -28,7 +27,7 @@
       double budgetSeconds,
       Path charts) {}
 
-  /** Makes one run; a test puts another in its place. */
+  /** Executes one run; replaced in tests. */
   interface Runner {
     RunOutcome run(RunDescription description) throws IOException, InterruptedException;
   }
--- a/src/bench/java/pearusher/server/MessageSizes.java
+++ b/src/bench/java/pearusher/server/MessageSizes.java
@@ -21,8 +21,8 @@
 import pearusher.sitesettings.SettingsException;
 
 /**
- * Bytes of real messages: written by the program's own writers, or in PROTOCOL's form where others
- * write them, and then read by the program's own readers, so that what can't be read has no size.
+ * The sizes of real messages in bytes: encoded by the program, or as specified by PROTOCOL where
+ * others send them, and decoded by the program, so that a malformed message has no size.
  *
  * @param weightEntry one more weight entry in an update; {@code updateOverhead} is the size before
  *     the first
@@ -38,7 +38,7 @@
     double updateOverhead,
     double healthCheckRequest,
     double healthCheckResponse) {
-  /** The largest table and list: the bytes of one line are a mean over these. */
+  /** The entries of the largest table and list; the size of one entry is a mean over them. */
   private static final int SERVERS = 9_100;
 
   private static final String ENTRY =
@@ -46,7 +46,7 @@
           + "\"zone\":\"north\",\"machineType\":\"small\",\"cell\":3,\"lifecycle\":\"in_service\","
           + "\"weight\":1.0,\"startedAtMs\":1764636000000}";
 
-  /** Measured with the names of docs/example.json: run from the project's root. */
+  /** Measures with the names of docs/example.json; must be run from the project's root. */
   public static MessageSizes measure() throws IOException, SettingsException {
     Path directory = Files.createTempDirectory("sizes");
     try {
@@ -87,7 +87,7 @@
     try {
       new MessageDecoder(config.names(), config.settings()).decode(fields);
     } catch (MalformedMessageException e) {
-      throw new IllegalStateException("a message that the program does not read: " + message, e);
+      throw new IllegalStateException("the program cannot decode the message: " + message, e);
     }
     return RespWriter.encode(fields).length;
   }
@@ -110,12 +110,12 @@
     try {
       reader.feed(ByteBuffer.wrap(text));
     } catch (EndpointListTooLongException e) {
-      throw new IllegalStateException("a list that the program does not take", e);
+      throw new IllegalStateException("the program rejects the list as too long", e);
     }
     return reader.endOfBody().endpoints().size();
   }
 
-  /** A whole table whose weights have the digits that weights of floats have. */
+  /** The size of a complete table whose weights have as many digits as real ones. */
   private static int updateBytes(int entries) {
     Map<String, Double> table = new LinkedHashMap<>();
     for (int k = 0; k < entries; k++) {
--- a/src/bench/java/pearusher/server/StartBench.java
+++ b/src/bench/java/pearusher/server/StartBench.java
@@ -1,50 +1,57 @@
 package pearusher.server;
 
+import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
-import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
 /**
- * Time from the start of {@code serve} to the first pong: this build beside an earlier one, by
- * turns.
+ * Measures the time from the start of {@code serve} to the first pong, alternating between this
+ * build and an earlier one, whose jar is the argument.
  */
 public final class StartBench {
   private static final int ROUNDS = 31;
+  private static final int READ_TIMEOUT_MS = 20_000;
+  private static final long EXIT_TIMEOUT_SECONDS = 10;
 
   private StartBench() {}
 
   public static void main(String[] args) throws Exception {
-    List<Path> jars = List.of(Path.of(args[0]), Path.of("target/pearusher.jar"));
-    double[][] ms = new double[2][ROUNDS];
-    for (int round = -1; round < ROUNDS; round++) {
-      for (int k = 0; k < 2; k++) {
-        double took = start(jars.get(k));
-        if (round >= 0) {
-          ms[k][round] = took;
-        }
-      }
+    Path oldJar = Path.of(args[0]);
+    Path newJar = Path.of("target/pearusher.jar");
+    double[] oldMs = new double[ROUNDS];
+    double[] newMs = new double[ROUNDS];
+    // One more round fills the caches of the system.
+    millisToFirstPong(oldJar);
+    millisToFirstPong(newJar);
+    for (int round = 0; round < ROUNDS; round++) {
+      oldMs[round] = millisToFirstPong(oldJar);
+      newMs[round] = millisToFirstPong(newJar);
     }
-    Arrays.sort(ms[0]);
-    Arrays.sort(ms[1]);
-    System.out.printf(
-        "start_old %.1f ms%nstart_new %.1f ms%nstart_ratio %.3f of_old%n",
-        ms[0][ROUNDS / 2], ms[1][ROUNDS / 2], ms[1][ROUNDS / 2] / ms[0][ROUNDS / 2]);
+    double oldMedianMs = median(oldMs);
+    double newMedianMs = median(newMs);
+    System.out.printf("start_old %.1f ms%n", oldMedianMs);
+    System.out.printf("start_new %.1f ms%n", newMedianMs);
+    System.out.printf("start_ratio %.3f of_old%n", newMedianMs / oldMedianMs);
   }
 
-  private static double start(Path jar) throws Exception {
-    Path dir = Files.createTempDirectory(Path.of("target"), "start");
-    int port;
-    try (ServerSocket free = new ServerSocket(0)) {
-      port = free.getLocalPort();
-    }
-    Map<String, String> environment = new ExampleConfig().listen("127.0.0.1:" + port).write(dir);
-    ProcessBuilder how =
+  private static double median(double[] values) {
+    double[] sorted = values.clone();
+    Arrays.sort(sorted);
+    return sorted[sorted.length / 2];
+  }
+
+  private static double millisToFirstPong(Path jar) throws Exception {
+    Path directory = Files.createTempDirectory(Path.of("target"), "start");
+    int port = freePort();
+    Map<String, String> environment =
+        new ExampleConfig().listen("127.0.0.1:" + port).write(directory);
+    ProcessBuilder builder =
         new ProcessBuilder(
                 "java",
                 "-Xms40m",
@@ -57,27 +64,39 @@
                 jar.toString(),
                 "serve")
             .redirectErrorStream(true)
-            .redirectOutput(dir.resolve("log").toFile());
-    how.environment().putAll(environment);
-    long begin = System.nanoTime();
-    Process p = how.start();
+            .redirectOutput(directory.resolve("log").toFile());
+    builder.environment().putAll(environment);
+    long startNs = System.nanoTime();
+    Process process = builder.start();
     try {
-      while (true) {
-        try (TestPeers.RespClient caller =
-            new TestPeers.RespClient(
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), port))) {
-          caller.socket.setSoTimeout(20_000);
-          caller.send("ping");
-          if (caller.socket.getInputStream().read() >= 0) {
-            return (System.nanoTime() - begin) / 1e6;
-          }
-        } catch (java.io.IOException notYet) {
-          Thread.sleep(1);
-        }
-      }
+      awaitPong(port);
+      return (System.nanoTime() - startNs) / 1e6;
     } finally {
-      p.destroyForcibly();
-      p.waitFor(10, TimeUnit.SECONDS);
+      process.destroyForcibly();
+      process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    }
+  }
+
+  private static int freePort() throws IOException {
+    try (ServerSocket socket = new ServerSocket(0)) {
+      return socket.getLocalPort();
+    }
+  }
+
+  private static void awaitPong(int port) throws Exception {
+    InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+    while (!receivesPong(address)) {
+      Thread.sleep(1);
+    }
+  }
+
+  private static boolean receivesPong(InetSocketAddress address) {
+    try (TestPeers.RespClient client = new TestPeers.RespClient(address)) {
+      client.socket.setSoTimeout(READ_TIMEOUT_MS);
+      client.send("ping");
+      return client.socket.getInputStream().read() >= 0;
+    } catch (IOException notListeningYet) {
+      return false;
     }
   }
 }
