--- a/src/main/java/pearusher/policy/AdmissionLevels.java
+++ b/src/main/java/pearusher/policy/AdmissionLevels.java
@@ -40,7 +40,7 @@
     return settings.admissionMode() == AdmissionMode.NONE ? 1 : levels[requestClass];
   }
 
-  /** Takes over a level of an earlier process where it admits less. */
+  /** Restores a level of an earlier process where it admits less. */
   void restore(int requestClass, double level) {
     levels[requestClass] = Math.min(levels[requestClass], level);
   }
--- a/src/main/java/pearusher/policy/AdmissionPublisher.java
+++ b/src/main/java/pearusher/policy/AdmissionPublisher.java
@@ -30,11 +30,11 @@
   }
 
   private void publish(int tableNumber, ZoneTable table) {
-    for (int k = 0; k < admission.classCount(); k++) {
+    for (int requestClass = 0; requestClass < admission.classCount(); requestClass++) {
       if (fleet.proxies().isAnyNearMessageLimit(table.followers)) {
         return;
       }
-      publishClass(tableNumber, table, k);
+      publishClass(tableNumber, table, requestClass);
     }
   }
 
--- a/src/main/java/pearusher/policy/ChannelBudget.java
+++ b/src/main/java/pearusher/policy/ChannelBudget.java
@@ -8,8 +8,8 @@
 
 /**
  * Accounts for the lines on the update channel to the proxies: an estimate of the backlog, the rate
- * at which it drains, and what acknowledgements tell of both. Grows with the updates that are not
- * acknowledged, times the proxies that each went to.
+ * at which it drains, and the corrections of both by acknowledgements. Grows with the updates that
+ * are not acknowledged, times the recipients of each.
  */
 final class ChannelBudget {
   /** Backlog, as a share of the deferrable limit, under which the channel is nearly idle. */
@@ -119,7 +119,7 @@
   /**
    * Ends an update, and requests its acknowledgement if it has lines.
    *
-   * @return the proxies that it goes to
+   * @return the recipients of the update
    */
   Set<Integer> finishUpdate() {
     if (!currentLines.isEmpty()) {
@@ -184,7 +184,7 @@
     if (lines <= 0) {
       return true;
     }
-    // The channel may be slower than configured, and acknowledgements tell so late.
+    // The channel may be slower than configured, which acknowledgements show late.
     double unacknowledged = Math.min(pessimisticBacklogLines, orderedLines - deliveredLines);
     return backlogLines + lines <= limits.maxWaitingLines(priority)
         && unacknowledged + lines <= MAX_UNACKNOWLEDGED_SHARE * channel.maxBacklogLines();
--- a/src/main/java/pearusher/policy/EjectionPublisher.java
+++ b/src/main/java/pearusher/policy/EjectionPublisher.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * Publishes ejections ahead of all else. Behind a backlog they gather until they outweigh the
+ * Publishes ejections ahead of all else. Behind a backlog they are batched until they outweigh the
  * overhead of their messages.
  */
 final class EjectionPublisher {
@@ -84,7 +84,8 @@
     boolean large =
         many && cost > (PRIORITY.backlogShare - FEW_EJECTIONS_BACKLOG_SHARE) * maxBacklogLines;
     double backlogShare = large ? MANY_EJECTIONS_BACKLOG_SHARE : FEW_EJECTIONS_BACKLOG_SHARE;
-    // Few that would be late are what a full channel left of many: they go as soon as they fit.
+    // Few that would be late are what a full channel left of many: these are published once they
+    // fit.
     return channel.backlogLines() <= maxBacklogLines * backlogShare
         || ((many || late) && channel.fits(cost, PRIORITY));
   }
--- a/src/main/java/pearusher/policy/LocalityPreference.java
+++ b/src/main/java/pearusher/policy/LocalityPreference.java
@@ -7,11 +7,11 @@
 
 /**
  * Solves for the distance to other zones' servers that keeps the wanted share of a zone's requests
- * in it, since a crossing costs points. The preference grows while the own servers do as well as
- * the others, falls when they do worse, and never passes what the zone can hold.
+ * in it, since crossing zones has a cost. The preference grows while the own servers are as fast as
+ * the others, falls when they are slower, and never exceeds the capacity of the zone.
  */
 final class LocalityPreference {
-  /** Most of a zone's requests that stay in it: the rest keeps other zones' figures fresh. */
+  /** Greatest share of a zone's requests kept in it: the rest measures other zones' servers. */
   private static final double MAX_OWN_ZONE_SHARE = 0.93;
 
   /** Servers or proxies of a zone at which the preference begins at none. */
@@ -22,13 +22,14 @@
 
   private static final double SHRINK_FACTOR = 0.4;
 
-  /** The own servers' time, relative to others', from which they do worse, or as well. */
+  /** The own servers' time, relative to others', above which they are slower. */
   private static final double WORSE_RATIO = 1.2;
 
-  private static final double CALM_RATIO = 1.1;
+  /** The same ratio under which they are as fast. */
+  private static final double EQUAL_RATIO = 1.1;
 
   /** The preference grows only while the own servers' time is under this share of the objective. */
-  private static final double MAX_CALM_OBJECTIVES = 0.3;
+  private static final double MAX_GROWTH_OBJECTIVES = 0.3;
 
   /** Newton steps, which suffice for the solution. */
   private static final int SOLVER_STEPS = 8;
@@ -93,10 +94,10 @@
     }
     double ownTimeUs = meanTimeUs(own);
     double ratio = ownTimeUs / meanTimeUs(others);
-    double maxCalmUs = MAX_CALM_OBJECTIVES * settings.shortestLatencyObjectiveUs();
+    double maxGrowthTimeUs = MAX_GROWTH_OBJECTIVES * settings.shortestLatencyObjectiveUs();
     if (ratio > WORSE_RATIO) {
       table.localityPreference *= SHRINK_FACTOR;
-    } else if (ratio < CALM_RATIO && ownTimeUs < maxCalmUs) {
+    } else if (ratio < EQUAL_RATIO && ownTimeUs < maxGrowthTimeUs) {
       table.localityPreference = Math.min(1, table.localityPreference + GROWTH);
     }
   }
@@ -114,7 +115,7 @@
     return evenShare + table.localityPreference * (maxShare - evenShare);
   }
 
-  /** The share of the zone's requests that its servers can hold at an even load of the fleet. */
+  /** The share of the zone's requests that its servers can serve at an even load of the fleet. */
   private double sustainableShare(int zone, double evenShare) {
     // Until usage is reported, demand is counted in proxies.
     ToDoubleFunction<ProxyState> demand =
@@ -126,7 +127,7 @@
             .mapToDouble(demand)
             .sum();
     if (settings.proxiesJoinInOwnZone()) {
-      // Proxies at other instances are taken to bring as much each.
+      // Proxies at other instances are assumed to have the same demand.
       allDemand *= 1.0 * settings.proxies() / fleet.proxies().size();
     }
     return zoneDemand <= 0 ? 1 : evenShare * allDemand / zoneDemand;
--- a/src/main/java/pearusher/policy/OverloadDetector.java
+++ b/src/main/java/pearusher/policy/OverloadDetector.java
@@ -2,8 +2,8 @@
 
 /**
  * Detects overload of the fleet, outliers aside, and decides which share of the requests to admit.
- * The share falls while servers are busy, fail or are late, and rises as soon as they no longer
- * are: older evidence would hold it down long after the overload.
+ * The share falls while utilization, failures or response times show overload, and rises as soon as
+ * they no longer do: older evidence would keep it low long after the overload.
  */
 final class OverloadDetector {
   /** Share of failed attempts that is overload, if responses are slower as well. */
@@ -12,8 +12,8 @@
   /** Mean response time that is overload, as a share of the shortest objective. */
   private static final double OVERLOAD_OBJECTIVES = 0.6;
 
-  /** Failures are due to load only while the mean exceeds the quickest period's so many times. */
-  private static final double SLOWER_TIMES = 1.4;
+  /** Failures count as load only while the mean exceeds the quickest period's by this factor. */
+  private static final double SLOWER_RATIO = 1.4;
 
   /** Growth of the quickest period's mean each period. */
   private static final double QUICKEST_GROWTH = 1.02;
@@ -21,15 +21,15 @@
   /** Periods with reports before the quickest mean is recorded. */
   private static final int MIN_PERIODS = 2;
 
-  /** Calm again under this share of the overload thresholds. */
-  private static final double CALM_SHARE = 0.7;
+  /** Load under this share of the overload thresholds lets the admitted share grow. */
+  private static final double RECOVERED_SHARE = 0.7;
 
   /** Utilization that is overload, and utilization to return to. */
   private static final double OVERLOAD_UTILIZATION = 0.85;
 
   private static final double TARGET_UTILIZATION = 0.7;
 
-  /** Deepest cut at once, as the share of the admitted requests that remains. */
+  /** Least share of the admitted requests that one cut leaves. */
   private static final double MIN_CUT_REMAINDER = 0.6;
 
   /** A cut shows after so many report cycles and latency objectives. */
@@ -38,13 +38,13 @@
   /** No further cut while the needed cut falls to this share from one period to the next. */
   private static final double IMPROVING_SHARE = 0.8;
 
-  /** Growth of the admitted share in a calm period. */
+  /** Growth of the admitted share in a period without overload. */
   private static final double GROWTH = 1.15;
 
   /** The same near the share at which the last overload began, and how near that is. */
-  private static final double CAREFUL_GROWTH = 1.04;
+  private static final double GROWTH_NEAR_OVERLOAD = 1.04;
 
-  private static final double CAREFUL_FROM_SHARE = 0.85;
+  private static final double NEAR_OVERLOAD_SHARE = 0.85;
 
   private static final double MIN_ADMITTED_SHARE = 0.15;
 
@@ -74,7 +74,7 @@
   /** What a period shows of the load. */
   private record Assessment(
       boolean overloaded,
-      boolean calm,
+      boolean recovered,
       boolean improving,
       double neededCut,
       double growth,
@@ -111,7 +111,7 @@
     overloaded = true;
   }
 
-  /** Takes over the share that proxies were found to admit after a restart. */
+  /** Continues with the share that proxies admit according to the reports after a restart. */
   void restoreAdmittedShare(double share) {
     admittedShare = Math.max(MIN_ADMITTED_SHARE, Math.min(1, share));
     overloaded = admittedShare < RESTORED_FULL_SHARE;
@@ -127,7 +127,7 @@
     }
     Assessment assessment = assessReports();
     lastNeededCut = assessment.neededCut();
-    if (utilization.hasAnswers()) {
+    if (utilization.hasResults()) {
       assessment = assessUtilization(assessment);
     }
     adjustAdmittedShare(nowUs, assessment);
@@ -142,29 +142,31 @@
     if (clock.periodsWithReports() >= MIN_PERIODS && recent.succeeded >= 1) {
       quickestObjectives = Math.min(quickestObjectives * QUICKEST_GROWTH, objectives);
     }
-    boolean slower = objectives > SLOWER_TIMES * quickestObjectives || recent.succeeded < 1;
+    boolean slower = objectives > SLOWER_RATIO * quickestObjectives || recent.succeeded < 1;
     boolean failing = failureShare > OVERLOAD_FAILURE_SHARE && slower;
     boolean late = objectives > OVERLOAD_OBJECTIVES;
-    boolean notFailing = failureShare < CALM_SHARE * OVERLOAD_FAILURE_SHARE || !slower;
-    boolean calm = notFailing && objectives < CALM_SHARE * OVERLOAD_OBJECTIVES;
+    boolean notFailing = failureShare < RECOVERED_SHARE * OVERLOAD_FAILURE_SHARE || !slower;
+    boolean recovered = notFailing && objectives < RECOVERED_SHARE * OVERLOAD_OBJECTIVES;
     double neededCut = Math.max(slower ? failureShare : 0, objectives - OVERLOAD_OBJECTIVES);
     boolean improving = neededCut < IMPROVING_SHARE * lastNeededCut;
-    boolean nearOverload = admittedShare >= CAREFUL_FROM_SHARE * shareAtOverload;
-    double growth = nearOverload ? CAREFUL_GROWTH : GROWTH;
-    return new Assessment(failing || late, calm, improving, neededCut, growth, cycle.durationUs());
+    boolean nearOverload = admittedShare >= NEAR_OVERLOAD_SHARE * shareAtOverload;
+    double growth = nearOverload ? GROWTH_NEAR_OVERLOAD : GROWTH;
+    return new Assessment(
+        failing || late, recovered, improving, neededCut, growth, cycle.durationUs());
   }
 
-  /** Servers tell their utilization at once; reports go on showing the past for a cycle. */
+  /** Utilization shows the present load; reports show that of the last report cycle. */
   private Assessment assessUtilization(Assessment reports) {
-    double busy = utilization.mean();
-    boolean tooBusy = busy > OVERLOAD_UTILIZATION;
-    double neededCut = Math.max(tooBusy ? reports.neededCut() : 0, 1 - TARGET_UTILIZATION / busy);
+    double meanUtilization = utilization.mean();
+    boolean overUtilized = meanUtilization > OVERLOAD_UTILIZATION;
+    double neededCut =
+        Math.max(overUtilized ? reports.neededCut() : 0, 1 - TARGET_UTILIZATION / meanUtilization);
     return new Assessment(
-        tooBusy || (reports.overloaded() && busy > TARGET_UTILIZATION),
-        busy < TARGET_UTILIZATION,
+        overUtilized || (reports.overloaded() && meanUtilization > TARGET_UTILIZATION),
+        meanUtilization < TARGET_UTILIZATION,
         false,
         neededCut,
-        Math.min(GROWTH, Math.cbrt(TARGET_UTILIZATION / busy)),
+        Math.min(GROWTH, Math.cbrt(TARGET_UTILIZATION / meanUtilization)),
         settings.controlPeriodUs() + channel.drainTimeUs() / CUT_VISIBLE_CYCLES);
   }
 
@@ -182,7 +184,7 @@
       double remainder = Math.max(MIN_CUT_REMAINDER, 1 - assessment.neededCut());
       admittedShare =
           Math.min(admittedShare, Math.max(MIN_ADMITTED_SHARE, shareAtOverload * remainder));
-    } else if (assessment.calm()) {
+    } else if (assessment.recovered()) {
       admittedShare = Math.min(1, admittedShare * assessment.growth());
     }
   }
--- a/src/main/java/pearusher/policy/PolicyCommands.java
+++ b/src/main/java/pearusher/policy/PolicyCommands.java
@@ -51,7 +51,7 @@
    *
    * @param table the table
    * @param classBits the request classes
-   * @param level a share or a rate, as {@link AdmissionMode} tells
+   * @param level a share or a rate, as {@link AdmissionMode} defines
    * @param retryMode 0: no retries; 1: retries after proof that the attempt did not run
    */
   void setAdmission(int table, int classBits, double level, int retryMode);
@@ -113,7 +113,7 @@
   default void confirmProxy(int proxy) {}
 
   /**
-   * Tells that proxies may exclude a server by an ejection of another instance or process: its
+   * Reports that proxies may exclude a server by an ejection of another instance or process: its
    * entries must come with a reinstatement.
    *
    * @param server the server
@@ -122,7 +122,7 @@
   default void suspectEjection(long server, boolean allProxies) {}
 
   /**
-   * Tells that no command names this server's number again, and none in force does.
+   * Reports that no command names this server's number again, and none in force does.
    *
    * @param server the server
    */
--- a/src/main/java/pearusher/policy/ProxyBinder.java
+++ b/src/main/java/pearusher/policy/ProxyBinder.java
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Determines anew which proxies follow each table. */
+  /** Updates the lists of the proxies that follow each table. */
   void refreshFollowers() {
     fleet.tables().all().values().forEach(table -> table.followers.clear());
     fleet
--- a/src/main/java/pearusher/policy/RestartHold.java
+++ b/src/main/java/pearusher/policy/RestartHold.java
@@ -5,7 +5,7 @@
 /**
  * Holds back binds and levels after a restart: proxies with tables of an earlier process keep them
  * until this one has reports of the fleet, which guards against a flood after a crash in an
- * overload. Could leave a proxy on an outdated table for some periods.
+ * overload. A proxy may keep an outdated table for some periods.
  */
 final class RestartHold {
   /** The hold ends after so many periods with reports, or so many periods at most. */
@@ -84,7 +84,7 @@
     requests += released ? 0 : count;
   }
 
-  /** Releases the hold when its time is over, and takes over the share that proxies admit. */
+  /** Releases the hold when its time is over, and restores the share that proxies admit. */
   void update(long nowUs) {
     boolean anyHeld = fleet.proxies().all().stream().anyMatch(proxy -> proxy.holdsTables);
     if (released || (anyHeld && mustWait(nowUs))) {
--- a/src/main/java/pearusher/policy/SlowStart.java
+++ b/src/main/java/pearusher/policy/SlowStart.java
@@ -4,7 +4,7 @@
 
 /** How far each server has warmed up: its ready capacity, and the factor of its weight. */
 final class SlowStart {
-  /** First weight of a new server, as a share of the average (from the published algorithm). */
+  /** First weight of a new server, as a share of the average. */
   private static final double INITIAL_WEIGHT_SHARE = 0.1;
 
   private final ServiceLimits limits;
@@ -15,23 +15,24 @@
 
   void update(long nowUs, List<Server> servers) {
     for (Server server : servers) {
-      double age = age(nowUs, server);
-      double listedAge = server.startedUs == 0 ? 1 : inRamps(nowUs - server.firstListedUs);
-      server.readiness = ramp(limits.slowStartCapacity(), age, age);
-      server.slowStartFactor = ramp(INITIAL_WEIGHT_SHARE, age, listedAge);
+      double progress = rampProgress(nowUs, server);
+      double progressSinceListed =
+          server.startedUs == 0 ? 1 : shareOfRamp(nowUs - server.firstListedUs);
+      server.readiness = ramp(limits.slowStartCapacity(), progress, progress);
+      server.slowStartFactor = ramp(INITIAL_WEIGHT_SHARE, progress, progressSinceListed);
     }
   }
 
-  /** Whether the server's age is over the ramp, whatever its weight has reached. */
+  /** Whether the ramp since the server's start is over, whatever its weight has reached. */
   boolean isWarm(long nowUs, Server server) {
-    return age(nowUs, server) >= 1;
+    return rampProgress(nowUs, server) >= 1;
   }
 
-  private double age(long nowUs, Server server) {
-    return server.startedUs == 0 ? 1 : inRamps(nowUs - server.startedUs);
+  private double rampProgress(long nowUs, Server server) {
+    return server.startedUs == 0 ? 1 : shareOfRamp(nowUs - server.startedUs);
   }
 
-  private double inRamps(long durationUs) {
+  private double shareOfRamp(long durationUs) {
     return durationUs / Math.max(1.0, (double) limits.slowStartUs());
   }
 
--- a/src/main/java/pearusher/policy/SlowStartBudget.java
+++ b/src/main/java/pearusher/policy/SlowStartBudget.java
@@ -6,15 +6,15 @@
 import java.util.List;
 
 /**
- * Bounds the requests that servers in slow start get: by the success of warm servers, and not at
- * all while most attempts fail. Could starve them when the load is low, where it costs nothing.
+ * Bounds the requests that servers in slow start get, by the success of warm servers. While many
+ * attempts fail, the coldest servers get none.
  */
 final class SlowStartBudget {
   /** Share of the service's slow-start limit that is used. */
   private static final double LIMIT_SHARE = 0.4;
 
   /**
-   * Exponent of the success forecast: in an overload proxies crowd onto the few unknown servers.
+   * Exponent of the success forecast: in an overload proxies concentrate on the few new servers.
    */
   private static final double SUCCESS_EXPONENT = 3.0;
 
@@ -88,8 +88,8 @@
   }
 
   /**
-   * Leaves out the coldest servers as long as the others have a fair part of the ready capacity:
-   * proxies that avoid every failing server would send a cold one everything, whatever its weight.
+   * Leaves out the coldest servers as long as the others have enough of the ready capacity: proxies
+   * that avoid every failing server would send a cold one everything, whatever its weight.
    */
   private static void holdBackColdest(List<Server> servers) {
     List<Server> readiestFirst =
--- a/src/main/java/pearusher/policy/SuccessForecast.java
+++ b/src/main/java/pearusher/policy/SuccessForecast.java
@@ -2,7 +2,7 @@
 
 /**
  * Forecasts the share of attempts that succeed. Overload grows while reports travel: a fall is
- * taken to go on for a period, and a rise counts one period late.
+ * assumed to continue for a period, and a rise counts one period late.
  */
 final class SuccessForecast {
   private double lastShare;
--- a/src/main/java/pearusher/policy/TableRestorer.java
+++ b/src/main/java/pearusher/policy/TableRestorer.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * Takes over a table that an earlier process of this instance had published. Weights, levels and
+ * Restores a table that an earlier process of this instance had published. Weights, levels and
  * retry modes stay in force until reports arrive, which guards against even weights and lifted
  * levels after a crash in an overload.
  */
 final class TableRestorer {
-  /** Most that restored weights tell servers' times apart: an outlier's weight tells less. */
+  /** Bound of the ratio of times that weights imply: an outlier's weight implies too much. */
   private static final double MAX_TIME_RATIO = 4;
 
   private final FleetState fleet;
@@ -32,9 +32,9 @@
     ZoneTable table = fleet.tables().get(zone);
     table.recordUse(nowUs);
     restoreWeights(zone, table, weights);
-    for (int k = 0; k < admission.classCount(); k++) {
-      if (retryModes[k] >= 0) {
-        restoreClass(table, k, levels[k], retryModes[k]);
+    for (int requestClass = 0; requestClass < admission.classCount(); requestClass++) {
+      if (retryModes[requestClass] >= 0) {
+        restoreClass(table, requestClass, levels[requestClass], retryModes[requestClass]);
       }
     }
   }
--- a/src/main/java/pearusher/policy/UpdatePublisher.java
+++ b/src/main/java/pearusher/policy/UpdatePublisher.java
@@ -2,11 +2,11 @@
 
 /**
  * Publishes what was decided, in the order of its urgency: binds of proxies that hold their table,
- * ejections, admission levels, reinstatements, binds, and weights. What finds no room in the
- * channel is tried again soon.
+ * ejections, admission levels, reinstatements, binds, and weights. What does not fit into the
+ * channel is retried soon.
  */
 final class UpdatePublisher {
-  /** Share of a control period after which what did not fit is tried again. */
+  /** Share of a control period after which what did not fit is retried. */
   private static final double RETRY_AFTER_PERIODS = 0.1;
 
   private final PolicySettings settings;
@@ -25,7 +25,7 @@
 
   private boolean retryScheduled;
 
-  /** Whether binds from subsets to zones go before weights: they alternate. */
+  /** Whether binds from subsets to zones precede weights: they alternate. */
   private boolean bindsPreferred;
 
   UpdatePublisher(
@@ -74,7 +74,7 @@
     binder.refreshFollowers();
     hold.forwardEjections(nowUs, ejections);
     surge.update(nowUs);
-    // A surge's binds go first: a proxy that is bound needs fewer ejections.
+    // A surge's binds are published first: a proxy that is bound needs fewer ejections.
     boolean complete = !surge.isActive() || binder.bindWaiting();
     publishEjections(nowUs);
     complete &= !ejections.hasEjections() && publishDeferrable();
--- a/src/main/java/pearusher/policy/UtilizationMonitor.java
+++ b/src/main/java/pearusher/policy/UtilizationMonitor.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * Polls a few warm servers for their utilization by health checks, which tell of overload before
- * reports do. All instances together poll a server about once a period.
+ * Polls a few warm servers for their utilization by health checks, which show an overload before
+ * load reports do. All instances together poll a server about once a period.
  */
 final class UtilizationMonitor {
-  /** Decay of earlier answers each period. */
+  /** Decay of earlier results each period. */
   private static final double DECAY = 0.5;
 
-  /** Fewer answers than this tell nothing. */
-  private static final double MIN_ANSWERS = 1;
+  /** Fewer results than this are no evidence. */
+  private static final double MIN_RESULTS = 1;
 
   private final PolicySettings settings;
   private final PolicyCommands commands;
@@ -21,7 +21,7 @@
   private final SlowStart slowStart;
 
   private double utilizationSum;
-  private double answers;
+  private double resultCount;
 
   /** Listed weight of the warm servers at the last poll. */
   private double warmWeight;
@@ -44,11 +44,11 @@
     }
     if (position >= 0 && position < load.length) {
       utilizationSum += Math.max(0, Math.min(1, load[position]));
-      answers++;
+      resultCount++;
     }
   }
 
-  /** Decays earlier answers and polls the next servers. */
+  /** Decays earlier results and polls the next servers. */
   void poll(long nowUs) {
     List<Server> warm =
         fleet.scope().servers().stream().filter(server -> slowStart.isWarm(nowUs, server)).toList();
@@ -58,10 +58,10 @@
     }
   }
 
-  /** The load of servers that left counts to those that stay, before these can report it. */
+  /** The load of servers that left is attributed to the remaining ones, before they report it. */
   private void decay(double newWarmWeight) {
     utilizationSum *= DECAY * Math.max(1, warmWeight / Math.max(1, newWarmWeight));
-    answers *= DECAY;
+    resultCount *= DECAY;
     warmWeight = newWarmWeight;
   }
 
@@ -78,12 +78,12 @@
     }
   }
 
-  boolean hasAnswers() {
-    return answers >= MIN_ANSWERS;
+  boolean hasResults() {
+    return resultCount >= MIN_RESULTS;
   }
 
   /** Mean utilization, from 0 to 1; more where warm servers left. */
   double mean() {
-    return utilizationSum / answers;
+    return utilizationSum / resultCount;
   }
 }
--- a/src/main/java/pearusher/policy/WeightCalculator.java
+++ b/src/main/java/pearusher/policy/WeightCalculator.java
@@ -5,17 +5,17 @@
 import java.util.List;
 
 /**
- * Computes a zone's table: each server's share is inverse to its time plus the distance to it, cut
- * for outliers and in slow start, and moves by bounded steps.
+ * Computes a zone's table: each server's share is inverse to its time plus the distance to it,
+ * reduced for outliers and in slow start, and changes by bounded steps.
  */
 final class WeightCalculator {
   /** Attempts at the server's average over all zones that are added to those of one zone. */
   private static final double POOLED_ATTEMPTS = 150.0;
 
-  /** A failure counts as so many times the largest mean (from the published algorithm). */
-  private static final double FAILURE_TIMES = 2.0;
+  /** A failure counts as the largest mean time multiplied by this. */
+  private static final double FAILURE_TIME_FACTOR = 2.0;
 
-  /** Bounds of a share's change in a period: reports lag, and large steps oscillate. */
+  /** Bounds of a share's change in a period: reports lag, and large steps would oscillate. */
   private static final double MAX_GROWTH = 1.3;
 
   private static final double MAX_SHRINK = 0.6;
@@ -58,7 +58,8 @@
 
   private static void estimateZoneTimes(int zone, List<Server> servers) {
     double failureTimeUs =
-        servers.stream().mapToDouble(server -> server.meanTimeUs).max().orElse(0) * FAILURE_TIMES;
+        servers.stream().mapToDouble(server -> server.meanTimeUs).max().orElse(0)
+            * FAILURE_TIME_FACTOR;
     double warmSpeed = 0;
     double warmWeight = 0;
     for (Server server : servers) {
--- a/src/main/java/pearusher/policy/WeightPublisher.java
+++ b/src/main/java/pearusher/policy/WeightPublisher.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Publishes the weights that moved enough, those that matter most first. */
+/** Publishes the weights that changed beyond the hysteresis, the most important first. */
 final class WeightPublisher {
-  /** A weight is published once it moved by this share (from the published algorithm). */
+  /** A weight is published once it has changed by this share. */
   static final double HYSTERESIS = 0.1;
 
   private final PolicyCommands commands;
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Urgent updates go first, then table by table, for long messages, by importance; the entries of
-   * ejected servers end last.
+   * Urgent updates come first, then table by table, for long messages, by importance; the entries
+   * of ejected servers end last.
    */
   private boolean publish(Map<Integer, ZoneTable> tables) {
     List<WeightUpdate> updates = new ArrayList<>();
--- a/src/main/java/pearusher/policy/ZoneAttemptStats.java
+++ b/src/main/java/pearusher/policy/ZoneAttemptStats.java
@@ -71,8 +71,8 @@
   /**
    * Drops entries whose counts have decayed.
    *
-   * @param allZones whether all entries may go, else only {@link #ELSEWHERE}
-   * @param minAttempts entries with fewer attempts than this go
+   * @param allZones whether all entries may be dropped, else only {@link #ELSEWHERE}
+   * @param minAttempts entries with fewer attempts than this are dropped
    */
   void removeDecayed(boolean allZones, double minAttempts) {
     if (allZones && sumPast(AttemptStats::attempts) < minAttempts) {
--- a/src/main/java/pearusher/policy/ZoneScope.java
+++ b/src/main/java/pearusher/policy/ZoneScope.java
@@ -9,8 +9,8 @@
 
 /**
  * Chooses the servers that tables may list, and releases the tables of zones without proxies here.
- * Where a bind can't carry all serving servers, as many are listed as it can, by an order that each
- * instance draws anew. Grows with the serving servers.
+ * Where a bind can't carry all serving servers, as many are listed as it can, by a random order of
+ * this instance. Grows with the serving servers.
  */
 final class ZoneScope {
   /** Drain graces without a proxy of the zone after which its table is released. */
@@ -73,7 +73,7 @@
     listedServers.removeIf(server -> !server.isServing());
   }
 
-  /** Chooses the servers anew if the list or the zones in scope have changed. */
+  /** Chooses the servers again if the list or the zones in scope have changed. */
   void refresh() {
     if (!outdated) {
       return;
