--- a/src/bench/java/pearusher/capacity/IdleProcessBench.java
+++ b/src/bench/java/pearusher/capacity/IdleProcessBench.java
@@ -8,12 +8,11 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
+import pearusher.scale.ProcessFigures;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -27,7 +26,6 @@
 @Command(name = "floor", mixinStandardHelpOptions = true, description = "Memory of idle processes.")
 final class IdleProcessBench implements Callable<Integer> {
   private static final int KIB = 1024;
-  private static final int TICKS_PER_SECOND = 100;
   private static final byte[] PING = "*1\r\n$4\r\nping\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
   @Option(names = "--idle", description = "seconds that each is watched (${DEFAULT-VALUE})")
@@ -134,15 +132,17 @@
         Figures.print(name + ".ready", (System.nanoTime() - startNs) / 1e9, "s");
       }
       TimeUnit.SECONDS.sleep(idleSeconds / 2);
-      double before = cpuSeconds(process);
+      double beforeSeconds = cpuSeconds(process.pid());
       TimeUnit.SECONDS.sleep(idleSeconds);
-      double used = cpuSeconds(process) - before;
-      Figures.print(name + ".core", used / idleSeconds, "of_a_core");
+      double usedSeconds = cpuSeconds(process.pid()) - beforeSeconds;
+      Figures.print(name + ".core", usedSeconds / idleSeconds, "of_a_core");
       for (String field : List.of("VmRSS", "RssAnon", "RssFile")) {
-        Figures.print(name + "." + field, statusValue(process, field) / KIB, "MiB");
+        Figures.print(
+            name + "." + field, 1.0 * ProcessFigures.status(process.pid(), field) / KIB, "MiB");
       }
-      Figures.print(name + ".threads", statusValue(process, "Threads"), "threads");
-      Figures.print(name + ".live_heap", liveHeapBytes(process) / KIB / KIB, "MiB");
+      Figures.print(
+          name + ".threads", (double) ProcessFigures.status(process.pid(), "Threads"), "threads");
+      Figures.print(name + ".live_heap", liveHeapBytes(process.pid()) / KIB / KIB, "MiB");
     } finally {
       process.destroy();
       if (!process.waitFor(20, TimeUnit.SECONDS)) {
@@ -200,32 +200,12 @@
     throw new IOException("the assigner ended before it answered");
   }
 
-  /** User and system time: columns 14 and 15 of /proc/PID/stat. */
-  private static double cpuSeconds(Process process) throws IOException {
-    String stat = Files.readString(Path.of("/proc", Long.toString(process.pid()), "stat"));
-    String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-    return (Double.parseDouble(fields[11]) + Double.parseDouble(fields[12])) / TICKS_PER_SECOND;
+  private static double cpuSeconds(long pid) throws IOException {
+    return ProcessFigures.cpuTicks(pid) * ProcessFigures.TICK_MS / 1000;
   }
 
-  private static double statusValue(Process process, String field) throws IOException {
-    return Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status")).stream()
-        .filter(line -> line.startsWith(field + ":"))
-        .map(line -> line.split("\\s+")[1])
-        .mapToDouble(Double::parseDouble)
-        .findFirst()
-        .orElseThrow();
-  }
-
-  /** Bytes of live objects, after a full collection. */
-  private static double liveHeapBytes(Process process) throws IOException {
-    Process jcmd =
-        new ProcessBuilder("jcmd", Long.toString(process.pid()), "GC.class_histogram").start();
-    String[] lines =
-        new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8).split("\n");
-    String total = lines[lines.length - 1].trim();
-    if (!total.toLowerCase(Locale.ROOT).startsWith("total")) {
-      throw new IOException("unexpected output of jcmd: " + Arrays.toString(lines));
-    }
-    return Double.parseDouble(total.split("\\s+")[2]);
+  private static double liveHeapBytes(long pid) throws IOException, InterruptedException {
+    return ProcessFigures.liveHeapBytes(pid)
+        .orElseThrow(() -> new IOException("jcmd gave no histogram of process " + pid));
   }
 }
--- a/src/bench/java/pearusher/scale/AssignerProcess.java
+++ b/src/bench/java/pearusher/scale/AssignerProcess.java
@@ -10,6 +10,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalLong;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
@@ -153,20 +154,25 @@
         .reduce("", (earlier, later) -> later);
   }
 
-  /** The number of dropped reports according to the log; -1 while reports are still dropped. */
-  long reportsDropped() throws IOException {
-    long dropped = 0;
+  /** The number of dropped reports according to the log; empty while reports are still dropped. */
+  OptionalLong reportsDropped() throws IOException {
+    OptionalLong dropped = OptionalLong.of(0);
     for (String line : log()) {
       Matcher matcher = DROP_TOTAL.matcher(line);
       if (matcher.find()) {
-        dropped = Long.parseLong(matcher.group(1));
+        dropped = OptionalLong.of(Long.parseLong(matcher.group(1)));
       } else if (line.contains(DROPPING_TEXT)) {
-        dropped = -1;
+        dropped = OptionalLong.empty();
       }
     }
     return dropped;
   }
 
+  /** Whether the process has dropped reports, according to its log. */
+  boolean hasDroppedReports() throws IOException {
+    return !reportsDropped().equals(OptionalLong.of(0));
+  }
+
   /** Kills the process without notice, as a machine failure would. */
   void kill() throws InterruptedException {
     wasStopped = true;
--- a/src/bench/java/pearusher/scale/MeasurementWindow.java
+++ b/src/bench/java/pearusher/scale/MeasurementWindow.java
@@ -90,7 +90,7 @@
     report.add(prefix + "core", corePercent, "percent_of_a_core");
     if (corePercent > MAX_CORE_PERCENT) {
       report.remark(prefix + "cpu_per_heard", "not given: a core is full, so lines may wait");
-    } else if (unreadBytes > MAX_UNREAD_BYTES || process.reportsDropped() != 0) {
+    } else if (unreadBytes > MAX_UNREAD_BYTES || process.hasDroppedReports()) {
       report.remark(prefix + "cpu_per_heard", "not given: lines were not read, or were dropped");
     } else {
       reportCpuPerMessage(report, prefix, ticks * ProcessFigures.TICK_MS, traffic);
--- a/src/bench/java/pearusher/scale/ProcessFigures.java
+++ b/src/bench/java/pearusher/scale/ProcessFigures.java
@@ -5,12 +5,13 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
 
 /** Reads the CPU time, the memory and the live heap of a process from the operating system. */
-final class ProcessFigures {
+public final class ProcessFigures {
   /** The unit of CPU time. */
-  static final double TICK_MS = 10;
+  public static final double TICK_MS = 10;
 
   /** Of /proc/PID/stat, counted behind the name in brackets: user and system time. */
   private static final int USER_TICKS_COLUMN = 11;
@@ -24,7 +25,7 @@
   private ProcessFigures() {}
 
   /** User and system time so far, in ticks. */
-  static long cpuTicks(long pid) throws IOException {
+  public static long cpuTicks(long pid) throws IOException {
     String stat = Files.readString(Path.of("/proc", Long.toString(pid), "stat"));
     String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
     return Long.parseLong(fields[USER_TICKS_COLUMN]) + Long.parseLong(fields[SYSTEM_TICKS_COLUMN]);
@@ -32,21 +33,22 @@
 
   /** Resident memory in kB. */
   static long residentKb(long pid) throws IOException {
-    return statusKb(pid, "VmRSS:");
+    return status(pid, "VmRSS");
   }
 
   static long peakResidentKb(long pid) throws IOException {
-    return statusKb(pid, "VmHWM:");
+    return status(pid, "VmHWM");
   }
 
-  private static long statusKb(long pid, String key) throws IOException {
+  /** A number in /proc/PID/status, in the unit of its row, by the name of the row. */
+  public static long status(long pid, String name) throws IOException {
     List<String> lines = Files.readAllLines(Path.of("/proc", Long.toString(pid), "status"));
     for (String line : lines) {
-      if (line.startsWith(key)) {
+      if (line.startsWith(name + ":")) {
         return Long.parseLong(line.replaceAll("\\D", ""));
       }
     }
-    throw new IOException("no " + key + " of process " + pid);
+    throw new IOException("no " + name + ": of process " + pid);
   }
 
   /** The memory available on the machine, in kB. */
@@ -84,8 +86,8 @@
         fields[QUEUES_COLUMN].substring(fields[QUEUES_COLUMN].indexOf(':') + 1), 16);
   }
 
-  /** The bytes of live objects after a full collection; -1 if the process does not answer. */
-  static long liveHeapBytes(long pid) throws IOException, InterruptedException {
+  /** The bytes of live objects after a full collection; empty if the process does not answer. */
+  public static OptionalLong liveHeapBytes(long pid) throws IOException, InterruptedException {
     Path jcmd = Path.of(System.getProperty("java.home"), "bin", "jcmd");
     Process process =
         new ProcessBuilder(jcmd.toString(), Long.toString(pid), "GC.class_histogram")
@@ -101,14 +103,14 @@
     }
   }
 
-  /** The last column of the row "Total instances bytes"; -1 if there is none. */
-  static long totalBytes(String histogram) {
+  /** The last column of the row "Total instances bytes"; empty if there is none. */
+  static OptionalLong totalBytes(String histogram) {
     for (String line : histogram.split("\n")) {
       String[] columns = line.strip().split("\\s+");
       if (columns.length == 3 && columns[0].equals("Total")) {
-        return Long.parseLong(columns[2]);
+        return OptionalLong.of(Long.parseLong(columns[2]));
       }
     }
-    return -1;
+    return OptionalLong.empty();
   }
 }
--- a/src/bench/java/pearusher/scale/RunFigures.java
+++ b/src/bench/java/pearusher/scale/RunFigures.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.util.Map;
+import java.util.OptionalLong;
 
 /** Adds the figures at the end of a run to its report. */
 final class RunFigures {
@@ -78,9 +79,9 @@
   }
 
   private void addDroppedReports(String prefix, AssignerProcess process) throws IOException {
-    long dropped = process.reportsDropped();
-    if (dropped >= 0) {
-      report.add(prefix + "reports_dropped", (double) dropped, "1");
+    OptionalLong dropped = process.reportsDropped();
+    if (dropped.isPresent()) {
+      report.add(prefix + "reports_dropped", (double) dropped.getAsLong(), "1");
     } else {
       report.remark(prefix + "reports_dropped", "some, and dropping goes on: not counted");
     }
@@ -88,9 +89,9 @@
 
   private void addLiveHeap(String prefix, AssignerProcess process)
       throws IOException, InterruptedException {
-    long liveBytes = ProcessFigures.liveHeapBytes(process.pid());
-    if (liveBytes >= 0) {
-      report.add(prefix + "live_heap", liveBytes / BYTES_PER_MIB, "MiB");
+    OptionalLong liveBytes = ProcessFigures.liveHeapBytes(process.pid());
+    if (liveBytes.isPresent()) {
+      report.add(prefix + "live_heap", liveBytes.getAsLong() / BYTES_PER_MIB, "MiB");
     } else {
       report.remark(prefix + "live_heap", "the process could not be asked");
     }
--- a/src/bench/java/pearusher/scale/RunLimits.java
+++ b/src/bench/java/pearusher/scale/RunLimits.java
@@ -90,7 +90,7 @@
               + Report.format(run.reportsPerSecond())
               + " lines a second");
     }
-    if (assigner.process().reportsDropped() != 0) {
+    if (assigner.process().hasDroppedReports()) {
       throw new LimitReachedException(
           "reports: assigner " + assigner.number() + " dropped some",
           "fewer than " + Report.format(perSecond) + " lines a second");
--- a/src/bench/java/pearusher/server/CrashRecoveryBench.java
+++ b/src/bench/java/pearusher/server/CrashRecoveryBench.java
@@ -13,6 +13,7 @@
 import pearusher.control.Controller;
 import pearusher.control.DurablePublisher;
 import pearusher.control.OutboundCalls;
+import pearusher.control.Persistence;
 import pearusher.policy.FaastPolicy;
 import pearusher.protocol.Message;
 
@@ -34,7 +35,7 @@
   private static final long MAX_RECORDED_NS = 60_000_000_000L;
 
   private final Path directory;
-  private final PersistenceVariant persistence;
+  private final PersistenceVariant variant;
   private final int periodsBeforeKill;
   private final AssignerConfig config;
   private final SimulatedChannel channel;
@@ -50,10 +51,10 @@
   private Controller controller;
   private Optional<DurablePublisher> durable = Optional.empty();
 
-  private CrashRecoveryBench(Path directory, PersistenceVariant persistence, boolean quick)
+  private CrashRecoveryBench(Path directory, PersistenceVariant variant, boolean quick)
       throws Exception {
     this.directory = directory;
-    this.persistence = persistence;
+    this.variant = variant;
     periodsBeforeKill = quick ? 30 : 60;
     config = createConfig(directory);
     channel =
@@ -88,9 +89,9 @@
             : List.of(PersistenceVariant.values());
     int rounds = quick ? 1 : 3;
     for (int round = 0; round < rounds; round++) {
-      for (PersistenceVariant persistence : variants) {
-        Path directory = Files.createDirectory(root.resolve(persistence.figureName() + round));
-        new CrashRecoveryBench(directory, persistence, quick).run();
+      for (PersistenceVariant variant : variants) {
+        Path directory = Files.createDirectory(root.resolve(variant.figureName() + round));
+        new CrashRecoveryBench(directory, variant, quick).run();
       }
     }
   }
@@ -126,14 +127,14 @@
   }
 
   private void startController() throws Exception {
-    durable = persistence.open(config, directory, clockUs::get);
+    durable = variant.open(config, directory, clockUs::get);
     controller =
         new Controller(
             config,
             FaastPolicy::new,
             clockUs::get,
             failure -> {},
-            durable.orElse(null),
+            persistence(),
             Optional.empty()) {
           @Override
           public void awaitTick() {}
@@ -157,6 +158,13 @@
     public void checkHealth(long server, String hostPort) {}
   }
 
+  private Persistence persistence() {
+    if (durable.isPresent()) {
+      return durable.get();
+    }
+    return Persistence.none();
+  }
+
   private void join(int proxy, boolean isFresh) {
     SimulatedChannel.Stream stream = channel.openStream(proxy);
     streams.put(proxy, stream);
@@ -283,6 +291,6 @@
   }
 
   private void print(String name, double value, String unit) {
-    System.out.printf("%s_%s %.3f %s%n", persistence.figureName(), name, value, unit);
+    System.out.printf("%s_%s %.3f %s%n", variant.figureName(), name, value, unit);
   }
 }
--- a/src/test/java/pearusher/capacity/FleetModelTest.java
+++ b/src/test/java/pearusher/capacity/FleetModelTest.java
@@ -13,11 +13,12 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import pearusher.server.MessageSizes;
 
+/** The model of the fleet, its tiers and the picks from a table. */
 class FleetModelTest {
   private final FleetModel fleet = new FleetModel(FleetModel.Skew.ASSUMED);
 
   @Test
-  void theFleetHasTheTargetsSize() {
+  void fleetHasTheSizeOfTheTarget() {
     List<FleetModel.Service> services = fleet.services();
     assertEquals(CapacityTarget.SERVICES, services.size());
     assertEquals(CapacityTarget.ZONES, fleet.zones().size());
@@ -35,7 +36,7 @@
   }
 
   @Test
-  void theSkewIsTheOneStated() {
+  void tasksFollowZipfsLaw() {
     int[] tasks = fleet.services().stream().mapToInt(FleetModel.Service::tasks).toArray();
     double[] zipf = Apportionment.zipf(CapacityTarget.SERVICES, FleetModel.Skew.ASSUMED.tasks());
     int free = CapacityTarget.TASKS - CapacityTarget.SERVICES * FleetModel.MIN_TASKS_PER_SERVICE;
@@ -48,12 +49,12 @@
   }
 
   @Test
-  void aSeedGivesOneFleet() {
-    assertEquals(report(1), report(1));
-    assertTrue(!report(1).equals(report(2)));
+  void fleetIsDeterministicForASeed() {
+    assertEquals(requestsByService(1), requestsByService(1));
+    assertTrue(!requestsByService(1).equals(requestsByService(2)));
   }
 
-  private static List<Double> report(long seed) {
+  private static List<Double> requestsByService(long seed) {
     return new FleetModel(new FleetModel.Skew(0.9, 1, 0.7, 21.5, seed))
         .services().stream().map(FleetModel.Service::requests).toList();
   }
@@ -72,7 +73,7 @@
 
   @ParameterizedTest
   @EnumSource(TierMap.class)
-  void aReportLineNeedsATryAndAPair(TierMap map) throws Exception {
+  void reportsAreBoundedByAttemptsAndPairs(TierMap map) throws Exception {
     MessageSizes sizes = MessageSizes.measure();
     for (TierMap.Tier tier : map.tiers(fleet)) {
       AssignerLoad load = AssignerLoad.of(tier, sizes);
@@ -86,7 +87,7 @@
   }
 
   @Test
-  void partsAddUp() {
+  void apportionedPartsAddUp() {
     assertArrayEquals(new int[] {3, 2, 2}, Apportionment.split(7, new double[] {1, 1, 1}, 0));
     assertArrayEquals(new int[] {5, 1, 1}, Apportionment.split(7, new double[] {1, 0, 0}, 1));
     assertThrows(
@@ -94,7 +95,7 @@
   }
 
   @Test
-  void pickingFollowsTheWeights() {
+  void picksFollowTheWeights() {
     ProxyTable table = new ProxyTable();
     table.replace("a:1,b:2,c:0.5,d:4.5");
     table.change("a:3");
--- a/src/test/java/pearusher/scale/CountingTest.java
+++ b/src/test/java/pearusher/scale/CountingTest.java
@@ -10,6 +10,7 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.OptionalInt;
+import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
 
 /** Parsing and counting by the simulated processes. */
@@ -92,12 +93,12 @@
   @Test
   void liveHeapIsTheTotalOfTheHistogram() {
     assertEquals(
-        5637968,
+        OptionalLong.of(5637968),
         ProcessFigures.totalBytes(
             " num     #instances         #bytes  class name\n"
                 + "   1:         22042        1466952  [B (java.base)\n"
                 + "Total         81234        5637968\n"));
-    assertEquals(-1, ProcessFigures.totalBytes("no such process"));
+    assertEquals(OptionalLong.empty(), ProcessFigures.totalBytes("no such process"));
   }
 
   @Test
--- a/src/test/java/pearusher/scale/RunDescriptionTest.java
+++ b/src/test/java/pearusher/scale/RunDescriptionTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
-/** A run's description, from its file and the command line. */
+/** Run descriptions from files and the command line. */
 class RunDescriptionTest {
   @TempDir private Path directory;
 
   @Test
-  void aFileSetsWhatItNames() throws Exception {
+  void fileSetsItsOptions() throws Exception {
     Path file =
         Files.writeString(directory.resolve("run"), "servers 40 # a small site\n\nzones 2\n");
     RunDescription run = RunDescription.defaults().withFile(file);
@@ -39,7 +39,7 @@
     "proxies, proxies",
     "proxies 1 2, proxies"
   })
-  void aFaultyKeyIsStatusTwoAndOneLineThatNamesIt(String line, String key) throws Exception {
+  void reportsInvalidOptionOfFileInOneLine(String line, String key) throws Exception {
     Path file = Files.writeString(directory.resolve("run"), "classes 2\n" + line + "\n");
     StringWriter err = new StringWriter();
     CommandLine command = ScaleCommand.commandLine().setErr(new PrintWriter(err, true));
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void aFaultyOptionIsStatusTwoToo() {
+  void reportsInvalidCommandLineOption() {
     StringWriter err = new StringWriter();
     CommandLine command = ScaleCommand.commandLine().setErr(new PrintWriter(err, true));
     assertEquals(ScaleCommand.EXIT_USAGE, command.execute("--servers", "-3"));
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void aFileThatIsNotThereIsAFault() {
+  void rejectsMissingFile() {
     assertThrows(
         RunDescriptionException.class,
         () -> RunDescription.defaults().withFile(directory.resolve("none")));
--- a/src/test/java/pearusher/scale/SlopeTest.java
+++ b/src/test/java/pearusher/scale/SlopeTest.java
@@ -12,28 +12,29 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Lines through points, and sweeps over sizes with runs that are made up. */
+/** Lines fitted to points, and sweeps over sizes with stubbed runs. */
 class SlopeTest {
   private static final List<Double> SIZES = List.of(1.0, 2.0, 4.0, 8.0, 16.0);
 
   @TempDir private Path directory;
 
-  private RunOutcome sweep(DoubleUnaryOperator figure, double mostServers, double budgetS)
+  private RunOutcome sweep(DoubleUnaryOperator figure, double maxServers, double budgetSeconds)
       throws Exception {
-    Sweep.Plan plan = new Sweep.Plan(RunOption.SERVERS, SIZES, 3, List.of("f"), budgetS, directory);
+    Sweep.Plan plan =
+        new Sweep.Plan(RunOption.SERVERS, SIZES, 3, List.of("f"), budgetSeconds, directory);
     return new Sweep(
             RunDescription.defaults(),
             plan,
             run -> {
               Report report = new Report();
               report.add("f", figure.applyAsDouble(run.servers()), "B");
-              return new RunOutcome(report, run.servers() > mostServers ? "memory" : null);
+              return new RunOutcome(report, run.servers() > maxServers ? "memory" : null);
             })
         .execute();
   }
 
   @Test
-  void aStraightLineIsFoundAndSaid() throws Exception {
+  void fitsStraightLine() throws Exception {
     RunOutcome outcome = sweep(x -> 5 + 3 * x, 100, 60);
     assertNull(outcome.limit());
     assertEquals(3, outcome.report().value("f/servers.slope"), 1e-9);
@@ -45,14 +46,14 @@
   }
 
   @Test
-  void aSquareIsNotCalledStraight() throws Exception {
+  void squareIsNotStraight() throws Exception {
     RunOutcome outcome = sweep(x -> x * x, 100, 60);
     assertEquals(0, outcome.report().value("f/servers.straight"));
     assertTrue(outcome.report().value("f/servers.residual") > LeastSquares.MAX_STRAIGHT_RESIDUAL);
   }
 
   @Test
-  void aSizeThatIsNotReachedHasNoFigureAndNoLine() throws Exception {
+  void sizeThatIsNotReachedHasNoFigureAndNoLine() throws Exception {
     RunOutcome outcome = sweep(x -> x, 4, 60);
     assertEquals("servers 8, run 1: memory", outcome.limit());
     assertTrue(Double.isNaN(outcome.report().value("f@servers=8#1")));
@@ -60,7 +61,7 @@
   }
 
   @Test
-  void aSweepEndsWithItsTime() throws Exception {
+  void sweepEndsWithItsTimeBudget() throws Exception {
     RunOutcome outcome = sweep(x -> x, 100, 0);
     assertEquals("time: 0 s; reached: all before servers 1, run 1", outcome.limit());
     assertFalse(outcome.isComplete());
--- a/src/test/java/pearusher/scale/SmallRunTest.java
+++ b/src/test/java/pearusher/scale/SmallRunTest.java
@@ -9,20 +9,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Runs of a second with real sockets; bounds are on what is counted, never on times. */
+/** Runs of one second with real sockets; assertions are on counts, never on times. */
 class SmallRunTest {
   private static final String SMALL =
-      "servers 20 zones 2 proxies 6 seconds 1 settle 0 changes 4 heap 0 " + "noise 0 ";
+      "servers 20 zones 2 proxies 6 seconds 1 settle 0 changes 4 heap 0 noise 0 ";
 
-  /** Of a table's line: name, colon, weight, comma. */
-  private static final int MOST_LINE_BYTES = 24;
+  /** A weight entry: name, colon, weight, comma. */
+  private static final int MAX_WEIGHT_ENTRY_BYTES = 24;
 
-  private static final int MOST_HEAD_BYTES = 200;
+  private static final int MAX_UPDATE_OVERHEAD_BYTES = 200;
 
   @TempDir private Path directory;
 
-  /** An assigner of this build's classes, as the package is not made when tests run. */
-  private RunCommand line(String flags) throws Exception {
+  /** Starts assigners from the compiled classes, since there is no jar when tests run. */
+  private RunCommand runCommand(String flags) throws Exception {
     Path deploy = Files.createDirectories(directory.resolve("deploy"));
     Files.createDirectories(directory.resolve("docs"));
     Files.copy(Path.of("docs", "example.json"), directory.resolve("docs").resolve("example.json"));
@@ -30,28 +30,30 @@
     Files.writeString(
         deploy.resolve("balancer.toml"),
         "run = \"exec " + java + " -XX:TieredStopAtLevel=1 -jar target/pearusher.jar serve\"\n");
-    RunCommand read = RunCommand.fromBuild(directory, null, flags);
+    RunCommand command = RunCommand.fromBuild(directory, null, flags);
     return new RunCommand(
-        read.root(),
-        read.command()
+        command.root(),
+        command
+            .command()
             .replace(
                 "-jar target/pearusher.jar",
                 "-cp '" + System.getProperty("java.class.path") + "' pearusher.cli.Main"));
   }
 
-  private RunOutcome run(String words, String flags) throws Exception {
-    return new ScaleRun(RunDescription.defaults().withOptions(words), line(flags)).execute();
+  private RunOutcome run(String options, String flags) throws Exception {
+    return new ScaleRun(RunDescription.defaults().withOptions(options), runCommand(flags))
+        .execute();
   }
 
   @Test
-  void aRealAssignerBindsItsProxiesAndIsCounted() throws Exception {
+  void realAssignerBindsProxiesAndIsMeasured() throws Exception {
     RunOutcome outcome = run(SMALL, "-Xmx128m");
     Report report = outcome.report();
     assertNull(outcome.limit());
     assertEquals(6, report.value("proxies_bound"));
     assertEquals(0, report.value("a0.died"));
     assertTrue(
-        report.value("bind_bytes_max") <= 20 * MOST_LINE_BYTES + MOST_HEAD_BYTES,
+        report.value("bind_bytes_max") <= 20 * MAX_WEIGHT_ENTRY_BYTES + MAX_UPDATE_OVERHEAD_BYTES,
         "bytes to bind: " + report.value("bind_bytes_max"));
     assertTrue(report.value("a0.in.heard_messages") > 0);
     assertTrue(report.value("in_force_everywhere_count") > 0);
@@ -62,7 +64,7 @@
   @Test
   void simulatedAssignersAndWatchersNeedNoProcess() throws Exception {
     RunOutcome outcome =
-        run(SMALL + "assigners 0 simulated-assigners 2 simulated-updates 2 " + "watchers 100", "");
+        run(SMALL + "assigners 0 simulated-assigners 2 simulated-updates 2 watchers 100", "");
     Report report = outcome.report();
     assertNull(outcome.limit());
     assertEquals(6, report.value("proxies_bound"));
@@ -72,12 +74,9 @@
     assertTrue(report.value("watcher_change_count") >= 100);
   }
 
-  /**
-   * No figure for work that was not done: of an assigner that died its death and the cause, no
-   * more.
-   */
+  /** An assigner that died has no figures but its death and the cause. */
   @Test
-  void anAssignerThatDiesIsSaidWithItsCause() throws Exception {
+  void reportsDeathOfAnAssignerWithItsCause() throws Exception {
     RunOutcome outcome = run(SMALL, "-Xmx2m");
     assertTrue(outcome.limit().startsWith("limit process: assigner 0 "), outcome.limit());
     assertEquals(1, outcome.report().value("a0.died"));
@@ -87,11 +86,11 @@
   }
 
   /**
-   * An assigner that has too few descriptors binds some; the run says how many, and which limit it
-   * met.
+   * An assigner with too few descriptors binds some proxies; the run reports how many and the
+   * limit.
    */
   @Test
-  void aSizeThatIsNotReachedIsSaid() throws Exception {
+  void reportsSizeThatIsNotReached() throws Exception {
     RunOutcome outcome =
         run("servers 2 zones 1 proxies 300 sockets 128 bind-wait 2 heap 0", "-Xmx128m");
     assertTrue(outcome.limit().startsWith("limit binds: "), outcome.limit());
