--- a/src/test/java/pearusher/server/UpdateTranscriptTest.java
+++ b/src/test/java/pearusher/server/UpdateTranscriptTest.java
@@ -149,7 +149,14 @@
     return -1;
   }
 
-  /** What collectors say: server s0 fails for a while, and later all are slow and fail by turns. */
+  private static int failedAttempts(int attempts, boolean overload, boolean faulty) {
+    if (overload) {
+      return attempts / 2;
+    }
+    return faulty ? attempts - 1 : 0;
+  }
+
+  /** Reports of collectors: server s0 fails for a while, and later all are slow and many fail. */
   private static void report(TranscriptSite site, Size size, int turn, Random random)
       throws Exception {
     boolean overload = turn * 100 > 58 * size.turns() && turn * 100 < 72 * size.turns();
@@ -157,7 +164,7 @@
     for (String server : turn % 2 == 0 ? List.copyOf(site.servers.keySet()) : List.<String>of()) {
       for (String zone : size.zones()) {
         int tries = 20 + random.nextInt(60);
-        int failed = overload ? tries / 2 : faulty && server.equals("s0") ? tries - 1 : 0;
+        int failed = failedAttempts(tries, overload, faulty && server.equals("s0"));
         int mean = overload ? 1500 : 50 + random.nextInt(40);
         site.report(
             "heard zone "
