--- a/src/main/java/pearusher/policy/PickMethod.java
+++ b/src/main/java/pearusher/policy/PickMethod.java
@@ -6,6 +6,6 @@
   RANDOM,
   /** By weighted round robin. */
   ROUND_ROBIN,
-  /** The less busy one of two random picks. */
-  LEAST_BUSY_OF_TWO
+  /** The server with the lower load of two random picks. */
+  POWER_OF_TWO_CHOICES
 }
--- a/src/main/java/pearusher/policy/Server.java
+++ b/src/main/java/pearusher/policy/Server.java
@@ -96,6 +96,26 @@
     restoredTimeRatio = 1;
   }
 
+  /**
+   * Caps its share of the zone's requests.
+   *
+   * @return how much of the share is cut
+   */
+  double capShare(double maxShare) {
+    double cut = Math.max(0, share - maxShare);
+    share = Math.min(share, maxShare);
+    return cut;
+  }
+
+  void scaleShare(double factor) {
+    share *= factor;
+  }
+
+  /** Leaves it out of the zone's table. */
+  void clearShare() {
+    share = 0;
+  }
+
   /** Counts the attempts of a zone that left the scope among those of other zones. */
   void releaseZone(int zone) {
     attempts.mergeIntoElsewhere(zone);
--- a/src/main/java/pearusher/policy/SlowStartBudget.java
+++ b/src/main/java/pearusher/policy/SlowStartBudget.java
@@ -65,12 +65,10 @@
             * Math.pow(success, SUCCESS_EXPONENT);
     double cut = 0;
     for (Server server : servers) {
-      double maxShare = maxShare(server, warmShare);
-      cut += Math.max(0, server.share - maxShare);
-      server.share = Math.min(server.share, maxShare);
+      cut += server.capShare(maxShare(server, warmShare));
     }
     double growth = 1 + cut / total(warm, server -> server.share);
-    warm.forEach(server -> server.share *= growth);
+    warm.forEach(server -> server.scaleShare(growth));
   }
 
   private double expectedSuccess() {
@@ -98,7 +96,7 @@
     double admittedReadiness = 0;
     for (Server server : readiestFirst) {
       if (server.readiness < 1 && admittedReadiness >= MIN_ADMITTED_READINESS * totalReadiness) {
-        server.share = 0;
+        server.clearShare();
       }
       admittedReadiness += server.readiness;
     }
--- a/src/main/java/pearusher/policy/UtilizationMonitor.java
+++ b/src/main/java/pearusher/policy/UtilizationMonitor.java
@@ -73,11 +73,19 @@
 
   private void pollSome(List<Server> warm) {
     int count = warm.size();
-    for (int k = 0; k * k < count && k * settings.instances() < count; k++) {
+    int polls = pollCount(count);
+    for (int i = 0; i < polls; i++) {
       commands.checkHealth(warm.get(Math.floorMod(nextServer++, count)).id);
     }
   }
 
+  /** This instance's part of the warm servers, and no more than their square root. */
+  private int pollCount(int warmCount) {
+    int instances = Math.max(1, settings.instances());
+    int evenPart = (warmCount + instances - 1) / instances;
+    return Math.min(evenPart, (int) Math.ceil(Math.sqrt(warmCount)));
+  }
+
   boolean hasResults() {
     return resultCount >= MIN_RESULTS;
   }
--- a/src/main/java/pearusher/sitesettings/PolicySettingsReader.java
+++ b/src/main/java/pearusher/sitesettings/PolicySettingsReader.java
@@ -50,7 +50,7 @@
 
   /** All other pick methods of a site count as random. */
   private static final Map<String, PickMethod> PICK_METHODS =
-      Map.of("rotate", PickMethod.ROUND_ROBIN, "p2c", PickMethod.LEAST_BUSY_OF_TWO);
+      Map.of("rotate", PickMethod.ROUND_ROBIN, "p2c", PickMethod.POWER_OF_TWO_CHOICES);
 
   private static final Map<String, Boolean> LIST_ON_REQUEST =
       Map.of("on_request", true, "pushed", false);
--- a/src/test/java/pearusher/server/ConfigurationValuesTest.java
+++ b/src/test/java/pearusher/server/ConfigurationValuesTest.java
@@ -82,7 +82,7 @@
     return switch (pick) {
       case RANDOM -> "at random";
       case ROUND_ROBIN -> "in turn";
-      case LEAST_BUSY_OF_TWO -> "less busy of two";
+      case POWER_OF_TWO_CHOICES -> "less busy of two";
     };
   }
 
--- a/src/test/java/pearusher/simulator/SimulatorLoopTest.java
+++ b/src/test/java/pearusher/simulator/SimulatorLoopTest.java
@@ -215,7 +215,7 @@
                 + "\nfamilyInfo.pick=p2c\ngoal.whole=0.55"
                 + "\nfamilyInfo.connsLeast=172.0\nfamilyInfo.zonal=true"
                 + "\nfees.handshake=0.04\ncountedBy=work");
-    assertEquals(PickMethod.LEAST_BUSY_OF_TWO, optional.siteTraits().pickMethod());
+    assertEquals(PickMethod.POWER_OF_TWO_CHOICES, optional.siteTraits().pickMethod());
     assertEquals(0.55, optional.scoreWeights().overall());
     assertTrue(optional.siteTraits().proxiesJoinInOwnZone() && optional.scoreWeights().byWork());
     assertEquals(172, optional.siteTraits().minConnections());
