--- a/src/bench/java/pearusher/scale/MeasurementWindow.java
+++ b/src/bench/java/pearusher/scale/MeasurementWindow.java
@@ -43,7 +43,7 @@
     fleet
         .simulatedAssigners()
         .addresses()
-        .forEach(one -> simulatedBaselines.add(one.traffic().snapshot()));
+        .forEach(address -> simulatedBaselines.add(address.traffic().snapshot()));
     startNs = System.nanoTime();
   }
 
--- a/src/bench/java/pearusher/scale/Report.java
+++ b/src/bench/java/pearusher/scale/Report.java
@@ -1,5 +1,6 @@
 package pearusher.scale;
 
+import com.fasterxml.jackson.core.JsonEncoding;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
@@ -53,7 +54,7 @@
   /** Returns a figure by its name; NaN if it was not measured. */
   double value(String name) {
     return figures.stream()
-        .filter(one -> one.name().equals(name))
+        .filter(figure -> figure.name().equals(name))
         .mapToDouble(Figure::value)
         .findFirst()
         .orElse(Double.NaN);
@@ -61,16 +62,16 @@
 
   /** Adds all of another report under a prefix. */
   void addAll(String prefix, Report other) {
-    other.figures.forEach(one -> add(prefix + one.name(), one.value(), one.unit()));
-    other.remarks.forEach(one -> remark(prefix + one.name(), one.text()));
+    other.figures.forEach(figure -> add(prefix + figure.name(), figure.value(), figure.unit()));
+    other.remarks.forEach(remark -> remark(prefix + remark.name(), remark.text()));
   }
 
   void print(PrintStream out) {
     for (Figure figure : figures) {
       out.println(figure.name() + " " + format(figure.value()) + " " + figure.unit());
     }
-    for (Remark figure : remarks) {
-      out.println("# " + figure.name() + ": " + figure.text());
+    for (Remark remark : remarks) {
+      out.println("# " + remark.name() + ": " + remark.text());
     }
   }
 
@@ -84,9 +85,7 @@
   }
 
   void writeJson(Path file, RunDescription run) throws IOException {
-    try (JsonGenerator json =
-        new JsonFactory()
-            .createGenerator(file.toFile(), com.fasterxml.jackson.core.JsonEncoding.UTF8)) {
+    try (JsonGenerator json = new JsonFactory().createGenerator(file.toFile(), JsonEncoding.UTF8)) {
       json.useDefaultPrettyPrinter();
       json.writeStartObject();
       json.writeObjectFieldStart("run");
@@ -104,8 +103,8 @@
       }
       json.writeEndArray();
       json.writeObjectFieldStart("remarks");
-      for (Remark figure : remarks) {
-        json.writeStringField(figure.name(), figure.text());
+      for (Remark remark : remarks) {
+        json.writeStringField(remark.name(), remark.text());
       }
       json.writeEndObject();
       json.writeEndObject();
--- a/src/bench/java/pearusher/scale/RespScanner.java
+++ b/src/bench/java/pearusher/scale/RespScanner.java
@@ -70,6 +70,7 @@
   private final View view = new View();
   private byte[] partialMessage = new byte[0];
   private int partialBytes;
+  private int headerEnd;
 
   /** Consumes all bytes of the buffer and passes on each complete message. */
   void feed(ByteBuffer buffer, Consumer<View> consumer) {
@@ -104,16 +105,14 @@
 
   /** Returns the number of bytes consumed by complete messages. */
   private int scan(byte[] bytes, int from, int length, Consumer<View> consumer) {
-    int at = from;
-    while (parseMessage(bytes, at, from + length)) {
-      at += view.sizeBytes;
+    int position = from;
+    while (parseMessage(bytes, position, from + length)) {
+      position += view.sizeBytes;
       consumer.accept(view);
     }
-    return at - from;
+    return position - from;
   }
 
-  private int headerEnd;
-
   private boolean parseMessage(byte[] bytes, int from, int end) {
     int fieldCount = parseHeader(bytes, from, end, '*');
     if (fieldCount < 0) {
@@ -149,12 +148,12 @@
       throw new IllegalStateException("not RESP: '" + kind + "' expected");
     }
     int number = 0;
-    for (int at = from + 1; at + 1 < end; at++) {
-      if (bytes[at] == '\r') {
-        headerEnd = at + 2;
+    for (int position = from + 1; position + 1 < end; position++) {
+      if (bytes[position] == '\r') {
+        headerEnd = position + 2;
         return number;
       }
-      number = 10 * number + bytes[at] - '0';
+      number = 10 * number + bytes[position] - '0';
     }
     return -1;
   }
--- a/src/bench/java/pearusher/scale/RunOption.java
+++ b/src/bench/java/pearusher/scale/RunOption.java
@@ -90,6 +90,6 @@
   }
 
   static Optional<RunOption> find(String key) {
-    return Arrays.stream(values()).filter(one -> one.key.equals(key)).findFirst();
+    return Arrays.stream(values()).filter(option -> option.key.equals(key)).findFirst();
   }
 }
--- a/src/bench/java/pearusher/scale/ScaleCommand.java
+++ b/src/bench/java/pearusher/scale/ScaleCommand.java
@@ -140,7 +140,7 @@
   private RunOutcome execute() throws IOException, InterruptedException, RunDescriptionException {
     RunDescription description = description();
     RunCommand runCommand = RunCommand.fromBuild(root.toAbsolutePath().normalize(), jar, flags);
-    Sweep.Runner runner = one -> new ScaleRun(one, runCommand).execute();
+    Sweep.Runner runner = run -> new ScaleRun(run, runCommand).execute();
     if (sweep != null) {
       return new Sweep(description, sweepPlan(), runner).execute();
     }
--- a/src/bench/java/pearusher/scale/ServerCatalog.java
+++ b/src/bench/java/pearusher/scale/ServerCatalog.java
@@ -55,8 +55,8 @@
   /** The number in a name's bytes, which begin with the two characters of the prefix. */
   static int parseServerName(byte[] bytes, int start) {
     int server = 0;
-    for (int at = start + 2; at < start + 10; at++) {
-      server = server << 4 | Character.digit(bytes[at], 16);
+    for (int position = start + 2; position < start + 10; position++) {
+      server = server << 4 | Character.digit(bytes[position], 16);
     }
     return server;
   }
--- a/src/bench/java/pearusher/scale/SimulatedCollectors.java
+++ b/src/bench/java/pearusher/scale/SimulatedCollectors.java
@@ -146,8 +146,8 @@
     this.workload = workload;
     this.servers = servers.clone();
     random = new SplittableRandom(workload.seed());
-    for (AssignerAddress one : assigners) {
-      targets.add(new Target(one));
+    for (AssignerAddress assigner : assigners) {
+      targets.add(new Target(assigner));
     }
   }
 
--- a/src/bench/java/pearusher/scale/TestFleet.java
+++ b/src/bench/java/pearusher/scale/TestFleet.java
@@ -95,7 +95,8 @@
     int[] servers = catalog.inService().stream().mapToInt(Integer::intValue).toArray();
     List<AssignerAddress> addresses = new ArrayList<>();
     realAssigners.forEach(
-        one -> addresses.add(new AssignerAddress(one.listenAddress(), one.traffic())));
+        assigner ->
+            addresses.add(new AssignerAddress(assigner.listenAddress(), assigner.traffic())));
     simulatedAssigners = createSimulatedAssigners(servers, periodNs);
     addresses.addAll(simulatedAssigners.addresses());
     double requests =
--- a/src/bench/java/pearusher/scale/UpdateFieldReader.java
+++ b/src/bench/java/pearusher/scale/UpdateFieldReader.java
@@ -29,13 +29,13 @@
     int number = -1;
     byte[] bytes = view.bytes();
     int end = view.start(field) + view.length(field);
-    for (int at = view.start(field); at <= end; at++) {
-      if (at == end || bytes[at] == '+') {
+    for (int position = view.start(field); position <= end; position++) {
+      if (position == end || bytes[position] == '+') {
         classBits |= 1 << number;
-      } else if (bytes[at] == 'c') {
+      } else if (bytes[position] == 'c') {
         number = 0;
       } else {
-        number = 10 * number + bytes[at] - '0';
+        number = 10 * number + bytes[position] - '0';
       }
     }
     return classBits;
@@ -46,15 +46,15 @@
     byte[] bytes = view.bytes();
     int end = view.start(field) + view.length(field);
     int count = 0;
-    int at = view.start(field);
-    while (at < end) {
-      int server = ServerCatalog.parseServerName(bytes, at);
+    int position = view.start(field);
+    while (position < end) {
+      int server = ServerCatalog.parseServerName(bytes, position);
       boolean isZero = true;
-      at += NAME_BYTES + 1;
-      for (; at < end && bytes[at] != ','; at++) {
-        isZero &= bytes[at] == '0' || bytes[at] == '.';
+      position += NAME_BYTES + 1;
+      for (; position < end && bytes[position] != ','; position++) {
+        isZero &= bytes[position] == '0' || bytes[position] == '.';
       }
-      at++;
+      position++;
       count++;
       consumer.accept(server, isZero);
     }
@@ -65,8 +65,8 @@
   static int readServers(RespScanner.View view, int field, IntConsumer consumer) {
     int end = view.start(field) + view.length(field);
     int count = 0;
-    for (int at = view.start(field); at < end; at += NAME_BYTES + 1) {
-      consumer.accept(ServerCatalog.parseServerName(view.bytes(), at));
+    for (int position = view.start(field); position < end; position += NAME_BYTES + 1) {
+      consumer.accept(ServerCatalog.parseServerName(view.bytes(), position));
       count++;
     }
     return count;
