--- a/src/test/java/pearusher/server/TranscriptSite.java
+++ b/src/test/java/pearusher/server/TranscriptSite.java
@@ -1,17 +1,23 @@
 package pearusher.server;
 
 import java.io.ByteArrayOutputStream;
+import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import pearusher.config.AssignerConfig;
 import pearusher.control.Controller;
+import pearusher.control.DurablePublisher;
 import pearusher.control.OutboundCalls;
+import pearusher.control.PeerMessenger;
+import pearusher.control.Persistence;
+import pearusher.control.PersistenceOptions;
 import pearusher.control.ProxyStream;
 import pearusher.policy.FaastPolicy;
 import pearusher.protocol.MalformedMessageException;
@@ -71,8 +77,9 @@
   final Map<String, Listed> servers = new TreeMap<>();
   final List<Sent> sent = new ArrayList<>();
   private final List<String> zones;
-  private final AtomicLong clock = new AtomicLong(START_US);
+  private final AtomicLong clock;
   private final AssignerConfig config;
+  private final Optional<DurablePublisher> publisher;
   private final Controller exchange;
   private final Map<Integer, RecordingStream> streams = new TreeMap<>();
   private long generation = 100;
@@ -80,10 +87,32 @@
   private Throwable failure;
 
   TranscriptSite(AssignerConfig config, List<String> zones) {
+    this(config, zones, (peer, body) -> {});
+  }
+
+  /** An exchange whose datagrams go to what the test gives. */
+  TranscriptSite(AssignerConfig config, List<String> zones, PeerMessenger peers) {
+    this(config, zones, new AtomicLong(START_US), Optional.empty(), peers);
+  }
+
+  private TranscriptSite(
+      AssignerConfig config,
+      List<String> zones,
+      AtomicLong clock,
+      Optional<DurablePublisher> publisher,
+      PeerMessenger peers) {
     this.config = config;
     this.zones = zones;
+    this.clock = clock;
+    this.publisher = publisher;
     exchange =
-        new Controller(config, FaastPolicy::new, clock::get, thrown -> failure = thrown) {
+        new Controller(
+            config,
+            FaastPolicy::new,
+            clock::get,
+            thrown -> failure = thrown,
+            publisher.<Persistence>map(durable -> durable).orElseGet(Persistence::none),
+            Optional.empty()) {
           @Override
           public void awaitTick() {}
         };
@@ -104,11 +133,55 @@
           @Override
           public void checkHealth(long server, String hostPort) {}
         },
-        (peer, body) -> {});
+        peers);
+  }
+
+  /** An exchange with a store, whose updates are sent once they are in it. */
+  static TranscriptSite durable(
+      AssignerConfig config, List<String> zones, PersistenceOptions options) throws IOException {
+    return durable(config, zones, options, new AtomicLong(START_US));
+  }
+
+  private static TranscriptSite durable(
+      AssignerConfig config, List<String> zones, PersistenceOptions options, AtomicLong clock)
+      throws IOException {
+    DurablePublisher publisher = DurablePublisher.open(config, options, clock::get);
+    publisher.start();
+    return new TranscriptSite(config, zones, clock, Optional.of(publisher), (peer, body) -> {});
+  }
+
+  /** The process ends, and another on the same store goes on with the servers and the turns. */
+  TranscriptSite restart(PersistenceOptions options, long laterUs) throws IOException {
+    streams.values().forEach(stream -> stream.open = false);
+    publisher.orElseThrow().close();
+    clock.addAndGet(laterUs);
+    TranscriptSite next = durable(config, zones, options, clock);
+    next.servers.putAll(servers);
+    next.generation = generation;
+    next.turn = turn;
+    return next;
   }
 
-  void begin() {
+  /** The process ends. */
+  void end() throws IOException {
+    publisher.orElseThrow().close();
+  }
+
+  void begin() throws InterruptedException {
     exchange.start();
+    awaitStore();
+  }
+
+  /** Waits until the store has everything and has released what proxies are sent. */
+  private void awaitStore() throws InterruptedException {
+    if (publisher.isPresent()) {
+      TestPeers.awaitUntil("in the store", () -> publisher.get().pendingIterations() == 0);
+    }
+  }
+
+  /** A datagram of another assigner. */
+  void deliver(int peer, byte[] body) {
+    exchange.onPeerMessage(peer, body);
   }
 
   /** Time goes on and everything that was said since the last call has its turn. */
@@ -117,6 +190,7 @@
     clock.addAndGet(laterUs);
     exchange.execute(() -> {});
     exchange.runIteration();
+    awaitStore();
     if (failure != null) {
       throw new AssertionError(failure);
     }
