--- a/Makefile
+++ b/Makefile
@@ -25,7 +25,7 @@
 	exec java -jar target/pearusher.jar serve
 
 # Measurements, `name value unit` a line; QUICK=1 takes under 40 s. The figures kept are in docs/bench/.
-.PHONY: bench-classes bench-store bench-start bench-intake
+.PHONY: bench-classes bench-store bench-start bench-mixed bench-intake
 bench-classes:
 	mvn -q -B -DskipTests package dependency:build-classpath -Dmdep.outputFile=target/bench.cp
 
@@ -37,6 +37,10 @@
 bench-start: bench-classes
 	java -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.server.StartBench $(OLD)
 
+# OLD: the jar of an earlier version beside its lib/, of which an assigner runs beside one of this build; under 3 minutes.
+bench-mixed: bench-classes
+	java -Xmx1g -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.scale.MixedBench $(OLD)
+
 bench-intake: bench-classes
 	java -Xmx1g -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.intake.IntakeBench $(QUICK)
 
--- a/src/bench/java/pearusher/scale/AssignerConfigWriter.java
+++ b/src/bench/java/pearusher/scale/AssignerConfigWriter.java
@@ -24,9 +24,22 @@
   private final RunDescription run;
   private final Path example;
 
+  /** By their numbers, the addresses at which assigners receive each other's datagrams. */
+  private final List<InetSocketAddress> peers;
+
   AssignerConfigWriter(RunDescription run, Path example) {
+    this(run, example, List.of());
+  }
+
+  /**
+   * Creates a writer.
+   *
+   * @param peers by the assigners' numbers, their addresses for datagrams; empty: they send none
+   */
+  AssignerConfigWriter(RunDescription run, Path example, List<InetSocketAddress> peers) {
     this.run = run;
     this.example = example;
+    this.peers = List.copyOf(peers);
   }
 
   /** Writes the file into a directory and returns the environment variables that refer to it. */
@@ -58,6 +71,9 @@
         .remove("peers")
         .remove("peers_all");
     setClasses(json);
+    if (!peers.isEmpty()) {
+      setPeers(json, endpoints.number());
+    }
     Path file = Files.writeString(directory.resolve("config.json"), json.toString());
     return Map.of(
         "EDGE_NAME",
@@ -70,6 +86,12 @@
         file.toAbsolutePath().toString());
   }
 
+  private void setPeers(JsonTree json, int number) {
+    json.set("settings.ceilings.peers", true)
+        .set("peer_listen", format(peers.get(number)))
+        .set("peers", peers.stream().map(AssignerConfigWriter::format).toList());
+  }
+
   private List<String> zoneNames() {
     return IntStream.range(0, run.zones()).mapToObj(ServerCatalog::zoneName).toList();
   }
--- a/src/bench/java/pearusher/scale/AssignerProcess.java
+++ b/src/bench/java/pearusher/scale/AssignerProcess.java
@@ -29,6 +29,7 @@
   private static final long TERMINATION_TIMEOUT_MS = 2_000;
   private static final Pattern DROP_TOTAL =
       Pattern.compile("reports dropped no more: (\\d+) in all");
+  private static final Pattern DROP_LINE = Pattern.compile("dropped|rejected");
   private static final String DROPPING_TEXT = "reports dropped";
 
   private final Path directory;
@@ -154,6 +155,11 @@
         .reduce("", (earlier, later) -> later);
   }
 
+  /** All lines of the log that tell of something dropped or rejected. */
+  List<String> dropLines() throws IOException {
+    return log().stream().filter(line -> DROP_LINE.matcher(line).find()).toList();
+  }
+
   /** The number of dropped reports according to the log; empty while reports are still dropped. */
   OptionalLong reportsDropped() throws IOException {
     OptionalLong dropped = OptionalLong.of(0);
--- /dev/null
+++ b/src/bench/java/pearusher/scale/MixedFleet.java
@@ -0,0 +1,196 @@
+package pearusher.scale;
+
+import java.io.IOException;
+import java.net.DatagramSocket;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.stream.Stream;
+
+/**
+ * Two assigners of given builds as peers of each other, at one simulated discovery, with simulated
+ * collectors and moving proxies. Used by one thread; grows with the size of the run. Closing it
+ * stops everything that it started and removes its directory.
+ */
+final class MixedFleet implements AutoCloseable {
+  private final RunDescription run;
+  private final List<RunCommand> builds;
+  private final Path directory = Files.createTempDirectory("pearusher-mixed");
+  private final ServerCatalog catalog;
+  private final SimulatedDiscovery discovery;
+  private final List<InetSocketAddress> peers = new ArrayList<>();
+  private final List<RealAssigner> assigners = new ArrayList<>();
+  private final List<AssignerTally> tallies = new ArrayList<>();
+  private SimulatedCollectors collectors;
+  private MovingProxies proxies;
+  private ChangeFeed changeFeed;
+
+  /** Creates a fleet of as many assigners as there are builds, and starts none. */
+  MixedFleet(RunDescription run, List<RunCommand> builds) throws IOException {
+    this.run = run;
+    this.builds = builds;
+    catalog = new ServerCatalog(run.servers(), run.zones());
+    discovery = new SimulatedDiscovery(catalog);
+  }
+
+  /** Starts the assigners one by one, and creates the simulated parts. */
+  void start() throws IOException, InterruptedException, LimitReachedException {
+    for (int number = 0; number < builds.size(); number++) {
+      peers.add(freeDatagramAddress());
+    }
+    for (int number = 0; number < builds.size(); number++) {
+      RealAssigner assigner = createAssigner(number);
+      assigners.add(assigner);
+      tallies.add(new AssignerTally());
+      if (!assigner.start(builds.get(number), run.get(RunOption.READY_WAIT))) {
+        throw new LimitReachedException(
+            "process: assigner " + number + " gave no pong", number + " assigners");
+      }
+    }
+    createSimulatedParts();
+  }
+
+  /** A loopback address with a free port for datagrams. */
+  private static InetSocketAddress freeDatagramAddress() throws IOException {
+    try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+      return new InetSocketAddress(free.getLocalAddress(), free.getLocalPort());
+    }
+  }
+
+  private RealAssigner createAssigner(int number) throws IOException {
+    TrafficCounter traffic = new TrafficCounter();
+    AssignerConfigWriter.Endpoints endpoints =
+        new AssignerConfigWriter.Endpoints(
+            number, AssignerProcess.freeAddress(), discovery.listen(traffic));
+    Path own = Files.createDirectory(directory.resolve(endpoints.name()));
+    Path example = builds.get(number).root().resolve("docs").resolve("example.json");
+    AssignerConfigWriter config = new AssignerConfigWriter(run, example, peers);
+    return new RealAssigner(endpoints, traffic, own, config.write(own, endpoints, catalog));
+  }
+
+  private void createSimulatedParts() throws IOException {
+    List<AssignerAddress> addresses =
+        assigners.stream()
+            .map(assigner -> new AssignerAddress(assigner.listenAddress(), assigner.traffic()))
+            .toList();
+    long periodNs = run.periodMs() * 1_000_000L;
+    collectors = createCollectors(addresses, periodNs);
+    List<MovingProxy.Target> targets = new ArrayList<>();
+    for (int number = 0; number < addresses.size(); number++) {
+      targets.add(new MovingProxy.Target(addresses.get(number), tallies.get(number)));
+    }
+    proxies =
+        new MovingProxies(
+            new ProxyWorkload(
+                run.proxies(),
+                run.proxyZones(),
+                run.classes(),
+                run.get(RunOption.REQUESTS),
+                (long) (run.get(RunOption.APPLY_MS) * 1e6),
+                periodNs),
+            targets);
+    changeFeed =
+        new ChangeFeed(
+            discovery, catalog, new ChangeTimestamps(), new CollectorUpdate(), run.seed());
+  }
+
+  private SimulatedCollectors createCollectors(List<AssignerAddress> addresses, long periodNs)
+      throws IOException {
+    double requests =
+        run.proxies() * run.classes() * run.get(RunOption.REQUESTS) / addresses.size();
+    return new SimulatedCollectors(
+        new CollectorWorkload(
+            run.proxyZones(),
+            run.reportsPerSecond(),
+            run.get(RunOption.NOISE),
+            run.get(RunOption.LOAD) > 0,
+            requests,
+            periodNs,
+            run.seed()),
+        addresses,
+        catalog.inService().stream().mapToInt(Integer::intValue).toArray());
+  }
+
+  /** Has collectors report on the servers in service. */
+  private final class CollectorUpdate implements ChangeFeed.Listener {
+    @Override
+    public void onServerDraining(int server) {}
+
+    @Override
+    public void onServersInService(int[] servers) {
+      collectors.setServers(servers);
+    }
+  }
+
+  /**
+   * Checks that all parts run.
+   *
+   * @throws LimitReachedException if an assigner has ended, or a loop of simulated parts
+   */
+  void checkAlive() throws IOException, LimitReachedException {
+    for (RealAssigner assigner : assigners) {
+      if (!assigner.process().isAlive()) {
+        throw new LimitReachedException(
+            "process: assigner " + assigner.number() + " died", assigner.process().lastLogLine());
+      }
+    }
+    for (EventLoop loop : List.of(discovery.loop(), proxies.loop(), collectors.loop())) {
+      if (loop.failure() != null) {
+        throw new LimitReachedException(loop + ": " + loop.failure(), "the run ended there");
+      }
+    }
+  }
+
+  /** Sends each assigner what it must drop. */
+  void probeDrops() throws IOException, InterruptedException {
+    for (int number = 0; number < assigners.size(); number++) {
+      DropProbe.send(assigners.get(number).listenAddress(), peers.get(number), run.proxies());
+    }
+  }
+
+  List<RealAssigner> assigners() {
+    return assigners;
+  }
+
+  /** What proxies received from an assigner; to be read once the proxies are closed. */
+  AssignerTally tally(int number) {
+    return tallies.get(number);
+  }
+
+  SimulatedCollectors collectors() {
+    return collectors;
+  }
+
+  MovingProxies proxies() {
+    return proxies;
+  }
+
+  ChangeFeed changeFeed() {
+    return changeFeed;
+  }
+
+  @Override
+  public void close() throws IOException {
+    if (proxies != null) {
+      proxies.close();
+    }
+    if (collectors != null) {
+      collectors.close();
+    }
+    discovery.close();
+    for (RealAssigner assigner : assigners) {
+      if (assigner.process() != null) {
+        assigner.process().close();
+      }
+    }
+    try (Stream<Path> files = Files.walk(directory)) {
+      for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+        Files.deleteIfExists(file);
+      }
+    }
+  }
+}
