--- a/src/main/java/pearusher/policy/AdmissionLevel.java
+++ b/src/main/java/pearusher/policy/AdmissionLevel.java
@@ -1,9 +1,10 @@
 package pearusher.policy;
 
 /**
- * An admission level with the retry mode that was published with it.
+ * A published admission level and the retry mode that was published with it.
  *
- * @param probabilityOrRate a share or a rate, as {@link AdmissionMode} defines
- * @param retryMode the retry mode, as in {@link PolicyCommands#setAdmission}
+ * @param probabilityOrRate share of requests, from 0 to 1, or requests per second, as {@link
+ *     AdmissionMode} defines
+ * @param retryMode 0: no retries; 1: retries after proof that the attempt did not run
  */
 public record AdmissionLevel(double probabilityOrRate, int retryMode) {}
--- a/src/main/java/pearusher/policy/AdmissionLevels.java
+++ b/src/main/java/pearusher/policy/AdmissionLevels.java
@@ -6,14 +6,15 @@
 import java.util.stream.IntStream;
 
 /**
- * The admission level of each request class: under overload the lowest priorities are shed first.
+ * Computes the admission level of each request class. Under overload, requests of the lowest
+ * priority are shed first.
  */
 final class AdmissionLevels {
-  /** A rate so high that it limits nothing, in requests per second. */
-  static final double NO_LIMIT = 1e6;
+  /** Rate limit that is too high to have an effect. */
+  static final double UNLIMITED_REQUESTS_PER_SECOND = 1e6;
 
-  /** Least share of a class that is admitted. */
-  private static final double MIN_CLASS_SHARE = 0.03;
+  /** Minimum admitted share of the requests of a class. */
+  private static final double MIN_ADMITTED_CLASS_SHARE = 0.03;
 
   private final PolicySettings settings;
   private final ProxyRegistry proxies;
@@ -26,26 +27,32 @@
     Arrays.fill(levels, fullLevel(settings));
   }
 
-  /** The level that admits everything: a share or a rate, by the admission mode. */
+  /**
+   * Returns the level that admits all requests: a share or a rate, depending on the admission mode.
+   */
   static double fullLevel(PolicySettings settings) {
-    return settings.admissionMode() == AdmissionMode.RATE ? NO_LIMIT : 1;
+    return settings.admissionMode() == AdmissionMode.RATE ? UNLIMITED_REQUESTS_PER_SECOND : 1;
   }
 
   int classCount() {
     return levels.length;
   }
 
-  /** The level to publish for a class. */
+  /** Returns the level to publish for a class; always 1 without admission control. */
   double level(int requestClass) {
     return settings.admissionMode() == AdmissionMode.NONE ? 1 : levels[requestClass];
   }
 
-  /** Restores a level of an earlier process where it admits less. */
+  /** Applies a level published by an earlier process if it is lower than the current one. */
   void restore(int requestClass, double level) {
     levels[requestClass] = Math.min(levels[requestClass], level);
   }
 
-  /** Distributes the requests to shed over the classes, lowest priority first. */
+  /**
+   * Distributes the requests to shed over the classes, lowest priority first.
+   *
+   * @param admittedShare share of all requests to admit, from 0 to 1
+   */
   void update(double admittedShare) {
     double[] requestsPerSecond = new double[levels.length];
     Arrays.setAll(requestsPerSecond, proxies::requestsPerSecond);
@@ -54,12 +61,12 @@
             .boxed()
             .sorted(Comparator.comparingDouble(this::priorityWeight))
             .toList();
-    double toShed = (1 - admittedShare) * Arrays.stream(requestsPerSecond).sum();
+    double rateToShed = (1 - admittedShare) * Arrays.stream(requestsPerSecond).sum();
     for (int requestClass : lowestPriorityFirst) {
       double rate = requestsPerSecond[requestClass];
-      double shed = Math.min(toShed, (1 - MIN_CLASS_SHARE) * rate);
-      toShed -= shed;
-      double share = rate <= 0 ? 1 : 1 - shed / rate;
+      double shedRate = Math.min(rateToShed, (1 - MIN_ADMITTED_CLASS_SHARE) * rate);
+      rateToShed -= shedRate;
+      double share = rate <= 0 ? 1 : 1 - shedRate / rate;
       levels[requestClass] = levelFor(requestClass, share, rate);
     }
   }
@@ -72,24 +79,29 @@
     if (settings.admissionMode() != AdmissionMode.RATE) {
       return share;
     }
-    return share >= 1 ? NO_LIMIT : rateLimit(requestClass, share * requestsPerSecond);
+    return share >= 1
+        ? UNLIMITED_REQUESTS_PER_SECOND
+        : rateLimit(requestClass, share * requestsPerSecond);
   }
 
-  /** The limit for each proxy that admits so many requests per second of a class in total. */
+  /**
+   * Returns the rate limit per proxy, in requests per second, at which all proxies together admit a
+   * total rate of a class. Proxies with a lower rate than the limit are not limited.
+   */
   private double rateLimit(int requestClass, double totalRate) {
     List<Double> rates =
         proxies.all().stream()
             .map(proxy -> proxy.requestsPerSecond[requestClass])
             .sorted()
             .toList();
-    double remaining = totalRate;
+    double remainingRate = totalRate;
     for (int i = 0; i < rates.size(); i++) {
-      double evenRate = remaining / (rates.size() - i);
+      double evenRate = remainingRate / (rates.size() - i);
       if (rates.get(i) >= evenRate) {
         return evenRate;
       }
-      remaining -= rates.get(i);
+      remainingRate -= rates.get(i);
     }
-    return NO_LIMIT;
+    return UNLIMITED_REQUESTS_PER_SECOND;
   }
 }
--- a/src/main/java/pearusher/policy/AdmissionMode.java
+++ b/src/main/java/pearusher/policy/AdmissionMode.java
@@ -1,11 +1,11 @@
 package pearusher.policy;
 
-/** What an admission level means. */
+/** Meaning of an admission level. */
 public enum AdmissionMode {
-  /** The share of requests that a proxy admits, from 0 to 1. */
+  /** Share of requests that a proxy admits, from 0 to 1. */
   SHARE,
-  /** The rate at which each proxy admits requests, per second. */
+  /** Requests per second that each proxy admits. */
   RATE,
-  /** Proxies have no admission control. */
+  /** Proxies have no admission control; the level is always 1. */
   NONE
 }
--- a/src/main/java/pearusher/policy/AdmissionPublisher.java
+++ b/src/main/java/pearusher/policy/AdmissionPublisher.java
@@ -1,8 +1,9 @@
 package pearusher.policy;
 
 /**
- * Publishes admission levels and retry modes. They belong to tables, so that they outlast a crash:
- * a level for all proxies would be lifted by a new instance's first message.
+ * Publishes admission levels and retry modes as part of tables, so that they stay in force after a
+ * crash of an assigner. A level published to all proxies would be lifted by the first message of a
+ * new instance.
  */
 final class AdmissionPublisher {
   private final PolicyCommands commands;
@@ -24,7 +25,10 @@
     this.retryPolicy = retryPolicy;
   }
 
-  /** Publishes the levels that changed, as far as the channel has room. */
+  /**
+   * Publishes the levels and retry modes that changed, as far as the capacity of the channel
+   * allows.
+   */
   void publish() {
     fleet.tables().all().forEach(this::publish);
   }
@@ -51,9 +55,11 @@
   }
 
   private static boolean isChanged(double level, double published) {
-    boolean passedHysteresis =
+    boolean exceedsHysteresis =
         Math.abs(level - published) > WeightPublisher.HYSTERESIS * Math.min(level, published);
-    boolean lifted = level != published && (level == 1 || level == AdmissionLevels.NO_LIMIT);
-    return passedHysteresis || lifted;
+    boolean fullAdmissionRestored =
+        level != published
+            && (level == 1 || level == AdmissionLevels.UNLIMITED_REQUESTS_PER_SECOND);
+    return exceedsHysteresis || fullAdmissionRestored;
   }
 }
--- a/src/main/java/pearusher/policy/AttemptReport.java
+++ b/src/main/java/pearusher/policy/AttemptReport.java
@@ -1,16 +1,16 @@
 package pearusher.policy;
 
 /**
- * A load report: attempts of a zone's proxies that ended at a server within a span of time.
+ * A load report: attempts of a zone's proxies that ended at one server within a time span.
  *
- * @param server the server
- * @param zone the zone of the proxies
- * @param attempts attempts that ended
- * @param failedAttempts those that failed
- * @param spanUs length of the span, in microseconds
+ * @param server number of the server
+ * @param zone zone of the proxies
+ * @param attempts number of attempts that ended
+ * @param failedAttempts number of these that failed
+ * @param spanUs length of the time span, in microseconds
  * @param meanUs mean response time of the successful attempts, in microseconds
- * @param load the load metrics reported, in the order of the settings; {@link FaastPolicy} reads
- *     only those of health checks
+ * @param load reported load metrics, in the order of {@link PolicySettings#loadMetrics}; {@link
+ *     FaastPolicy} ignores them and reads only the load metrics of health checks
  * @param ageUs time since the end of the span, in microseconds
  */
 public record AttemptReport(
@@ -23,7 +23,7 @@
     float[] load,
     long ageUs) {
 
-  /** A report of a span that ends now. */
+  /** Creates a report of a time span that ends now. */
   public static AttemptReport ofSpanEndingNow(
       long server,
       int zone,
--- a/src/main/java/pearusher/policy/AttemptStats.java
+++ b/src/main/java/pearusher/policy/AttemptStats.java
@@ -1,6 +1,9 @@
 package pearusher.policy;
 
-/** Attempts counted by their outcome; the counts decay with the time that they cover. */
+/**
+ * Counts of attempts by outcome, and their total response time. The counts decay with time and are
+ * therefore not integers.
+ */
 final class AttemptStats {
   double succeeded;
 
@@ -23,7 +26,7 @@
    * Adds the attempts of a report.
    *
    * @param meanUs mean response time of the successful attempts, in microseconds
-   * @param weight factor of the counts, from 0 to 1
+   * @param weight factor applied to the counts, from 0 to 1
    */
   void add(long succeededAttempts, long failedAttempts, long meanUs, double weight) {
     succeeded += weight * succeededAttempts;
--- a/src/main/java/pearusher/policy/ChannelSettings.java
+++ b/src/main/java/pearusher/policy/ChannelSettings.java
@@ -1,15 +1,16 @@
 package pearusher.policy;
 
 /**
- * The update channel to the proxies. Its capacity is counted in lines.
+ * Settings of the update channel to the proxies, whose capacity is counted in lines.
  *
- * @param linesPerSecond lines that it carries per second
- * @param messageOverheadLines fixed lines of each message
- * @param maxBacklogLines most lines that may wait
- * @param maxMessagesPerProxy most messages to a proxy within the window; 0: no limit
- * @param messageWindowUs window of that limit, in microseconds
+ * @param linesPerSecond capacity of the channel, in lines per second
+ * @param messageOverheadLines fixed overhead of each message, in lines
+ * @param maxBacklogLines maximum number of lines waiting to be sent
+ * @param maxMessagesPerProxy maximum number of messages to a proxy within the message window; 0: no
+ *     limit
+ * @param messageWindowUs length of the message window, in microseconds
  * @param transitDelayUs mean transit time of a message, in microseconds
- * @param maxPushDelayUs longest transit time, in microseconds
+ * @param maxPushDelayUs maximum transit time of a message, in microseconds
  */
 public record ChannelSettings(
     double linesPerSecond,
--- a/src/main/java/pearusher/policy/ControlClock.java
+++ b/src/main/java/pearusher/policy/ControlClock.java
@@ -1,13 +1,15 @@
 package pearusher.policy;
 
 /**
- * Decides when a control period is due: with the reports of the period, or late without them. It
- * also holds whether tables must be recomputed before that.
+ * Schedules control periods. A period is due once reports have arrived and most of its nominal
+ * length has passed, or after a maximum wait without reports. Also records whether tables must be
+ * recomputed before the next period.
  */
 final class ControlClock {
-  /** Shares of a period: the least wait when reports came, and the most when none came. */
+  /** Minimum length of a period with reports, in nominal periods. */
   private static final double MIN_WAIT_PERIODS = 0.8;
 
+  /** Maximum length of a period without reports, in nominal periods. */
   private static final double MAX_WAIT_PERIODS = 1.3;
 
   private final long periodUs;
@@ -17,7 +19,10 @@
   private long startedUs;
   private long lastPeriodUs;
 
-  /** When the valid timer fires: timers can't be cancelled, earlier ones are ignored. */
+  /**
+   * Expiry time of the current timer. Timers can't be cancelled, so timers that fire earlier are
+   * ignored.
+   */
   private long timerDueUs;
 
   private boolean timerFired;
@@ -49,7 +54,10 @@
     return lastPeriodUs;
   }
 
-  /** Whether load reports arrived in the last period; false while a table is recomputed early. */
+  /**
+   * Returns whether load reports arrived in the last control period; false during a recomputation
+   * between periods.
+   */
   boolean periodHasReports() {
     return periodHasReports;
   }
@@ -66,7 +74,10 @@
     reportsPending = true;
   }
 
-  /** Whether a period is due now; where the reports are late it waits for them a little longer. */
+  /**
+   * Returns whether a control period is due. If the timer has fired but no reports have arrived,
+   * extends the wait for them to the maximum.
+   */
   boolean isPeriodDue(long nowUs) {
     long elapsedUs = nowUs - lastPeriodUs;
     boolean reportsArrived = reportsPending && elapsedUs >= MIN_WAIT_PERIODS * periodUs;
@@ -83,7 +94,7 @@
   /**
    * Begins a control period.
    *
-   * @return the time since the last one, in microseconds
+   * @return time since the previous period began, in microseconds
    */
   long beginPeriod(long nowUs) {
     schedule(nowUs, periodUs);
@@ -113,7 +124,7 @@
     recomputeRequested = false;
   }
 
-  /** Begins a recomputation between periods, which has no reports of its own. */
+  /** Begins a recomputation between periods, to which no reports belong. */
   void beginEarlyRecompute() {
     periodHasReports = false;
   }
--- a/src/main/java/pearusher/policy/Costs.java
+++ b/src/main/java/pearusher/policy/Costs.java
@@ -1,9 +1,9 @@
 package pearusher.policy;
 
 /**
- * Points that are deducted for each action.
+ * Points deducted per action.
  *
- * @param crossZone a request that crosses zones
+ * @param crossZone a request to a server of another zone
  * @param healthCheck a health check
  * @param commandLine a line on the update channel
  * @param lateFailure a request that fails late
--- a/src/main/java/pearusher/policy/FleetState.java
+++ b/src/main/java/pearusher/policy/FleetState.java
@@ -1,5 +1,5 @@
 package pearusher.policy;
 
-/** The registries that most modules read: servers, proxies, tables, and the servers in scope. */
+/** Registries of servers, proxies and tables, and the servers in scope. Most modules read them. */
 record FleetState(
     ServerRegistry servers, ProxyRegistry proxies, ZoneTables tables, ZoneScope scope) {}
--- a/src/main/java/pearusher/policy/HealthCheckResult.java
+++ b/src/main/java/pearusher/policy/HealthCheckResult.java
@@ -1,6 +1,6 @@
 package pearusher.policy;
 
-/** How a health check ended. */
+/** Outcome of a health check. */
 public enum HealthCheckResult {
   OK,
   ERROR,
--- a/src/main/java/pearusher/policy/Idempotency.java
+++ b/src/main/java/pearusher/policy/Idempotency.java
@@ -1,9 +1,9 @@
 package pearusher.policy;
 
-/** Whether requests of a class may be repeated. */
+/** Whether the requests of a class may be repeated. */
 public enum Idempotency {
   IDEMPOTENT,
-  /** Repeats are discarded by an idempotency key. */
+  /** Servers discard repeated requests by their idempotency key. */
   WITH_KEY,
   NOT_IDEMPOTENT
 }
--- a/src/main/java/pearusher/policy/LoadMetric.java
+++ b/src/main/java/pearusher/policy/LoadMetric.java
@@ -1,6 +1,6 @@
 package pearusher.policy;
 
-/** The metrics that a load report may hold. */
+/** Metrics that a load report may contain. */
 public enum LoadMetric {
   IN_FLIGHT,
   QUEUE_LENGTH,
--- a/src/main/java/pearusher/policy/LoadReportSource.java
+++ b/src/main/java/pearusher/policy/LoadReportSource.java
@@ -1,6 +1,6 @@
 package pearusher.policy;
 
-/** Where servers report their load metrics. */
+/** Source of the load metrics of servers. */
 public enum LoadReportSource {
   RESPONSES,
   HEALTH_CHECKS,
--- a/src/main/java/pearusher/policy/LocalityPreference.java
+++ b/src/main/java/pearusher/policy/LocalityPreference.java
@@ -6,33 +6,50 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Solves for the distance to other zones' servers that keeps the wanted share of a zone's requests
- * in it, since crossing zones has a cost. The preference grows while the own servers are as fast as
- * the others, falls when they are slower, and never exceeds the capacity of the zone.
+ * Computes the penalty, in response time, on servers of other zones that keeps the wanted share of
+ * a zone's requests in the zone, since requests across zones have a cost. The preference for the
+ * own zone rises while its servers are as fast as the others, falls when they are slower, and never
+ * exceeds the capacity of the zone.
  */
 final class LocalityPreference {
-  /** Greatest share of a zone's requests kept in it: the rest measures other zones' servers. */
+  /**
+   * Maximum share of a zone's requests that stay in the zone. The remaining requests measure the
+   * servers of other zones.
+   */
   private static final double MAX_OWN_ZONE_SHARE = 0.93;
 
-  /** Servers or proxies of a zone at which the preference begins at none. */
-  private static final double NO_PREFERENCE_SIZE = 4.0;
+  /**
+   * Number of servers or proxies of a zone, whichever is lower, up to which its initial preference
+   * is 0.
+   */
+  private static final double MAX_SIZE_WITHOUT_PREFERENCE = 4.0;
 
-  /** Change of the preference in a period. */
-  private static final double GROWTH = 0.04;
+  /** Added to the preference in each period in which it rises. */
+  private static final double PREFERENCE_INCREMENT = 0.04;
 
-  private static final double SHRINK_FACTOR = 0.4;
+  /** Multiplies the preference in each period in which it falls. */
+  private static final double PREFERENCE_DECREASE_FACTOR = 0.4;
 
-  /** The own servers' time, relative to others', above which they are slower. */
-  private static final double WORSE_RATIO = 1.2;
+  /**
+   * Ratio of the mean response time of the own servers to that of the others above which the own
+   * servers count as slower.
+   */
+  private static final double SLOWER_TIME_RATIO = 1.2;
 
-  /** The same ratio under which they are as fast. */
-  private static final double EQUAL_RATIO = 1.1;
+  /**
+   * Ratio of the mean response time of the own servers to that of the others below which the own
+   * servers count as equally fast.
+   */
+  private static final double EQUAL_TIME_RATIO = 1.1;
 
-  /** The preference grows only while the own servers' time is under this share of the objective. */
-  private static final double MAX_GROWTH_OBJECTIVES = 0.3;
+  /**
+   * Mean response time of the own servers, in latency objectives, below which the preference may
+   * rise.
+   */
+  private static final double MAX_INCREASE_OBJECTIVES = 0.3;
 
-  /** Newton steps, which suffice for the solution. */
-  private static final int SOLVER_STEPS = 8;
+  /** Number of Newton iterations, which is sufficient for the solution. */
+  private static final int NEWTON_ITERATIONS = 8;
 
   private final PolicySettings settings;
   private final FleetState fleet;
@@ -47,14 +64,22 @@
     this.overload = overload;
   }
 
-  /** A server's unnormalised weight in a zone: inverse to its time and the distance to it. */
-  static double rawWeight(Server server, int zone, double distanceUs) {
-    double addedUs = server.zone == zone ? 0 : distanceUs;
+  /**
+   * Returns a server's unnormalized weight in a zone, which is inverse to its response time plus
+   * the penalty.
+   *
+   * @param penaltyUs penalty on servers of other zones, in microseconds
+   */
+  static double unnormalizedWeight(Server server, int zone, double penaltyUs) {
+    double addedUs = server.zone == zone ? 0 : penaltyUs;
     return server.weightFactor / (server.zoneTimeUs + addedUs);
   }
 
-  /** The distance of a zone to other zones' servers, in microseconds. */
-  double distanceUs(int zone) {
+  /**
+   * Adjusts the zone's preference to the last reports and returns the penalty on servers of other
+   * zones as seen from the zone, in microseconds; 0 if no penalty is needed.
+   */
+  double crossZonePenaltyUs(int zone) {
     List<Server> own = fleet.scope().serversOfZone(zone);
     List<Server> others =
         fleet.scope().servers().stream().filter(server -> server.zone != zone).toList();
@@ -62,23 +87,23 @@
       return 0;
     }
     ZoneTable table = fleet.tables().get(zone);
-    initialise(table, zone, own.size());
-    adapt(table, own, others);
-    double ownWeight = total(own, server -> rawWeight(server, zone, 0));
+    initializePreference(table, zone, own.size());
+    adjustPreference(table, own, others);
+    double ownWeight = total(own, server -> unnormalizedWeight(server, zone, 0));
     double evenShare =
-        ownWeight / total(fleet.scope().servers(), server -> rawWeight(server, zone, 0));
+        ownWeight / total(fleet.scope().servers(), server -> unnormalizedWeight(server, zone, 0));
     double wantedShare = wantedShare(table, zone, evenShare);
     if (wantedShare > evenShare) {
-      return solve(others, zone, ownWeight * (1 - wantedShare) / wantedShare);
+      return solvePenaltyUs(others, zone, ownWeight * (1 - wantedShare) / wantedShare);
     }
     return 0;
   }
 
-  private void initialise(ZoneTable table, int zone, int ownServers) {
+  private void initializePreference(ZoneTable table, int zone, int ownServers) {
     if (clock.periodsWithReports() == 0) {
       long ownProxies = fleet.proxies().all().stream().filter(proxy -> proxy.zone == zone).count();
       long size = Math.max(1, Math.min(ownServers, ownProxies));
-      table.localityPreference = Math.max(0, 1 - Math.pow(NO_PREFERENCE_SIZE / size, 2));
+      table.localityPreference = Math.max(0, 1 - Math.pow(MAX_SIZE_WITHOUT_PREFERENCE / size, 2));
     } else if (table.plannedShares.isEmpty()) {
       table.localityPreference =
           fleet.tables().all().values().stream()
@@ -88,17 +113,17 @@
     }
   }
 
-  private void adapt(ZoneTable table, List<Server> own, List<Server> others) {
+  private void adjustPreference(ZoneTable table, List<Server> own, List<Server> others) {
     if (!clock.periodHasReports()) {
       return;
     }
     double ownTimeUs = meanTimeUs(own);
     double ratio = ownTimeUs / meanTimeUs(others);
-    double maxGrowthTimeUs = MAX_GROWTH_OBJECTIVES * settings.shortestLatencyObjectiveUs();
-    if (ratio > WORSE_RATIO) {
-      table.localityPreference *= SHRINK_FACTOR;
-    } else if (ratio < EQUAL_RATIO && ownTimeUs < maxGrowthTimeUs) {
-      table.localityPreference = Math.min(1, table.localityPreference + GROWTH);
+    double maxIncreaseTimeUs = MAX_INCREASE_OBJECTIVES * settings.shortestLatencyObjectiveUs();
+    if (ratio > SLOWER_TIME_RATIO) {
+      table.localityPreference *= PREFERENCE_DECREASE_FACTOR;
+    } else if (ratio < EQUAL_TIME_RATIO && ownTimeUs < maxIncreaseTimeUs) {
+      table.localityPreference = Math.min(1, table.localityPreference + PREFERENCE_INCREMENT);
     }
   }
 
@@ -115,9 +140,12 @@
     return evenShare + table.localityPreference * (maxShare - evenShare);
   }
 
-  /** The share of the zone's requests that its servers can serve at an even load of the fleet. */
+  /**
+   * Returns the share of the zone's requests that its servers can serve when all servers of the
+   * fleet have the same load.
+   */
   private double sustainableShare(int zone, double evenShare) {
-    // Until usage is reported, demand is counted in proxies.
+    // Until usage is reported, each proxy counts as the same demand.
     ToDoubleFunction<ProxyState> demand =
         proxy -> clock.periodsWithReports() == 0 ? 1 : proxy.totalRequestsPerSecond();
     double allDemand = fleet.proxies().all().stream().mapToDouble(demand).sum();
@@ -127,24 +155,28 @@
             .mapToDouble(demand)
             .sum();
     if (settings.proxiesJoinInOwnZone()) {
-      // Proxies at other instances are assumed to have the same demand.
+      // Proxies of other instances are assumed to have the same mean demand.
       allDemand *= 1.0 * settings.proxies() / fleet.proxies().size();
     }
     return zoneDemand <= 0 ? 1 : evenShare * allDemand / zoneDemand;
   }
 
-  /** The distance at which the other zones' servers have a given weight in sum. */
-  private static double solve(List<Server> others, int zone, double wantedWeight) {
-    double distanceUs = 0;
-    for (int i = 0; i < SOLVER_STEPS; i++) {
-      double currentUs = distanceUs;
-      double weight = total(others, server -> rawWeight(server, zone, currentUs));
+  /**
+   * Returns the penalty, in microseconds, at which the servers of other zones have a given total
+   * weight.
+   */
+  private static double solvePenaltyUs(List<Server> others, int zone, double wantedWeight) {
+    double penaltyUs = 0;
+    for (int i = 0; i < NEWTON_ITERATIONS; i++) {
+      double currentUs = penaltyUs;
+      double weight = total(others, server -> unnormalizedWeight(server, zone, currentUs));
       double slope =
           total(
               others,
-              server -> rawWeight(server, zone, currentUs) / (server.zoneTimeUs + currentUs));
-      distanceUs += (weight - wantedWeight) / slope;
+              server ->
+                  unnormalizedWeight(server, zone, currentUs) / (server.zoneTimeUs + currentUs));
+      penaltyUs += (weight - wantedWeight) / slope;
     }
-    return distanceUs;
+    return penaltyUs;
   }
 }
--- a/src/main/java/pearusher/policy/PickMethod.java
+++ b/src/main/java/pearusher/policy/PickMethod.java
@@ -1,11 +1,11 @@
 package pearusher.policy;
 
-/** How a proxy picks a server from its table. */
+/** Method by which a proxy picks a server from its table. */
 public enum PickMethod {
-  /** At random by weight. */
+  /** Random choice with probabilities proportional to the weights. */
   RANDOM,
-  /** By weighted round robin. */
+  /** Weighted round robin. */
   ROUND_ROBIN,
-  /** The server with the lower load of two random picks. */
+  /** The server with the lower load of two chosen at random. */
   POWER_OF_TWO_CHOICES
 }
--- a/src/main/java/pearusher/policy/ReportCycle.java
+++ b/src/main/java/pearusher/policy/ReportCycle.java
@@ -1,8 +1,8 @@
 package pearusher.policy;
 
 /**
- * The time in which every report comes once. Where more lines are due than the intake takes, they
- * come in rotation and each covers more time.
+ * Time in which every report arrives once. If more report lines are due than are accepted, they
+ * arrive in rotation and each covers a longer time span.
  */
 final class ReportCycle {
   private static final double MICROS_PER_SECOND = 1e6;
@@ -15,6 +15,7 @@
     this.fleet = fleet;
   }
 
+  /** Returns the length of the report cycle in microseconds, at least a control period. */
   double durationUs() {
     long zones = fleet.tables().zonesInScope().size();
     long classes = settings.requestClasses().size();
--- a/src/main/java/pearusher/policy/ResponseTimeEstimator.java
+++ b/src/main/java/pearusher/policy/ResponseTimeEstimator.java
@@ -5,34 +5,35 @@
 import java.util.Optional;
 
 /**
- * Estimates each server's response time and share of failures from decayed load reports. The
- * evidence is kept at the servers; this class holds the sum of the last report cycle.
+ * Estimates each server's response time and share of failed attempts from load reports, whose
+ * weight decays with age. The counts are stored per server; this class stores the sum over the last
+ * report cycle.
  */
 final class ResponseTimeEstimator {
-  /** Attempts at the fleet's average time that are added to each server's own. */
+  /** Attempts at the mean response time of the fleet that are added to each server's own. */
   private static final double PRIOR_ATTEMPTS = 60.0;
 
-  /** Successful attempts that are added when the share of failures is taken. */
+  /** Successful attempts that are added to each server's own in its share of failures. */
   private static final double FAILURE_PRIOR_ATTEMPTS = 8.0;
 
-  /** Assumed unloaded response time until the first report, as a share of the objective. */
+  /** Assumed response time without load until the first report, in shortest latency objectives. */
   private static final double INITIAL_TIME_OBJECTIVES = 0.3;
 
-  /** Attempts of a report cycle that suffice without those of earlier cycles. */
-  private static final double CYCLE_ATTEMPTS = 150.0;
+  /** Number of attempts of a report cycle that are sufficient without those of earlier cycles. */
+  private static final double SUFFICIENT_CYCLE_ATTEMPTS = 150.0;
 
-  /** Most failed attempts that are held against a server, so that it recovers soon. */
+  /** Maximum number of failed attempts counted against a server, so that it recovers soon. */
   private static final double MAX_FAILED_ATTEMPTS = 25.0;
 
-  /** Servers out of scope with fewer attempts than this lose their statistics. */
-  private static final double MIN_KEPT_ATTEMPTS = 1;
+  /** Number of attempts below which servers out of scope lose their statistics. */
+  private static final double MIN_RETAINED_ATTEMPTS = 1;
 
   private final PolicySettings settings;
   private final FleetState fleet;
   private final ControlClock clock;
   private final ReportCycle cycle;
 
-  /** Attempts of the last report cycle at serving servers that are no outliers. */
+  /** Attempts of the last report cycle at ready servers that are not outliers. */
   private final AttemptStats recent = new AttemptStats();
 
   ResponseTimeEstimator(
@@ -44,9 +45,9 @@
   }
 
   /**
-   * Counts a load report; older evidence counts less.
+   * Adds the attempts of a load report, with a lower weight for older attempts.
    *
-   * @return whether it was valid
+   * @return whether the report was valid
    */
   boolean onLoadReport(AttemptReport report) {
     Optional<Server> server = fleet.servers().find(report.server());
@@ -54,7 +55,7 @@
       return false;
     }
     int countedZone =
-        fleet.tables().contains(report.zone()) ? report.zone() : ZoneAttemptStats.ELSEWHERE;
+        fleet.tables().contains(report.zone()) ? report.zone() : ZoneAttemptStats.OTHER_ZONES;
     long failed = Math.min(report.failedAttempts(), report.attempts());
     server
         .get()
@@ -71,7 +72,11 @@
     return EvidenceDecay.factor(middleAgeUs, settings.controlPeriodUs());
   }
 
-  /** Adds the reports of the period that ends to the evidence, which decays. */
+  /**
+   * Ends a period: decays the attempts of earlier periods and adds those reported during this one.
+   *
+   * @param elapsedUs length of the period, in microseconds
+   */
   void endPeriod(long elapsedUs) {
     double decay = EvidenceDecay.factor((double) elapsedUs, settings.controlPeriodUs());
     decayRecent();
@@ -82,13 +87,16 @@
     }
   }
 
-  /** Where reports come in rotation, one period's alone would be those of a few servers. */
+  /**
+   * Reduces the counts of the last report cycle. If reports arrive in rotation, those of a single
+   * period cover only a few servers, so part of the earlier counts is retained.
+   */
   private void decayRecent() {
     double periodAttempts =
         total(
             fleet.scope().servers(), server -> server.attempts.sumCurrent(AttemptStats::attempts));
-    double keptByCycle = 1 - settings.controlPeriodUs() / cycle.durationUs();
-    recent.scale(Math.min(keptByCycle, CYCLE_ATTEMPTS / Math.max(1, periodAttempts)));
+    double retainedShare = 1 - settings.controlPeriodUs() / cycle.durationUs();
+    recent.scale(Math.min(retainedShare, SUFFICIENT_CYCLE_ATTEMPTS / Math.max(1, periodAttempts)));
   }
 
   private void endPeriod(Server server, double decay) {
@@ -98,14 +106,14 @@
     server.attempts.endPeriod(decay);
     double failed = Math.max(1, server.failedAttempts());
     server.attempts.scalePast(Math.min(1, MAX_FAILED_ATTEMPTS / failed));
-    server.attempts.removeDecayed(!server.inScope, MIN_KEPT_ATTEMPTS);
+    server.attempts.removeDecayed(!server.inScope, MIN_RETAINED_ATTEMPTS);
   }
 
   AttemptStats recent() {
     return recent;
   }
 
-  /** Estimates the mean time and the share of failures of each server in scope. */
+  /** Estimates the mean response time and the share of failures of each server in scope. */
   void estimate() {
     double totalTimeUs =
         total(fleet.scope().servers(), server -> server.sum(stats -> stats.totalTimeUs))
@@ -122,8 +130,11 @@
     }
   }
 
-  /** The server's successful attempts, and those added at the fleet's average time. */
-  static double weightedAttempts(Server server) {
+  /**
+   * Returns the number of the server's successful attempts plus those added at the mean response
+   * time of the fleet.
+   */
+  static double succeededAttemptsWithPrior(Server server) {
     return server.succeededAttempts() + PRIOR_ATTEMPTS;
   }
 }
--- a/src/main/java/pearusher/policy/RetryPolicy.java
+++ b/src/main/java/pearusher/policy/RetryPolicy.java
@@ -1,8 +1,9 @@
 package pearusher.policy;
 
 /**
- * Whether proxies retry. They do after proof that the first attempt never ran, which is safe for
- * every class; in an overload they don't, since retries of rejected requests would feed it.
+ * Determines whether proxies retry. They retry after proof that the first attempt did not run,
+ * which is safe for every request class. During an overload they do not retry, since retries of
+ * rejected requests would increase it.
  */
 final class RetryPolicy {
   static final int NO_RETRY = 0;
--- a/src/main/java/pearusher/policy/ScoreWeights.java
+++ b/src/main/java/pearusher/policy/ScoreWeights.java
@@ -1,14 +1,14 @@
 package pearusher.policy;
 
 /**
- * The weights of the parts of a score.
+ * Weights of the components of a score.
  *
  * @param overall all requests
- * @param worstWindow the worst window of time
+ * @param worstWindow the worst time window
  * @param worstClass the worst request class
  * @param worstTenant the worst tenant
  * @param nines the success rate, counted in nines
- * @param ninesFull nines that give the full score
+ * @param ninesFull number of nines that yields the full score
  * @param byWork whether requests are counted by their work
  */
 public record ScoreWeights(
--- a/src/main/java/pearusher/policy/Server.java
+++ b/src/main/java/pearusher/policy/Server.java
@@ -3,13 +3,17 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * State of one server. It decides nothing: each field is written by the one module named at it.
- * Grows with the zones whose proxies tried the server.
+ * State of one server, without decision logic. Each field is written only by the modules that the
+ * comment above it names. The size grows with the number of zones whose proxies sent attempts to
+ * the server.
  */
 final class Server {
   final long id;
 
-  /** Its place in this process's random order of servers, where not all can be listed. */
+  /**
+   * Position in a random order of the servers, different in each process, by which servers are
+   * chosen if not all can be listed.
+   */
   final long scopeRank;
 
   // Written by ServerRegistry, from the endpoint list.
@@ -17,10 +21,10 @@
   int zone;
   double listedWeight = 1;
 
-  /** Start of its present incarnation; 0: long ago. */
+  /** Start time of the current incarnation, in microseconds; 0: long ago. */
   long startedUs;
 
-  /** When its present incarnation was first listed. */
+  /** Time when the current incarnation was first listed, in microseconds. */
   long firstListedUs;
 
   // Written by EjectionQueue.
@@ -28,19 +32,19 @@
   Lifecycle lifecycle = Lifecycle.READY;
   boolean ejected;
 
-  /** When {@link #ejected} last changed. */
+  /** Time of the last change of {@link #ejected}, in microseconds. */
   long ejectionChangedUs;
 
   StaleEjectionRisk staleEjectionRisk = StaleEjectionRisk.NONE;
 
   // Written by ZoneScope.
 
-  /** Whether tables may list it. */
+  /** Whether tables may list the server. */
   boolean inScope;
 
   // Written by SubsetAssignment.
 
-  /** Its subset of the fleet, from 1; 0: none yet. */
+  /** Subset of the fleet that contains the server, from 1; 0: not assigned yet. */
   int subset;
 
   // Written by ResponseTimeEstimator; ZoneScope releases zones, ServerRegistry resets estimates.
@@ -51,7 +55,10 @@
 
   // Written by TableRestorer.
 
-  /** Its time relative to its zone's mean, from restored weights: a prior until reports arrive. */
+  /**
+   * Response time relative to the mean of the server's zone, derived from restored weights. Serves
+   * as a prior until reports arrive.
+   */
   double restoredTimeRatio = 1;
 
   // Written by OutlierDetector.
@@ -63,21 +70,21 @@
 
   // Written by SlowStart.
 
-  /** Share of its capacity that is ready. */
+  /** Share of the server's capacity that is available during slow start, up to 1. */
   double readiness;
 
-  /** Factor of the weight during slow start; 1: warm. */
+  /** Factor of the weight during slow start; 1: slow start has ended. */
   double slowStartFactor;
 
-  // Written by WeightCalculator, for the zone at hand.
+  // Written by WeightCalculator, for the zone that it computes.
 
-  /** Its time as seen from the zone, failures included. */
+  /** Mean response time in the zone, with failures counted as response times, in microseconds. */
   double zoneTimeUs;
 
-  /** Product of the factors of its weight. */
+  /** Product of the health factor, the slow-start factor and the listed weight. */
   double weightFactor;
 
-  /** Its share of the zone's requests; SlowStartBudget caps it. */
+  /** Share of the zone's requests; SlowStartBudget caps it. */
   double share;
 
   Server(long id, long scopeRank) {
@@ -89,7 +96,7 @@
     return lifecycle == Lifecycle.READY;
   }
 
-  /** Forgets what was measured of an earlier incarnation. */
+  /** Discards the measurements of an earlier incarnation. */
   void resetEstimates() {
     attempts.clear();
     healthFactor = 1;
@@ -97,9 +104,9 @@
   }
 
   /**
-   * Caps its share of the zone's requests.
+   * Caps the server's share of the zone's requests.
    *
-   * @return how much of the share is cut
+   * @return the amount by which the share was reduced
    */
   double capShare(double maxShare) {
     double cut = Math.max(0, share - maxShare);
@@ -111,19 +118,19 @@
     share *= factor;
   }
 
-  /** Leaves it out of the zone's table. */
+  /** Excludes the server from the zone's table. */
   void clearShare() {
     share = 0;
   }
 
-  /** Counts the attempts of a zone that left the scope among those of other zones. */
+  /** Merges the attempts of a zone that left the scope into those of other zones. */
   void releaseZone(int zone) {
-    attempts.mergeIntoElsewhere(zone);
+    attempts.mergeIntoOtherZones(zone);
   }
 
-  /** Sums a figure of the earlier periods over all zones. */
-  double sum(ToDoubleFunction<AttemptStats> figure) {
-    return attempts.sumPast(figure);
+  /** Returns the sum of a metric of the earlier periods over all zones. */
+  double sum(ToDoubleFunction<AttemptStats> metric) {
+    return attempts.sumPast(metric);
   }
 
   double succeededAttempts() {
--- a/src/main/java/pearusher/policy/ServerEntry.java
+++ b/src/main/java/pearusher/policy/ServerEntry.java
@@ -3,13 +3,13 @@
 /**
  * An entry of the endpoint list.
  *
- * @param server the server's number
- * @param zone its zone
- * @param machineType its type of machine
- * @param cell its cell
- * @param lifecycle its state
- * @param weight its size relative to others; 0 or less: not listed
- * @param startedUs start of its present incarnation; 0: long ago
+ * @param server number of the server
+ * @param zone zone of the server
+ * @param machineType machine type of the server
+ * @param cell cell of the server
+ * @param lifecycle lifecycle state of the server
+ * @param weight capacity relative to other servers; 0 or less: not in the list
+ * @param startedUs start time of the current incarnation, in microseconds; 0: long ago
  */
 public record ServerEntry(
     long server,
--- a/src/main/java/pearusher/policy/SlowStartBudget.java
+++ b/src/main/java/pearusher/policy/SlowStartBudget.java
@@ -6,25 +6,29 @@
 import java.util.List;
 
 /**
- * Bounds the requests that servers in slow start get, by the success of warm servers. While many
- * attempts fail, the coldest servers get none.
+ * Limits the requests to servers in slow start, based on the success of the servers with full
+ * capacity. While many attempts fail, the servers with the least available capacity receive none.
  */
 final class SlowStartBudget {
-  /** Share of the service's slow-start limit that is used. */
-  private static final double LIMIT_SHARE = 0.4;
+  /** Share of the service's limit for the load in slow start that is used. */
+  private static final double USED_LIMIT_SHARE = 0.4;
 
   /**
-   * Exponent of the success forecast: in an overload proxies concentrate on the few new servers.
+   * Exponent of the success forecast. It exceeds 1 because proxies concentrate their requests on
+   * the few new servers during an overload.
    */
   private static final double SUCCESS_EXPONENT = 3.0;
 
-  /** Success forecast under which the coldest servers are held back. */
-  private static final double HOLD_BELOW_SUCCESS = 0.85;
+  /** Success forecast below which the servers with the least available capacity are excluded. */
+  private static final double EXCLUDE_BELOW_SUCCESS_SHARE = 0.85;
 
-  /** Share of all ready capacity that the servers not held back must have. */
-  private static final double MIN_ADMITTED_READINESS = 0.3;
+  /** Minimum share of the total available capacity that the servers not excluded must have. */
+  private static final double MIN_INCLUDED_READINESS_SHARE = 0.3;
 
-  /** Reports further behind than this do not show the fleet as it is. */
+  /**
+   * Lag of the reports, in report cycles, above which they do not show the current state of the
+   * fleet.
+   */
   private static final double MAX_REPORT_LAG_CYCLES = 2.0;
 
   private final ServiceLimits limits;
@@ -46,59 +50,68 @@
     this.forecast = forecast;
   }
 
-  /** Caps the shares of servers in slow start; warm servers get the rest. */
+  /**
+   * Caps the shares of servers in slow start and distributes the excess over the servers with full
+   * capacity.
+   */
   void capShares() {
     List<Server> servers = fleet.scope().servers();
-    List<Server> warm = servers.stream().filter(server -> server.readiness >= 1).toList();
-    double warmSucceeded = total(warm, Server::succeededAttempts);
+    List<Server> fullCapacityServers =
+        servers.stream().filter(server -> server.readiness >= 1).toList();
+    double fullCapacitySucceeded = total(fullCapacityServers, Server::succeededAttempts);
     double success = expectedSuccess();
-    if (success < HOLD_BELOW_SUCCESS) {
-      holdBackColdest(servers);
+    if (success < EXCLUDE_BELOW_SUCCESS_SHARE) {
+      excludeLeastReady(servers);
     }
-    if (warm.isEmpty() || warmSucceeded <= 0) {
+    if (fullCapacityServers.isEmpty() || fullCapacitySucceeded <= 0) {
       return;
     }
-    double warmShare =
-        warmSucceeded
-            / warm.size()
+    double fullCapacityShare =
+        fullCapacitySucceeded
+            / fullCapacityServers.size()
             / total(servers, server -> server.succeededAttempts() + server.failedAttempts())
             * Math.pow(success, SUCCESS_EXPONENT);
     double cut = 0;
     for (Server server : servers) {
-      cut += server.capShare(maxShare(server, warmShare));
+      cut += server.capShare(maxShare(server, fullCapacityShare));
     }
-    double growth = 1 + cut / total(warm, server -> server.share);
-    warm.forEach(server -> server.scaleShare(growth));
+    double growthFactor = 1 + cut / total(fullCapacityServers, server -> server.share);
+    fullCapacityServers.forEach(server -> server.scaleShare(growthFactor));
   }
 
   private double expectedSuccess() {
     boolean stale =
         fleet.proxies().reportLagUs(clock.lastPeriodUs())
             > MAX_REPORT_LAG_CYCLES * cycle.durationUs();
-    return stale ? 0 : forecast.share();
+    return stale ? 0 : forecast.successShare();
   }
 
-  private double maxShare(Server server, double warmShare) {
+  private double maxShare(Server server, double fullCapacityShare) {
     if (server.readiness >= 1) {
       return server.share;
     }
-    return LIMIT_SHARE * limits.recoveryOverloadFactor() * warmShare * server.readiness;
+    return USED_LIMIT_SHARE
+        * limits.recoveryOverloadFactor()
+        * fullCapacityShare
+        * server.readiness;
   }
 
   /**
-   * Leaves out the coldest servers as long as the others have enough of the ready capacity: proxies
-   * that avoid every failing server would send a cold one everything, whatever its weight.
+   * Excludes the servers with the least available capacity as long as the other servers have enough
+   * of the total. Proxies that avoid every failing server would send all requests to a server in
+   * slow start, whatever its weight.
    */
-  private static void holdBackColdest(List<Server> servers) {
-    List<Server> readiestFirst =
+  private static void excludeLeastReady(List<Server> servers) {
+    List<Server> mostReadyFirst =
         servers.stream().sorted(Comparator.comparingDouble(server -> -server.readiness)).toList();
     double totalReadiness = total(servers, server -> server.readiness);
-    double admittedReadiness = 0;
-    for (Server server : readiestFirst) {
-      if (server.readiness < 1 && admittedReadiness >= MIN_ADMITTED_READINESS * totalReadiness) {
+    double includedReadiness = 0;
+    for (Server server : mostReadyFirst) {
+      if (server.readiness < 1
+          && includedReadiness >= MIN_INCLUDED_READINESS_SHARE * totalReadiness) {
         server.clearShare();
       }
-      admittedReadiness += server.readiness;
+      includedReadiness += server.readiness;
     }
   }
 }
--- a/src/main/java/pearusher/policy/TableScale.java
+++ b/src/main/java/pearusher/policy/TableScale.java
@@ -3,18 +3,24 @@
 import java.util.List;
 
 /**
- * The factor from a table's planned shares to its published weights. Only ratios of weights count:
- * the scale is chosen so that most warm servers' weights stay as published. It drifts as servers
- * are replaced, and returns towards 1 in steps that the hysteresis of weights hides.
+ * Factor from a table's planned shares to its published weights. Only the ratios of weights matter,
+ * so the scale is chosen to keep the published weights of most servers past slow start. The scale
+ * drifts as servers are replaced, and returns towards 1 in steps that the hysteresis of weights
+ * hides.
  */
 final class TableScale {
-  /** A scale this far from 1 returns towards it. */
+  /** Scale above which, or below whose reciprocal, the scale returns towards 1. */
   private static final double MAX_SCALE = 100;
 
-  private static final double RETURN_STEP = 1 - WeightPublisher.HYSTERESIS / 2;
+  /** Multiplies a scale that is too high; divides a scale that is too low. */
+  private static final double RETURN_FACTOR = 1 - WeightPublisher.HYSTERESIS / 2;
 
   private TableScale() {}
 
+  /**
+   * Returns the scale of a table; 1 if none of the servers past slow start is both planned and
+   * published.
+   */
   static double of(ZoneTable table, List<Server> servers) {
     double[] ratios =
         servers.stream()
@@ -29,8 +35,8 @@
     int count = ratios.length;
     double scale = count == 0 ? 1 : ratios[count / 2];
     if (scale > MAX_SCALE) {
-      return ratios[(count - 1) / 2] * RETURN_STEP;
+      return ratios[(count - 1) / 2] * RETURN_FACTOR;
     }
-    return scale < 1 / MAX_SCALE ? scale / RETURN_STEP : scale;
+    return scale < 1 / MAX_SCALE ? scale / RETURN_FACTOR : scale;
   }
 }
--- a/src/main/java/pearusher/policy/UtilizationMonitor.java
+++ b/src/main/java/pearusher/policy/UtilizationMonitor.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * Polls a few warm servers for their utilization by health checks, which show an overload before
- * load reports do. All instances together poll a server about once a period.
+ * Polls the utilization of a few servers past slow start by health checks, which show an overload
+ * earlier than load reports. All instances together poll each server about once per period.
  */
 final class UtilizationMonitor {
-  /** Decay of earlier results each period. */
-  private static final double DECAY = 0.5;
+  /** Factor by which earlier results decay in each period. */
+  private static final double DECAY_FACTOR = 0.5;
 
-  /** Fewer results than this are no evidence. */
+  /** Minimum number of results, after decay, for a valid mean. */
   private static final double MIN_RESULTS = 1;
 
   private final PolicySettings settings;
@@ -23,8 +23,8 @@
   private double utilizationSum;
   private double resultCount;
 
-  /** Listed weight of the warm servers at the last poll. */
-  private double warmWeight;
+  /** Total listed weight of the servers past slow start at the last poll. */
+  private double polledWeight;
 
   private int nextServer;
 
@@ -50,19 +50,22 @@
 
   /** Decays earlier results and polls the next servers. */
   void poll(long nowUs) {
-    List<Server> warm =
+    List<Server> candidates =
         fleet.scope().servers().stream().filter(server -> slowStart.isWarm(nowUs, server)).toList();
-    decay(total(warm, server -> server.listedWeight));
+    decay(total(candidates, server -> server.listedWeight));
     if (isEnabled()) {
-      pollSome(warm);
+      pollNext(candidates);
     }
   }
 
-  /** The load of servers that left is attributed to the remaining ones, before they report it. */
-  private void decay(double newWarmWeight) {
-    utilizationSum *= DECAY * Math.max(1, warmWeight / Math.max(1, newWarmWeight));
-    resultCount *= DECAY;
-    warmWeight = newWarmWeight;
+  /**
+   * Decays earlier results. The load of servers that left is attributed to the remaining servers
+   * before these report it.
+   */
+  private void decay(double newPolledWeight) {
+    utilizationSum *= DECAY_FACTOR * Math.max(1, polledWeight / Math.max(1, newPolledWeight));
+    resultCount *= DECAY_FACTOR;
+    polledWeight = newPolledWeight;
   }
 
   private boolean isEnabled() {
@@ -71,26 +74,29 @@
         && settings.loadMetrics().contains(LoadMetric.UTILIZATION);
   }
 
-  private void pollSome(List<Server> warm) {
-    int count = warm.size();
+  private void pollNext(List<Server> candidates) {
+    int count = candidates.size();
     int polls = pollCount(count);
     for (int i = 0; i < polls; i++) {
-      commands.checkHealth(warm.get(Math.floorMod(nextServer++, count)).id);
+      commands.checkHealth(candidates.get(Math.floorMod(nextServer++, count)).id);
     }
   }
 
-  /** This instance's part of the warm servers, and no more than their square root. */
-  private int pollCount(int warmCount) {
+  /**
+   * Returns the number of servers to poll: the share of this instance, at most the square root of
+   * their number.
+   */
+  private int pollCount(int candidateCount) {
     int instances = Math.max(1, settings.instances());
-    int evenPart = (warmCount + instances - 1) / instances;
-    return Math.min(evenPart, (int) Math.ceil(Math.sqrt(warmCount)));
+    int countPerInstance = (candidateCount + instances - 1) / instances;
+    return Math.min(countPerInstance, (int) Math.ceil(Math.sqrt(candidateCount)));
   }
 
   boolean hasResults() {
     return resultCount >= MIN_RESULTS;
   }
 
-  /** Mean utilization, from 0 to 1; more where warm servers left. */
+  /** Returns the mean utilization, from 0 to 1; more than 1 is possible after servers have left. */
   double mean() {
     return utilizationSum / resultCount;
   }
--- a/src/main/java/pearusher/policy/WeightCalculator.java
+++ b/src/main/java/pearusher/policy/WeightCalculator.java
@@ -5,26 +5,33 @@
 import java.util.List;
 
 /**
- * Computes a zone's table: each server's share is inverse to its time plus the distance to it,
- * reduced for outliers and in slow start, and changes by bounded steps.
+ * Computes a zone's table. Each server's share is inverse to its response time plus the penalty on
+ * other zones, is reduced for outliers and in slow start, and changes in bounded steps.
  */
 final class WeightCalculator {
-  /** Attempts at the server's average over all zones that are added to those of one zone. */
+  /** Attempts at the server's mean over all zones that are added to those of one zone. */
   private static final double POOLED_ATTEMPTS = 150.0;
 
-  /** A failure counts as the largest mean time multiplied by this. */
+  /** Response time that a failure counts as, in multiples of the largest mean of a server. */
   private static final double FAILURE_TIME_FACTOR = 2.0;
 
-  /** Bounds of a share's change in a period: reports lag, and large steps would oscillate. */
-  private static final double MAX_GROWTH = 1.3;
+  /**
+   * Maximum factor of a share's increase per period. Larger steps would oscillate because reports
+   * lag.
+   */
+  private static final double MAX_INCREASE_FACTOR = 1.3;
 
-  private static final double MAX_SHRINK = 0.6;
+  /**
+   * Minimum factor of a share's decrease per period. Larger steps would oscillate because reports
+   * lag.
+   */
+  private static final double MIN_DECREASE_FACTOR = 0.6;
 
-  /** A server that recovered returns to this share of an even one at once. */
-  private static final double RECOVERED_SHARE = 0.4;
+  /** Share that a recovered server regains at once, in multiples of an even share. */
+  private static final double RECOVERED_EVEN_SHARES = 0.4;
 
-  /** Health factor above which the shrinking is bounded. */
-  private static final double BOUNDED_FROM_FACTOR = 0.5;
+  /** Health factor above which the decrease of a share is bounded. */
+  private static final double BOUNDED_ABOVE_HEALTH_FACTOR = 0.5;
 
   private final FleetState fleet;
   private final ControlClock clock;
@@ -60,28 +67,28 @@
     double failureTimeUs =
         servers.stream().mapToDouble(server -> server.meanTimeUs).max().orElse(0)
             * FAILURE_TIME_FACTOR;
-    double warmSpeed = 0;
-    double warmWeight = 0;
+    double referenceSpeed = 0;
+    double referenceWeight = 0;
     for (Server server : servers) {
       server.zoneTimeUs = zoneTimeUs(zone, server, failureTimeUs);
       server.weightFactor = server.healthFactor * server.slowStartFactor * server.listedWeight;
       if (server.slowStartFactor >= 1) {
-        warmSpeed += server.healthFactor * server.listedWeight / server.zoneTimeUs;
-        warmWeight += server.listedWeight;
+        referenceSpeed += server.healthFactor * server.listedWeight / server.zoneTimeUs;
+        referenceWeight += server.listedWeight;
       }
     }
-    if (warmWeight > 0) {
-      double warmTimeUs = warmWeight / warmSpeed;
+    if (referenceWeight > 0) {
+      double referenceTimeUs = referenceWeight / referenceSpeed;
       servers.stream()
           .filter(server -> server.slowStartFactor < 1)
-          .forEach(server -> server.zoneTimeUs = Math.max(warmTimeUs, server.zoneTimeUs));
+          .forEach(server -> server.zoneTimeUs = Math.max(referenceTimeUs, server.zoneTimeUs));
     }
   }
 
   private static double zoneTimeUs(int zone, Server server, double failureTimeUs) {
     AttemptStats stats = server.attempts.past(zone);
     double failed = server.failedAttempts();
-    double succeeded = ResponseTimeEstimator.weightedAttempts(server);
+    double succeeded = ResponseTimeEstimator.succeededAttemptsWithPrior(server);
     double pooledUs =
         (server.meanTimeUs * succeeded + failed * failureTimeUs) / (succeeded + failed);
     return (stats.totalTimeUs + stats.failed * failureTimeUs + POOLED_ATTEMPTS * pooledUs)
@@ -89,16 +96,16 @@
   }
 
   private void assignShares(int zone, ZoneTable table, List<Server> servers) {
-    double distanceUs = locality.distanceUs(zone);
+    double penaltyUs = locality.crossZonePenaltyUs(zone);
     double totalWeight =
-        total(servers, server -> LocalityPreference.rawWeight(server, zone, distanceUs));
+        total(servers, server -> LocalityPreference.unnormalizedWeight(server, zone, penaltyUs));
     boolean nothingSucceeded =
         total(servers, Server::succeededAttempts) < 1 && !table.plannedShares.isEmpty();
-    boolean hasBasis = clock.periodsWithReports() > 0 || hold.hasRestoredTables();
+    boolean hasReportsOrRestoredTables = clock.periodsWithReports() > 0 || hold.hasRestoredTables();
     for (Server server : servers) {
-      server.share = LocalityPreference.rawWeight(server, zone, distanceUs) / totalWeight;
+      server.share = LocalityPreference.unnormalizedWeight(server, zone, penaltyUs) / totalWeight;
       Double lastShare = table.plannedShares.get(server.id);
-      if (lastShare != null && server.slowStartFactor >= 1 && hasBasis) {
+      if (lastShare != null && server.slowStartFactor >= 1 && hasReportsOrRestoredTables) {
         server.share =
             nothingSucceeded ? lastShare : boundedShare(server, lastShare, servers.size());
       }
@@ -106,9 +113,11 @@
   }
 
   private static double boundedShare(Server server, double lastShare, int serverCount) {
-    double most = Math.max(lastShare * MAX_GROWTH, RECOVERED_SHARE / serverCount);
-    double least = server.healthFactor > BOUNDED_FROM_FACTOR ? lastShare * MAX_SHRINK : 0;
-    return Math.max(least, Math.min(most, server.share));
+    double maxShare =
+        Math.max(lastShare * MAX_INCREASE_FACTOR, RECOVERED_EVEN_SHARES / serverCount);
+    double minShare =
+        server.healthFactor > BOUNDED_ABOVE_HEALTH_FACTOR ? lastShare * MIN_DECREASE_FACTOR : 0;
+    return Math.max(minShare, Math.min(maxShare, server.share));
   }
 
   private static void normalise(List<Server> servers) {
--- a/src/test/java/pearusher/policy/AdmissionLevelsTest.java
+++ b/src/test/java/pearusher/policy/AdmissionLevelsTest.java
@@ -22,7 +22,8 @@
   @Test
   void everythingIsAdmittedAtFirst() {
     assertEquals(1, levels(AdmissionMode.SHARE).level(LOW));
-    assertEquals(AdmissionLevels.NO_LIMIT, levels(AdmissionMode.RATE).level(LOW));
+    assertEquals(
+        AdmissionLevels.UNLIMITED_REQUESTS_PER_SECOND, levels(AdmissionMode.RATE).level(LOW));
   }
 
   @Test
@@ -46,7 +47,7 @@
     AdmissionLevels levels = levels(AdmissionMode.RATE);
     levels.update(0.9);
     assertEquals(50, levels.level(LOW), 1e-9, "30 of one proxy and 50 of the other are admitted");
-    assertEquals(AdmissionLevels.NO_LIMIT, levels.level(HIGH));
+    assertEquals(AdmissionLevels.UNLIMITED_REQUESTS_PER_SECOND, levels.level(HIGH));
     levels.update(0.75);
     assertEquals(25, levels.level(LOW), 1e-9, "25 of each");
   }
--- a/src/test/java/pearusher/policy/ServerHealthTest.java
+++ b/src/test/java/pearusher/policy/ServerHealthTest.java
@@ -81,13 +81,13 @@
   void theForecastContinuesAFallAndDelaysARise() {
     SuccessForecast forecast = new SuccessForecast();
     forecast.update(attempts(90, 10));
-    assertEquals(0, forecast.share(), "a rise from nothing");
+    assertEquals(0, forecast.successShare(), "a rise from nothing");
     forecast.update(attempts(90, 10));
-    assertEquals(0.9, forecast.share(), 1e-12);
+    assertEquals(0.9, forecast.successShare(), 1e-12);
     forecast.update(attempts(60, 40));
-    assertEquals(0.3, forecast.share(), 1e-12);
+    assertEquals(0.3, forecast.successShare(), 1e-12);
     forecast.update(attempts(90, 10));
-    assertEquals(0.6, forecast.share(), 1e-12);
+    assertEquals(0.6, forecast.successShare(), 1e-12);
   }
 
   private static AttemptStats attempts(double succeeded, double failed) {
--- a/src/test/java/pearusher/policy/ZoneAttemptStatsTest.java
+++ b/src/test/java/pearusher/policy/ZoneAttemptStatsTest.java
@@ -78,7 +78,7 @@
           for (Map<Integer, double[]> all : List.of(past, current)) {
             double[] removed = all.remove(step.zone);
             if (removed != null) {
-              add(all, ZoneAttemptStats.ELSEWHERE, removed);
+              add(all, ZoneAttemptStats.OTHER_ZONES, removed);
             }
           }
         }
@@ -96,7 +96,7 @@
       case REPORT -> stats.current(step.zone).add(attempts(step.succeeded, step.failed));
       case PERIOD -> stats.endPeriod(factor);
       case SCALE -> stats.scalePast(factor);
-      case MERGE -> stats.mergeIntoElsewhere(step.zone);
+      case MERGE -> stats.mergeIntoOtherZones(step.zone);
       default -> stats.clear();
     }
   }
@@ -130,7 +130,7 @@
   private static void assertEqualToModel(Model model, ZoneAttemptStats stats) {
     assertEquals(model.current.size(), stats.size(), "zones with an entry");
     assertEquals(model.current.isEmpty(), stats.isEmpty());
-    for (int zone = ZoneAttemptStats.ELSEWHERE; zone < ZONES; zone++) {
+    for (int zone = ZoneAttemptStats.OTHER_ZONES; zone < ZONES; zone++) {
       double[] past = model.past.getOrDefault(zone, new double[3]);
       assertEquals(past[0], stats.past(zone).succeeded, 1e-6, "succeeded attempts of zone " + zone);
       assertEquals(past[1], stats.past(zone).totalTimeUs, 1e-3, "time of zone " + zone);
@@ -184,12 +184,12 @@
     stats.endPeriod(1);
     stats.current(3).add(attempts(2, 0));
     stats.current(7).add(attempts(4, 0));
-    stats.mergeIntoElsewhere(3);
-    stats.mergeIntoElsewhere(7);
-    stats.mergeIntoElsewhere(9);
+    stats.mergeIntoOtherZones(3);
+    stats.mergeIntoOtherZones(7);
+    stats.mergeIntoOtherZones(9);
     assertEquals(1, stats.size());
-    assertEquals(5, stats.past(ZoneAttemptStats.ELSEWHERE).succeeded);
-    assertEquals(6, stats.current(ZoneAttemptStats.ELSEWHERE).succeeded);
+    assertEquals(5, stats.past(ZoneAttemptStats.OTHER_ZONES).succeeded);
+    assertEquals(6, stats.current(ZoneAttemptStats.OTHER_ZONES).succeeded);
     assertEquals(0, stats.past(3).succeeded);
   }
 
