--- a/src/main/java/pearusher/policy/LocalityPreference.java
+++ b/src/main/java/pearusher/policy/LocalityPreference.java
@@ -65,12 +65,12 @@
   }
 
   /**
-   * Returns a server's unnormalized weight in a zone, which is inverse to its response time plus
+   * Returns a server's unnormalised weight in a zone, which is inverse to its response time plus
    * the penalty.
    *
    * @param penaltyUs penalty on servers of other zones, in microseconds
    */
-  static double unnormalizedWeight(Server server, int zone, double penaltyUs) {
+  static double unnormalisedWeight(Server server, int zone, double penaltyUs) {
     double addedUs = server.zone == zone ? 0 : penaltyUs;
     return server.weightFactor / (server.zoneTimeUs + addedUs);
   }
@@ -87,11 +87,11 @@
       return 0;
     }
     ZoneTable table = fleet.tables().get(zone);
-    initializePreference(table, zone, own.size());
+    initialisePreference(table, zone, own.size());
     adjustPreference(table, own, others);
-    double ownWeight = total(own, server -> unnormalizedWeight(server, zone, 0));
+    double ownWeight = total(own, server -> unnormalisedWeight(server, zone, 0));
     double evenShare =
-        ownWeight / total(fleet.scope().servers(), server -> unnormalizedWeight(server, zone, 0));
+        ownWeight / total(fleet.scope().servers(), server -> unnormalisedWeight(server, zone, 0));
     double wantedShare = wantedShare(table, zone, evenShare);
     if (wantedShare > evenShare) {
       return solvePenaltyUs(others, zone, ownWeight * (1 - wantedShare) / wantedShare);
@@ -99,7 +99,7 @@
     return 0;
   }
 
-  private void initializePreference(ZoneTable table, int zone, int ownServers) {
+  private void initialisePreference(ZoneTable table, int zone, int ownServers) {
     if (clock.periodsWithReports() == 0) {
       long ownProxies = fleet.proxies().all().stream().filter(proxy -> proxy.zone == zone).count();
       long size = Math.max(1, Math.min(ownServers, ownProxies));
@@ -169,12 +169,12 @@
     double penaltyUs = 0;
     for (int i = 0; i < NEWTON_ITERATIONS; i++) {
       double currentUs = penaltyUs;
-      double weight = total(others, server -> unnormalizedWeight(server, zone, currentUs));
+      double weight = total(others, server -> unnormalisedWeight(server, zone, currentUs));
       double slope =
           total(
               others,
               server ->
-                  unnormalizedWeight(server, zone, currentUs) / (server.zoneTimeUs + currentUs));
+                  unnormalisedWeight(server, zone, currentUs) / (server.zoneTimeUs + currentUs));
       penaltyUs += (weight - wantedWeight) / slope;
     }
     return penaltyUs;
--- a/src/main/java/pearusher/policy/ResponseTimeEstimator.java
+++ b/src/main/java/pearusher/policy/ResponseTimeEstimator.java
@@ -61,12 +61,12 @@
         .get()
         .attempts
         .current(countedZone)
-        .add(report.attempts() - failed, failed, report.meanUs(), evidenceWeight(report));
+        .add(report.attempts() - failed, failed, report.meanUs(), ageFactor(report));
     clock.onLoadReport();
     return true;
   }
 
-  private double evidenceWeight(AttemptReport report) {
+  private double ageFactor(AttemptReport report) {
     double middleAgeUs =
         Math.max(0, report.spanUs() - settings.controlPeriodUs()) / 2.0 + report.ageUs();
     return EvidenceDecay.factor(middleAgeUs, settings.controlPeriodUs());
--- a/src/main/java/pearusher/policy/WeightCalculator.java
+++ b/src/main/java/pearusher/policy/WeightCalculator.java
@@ -98,12 +98,12 @@
   private void assignShares(int zone, ZoneTable table, List<Server> servers) {
     double penaltyUs = locality.crossZonePenaltyUs(zone);
     double totalWeight =
-        total(servers, server -> LocalityPreference.unnormalizedWeight(server, zone, penaltyUs));
+        total(servers, server -> LocalityPreference.unnormalisedWeight(server, zone, penaltyUs));
     boolean nothingSucceeded =
         total(servers, Server::succeededAttempts) < 1 && !table.plannedShares.isEmpty();
     boolean hasReportsOrRestoredTables = clock.periodsWithReports() > 0 || hold.hasRestoredTables();
     for (Server server : servers) {
-      server.share = LocalityPreference.unnormalizedWeight(server, zone, penaltyUs) / totalWeight;
+      server.share = LocalityPreference.unnormalisedWeight(server, zone, penaltyUs) / totalWeight;
       Double lastShare = table.plannedShares.get(server.id);
       if (lastShare != null && server.slowStartFactor >= 1 && hasReportsOrRestoredTables) {
         server.share =
--- a/src/test/java/pearusher/policy/AdmissionTest.java
+++ b/src/test/java/pearusher/policy/AdmissionTest.java
@@ -10,11 +10,12 @@
 /** Overload detection and the admission levels of request classes. */
 class AdmissionTest {
   /**
-   * A sampled intake delivers reports of a few servers in each period. Guards against shedding the
-   * load of the complete fleet because the slow servers' reports arrive in the same period.
+   * With report lines in rotation, each period has reports of a few servers. Guards against
+   * shedding load of the complete fleet because the reports of the slow servers arrive in the same
+   * period.
    */
   @Test
-  void slowServersWhoseReportsArriveTogetherAreNoOverload() {
+  void reportsOfSlowServersInOnePeriodAreNoOverload() {
     PolicyFixture fixture = PolicyFixture.started(40, 300);
     for (int i = 0; i < 40; i++) {
       fixture.advance(PolicyFixture.SECOND_US);
@@ -30,12 +31,12 @@
     }
     assertFalse(
         fixture.commands.logLines.contains("overload started"),
-        "the mean over all is 0.31 of the latency objective");
+        "the mean of all servers is 0.31 of the latency objective");
   }
 
   /**
-   * Admission changes pay for the overhead of the messages: weights share them, or would never be
-   * sent during an overload of many proxies.
+   * Messages that change admission levels carry the message overhead already, and weights are added
+   * to them. Guards against weights that are never sent during an overload of many proxies.
    */
   @Test
   void weightsAreSentTogetherWithAdmissionChanges() {
@@ -54,7 +55,7 @@
   }
 
   @Test
-  void theClassOfLowestPriorityWeightIsShedFirstAndAdmittedAgain() {
+  void classOfLowestPriorityIsShedFirstAndAdmittedAfterTheOverload() {
     PolicyFixture fixture = PolicyFixture.started(8, 4);
     fixture.runPeriods(3);
     fixture.failAll(0.4, 500);
@@ -104,9 +105,12 @@
     }
   }
 
-  /** Reports of an overload arrive bit by bit; a small first reduction must not delay the next. */
+  /**
+   * Reports of an overload arrive gradually. Guards against a small first reduction that delays the
+   * next one.
+   */
   @Test
-  void aReductionIsDeepenedByReportsThatArriveBeforeItTakesEffect() {
+  void reportsThatArriveBeforeAReductionTakesEffectIncreaseIt() {
     PolicyFixture fixture = PolicyFixture.started(8, 4);
     fixture.runPeriods(6);
     fixture.failAll(0.15, 650);
@@ -117,7 +121,7 @@
     fixture.runPeriods(1);
     assertTrue(
         fixture.commands.admissionByClass.get(1) < 0.8 * first,
-        first + " to " + fixture.commands.admissionByClass.get(1));
+        "reduced from " + first + " only to " + fixture.commands.admissionByClass.get(1));
   }
 
   @Test
@@ -133,6 +137,6 @@
     }
     assertTrue(
         fixture.commands.admissionByClass.get(1) >= first,
-        first + " fell to " + fixture.commands.admissionByClass.get(1));
+        "reduced again, from " + first + " to " + fixture.commands.admissionByClass.get(1));
   }
 }
--- a/src/test/java/pearusher/policy/CommandDigest.java
+++ b/src/test/java/pearusher/policy/CommandDigest.java
@@ -14,24 +14,24 @@
 /**
  * Computes a digest of the commands of a policy.
  *
- * <p>Each command is written as one line of a fixed keyword and its values. The keywords belong to
- * this class alone, so that names in the main code can change without changing a digest. Log texts
- * have a digest of their own; the digest of the commands holds only the fact that a text was
- * logged.
+ * <p>Each command is written as one line with a fixed keyword and its values. The keywords are
+ * defined by this class alone, so that names in the main code can change without changing a digest.
+ * Log texts have a digest of their own; the digest of the commands only includes the fact that a
+ * text was logged.
  */
 final class CommandDigest implements PolicyCommands {
-  /** A timer that the policy has set. */
+  /** A timer set by the policy. */
   record Timer(long delayUs, long token) {}
 
-  /** Weights by server, by table. */
+  /** Weights by table and server. */
   final Map<Integer, Map<Long, Double>> tables = new TreeMap<>();
 
-  /** The table of each bound proxy. */
+  /** Table by bound proxy. */
   final Map<Integer, Integer> bound = new TreeMap<>();
 
   final Set<Long> ejected = new TreeSet<>();
 
-  // Orders of the reply at hand.
+  // Commands of the current batch.
   final List<Timer> timersOfBatch = new ArrayList<>();
   final List<Long> healthChecksOfBatch = new ArrayList<>();
   final Set<Integer> proxiesBoundInBatch = new TreeSet<>();
@@ -41,7 +41,7 @@
   boolean isWatchStartedInBatch;
 
   private final MessageDigest commandDigest = sha256();
-  private final MessageDigest textDigest = sha256();
+  private final MessageDigest logTextDigest = sha256();
   private final Map<String, Integer> counts = new TreeMap<>();
 
   static MessageDigest sha256() {
@@ -52,8 +52,8 @@
     }
   }
 
-  /** Forgets what belongs to the last reply and writes the time of the next one. */
-  void startReply(long nowUs) {
+  /** Clears the commands of the last batch and writes the time of the next one. */
+  void startBatch(long nowUs) {
     timersOfBatch.clear();
     healthChecksOfBatch.clear();
     proxiesBoundInBatch.clear();
@@ -64,15 +64,15 @@
     add(commandDigest, "at " + nowUs);
   }
 
-  String ordersDigest() {
+  String commandsDigestHex() {
     return HexFormat.of().formatHex(commandDigest.digest());
   }
 
-  String textsDigest() {
-    return HexFormat.of().formatHex(textDigest.digest());
+  String logTextsDigestHex() {
+    return HexFormat.of().formatHex(logTextDigest.digest());
   }
 
-  /** The number of commands of each kind. */
+  /** Returns the number of commands of each kind. */
   Map<String, Integer> counts() {
     return counts;
   }
@@ -186,7 +186,7 @@
   @Override
   public void log(String text) {
     write("text");
-    add(textDigest, text);
+    add(logTextDigest, text);
   }
 
   @Override
--- a/src/test/java/pearusher/policy/CommandLog.java
+++ b/src/test/java/pearusher/policy/CommandLog.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Commands as text, for tests of a single module of the policy. */
+/** Records commands as text, for tests of a single module of the policy. */
 final class CommandLog {
   final List<String> lines = new ArrayList<>();
 
--- a/src/test/java/pearusher/policy/ControlClockTest.java
+++ b/src/test/java/pearusher/policy/ControlClockTest.java
@@ -8,6 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
+/** Times at which a control period is due, with and without load reports. */
 class ControlClockTest {
   private static final long PERIOD_US = 1_000_000;
   private static final long START_US = 50_000_000;
@@ -23,14 +24,14 @@
   }
 
   @Test
-  void reportsMakeAPeriodDueFromFourFifthsOn() {
+  void periodWithReportsIsDueAfterFourFifths() {
     clock.onLoadReport();
     assertFalse(clock.isPeriodDue(START_US + 799_999));
     assertTrue(clock.isPeriodDue(START_US + 800_000));
   }
 
   @Test
-  void withoutReportsAPeriodIsDueThreeTenthsLate() {
+  void periodWithoutReportsIsDueThreeTenthsLate() {
     assertFalse(clock.isPeriodDue(START_US + 999_999), "no timer has fired");
     clock.onTimer(START_US + PERIOD_US);
     assertFalse(clock.isPeriodDue(START_US + PERIOD_US));
@@ -40,7 +41,7 @@
   }
 
   @Test
-  void aReportThatArrivesWhileThePeriodIsLateMakesItDue() {
+  void reportDuringTheExtendedWaitMakesThePeriodDue() {
     clock.onTimer(START_US + PERIOD_US);
     assertFalse(clock.isPeriodDue(START_US + PERIOD_US));
     clock.onLoadReport();
@@ -48,7 +49,7 @@
   }
 
   @Test
-  void aTimerOfAnEarlierPeriodIsIgnored() {
+  void timerOfAnEarlierPeriodIsIgnored() {
     clock.onLoadReport();
     clock.beginPeriod(START_US + 800_000);
     clock.onTimer(START_US + PERIOD_US);
@@ -58,7 +59,7 @@
   }
 
   @Test
-  void aPeriodTellsItsLengthAndWhetherItHadReports() {
+  void beginPeriodReturnsTheLengthAndRecordsWhetherReportsArrived() {
     assertFalse(clock.periodHasReports());
     assertEquals(0, clock.periodsWithReports());
     clock.onLoadReport();
--- a/src/test/java/pearusher/policy/HistorySettings.java
+++ b/src/test/java/pearusher/policy/HistorySettings.java
@@ -19,7 +19,7 @@
         .siteTraits(siteTraits(false));
   }
 
-  /** Classes that are idempotent, not idempotent and idempotent with a key, one after the other. */
+  /** Returns classes that are, in turn, idempotent, not idempotent, and idempotent with a key. */
   static List<RequestClass> requestClasses(int count) {
     List<RequestClass> requestClasses = new ArrayList<>();
     for (int number = 0; number < count; number++) {
@@ -49,7 +49,7 @@
         0);
   }
 
-  static SiteTraits siteTraits(boolean bindsToOwnZoneOnly) {
+  static SiteTraits siteTraits(boolean proxiesJoinInOwnZone) {
     return new SiteTraits(
         PickMethod.RANDOM,
         0,
@@ -58,7 +58,7 @@
         60 * SECOND_US,
         SECOND_US,
         0,
-        bindsToOwnZoneOnly,
+        proxiesJoinInOwnZone,
         false,
         false,
         0,
--- a/src/test/java/pearusher/policy/LoadScenarios.java
+++ b/src/test/java/pearusher/policy/LoadScenarios.java
@@ -5,7 +5,7 @@
 
 import java.util.List;
 
-/** Scripts of outliers, zones of different cost and missing reports. */
+/** Scenarios with outliers, cross-zone costs and missing reports. */
 final class LoadScenarios {
   private LoadScenarios() {}
 
@@ -40,7 +40,7 @@
             "silence-late-reports-lost-answers",
             HistorySettings.defaults().build(),
             20,
-            LoadScenarios::missingReportsAndAcks));
+            LoadScenarios::missingReportsAndAcknowledgements));
   }
 
   private static void oneServer(PolicyHistory history) {
@@ -103,13 +103,13 @@
     history.run(8);
   }
 
-  private static void setZone(PolicyHistory history, int zone, double meanMs, double failShare) {
+  private static void setZone(PolicyHistory history, int zone, double meanMs, double failureShare) {
     history.servers.values().stream()
         .filter(server -> server.zone == zone)
         .forEach(
             server -> {
               server.meanMs = meanMs;
-              server.failureShare = failShare;
+              server.failureShare = failureShare;
             });
   }
 
@@ -121,12 +121,12 @@
     history.run(12);
   }
 
-  private static void missingReportsAndAcks(PolicyHistory history) {
+  private static void missingReportsAndAcknowledgements(PolicyHistory history) {
     history.start(14, 2, 6);
     history.run(6);
-    history.areReportsSuspended = true;
+    history.reportsSuspended = true;
     history.run(8);
-    history.areReportsSuspended = false;
+    history.reportsSuspended = false;
     history.reportAgeUs = 4 * SECOND;
     history.run(8);
     history.reportAgeUs = 0;
--- a/src/test/java/pearusher/policy/LocalityPreferenceTest.java
+++ b/src/test/java/pearusher/policy/LocalityPreferenceTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The preference of servers of the own zone, and its limits. */
+/** Preference for servers of the own zone, and its limits. */
 class LocalityPreferenceTest {
   @Test
-  void thePreferenceStartsByProxiesAndLeavesWhatAZoneCannotServe() {
+  void initialPreferenceCountsProxiesAndIsLimitedByTheCapacityOfTheZone() {
     PolicyFixture fixture =
         new PolicyFixture(
             new PolicySettingsBuilder().idempotentRequestsOnly().crossZoneCost(0.08).build());
@@ -24,12 +24,14 @@
       }
     }
     assertTrue(
-        ownZoneShare[1] > 0.8, "a zone with a quarter of the proxies keeps " + ownZoneShare[1]);
-    assertTrue(ownZoneShare[0] < 0.72, "a zone with three quarters keeps " + ownZoneShare[0]);
+        ownZoneShare[1] > 0.8, "own-zone share with a quarter of the proxies: " + ownZoneShare[1]);
+    assertTrue(
+        ownZoneShare[0] < 0.72,
+        "own-zone share with three quarters of the proxies: " + ownZoneShare[0]);
   }
 
   @Test
-  void theOwnZoneTakesMoreWhileItPerformsWellAndLessWhenItDegrades() {
+  void ownZoneShareRisesWhileItsServersAreFastAndFallsWhenTheyAreSlow() {
     PolicyFixture fixture =
         new PolicyFixture(
             new PolicySettingsBuilder().idempotentRequestsOnly().crossZoneCost(0.08).build());
@@ -39,16 +41,16 @@
     for (long id = 2; id <= 8; id += 2) {
       ownZoneShare += fixture.commands.share(0, id);
     }
-    assertTrue(ownZoneShare > 0.75, "share of the own zone " + ownZoneShare);
+    assertTrue(ownZoneShare > 0.75, "own-zone share with fast servers: " + ownZoneShare);
     assertEquals(8, fixture.commands.weightsByTable.get(0).size());
     for (long id = 2; id <= 8; id += 2) {
       fixture.latencyMs.put(id, 600.0);
     }
     fixture.runPeriods(8);
-    double after = 0;
+    double slowOwnZoneShare = 0;
     for (long id = 2; id <= 8; id += 2) {
-      after += fixture.commands.share(0, id);
+      slowOwnZoneShare += fixture.commands.share(0, id);
     }
-    assertTrue(after < 0.45, "share of a slow own zone " + after);
+    assertTrue(slowOwnZoneShare < 0.45, "own-zone share with slow servers: " + slowOwnZoneShare);
   }
 }
--- a/src/test/java/pearusher/policy/OverloadDetectorTest.java
+++ b/src/test/java/pearusher/policy/OverloadDetectorTest.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The latency objective is one second; a mean from 0.6 s on is overload. */
+/**
+ * Overload detection and the admitted share. The latency objective is one second; a mean response
+ * time from 0.6 s on is overload.
+ */
 class OverloadDetectorTest {
   private final PolicyModules modules = new PolicyModules(new PolicySettingsBuilder().build());
   private final OverloadDetector overload =
@@ -32,22 +35,23 @@
   }
 
   @Test
-  void lateResponsesCutTheAdmittedShareOnceUntilTheCutShows() {
+  void slowResponsesCutTheAdmittedShareOnceUntilTheCutTakesEffect() {
     modules.listServers(4);
     runPeriods(1, 0, 900_000);
     assertTrue(overload.isOverloaded());
     assertEquals(0.7, overload.admittedShare(), 1e-12);
     runPeriods(1, 0, 900_000);
-    assertEquals(0.7, overload.admittedShare(), 1e-12, "the reports are from before the cut");
+    assertEquals(
+        0.7, overload.admittedShare(), 1e-12, "the reports describe the load before the cut");
   }
 
   @Test
-  void theAdmittedShareGrowsAgainAfterTheOverload() {
+  void admittedShareGrowsAfterTheOverload() {
     modules.listServers(4);
     runPeriods(1, 0, 900_000);
     runPeriods(1, 0, 100_000);
     assertEquals(0.7 * 1.15, overload.admittedShare(), 1e-12);
-    assertTrue(overload.isOverloaded(), "until everything is admitted");
+    assertTrue(overload.isOverloaded(), "the overload lasts until all requests are admitted");
     runPeriods(10, 0, 100_000);
     assertEquals(1, overload.admittedShare());
     assertFalse(overload.isOverloaded());
@@ -55,18 +59,18 @@
   }
 
   @Test
-  void failuresAreOverloadOnlyIfResponsesAreSlowerAsWell() {
+  void failuresIndicateOverloadOnlyIfResponsesAreSlowerAsWell() {
     modules.listServers(4);
     runPeriods(3, 0, 200_000);
     runPeriods(3, 30, 200_000);
     assertFalse(overload.isOverloaded());
     runPeriods(1, 30, 400_000);
     assertTrue(overload.isOverloaded());
-    assertEquals(0.7, overload.admittedShare(), 1e-12, "by the share that failed");
+    assertEquals(0.7, overload.admittedShare(), 1e-12, "reduced by the share of failed attempts");
   }
 
   @Test
-  void aPeriodWithoutReportsChangesNothing() {
+  void periodWithoutReportsChangesNothing() {
     modules.listServers(4);
     runPeriods(1, 0, 900_000);
     modules.nowUs += 10 * PolicyModules.SECOND_US;
@@ -77,13 +81,13 @@
   }
 
   @Test
-  void aRestoredShareNearOneIsNoOverload() {
+  void restoredShareNearOneIsNoOverload() {
     overload.restoreOverload();
     overload.restoreAdmittedShare(0.9);
     assertFalse(overload.isOverloaded());
     assertEquals(1, overload.admittedShare());
     overload.restoreAdmittedShare(0.05);
     assertTrue(overload.isOverloaded());
-    assertEquals(0.15, overload.admittedShare(), "the least share");
+    assertEquals(0.15, overload.admittedShare(), "the minimum share");
   }
 }
--- a/src/test/java/pearusher/policy/OverloadScenarios.java
+++ b/src/test/java/pearusher/policy/OverloadScenarios.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Scripts of overload, health checks and servers that are added meanwhile. */
+/** Scenarios with overload, health checks, and servers that are added during an overload. */
 final class OverloadScenarios {
   private OverloadScenarios() {}
 
@@ -54,7 +54,7 @@
             "mostly-cold-servers",
             HistorySettings.defaults().build(),
             33,
-            OverloadScenarios::mostlyColdServers));
+            OverloadScenarios::mostlyServersInSlowStart));
   }
 
   private static List<PolicyScenario> withHealthChecks() {
@@ -136,7 +136,9 @@
     history.run(12);
   }
 
-  /** Servers are added in waves while some attempts fail and reports stop for a while. */
+  /**
+   * Servers are added in waves while some attempts fail and reports are suspended for some time.
+   */
   private static void scaleUpDuringOverload(PolicyHistory history) {
     history.start(10, 2, 8);
     history.run(5);
@@ -152,9 +154,9 @@
       history.sendListUpdate(serverIds(first, first + 5));
       history.endBatch();
       history.run(2.7);
-      history.areReportsSuspended = true;
+      history.reportsSuspended = true;
       history.run(1 + wave * 0.6);
-      history.areReportsSuspended = false;
+      history.reportsSuspended = false;
       history.run(2.3);
     }
     history.failureShare = 0;
@@ -162,9 +164,10 @@
   }
 
   /**
-   * Few warm servers, many cold ones, failures, and reports that stop for times drawn at random.
+   * Few servers past slow start, many servers in slow start, failures, and reports that are
+   * suspended for random times.
    */
-  private static void mostlyColdServers(PolicyHistory history) {
+  private static void mostlyServersInSlowStart(PolicyHistory history) {
     history.start(2, 2, 8);
     history.run(4);
     history.failureShare = 0.3;
@@ -173,9 +176,9 @@
     history.endBatch();
     for (int pause = 0; pause < 10; pause++) {
       history.run(1 + history.random.nextDouble());
-      history.areReportsSuspended = true;
+      history.reportsSuspended = true;
       history.run(1 + 2 * history.random.nextDouble());
-      history.areReportsSuspended = false;
+      history.reportsSuspended = false;
       history.failureShare = 0.05 * (pause % 3);
       history.restart(serverIds(3 + 4 * pause, 6 + 4 * pause));
       history.endBatch();
--- a/src/test/java/pearusher/policy/PolicyFixture.java
+++ b/src/test/java/pearusher/policy/PolicyFixture.java
@@ -5,14 +5,14 @@
 import java.util.TreeMap;
 
 /**
- * A policy with simulated time, servers and proxies: each server has a response time and a share of
- * attempts that fail, from which the fixture makes load reports.
+ * A policy with simulated time, servers and proxies. Each server has a response time and a share of
+ * failed attempts, from which the fixture generates load reports.
  */
 final class PolicyFixture {
   static final long SECOND_US = 1_000_000;
   static final float[] NO_LOAD = new float[0];
 
-  /** Tokens of the policy's timers. */
+  /** Tokens of the timers that the policy sets. */
   static final long CONTROL_PERIOD_TIMER = 1;
 
   static final long ENDPOINT_LIST_TIMER = 2;
@@ -35,7 +35,7 @@
 
   double attemptsPerZone = 100;
   long nowUs = 100 * SECOND_US;
-  private List<ServerEntry> firstServers = List.of();
+  private List<ServerEntry> initialServers = List.of();
 
   PolicyFixture(PolicySettings settings) {
     this.settings = settings;
@@ -46,13 +46,13 @@
     this(new PolicySettingsBuilder().build());
   }
 
-  /** With default settings, servers started long ago and proxies that are bound. */
+  /** Returns a fixture with default settings, servers that started long ago, and bound proxies. */
   static PolicyFixture started(int servers, int proxies) {
     return new PolicyFixture().start(TestServers.readyServers(servers, 2), proxies);
   }
 
   PolicyFixture start(List<ServerEntry> servers, int proxies) {
-    firstServers = servers;
+    initialServers = servers;
     sendEndpointList(ListUpdateKind.CACHED, servers);
     for (int proxy = 0; proxy < proxies; proxy++) {
       join(proxy, true);
@@ -61,14 +61,14 @@
     return this;
   }
 
-  /** A proxy joins in the zone of its number. */
-  void join(int proxy, boolean holdsNoTable) {
-    join(proxy, proxy % settings.zones(), holdsNoTable);
+  /** Joins a proxy whose number, modulo the number of zones, is its zone. */
+  void join(int proxy, boolean listedChangesOnly) {
+    join(proxy, proxy % settings.zones(), listedChangesOnly);
   }
 
-  void join(int proxy, int zone, boolean holdsNoTable) {
+  void join(int proxy, int zone, boolean listedChangesOnly) {
     commands.joinedProxies.add(proxy);
-    policy.onProxyJoined(nowUs, proxy, zone, REQUESTS_PER_SECOND, holdsNoTable);
+    policy.onProxyJoined(nowUs, proxy, zone, REQUESTS_PER_SECOND, listedChangesOnly);
   }
 
   void leave(int proxy) {
@@ -81,7 +81,7 @@
     policy.onEndpointList(nowUs, kind, entries);
   }
 
-  /** Sends an endpoint list as a batch of its own. */
+  /** Sends an endpoint list and ends its batch. */
   void updateEndpoints(ListUpdateKind kind, List<ServerEntry> entries) {
     sendEndpointList(kind, entries);
     endBatch();
@@ -95,7 +95,7 @@
     policy.onBatchEnd(nowUs);
   }
 
-  /** Ends a batch in which the pacing timer has fired. */
+  /** Fires the pacing timer and ends the batch. */
   void endPacedBatch() {
     fireTimer(PACING_TIMER);
     endBatch();
@@ -116,16 +116,16 @@
     policy.onUsageReport(nowUs, proxy, requestClass, requests, failed, spanUs);
   }
 
-  /** Each proxy acknowledges the last message after this time. */
+  /** Lets each proxy acknowledge the last message, with a given delay. */
   void acknowledgeAll(long delayUs) {
     for (int proxy : commands.joinedProxies) {
       policy.onAcknowledgement(nowUs, proxy, commands.lastAckNumber, delayUs);
     }
   }
 
-  /** Sets the failures and response times of all servers of the start, as an overload shows. */
+  /** Sets the share of failures and the response time of all initial servers, as in an overload. */
   void failAll(double share, double meanMs) {
-    for (ServerEntry server : firstServers) {
+    for (ServerEntry server : initialServers) {
       failureShare.put(server.server(), share);
       latencyMs.put(server.server(), meanMs);
     }
@@ -136,7 +136,10 @@
     latencyMs.clear();
   }
 
-  /** One second: reports by the shares of each zone's table, the end of the batch, the acks. */
+  /**
+   * Runs one second: delivers reports according to the shares of each zone's table, ends the batch
+   * and acknowledges its messages.
+   */
   void runPeriod() {
     advance(SECOND_US);
     deliverReports();
@@ -153,7 +156,7 @@
     return this;
   }
 
-  /** Runs periods in which each health check returns this utilization. */
+  /** Runs periods in which each health check returns the given utilization. */
   void runPeriodsAtUtilization(int count, double utilization) {
     float[] load = {(float) utilization};
     for (int i = 0; i < count; i++) {
@@ -166,7 +169,10 @@
     }
   }
 
-  /** A second's load and usage reports, by the shares of each zone's table. */
+  /**
+   * Delivers the load and usage reports of one second, according to the shares of each zone's
+   * table.
+   */
   void deliverReports() {
     for (int zone = 0; zone < settings.zones(); zone++) {
       reportZone(zone);
--- a/src/test/java/pearusher/policy/PolicyHistory.java
+++ b/src/test/java/pearusher/policy/PolicyHistory.java
@@ -11,9 +11,9 @@
 /**
  * A simulated deployment around one policy.
  *
- * <p>Servers respond, proxies report and acknowledge, and timers fire in simulated time. All of it
- * depends on the seed and on the script that changes the deployment: a history gives the same
- * commands each time.
+ * <p>Servers respond, proxies report and acknowledge, and timers fire in simulated time. Everything
+ * depends only on the seed and on the script that changes the deployment, so a history produces the
+ * same commands in each run.
  */
 final class PolicyHistory {
   static final long SECOND = 1_000_000;
@@ -21,7 +21,7 @@
   private static final int REPORT_GROUPS = 5;
   private static final long ACKNOWLEDGEMENT_BATCH_US = 50_000;
 
-  /** What a server does with the requests it gets. */
+  /** Behaviour of a simulated server. */
   static final class ServerModel {
     final long id;
     final int zone;
@@ -49,33 +49,33 @@
   final SplittableRandom random;
   final Map<Long, ServerModel> servers = new TreeMap<>();
 
-  /** The zone of each proxy. */
+  /** Zone by proxy. */
   final Map<Integer, Integer> proxies = new TreeMap<>();
 
-  /** Answer times of all servers are multiplied by this. */
+  /** Factor of the response times of all servers. */
   double slowdownFactor = 1;
 
-  /** Share of attempts that fail in addition to the failures of a server. */
+  /** Share of attempts that fail in addition to the failures of a single server. */
   double failureShare;
 
   double attemptsPerZone = 300;
 
-  /** Requests a second of each class at a proxy. */
+  /** Requests per second and class at each proxy. */
   double requestsPerSecond = 10;
 
-  /** Utilization that health checks return, from 0 to 1. */
+  /** Utilization that health checks return, from 0 to 1, before a random increase of up to 0.1. */
   double utilization = 0.4;
 
   double healthCheckLoss = 0.1;
-  boolean areReportsSuspended;
+  boolean reportsSuspended;
 
-  /** Reports come so much later than the span that they cover. */
+  /** Delay between the end of a report's time span and its arrival, in microseconds. */
   long reportAgeUs;
 
   double acknowledgementLoss;
   long acknowledgementDelayUs;
 
-  /** The pace of the channel as a share of the stated one. */
+  /** Rate of the channel, as a share of the configured rate. */
   double channelRateFactor = 1;
 
   boolean isListUnavailable;
@@ -91,27 +91,28 @@
   PolicyHistory(PolicySettings settings, long seed) {
     this.settings = settings;
     random = new SplittableRandom(seed);
-    commands.startReply(nowUs());
+    commands.startBatch(nowUs());
     policy = new FaastPolicy(settings, commands);
     for (int group = 0; group < REPORT_GROUPS; group++) {
       scheduleReports(group, SECOND + group * SECOND / REPORT_GROUPS);
     }
   }
 
-  /** The time that the policy gets. */
+  /** Returns the current time as passed to the policy. */
   long nowUs() {
     return elapsedUs + clockOffsetUs;
   }
 
-  void stepClock(long elapsedUs) {
-    clockOffsetUs += elapsedUs;
+  /** Changes the clock of the policy without advancing the simulated time. */
+  void stepClock(long stepUs) {
+    clockOffsetUs += stepUs;
   }
 
   private void schedule(long delayUs, Runnable action) {
     queue.add(new Scheduled(elapsedUs + delayUs, sequence++, action));
   }
 
-  /** Advances the simulated time. */
+  /** Advances the simulated time and runs the events that are due. */
   void run(double seconds) {
     long endUs = elapsedUs + Math.round(seconds * SECOND);
     while (!queue.isEmpty() && queue.peek().atUs() <= endUs) {
@@ -124,7 +125,7 @@
     elapsedUs = endUs;
   }
 
-  /** Ends the events of one instant and executes the commands. */
+  /** Ends the batch of events of one instant and executes the commands. */
   void endBatch() {
     policy.onBatchEnd(nowUs());
     for (CommandDigest.Timer timer : commands.timersOfBatch) {
@@ -141,10 +142,10 @@
     if (commands.ackNumberOfBatch > 0) {
       sendMessages(commands.ackNumberOfBatch);
     }
-    commands.startReply(nowUs());
+    commands.startBatch(nowUs());
   }
 
-  /** Lists servers started long ago, lets proxies without tables join and ends the batch. */
+  /** Lists servers that started long ago, joins proxies without tables, and ends the batch. */
   void start(int servers, int zonesWithProxies, int proxies) {
     addServers(1, servers, settings.zones(), LONG_AGO_US);
     sendEndpointList(ListUpdateKind.CACHED);
@@ -152,12 +153,10 @@
     endBatch();
   }
 
-  // Servers and the list.
-
-  /** Adds servers with consecutive numbers, in turn over the zones, without listing them. */
-  void addServers(long first, int count, int overZones, long startedUs) {
+  /** Adds servers with consecutive numbers, with zones assigned in turn, without listing them. */
+  void addServers(long first, int count, int zoneCount, long startedUs) {
     for (long id = first; id < first + count; id++) {
-      ServerModel server = new ServerModel(id, (int) (id % overZones));
+      ServerModel server = new ServerModel(id, (int) (id % zoneCount));
       server.startedUs = startedUs;
       server.meanMs = 100 + random.nextInt(200);
       servers.put(id, server);
@@ -172,7 +171,7 @@
     policy.onEndpointList(nowUs(), kind, entries);
   }
 
-  /** Tells that these servers changed. */
+  /** Sends an endpoint-list update with the current state of these servers. */
   void sendListUpdate(List<Long> ids) {
     policy.onEndpointList(
         nowUs(), ListUpdateKind.DELTA, ids.stream().map(id -> servers.get(id).entry()).toList());
@@ -192,7 +191,7 @@
     sendListUpdate(ids);
   }
 
-  /** Servers with the numbers from first to last. */
+  /** Returns the server numbers from {@code first} to {@code last}. */
   static List<Long> serverIds(long first, long last) {
     List<Long> ids = new ArrayList<>();
     for (long id = first; id <= last; id++) {
@@ -220,18 +219,16 @@
         () -> policy.onHealthCheckResult(nowUs(), id, result, tookUs, new float[] {3, load}));
   }
 
-  // Proxies.
-
-  void join(int proxy, int zone, boolean holdsNoTable) {
+  void join(int proxy, int zone, boolean listedChangesOnly) {
     proxies.put(proxy, zone);
     commands.bound.remove(proxy);
-    policy.onProxyJoined(nowUs(), proxy, zone, requestsPerSecond, holdsNoTable);
+    policy.onProxyJoined(nowUs(), proxy, zone, requestsPerSecond, listedChangesOnly);
   }
 
-  /** Proxies with consecutive numbers join, in turn in the first zones. */
-  void joinAll(int first, int count, int overZones, boolean holdsNoTable) {
+  /** Joins proxies with consecutive numbers, with zones assigned in turn. */
+  void joinAll(int first, int count, int zoneCount, boolean listedChangesOnly) {
     for (int proxy = first; proxy < first + count; proxy++) {
-      join(proxy, proxy % overZones, holdsNoTable);
+      join(proxy, proxy % zoneCount, listedChangesOnly);
     }
   }
 
@@ -267,8 +264,8 @@
   }
 
   /**
-   * Acknowledgements of different proxies share an instant, which keeps the number of batches
-   * small.
+   * Rounds a time up, so that acknowledgements of different proxies arrive at the same instant,
+   * which keeps the number of batches small.
    */
   private static long roundUpToBatch(long atUs) {
     return (atUs / ACKNOWLEDGEMENT_BATCH_US + 1) * ACKNOWLEDGEMENT_BATCH_US;
@@ -285,14 +282,12 @@
         + commands.ejectionChangesInBatch;
   }
 
-  // Reports.
-
   private void scheduleReports(int group, long delayUs) {
     schedule(
         delayUs,
         () -> {
           scheduleReports(group, SECOND);
-          if (!areReportsSuspended) {
+          if (!reportsSuspended) {
             for (int zone = group; zone < settings.zones(); zone += REPORT_GROUPS) {
               reportZone(zone);
             }
--- a/src/test/java/pearusher/policy/PolicyHistoryTest.java
+++ b/src/test/java/pearusher/policy/PolicyHistoryTest.java
@@ -14,14 +14,15 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Characterization of the policy: seeded histories of events give exactly the recorded commands.
+ * Characterization test of the policy: seeded histories of events must produce exactly the recorded
+ * commands.
  *
- * <p>The digests stand in policy-histories.txt, one history a line: its name, the digest of all
- * commands and the digest of the log texts. A change that keeps the behaviour changes none of them;
- * where a change of behaviour is intended, the failure message holds the new line.
+ * <p>The file policy-histories.txt contains one line per history: its name, the digest of all
+ * commands and the digest of the log texts. A change that preserves the behaviour changes none of
+ * them. If a change of behaviour is intended, the failure message contains the new line.
  */
 class PolicyHistoryTest {
-  private static final String RECORDED = "/policy-histories.txt";
+  private static final String RECORDED_HISTORIES = "/policy-histories.txt";
 
   static List<PolicyScenario> scenarios() {
     return PolicyScenario.all();
@@ -29,8 +30,8 @@
 
   private static Map<String, String> recorded() throws IOException {
     Map<String, String> lines = new TreeMap<>();
-    try (InputStream in = PolicyHistoryTest.class.getResourceAsStream(RECORDED)) {
-      assertNotNull(in, RECORDED);
+    try (InputStream in = PolicyHistoryTest.class.getResourceAsStream(RECORDED_HISTORIES)) {
+      assertNotNull(in, RECORDED_HISTORIES);
       new String(in.readAllBytes(), StandardCharsets.UTF_8)
           .lines()
           .forEach(line -> lines.put(line.split(" ")[0], line));
@@ -42,18 +43,18 @@
     PolicyHistory history = scenario.play();
     return scenario.name()
         + " "
-        + history.commands.ordersDigest()
+        + history.commands.commandsDigestHex()
         + " "
-        + history.commands.textsDigest();
+        + history.commands.logTextsDigestHex();
   }
 
   @ParameterizedTest
   @MethodSource("scenarios")
-  void aHistoryGivesTheRecordedCommands(PolicyScenario scenario) throws IOException {
+  void historyProducesTheRecordedCommands(PolicyScenario scenario) throws IOException {
     assertEquals(
         recorded().get(scenario.name()),
         line(scenario),
-        "the commands of this history changed; new line of " + RECORDED);
+        "the commands of this history changed; new line of " + RECORDED_HISTORIES);
   }
 
   @Test
--- a/src/test/java/pearusher/policy/PolicyModules.java
+++ b/src/test/java/pearusher/policy/PolicyModules.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The modules around a module under test, wired as {@link FaastPolicy} wires them. */
+/** The modules that a module under test depends on, connected as in {@link FaastPolicy}. */
 final class PolicyModules {
   static final long SECOND_US = PolicyFixture.SECOND_US;
 
@@ -42,12 +42,15 @@
     channel.start(nowUs);
   }
 
-  /** Registers a proxy of zone 0 with a demand that is even over the request classes. */
+  /** Registers a proxy of zone 0 with the same demand in each request class. */
   void join(int proxy, double requestsPerSecond) {
     proxies.add(nowUs, proxy, proxies.create(nowUs, 0, requestsPerSecond, true));
   }
 
-  /** Lists servers 1 to {@code count} of zone 0, started long ago, and chooses the scope. */
+  /**
+   * Lists servers 1 to {@code count} of zone 0, started long ago, and determines the servers in
+   * scope.
+   */
   List<Server> listServers(int count) {
     fleet.servers().applyUpdate(nowUs, ListUpdateKind.CACHED, TestServers.readyServers(count, 1));
     fleet.tables().get(0);
@@ -56,7 +59,7 @@
     return fleet.scope().servers();
   }
 
-  /** A control period in which each server reports the same attempts. */
+  /** Runs a control period in which each server reports the same attempts. */
   void runPeriod(long attempts, long failed, long meanUs) {
     nowUs += SECOND_US;
     for (Server server : fleet.scope().servers()) {
--- a/src/test/java/pearusher/policy/PolicyScenario.java
+++ b/src/test/java/pearusher/policy/PolicyScenario.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 
-/** A recorded history: its name, settings, seed and the script that changes the deployment. */
+/** A recorded history: its name, settings, seed, and the script that changes the deployment. */
 record PolicyScenario(
     String name, PolicySettings settings, long seed, Consumer<PolicyHistory> script) {
   static List<PolicyScenario> all() {
--- a/src/test/java/pearusher/policy/PolicySettingsBuilder.java
+++ b/src/test/java/pearusher/policy/PolicySettingsBuilder.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Builds settings of a policy for tests; each has a default that a test may change. */
+/** Builds policy settings for tests. Every setting has a default that a test may override. */
 final class PolicySettingsBuilder {
   private static final long SECOND_US = PolicyFixture.SECOND_US;
 
@@ -16,7 +16,7 @@
   private double maxBacklogLines = 4500;
   private int maxMessagesPerProxy;
   private long drainGraceUs = 2 * SECOND_US;
-  private long rampUs = 10 * SECOND_US;
+  private long slowStartUs = 10 * SECOND_US;
   private double crossZoneCost;
   private AdmissionMode admissionMode = AdmissionMode.SHARE;
   private double maxReportsPerSecond = 150;
@@ -28,7 +28,9 @@
   private List<LoadMetric> loadMetrics = List.of(LoadMetric.UTILIZATION);
   private SiteTraits siteTraits;
 
-  /** A class with a latency objective of one second and a deadline of three. */
+  /**
+   * Returns a request class with a latency objective of one second and a deadline of three seconds.
+   */
   static RequestClass requestClass(Idempotency idempotency, double priorityWeight) {
     boolean writes = idempotency == Idempotency.NOT_IDEMPOTENT;
     return new RequestClass(
@@ -59,12 +61,15 @@
     return this;
   }
 
-  /** One request class, which is idempotent, in place of one idempotent and one that is not. */
+  /**
+   * Replaces the two default request classes, one idempotent and one not, by a single idempotent
+   * class.
+   */
   PolicySettingsBuilder idempotentRequestsOnly() {
     return requestClasses(List.of(requestClass(Idempotency.IDEMPOTENT, 1)));
   }
 
-  /** Proxies of the fleet, of which the instance may get all. */
+  /** Sets the number of proxies of the fleet, all of which may join the instance. */
   PolicySettingsBuilder proxies(int value) {
     proxies = value;
     return this;
@@ -95,8 +100,8 @@
     return this;
   }
 
-  PolicySettingsBuilder rampUs(long value) {
-    rampUs = value;
+  PolicySettingsBuilder slowStartUs(long value) {
+    slowStartUs = value;
     return this;
   }
 
@@ -157,7 +162,7 @@
 
   private ServiceLimits limits() {
     return new ServiceLimits(
-        3 * SECOND_US, drainGraceUs, 0.2, rampUs, 3, 2 * SECOND_US, 10 * SECOND_US, false);
+        3 * SECOND_US, drainGraceUs, 0.2, slowStartUs, 3, 2 * SECOND_US, 10 * SECOND_US, false);
   }
 
   private Costs costs() {
--- a/src/test/java/pearusher/policy/RandomScenarios.java
+++ b/src/test/java/pearusher/policy/RandomScenarios.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Scripts of events that are drawn at random. */
+/** Scenarios of random events. */
 final class RandomScenarios {
   private static final int RANDOM_EVENTS = 60;
 
@@ -41,7 +41,10 @@
             RandomScenarios::randomEvents));
   }
 
-  /** Events drawn at random, one or more each half second. */
+  /**
+   * Triggers random events in batches of one or more, at intervals of half a second to one and a
+   * half seconds.
+   */
   private static void randomEvents(PolicyHistory history) {
     history.start(12, history.settings.zones(), 6);
     for (int event = 0; event < RANDOM_EVENTS; event++) {
@@ -86,8 +89,7 @@
       }
       case 13 -> history.acknowledgementLoss = history.random.nextDouble() / 2;
       case 14 ->
-          history.areReportsSuspended =
-              !history.areReportsSuspended && history.random.nextBoolean();
+          history.reportsSuspended = !history.reportsSuspended && history.random.nextBoolean();
       default -> history.sendEndpointList(randomListKind(history));
     }
   }
--- a/src/test/java/pearusher/policy/RecordingCommands.java
+++ b/src/test/java/pearusher/policy/RecordingCommands.java
@@ -9,43 +9,47 @@
 import java.util.TreeMap;
 
 /**
- * Records the commands of a policy, the state that they lead to and how many lines they take on the
- * channel.
+ * Records the commands of a policy, the resulting state, and the number of lines that they take on
+ * the channel.
  */
 final class RecordingCommands implements PolicyCommands {
-  /** All commands in their order, unless a test has cleared them. */
+  /** All commands in the order of issue, unless a test has cleared them. */
   final List<RecordedCommand> issued = new ArrayList<>();
 
   final List<String> logLines = new ArrayList<>();
 
-  /** Weights by server, by table. */
+  /** Weights by table and server. */
   final Map<Integer, Map<Long, Double>> weightsByTable = new TreeMap<>();
 
   final Map<Integer, Integer> tableByProxy = new TreeMap<>();
   final Set<Long> ejected = new HashSet<>();
 
-  /** The last retry mode and admission level by bits of request classes, of any table. */
+  /** Last retry mode of any table, by the bits of the request classes. */
   final Map<Integer, Integer> retryByClass = new HashMap<>();
 
+  /** Last admission level of any table, by the bits of the request classes. */
   final Map<Integer, Double> admissionByClass = new HashMap<>();
 
-  /** The last delay of each timer, by its token. */
+  /** Last delay of each timer, by token. */
   final Map<Long, Long> timerDelayUs = new TreeMap<>();
 
-  /** Proxies that have joined and not left, as the fixture keeps them. */
+  /** Proxies that have joined and not left; the fixture maintains them. */
   final Set<Integer> joinedProxies = new HashSet<>();
 
   final List<Long> forgottenServers = new ArrayList<>();
 
-  /** Servers that others may have ejected, and whether that is sent to all proxies. */
+  /**
+   * Servers that other instances may have ejected, and whether the reinstatement is sent to all
+   * proxies.
+   */
   final Map<Long, Boolean> suspectedEjections = new TreeMap<>();
 
-  /** Lines on the channel since the fixture's time last moved, without overheads of messages. */
+  /** Lines sent since the simulated time last advanced, without the overhead of messages. */
   int linesThisBatch;
 
   int lastAckNumber;
 
-  /** The commands of one kind, in their order. */
+  /** Returns the commands of one kind in the order of issue. */
   <T extends RecordedCommand> List<T> issued(Class<T> kind) {
     return issued.stream().filter(kind::isInstance).map(kind::cast).toList();
   }
@@ -58,7 +62,7 @@
     return issued.subList(firstCommand, issued.size());
   }
 
-  /** A server's part of a table's weights. */
+  /** Returns a server's share of the total weight of a table. */
   double share(int table, long server) {
     return weightsByTable.get(table).getOrDefault(server, 0.0) / totalWeight(table);
   }
--- a/src/test/java/pearusher/policy/RetryPolicyTest.java
+++ b/src/test/java/pearusher/policy/RetryPolicyTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When proxies may retry. */
+/** Retry modes before, during and after an overload. */
 class RetryPolicyTest {
   @Test
-  void retriesAreAllowedAfterEvidenceAndNotDuringOverload() {
+  void retriesAreDisabledDuringOverloadAndEnabledAfterIt() {
     PolicyFixture fixture = PolicyFixture.started(8, 4);
     fixture.runPeriods(3);
     assertTrue(fixture.commands.retryByClass.values().stream().allMatch(r -> r <= 1));
--- a/src/test/java/pearusher/policy/ServerHealthTest.java
+++ b/src/test/java/pearusher/policy/ServerHealthTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What is known of single servers: outliers, slow start, and the forecast of success. */
+/** State of single servers (outliers and slow start), and the success forecast. */
 class ServerHealthTest {
   private static final long SECOND_US = 1_000_000;
   private static final ServiceLimits LIMITS =
@@ -30,15 +30,19 @@
   }
 
   @Test
-  void aServerThatFailsMoreThanTheMedianIsCutAndLoggedUntilItRecovers() {
+  void serverFailingMoreThanTheMedianIsReducedAndLoggedUntilItRecovers() {
     List<Server> servers = servers(0, 0, 0.5);
     outliers.update(servers);
-    assertEquals(0.25, servers.get(2).healthFactor, 1e-12, "squared while most are healthy");
+    assertEquals(
+        0.25,
+        servers.get(2).healthFactor,
+        1e-12,
+        "the factor is squared while most servers are healthy");
     assertTrue(servers.get(2).outlier);
     assertEquals(1, servers.get(0).healthFactor);
     servers.get(2).failureShare = 0.25;
     outliers.update(servers);
-    assertTrue(servers.get(2).outlier, "between the thresholds it stays one");
+    assertTrue(servers.get(2).outlier, "it stays an outlier between the thresholds");
     servers.get(2).failureShare = 0.1;
     outliers.update(servers);
     assertFalse(servers.get(2).outlier);
@@ -46,31 +50,35 @@
   }
 
   @Test
-  void nothingIsCutWhenAllFailAlikeAndNeverToNothing() {
-    List<Server> alike = servers(0.9, 0.9, 0.9);
-    outliers.update(alike);
-    alike.forEach(server -> assertEquals(1, server.healthFactor));
-    List<Server> one = servers(0, 0, 1);
-    outliers.update(one);
-    assertEquals(0.01, one.get(2).healthFactor);
+  void weightIsKeptIfAllFailEquallyAndNeverReducedToZero() {
+    List<Server> equallyFailing = servers(0.9, 0.9, 0.9);
+    outliers.update(equallyFailing);
+    equallyFailing.forEach(server -> assertEquals(1, server.healthFactor));
+    List<Server> withOutlier = servers(0, 0, 1);
+    outliers.update(withOutlier);
+    assertEquals(0.01, withOutlier.get(2).healthFactor);
   }
 
   @Test
-  void aServerWarmsUpEvenlyFromItsStart() {
+  void readinessRisesLinearlyFromTheStartOfAServer() {
     Server server = new Server(1, 0);
     server.startedUs = 100 * SECOND_US;
     server.firstListedUs = 102 * SECOND_US;
     slowStart.update(105 * SECOND_US, List.of(server));
     assertEquals(0.25 + 0.75 * 0.5, server.readiness, 1e-12);
-    assertEquals(0.1 + 0.9 * 0.3, server.slowStartFactor, 1e-12, "from when it was listed");
+    assertEquals(
+        0.1 + 0.9 * 0.3,
+        server.slowStartFactor,
+        1e-12,
+        "rises from the time when the server was listed");
     assertFalse(slowStart.isWarm(109 * SECOND_US, server));
     assertTrue(slowStart.isWarm(110 * SECOND_US, server));
     slowStart.update(110 * SECOND_US, List.of(server));
-    assertEquals(1, server.slowStartFactor, "warm whatever its weight has reached");
+    assertEquals(1, server.slowStartFactor, "slow start ends regardless of the weight reached");
   }
 
   @Test
-  void aServerThatStartedLongAgoIsWarm() {
+  void serverStartedLongAgoIsPastSlowStart() {
     Server server = new Server(1, 0);
     slowStart.update(5, List.of(server));
     assertEquals(1, server.readiness);
@@ -78,10 +86,10 @@
   }
 
   @Test
-  void theForecastContinuesAFallAndDelaysARise() {
+  void forecastContinuesADecreaseAndDelaysAnIncrease() {
     SuccessForecast forecast = new SuccessForecast();
     forecast.update(attempts(90, 10));
-    assertEquals(0, forecast.successShare(), "a rise from nothing");
+    assertEquals(0, forecast.successShare(), "an increase from 0 takes effect later");
     forecast.update(attempts(90, 10));
     assertEquals(0.9, forecast.successShare(), 1e-12);
     forecast.update(attempts(60, 40));
--- a/src/test/java/pearusher/policy/SlowStartBudgetTest.java
+++ b/src/test/java/pearusher/policy/SlowStartBudgetTest.java
@@ -7,14 +7,17 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Three warm servers and one in slow start, with a quarter of the requests each. */
+/**
+ * Shares of a server in slow start, beside three servers past slow start. Each of the four servers
+ * initially has a quarter of the requests.
+ */
 class SlowStartBudgetTest {
   private final PolicyModules modules = new PolicyModules(new PolicySettingsBuilder().build());
   private final SuccessForecast forecast = new SuccessForecast();
   private final SlowStartBudget budget =
       new SlowStartBudget(modules.settings, modules.fleet, modules.clock, modules.cycle, forecast);
   private List<Server> servers;
-  private Server cold;
+  private Server starting;
 
   @BeforeEach
   void listServers() {
@@ -23,8 +26,8 @@
       server.readiness = 1;
       server.share = 0.25;
     }
-    cold = servers.get(3);
-    cold.readiness = 0.2;
+    starting = servers.get(3);
+    starting.readiness = 0.2;
   }
 
   private void reportSuccess() {
@@ -43,35 +46,35 @@
   }
 
   @Test
-  void aColdServerIsCappedByTheSuccessOfWarmOnes() {
+  void shareInSlowStartIsCappedBySuccessOfTheOtherServers() {
     reportSuccess();
     budget.capShares();
-    assertEquals(0.4 * 3 * (1.0 / 3) * 0.2, cold.share, 1e-12);
-    assertEquals(1, totalShare(), 1e-12, "warm servers get the rest");
+    assertEquals(0.4 * 3 * (1.0 / 3) * 0.2, starting.share, 1e-12);
+    assertEquals(1, totalShare(), 1e-12, "servers past slow start get the rest");
   }
 
   @Test
-  void aShareBelowTheCapStays() {
+  void shareBelowTheCapIsUnchanged() {
     reportSuccess();
-    cold.share = 0.01;
+    starting.share = 0.01;
     budget.capShares();
-    assertEquals(0.01, cold.share);
+    assertEquals(0.01, starting.share);
     assertEquals(0.25, servers.get(0).share);
   }
 
   @Test
-  void theColdestGetNothingWhileMostAttemptsFail() {
+  void leastReadyServerIsExcludedWhileMostAttemptsFail() {
     budget.capShares();
-    assertEquals(0, cold.share);
+    assertEquals(0, starting.share);
     assertEquals(0.25, servers.get(0).share);
   }
 
   @Test
-  void someServersAreAdmittedIfNoneIsWarm() {
+  void mostReadyServersAreIncludedIfAllAreInSlowStart() {
     servers.forEach(server -> server.readiness = 0.2);
-    cold.readiness = 0.1;
+    starting.readiness = 0.1;
     budget.capShares();
-    assertEquals(0, cold.share);
+    assertEquals(0, starting.share);
     assertTrue(totalShare() > 0);
   }
 }
--- a/src/test/java/pearusher/policy/SlowStartTest.java
+++ b/src/test/java/pearusher/policy/SlowStartTest.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** New and restarted servers: their first weights, the ramp, and when they are not listed yet. */
+/**
+ * Weights of new and restarted servers: the initial weight, the ramp, and the conditions under
+ * which they are not listed yet.
+ */
 class SlowStartTest {
   private static boolean setsWeight(List<RecordedCommand> commands, int table, long server) {
     return commands.stream()
@@ -26,7 +29,7 @@
   }
 
   @Test
-  void aNewServerStartsAtATenthAndRampsUp() {
+  void newServerStartsAtATenthAndRampsUp() {
     PolicyFixture fixture = PolicyFixture.started(8, 4);
     fixture.runPeriods(4);
     fixture.advance(10_000);
@@ -34,12 +37,12 @@
         ListUpdateKind.DELTA, List.of(TestServers.readyServer(9, 1, fixture.nowUs)));
     fixture.runPeriod();
     double first = fixture.commands.share(0, 9) / fixture.commands.share(0, 3);
-    assertTrue(first > 0.05 && first < 0.25, "first share " + first);
+    assertTrue(first > 0.05 && first < 0.25, "initial share relative to another server: " + first);
     double last = first;
     for (int i = 0; i < 4; i++) {
       fixture.runPeriods(2);
       double share = fixture.commands.share(0, 9) / fixture.commands.share(0, 3);
-      assertTrue(share >= last, share + " after " + last);
+      assertTrue(share >= last, "the share fell from " + last + " to " + share);
       last = share;
     }
     fixture.runPeriods(12);
@@ -47,7 +50,7 @@
   }
 
   @Test
-  void aRestartedServerIsReducedInTheBatchOfTheListUpdate() {
+  void restartedServerIsReducedInTheBatchOfTheListUpdate() {
     PolicyFixture fixture = PolicyFixture.started(8, 4);
     fixture.runPeriods(4);
     fixture.advance(300_000);
@@ -55,14 +58,14 @@
         ListUpdateKind.DELTA, List.of(TestServers.readyServer(1, 1, fixture.nowUs)));
     assertTrue(
         fixture.commands.share(0, 1) < 0.04,
-        "a restarted server keeps " + fixture.commands.share(0, 1));
+        "share of a restarted server: " + fixture.commands.share(0, 1));
     assertTrue(
         fixture.commands.share(1, 1) < 0.04,
-        "a restarted server keeps " + fixture.commands.share(1, 1));
+        "share of a restarted server: " + fixture.commands.share(1, 1));
   }
 
   @Test
-  void aReturningServerIsReinstatedAfterItsSlowStartWeights() {
+  void returningServerIsReinstatedAfterItsSlowStartWeights() {
     PolicyFixture fixture = PolicyFixture.started(8, 4);
     fixture.runPeriods(4);
     fixture.advance(300_000);
@@ -76,15 +79,17 @@
     int reinstated = commands.indexOf(new RecordedCommand.Reinstate(1));
     assertTrue(reinstated >= 0);
     for (int zone = 0; zone < 2; zone++) {
-      assertTrue(setsWeight(commands.subList(0, reinstated), zone, 1), "its weight comes first");
+      assertTrue(
+          setsWeight(commands.subList(0, reinstated), zone, 1),
+          "its weight is set before its reinstatement");
       assertTrue(
           fixture.commands.share(zone, 1) < 0.04,
-          "reinstated at " + fixture.commands.share(zone, 1));
+          "share at reinstatement: " + fixture.commands.share(zone, 1));
     }
   }
 
   @Test
-  void duringOverloadNoColdServerIsListed() {
+  void serverInSlowStartIsNotListedDuringOverload() {
     PolicyFixture fixture = PolicyFixture.started(8, 4);
     fixture.runPeriods(4);
     for (long id = 1; id <= 8; id++) {
@@ -94,13 +99,13 @@
     fixture.updateEndpoints(
         ListUpdateKind.DELTA, List.of(TestServers.readyServer(9, 1, fixture.nowUs)));
     fixture.runPeriods(3);
-    assertFalse(isListed(fixture, 9), "proxies that avoid the rest would overload it");
+    assertFalse(isListed(fixture, 9), "proxies that avoid the failing servers would overload it");
     fixture.runPeriods(9);
-    assertTrue(isListed(fixture, 9), "warm servers are listed whatever happens");
+    assertTrue(isListed(fixture, 9), "servers past slow start are listed even during overload");
   }
 
   @Test
-  void whileReportsLagFarBehindNoColdServerIsListed() {
+  void serverInSlowStartIsNotListedWhileReportsLag() {
     for (long lagSeconds : new long[] {0, 5}) {
       PolicyFixture fixture = PolicyFixture.started(8, 4);
       fixture.advance(lagSeconds * PolicyFixture.SECOND_US);
@@ -108,12 +113,12 @@
       fixture.updateEndpoints(
           ListUpdateKind.DELTA, List.of(TestServers.readyServer(9, 1, fixture.nowUs)));
       fixture.runPeriods(3);
-      assertEquals(lagSeconds == 0, isListed(fixture, 9), "reports behind by " + lagSeconds + " s");
+      assertEquals(lagSeconds == 0, isListed(fixture, 9), "report lag of " + lagSeconds + " s");
     }
   }
 
   @Test
-  void aSmallFallOfTheSuccessRateKeepsColdServersUnlisted() {
+  void smallFallOfTheSuccessRateKeepsServersInSlowStartUnlisted() {
     for (double failureShare : new double[] {0.02, 0.1}) {
       PolicyFixture fixture = PolicyFixture.started(8, 4);
       fixture.runPeriods(4);
@@ -121,16 +126,18 @@
       fixture.advance(10_000);
       addNewServer(fixture, 9);
       fixture.runPeriod();
-      assertEquals(failureShare < 0.05, isListed(fixture, 9), "fell by " + failureShare);
+      assertEquals(
+          failureShare < 0.05, isListed(fixture, 9), "success rate fell by " + failureShare);
     }
   }
 
   /**
-   * Most proxies have no request in most periods, some are silent, some reports are lost: that is
-   * no lag. Guards against a fleet that never lists its new servers because such proxies add up.
+   * Most proxies have no request in most periods, some are silent, and some reports are lost; none
+   * of this is report lag. Guards against a fleet that never lists its new servers because the lags
+   * of such proxies add up.
    */
   @Test
-  void idleAndSilentProxiesAreNoReportLag() {
+  void idleAndSilentProxiesDoNotCountAsReportLag() {
     PolicyFixture fixture = PolicyFixture.started(8, 24);
     for (int i = 0; i < 60; i++) {
       fixture.advance(PolicyFixture.SECOND_US);
@@ -138,7 +145,8 @@
         fixture.reportLoad(id, 0, 20, 0, PolicyFixture.SECOND_US, 200_000);
       }
       for (int proxy = 0; proxy < 24; proxy++) {
-        // A third silent from the first on, a third idle most of the time, a third losing some.
+        // A third is silent from the first period on, a third is idle most of the time, and a third
+        // loses some reports.
         if ((proxy % 3 == 1 && i % 9 == proxy % 9) || (proxy % 3 == 2 && (i + proxy) % 5 > 0)) {
           fixture.reportUsage(proxy, 0, 1, 0, PolicyFixture.SECOND_US);
         }
@@ -149,11 +157,11 @@
         addNewServer(fixture, 999);
       }
     }
-    assertTrue(isListed(fixture, 999), "listed though most proxies have not reported");
+    assertTrue(isListed(fixture, 999), "listed although most proxies have not reported");
   }
 
   @Test
-  void aSampledIntakeIsNoReportLag() {
+  void reportsInRotationDoNotCountAsReportLag() {
     PolicyFixture fixture = PolicyFixture.started(100, 40);
     for (int i = 0; i < 12; i++) {
       fixture.advance(PolicyFixture.SECOND_US);
@@ -169,6 +177,6 @@
         addNewServer(fixture, 999);
       }
     }
-    assertTrue(isListed(fixture, 999), "listed though servers are reported in turns");
+    assertTrue(isListed(fixture, 999), "listed although servers are reported in rotation");
   }
 }
--- a/src/test/java/pearusher/policy/TableScaleTest.java
+++ b/src/test/java/pearusher/policy/TableScaleTest.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Scale between the planned shares and the published weights of a table. */
 class TableScaleTest {
   private final ZoneTable table = new ZoneTable(1, 1, 0);
   private final List<Server> servers = new ArrayList<>();
@@ -20,12 +21,12 @@
   }
 
   @Test
-  void aNewTableHasTheScaleOne() {
+  void newTableHasScaleOne() {
     assertEquals(1, TableScale.of(table, servers));
   }
 
   @Test
-  void theScaleKeepsMostWarmServersAsPublished() {
+  void scaleKeepsPublishedWeightsOfMostServersPastSlowStart() {
     add(0.25, 0.5);
     add(0.25, 0.5);
     add(0.25, 1.5);
@@ -34,7 +35,7 @@
   }
 
   @Test
-  void aServerThatIsOnlyPlannedOrOnlyPublishedDoesNotCount() {
+  void serverOnlyPlannedOrOnlyPublishedIsIgnored() {
     Server planned = add(0.5, 1);
     table.publishedWeights.remove(planned.id);
     Server published = add(0.5, 3);
@@ -43,7 +44,7 @@
   }
 
   @Test
-  void aScaleFarFromOneReturnsByLessThanTheHysteresis() {
+  void scaleFarFromOneReturnsInStepsBelowTheHysteresis() {
     add(0.5, 100);
     assertEquals(190, TableScale.of(table, servers), 1e-9);
     table.publishedWeights.replaceAll((id, weight) -> weight / 100_000);
--- a/src/test/java/pearusher/policy/TestServers.java
+++ b/src/test/java/pearusher/policy/TestServers.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Entries of endpoint lists for tests; by default a server's number gives its zone. */
+/**
+ * Entries of endpoint lists for tests. Where a method takes no zone, it derives the zone from the
+ * server's number.
+ */
 final class TestServers {
   private TestServers() {}
 
@@ -15,7 +18,9 @@
     return new ServerEntry(id, zone, 0, 0, lifecycle, 1, 0);
   }
 
-  /** Servers 1 to {@code count}, started long ago, assigned to the zones in turn. */
+  /**
+   * Returns entries of servers 1 to {@code count}, started long ago, with zones assigned in turn.
+   */
   static List<ServerEntry> readyServers(int count, int zones) {
     List<ServerEntry> entries = new ArrayList<>();
     for (int id = 1; id <= count; id++) {
@@ -24,7 +29,10 @@
     return entries;
   }
 
-  /** Servers {@code first} to {@code last} of two zones, all in the same state. */
+  /**
+   * Returns entries of servers {@code first} to {@code last}, alternating between two zones, all in
+   * the same lifecycle state.
+   */
   static List<ServerEntry> serversIn(long first, long last, Lifecycle lifecycle) {
     List<ServerEntry> entries = new ArrayList<>();
     for (long id = first; id <= last; id++) {
--- a/src/test/java/pearusher/policy/UtilizationPollingTest.java
+++ b/src/test/java/pearusher/policy/UtilizationPollingTest.java
@@ -7,9 +7,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Admission by the utilization that health checks return. */
+/** Admission levels that follow the utilization returned by health checks. */
 class UtilizationPollingTest {
-  /** Load reports show an overload, and its end, some seconds late; health checks do not. */
+  /**
+   * Load reports show the start and the end of an overload some seconds late; health checks show
+   * them without that delay.
+   */
   @Test
   void admissionFollowsThePolledUtilization() {
     PolicyFixture fixture = PolicyFixture.started(8, 4);
@@ -21,20 +24,23 @@
     double admissionProbability = fixture.commands.admissionByClass.getOrDefault(1, 1.0);
     assertTrue(
         admissionProbability < 0.8,
-        "reports are good still, utilization is not: " + admissionProbability);
+        "admitted share with good reports and high utilization: " + admissionProbability);
     fixture.runPeriodsAtUtilization(12, 0.4);
-    assertEquals(1, fixture.commands.admissionByClass.get(1), "admitted again");
+    assertEquals(
+        1,
+        fixture.commands.admissionByClass.get(1),
+        "all requests are admitted after the overload");
   }
 
   @Test
-  void theLoadOfDrainingServersCountsTowardsTheRemainingServers() {
+  void loadOfDrainingServersIsAttributedToTheRemainingServers() {
     PolicyFixture fixture = PolicyFixture.started(8, 4);
     fixture.runPeriodsAtUtilization(6, 0.5);
     fixture.updateEndpoints(ListUpdateKind.DELTA, TestServers.drainingServers(1, 5));
     fixture.runPeriodsAtUtilization(1, 0.5);
     assertTrue(
         fixture.commands.admissionByClass.getOrDefault(1, 1.0) < 1,
-        "half of 8 servers' time is more than 3 have");
+        "half the capacity of 8 servers exceeds the capacity of 3");
   }
 
   @Test
@@ -50,9 +56,12 @@
         fixture.commands.logLines.contains("overload started"), "" + fixture.commands.logLines);
   }
 
-  /** A health check in flight when its server leaves says nothing about the remaining servers. */
+  /**
+   * A health check that is in flight when its server leaves does not show the load of the remaining
+   * servers. Guards against an overload detected from such results.
+   */
   @Test
-  void healthChecksOfADrainingServerAreIgnored() {
+  void healthCheckResultsOfADrainingServerAreIgnored() {
     for (boolean isDraining : new boolean[] {true, false}) {
       PolicyFixture fixture = PolicyFixture.started(8, 8);
       fixture.runPeriods(8);
--- a/src/test/java/pearusher/policy/WeightsTest.java
+++ b/src/test/java/pearusher/policy/WeightsTest.java
@@ -7,7 +7,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Weights of servers: from list weights, response times and reports, with hysteresis. */
+/** Weights of servers by listed weight and response time, with hysteresis and bounded steps. */
 class WeightsTest {
   @Test
   void newTablesListAllServersWithEqualWeightsThatSumToOne() {
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void weightsWithinTheHysteresisStayAndOnePeriodMovesAWeightByABoundedFactor() {
+  void weightsStayWithinTheHysteresisAndChangeByABoundedFactorPerPeriod() {
     PolicyFixture fixture = PolicyFixture.started(8, 4);
     fixture.runPeriods(6);
     int before = fixture.commands.issued.size();
@@ -112,7 +112,7 @@
       commandsPerServer[k] = (fixture.commands.issued.size() - before) / 10.0 / serverCount;
     }
     String message =
-        "at most a command a table and server: "
+        "commands per period and server, at most one per table: "
             + commandsPerServer[0]
             + ", "
             + commandsPerServer[1];
--- a/src/test/java/pearusher/policy/ZoneAttemptStatsTest.java
+++ b/src/test/java/pearusher/policy/ZoneAttemptStatsTest.java
@@ -19,12 +19,12 @@
 import net.jqwik.api.Tuple;
 import org.junit.jupiter.api.Test;
 
-/** Attempts at one server by zone, against a model of plain maps. */
+/** Compares the attempts at one server by zone with a model of plain maps. */
 class ZoneAttemptStatsTest {
   private static final int ZONES = 12;
 
-  /** The operations; their weights make reports the usual step. */
-  private enum Kind {
+  /** Operations of a step; the generator chooses REPORT most often. */
+  private enum Operation {
     REPORT,
     PERIOD,
     SCALE,
@@ -32,9 +32,12 @@
     CLEAR
   }
 
-  private record Step(Kind kind, int zone, int succeeded, int failed) {}
+  private record Step(Operation operation, int zone, int succeeded, int failed) {}
 
-  /** Succeeded attempts, microseconds and failed attempts by zone, past and current. */
+  /**
+   * Succeeded attempts, their total time in microseconds, and failed attempts, by zone, for the
+   * earlier periods and for the current one.
+   */
   private static final class Model {
     final Map<Integer, double[]> past = new HashMap<>();
     final Map<Integer, double[]> current = new HashMap<>();
@@ -62,7 +65,7 @@
 
     void apply(Step step) {
       double factor = (1 + step.succeeded % 10) / 10.0;
-      switch (step.kind) {
+      switch (step.operation) {
         case REPORT ->
             add(
                 current,
@@ -92,7 +95,7 @@
 
   private static void apply(ZoneAttemptStats stats, Step step) {
     double factor = (1 + step.succeeded % 10) / 10.0;
-    switch (step.kind) {
+    switch (step.operation) {
       case REPORT -> stats.current(step.zone).add(attempts(step.succeeded, step.failed));
       case PERIOD -> stats.endPeriod(factor);
       case SCALE -> stats.scalePast(factor);
@@ -111,14 +114,14 @@
 
   @Provide
   Arbitrary<List<Step>> steps() {
-    Arbitrary<Kind> kinds =
+    Arbitrary<Operation> operations =
         Arbitraries.frequencyOf(
-            Tuple.of(8, Arbitraries.just(Kind.REPORT)),
-            Tuple.of(3, Arbitraries.just(Kind.PERIOD)),
-            Tuple.of(2, Arbitraries.just(Kind.MERGE)),
-            Tuple.of(1, Arbitraries.of(Kind.SCALE, Kind.CLEAR)));
+            Tuple.of(8, Arbitraries.just(Operation.REPORT)),
+            Tuple.of(3, Arbitraries.just(Operation.PERIOD)),
+            Tuple.of(2, Arbitraries.just(Operation.MERGE)),
+            Tuple.of(1, Arbitraries.of(Operation.SCALE, Operation.CLEAR)));
     return Combinators.combine(
-            kinds,
+            operations,
             Arbitraries.integers().between(0, ZONES - 1),
             Arbitraries.integers().between(0, 1000),
             Arbitraries.integers().between(0, 50))
@@ -147,7 +150,7 @@
   }
 
   @Property(tries = 500)
-  void equalsPlainMapsAfterEachStep(@ForAll("steps") List<Step> steps) {
+  void matchesTheModelAfterEachStep(@ForAll("steps") List<Step> steps) {
     Model model = new Model();
     ZoneAttemptStats stats = new ZoneAttemptStats();
     for (Step step : steps) {
@@ -157,19 +160,22 @@
     }
   }
 
-  /** To the last bit: decisions must not depend on the order in which reports arrive. */
+  /**
+   * The sums are equal to the last bit. Guards against decisions that depend on the order in which
+   * reports arrive.
+   */
   @Property(tries = 200)
   void sumsDoNotDependOnTheOrderInWhichZonesReported(@ForAll long seed) {
     Random random = new Random(seed);
-    Map<Integer, Double> each = new TreeMap<>();
+    Map<Integer, Double> attemptsByZone = new TreeMap<>();
     for (int zone = 0; zone < ZONES; zone++) {
-      each.put(zone, random.nextDouble() / 3);
+      attemptsByZone.put(zone, random.nextDouble() / 3);
     }
-    List<Integer> order = new ArrayList<>(each.keySet());
+    List<Integer> order = new ArrayList<>(attemptsByZone.keySet());
     double[] sums = new double[2];
     for (int k = 0; k < 2; k++) {
       ZoneAttemptStats stats = new ZoneAttemptStats();
-      order.forEach(zone -> stats.current(zone).add(attempts(each.get(zone), 0)));
+      order.forEach(zone -> stats.current(zone).add(attempts(attemptsByZone.get(zone), 0)));
       stats.endPeriod(1);
       sums[k] = stats.sumPast(zoneStats -> zoneStats.succeeded);
       Collections.shuffle(order, random);
@@ -178,7 +184,7 @@
   }
 
   @Test
-  void aMergedZoneCountsAsElsewhereAndAnotherIsAddedToIt() {
+  void mergedZonesAreAddedToTheEntryOfOtherZones() {
     ZoneAttemptStats stats = new ZoneAttemptStats();
     stats.current(3).add(attempts(5, 1));
     stats.endPeriod(1);
@@ -193,9 +199,12 @@
     assertEquals(0, stats.past(3).succeeded);
   }
 
-  /** The entry returned for a zone that never reported is shared: it must stay zero. */
+  /**
+   * Zones that never reported share one entry. Guards against a change of that entry, which would
+   * affect all of them.
+   */
   @Test
-  void aZoneThatNeverReportedIsZeroAndHasNoEntry() {
+  void zoneThatNeverReportedIsZeroAndHasNoEntry() {
     ZoneAttemptStats stats = new ZoneAttemptStats();
     assertEquals(0, stats.past(4).succeeded);
     assertTrue(stats.isEmpty());
