--- a/src/main/java/pearusher/policy/AssignmentPolicy.java
+++ b/src/main/java/pearusher/policy/AssignmentPolicy.java
@@ -4,86 +4,89 @@
 import java.util.Map;
 
 /**
- * The decisions of one instance: it receives events about servers, proxies and load, and issues
- * {@link PolicyCommands}.
+ * Decision logic of one assigner instance. A policy receives events about servers, proxies and
+ * load, and issues {@link PolicyCommands}.
  *
  * <p>Times are microseconds of the caller's clock. The caller reports all events of one instant and
- * then calls {@link #onBatchEnd}; commands may be issued at any time until that call returns.
- * Servers, proxies and tables are opaque numbers; zones and request classes are positions in the
- * settings' lists. All methods are called by one thread.
+ * then calls {@link #onBatchEnd}. The policy may issue commands at any time until that call
+ * returns. Servers, proxies and tables are identified by opaque numbers. Zones and request classes
+ * are identified by their positions in the settings' lists, from 0. One thread calls all methods.
+ * No argument is null.
  */
 public interface AssignmentPolicy {
 
   /**
-   * The endpoint list, or a change of it.
+   * Handles a complete endpoint list, a change of it, or the failure to get it.
    *
-   * @param nowUs the present time
-   * @param kind what {@code entries} are; on {@code FAILED} they are ignored
+   * @param nowUs current time, in microseconds
+   * @param kind the meaning of {@code entries}; they are ignored if it is {@code FAILED}
    * @param entries the servers listed or changed
    */
   void onEndpointList(long nowUs, ListUpdateKind kind, List<ServerEntry> entries);
 
   /**
-   * A timer has fired. Timers can't be cancelled.
+   * Handles a timer that has fired. Timers can't be cancelled.
    *
-   * @param nowUs the present time
-   * @param token the token that {@link PolicyCommands#setTimer} was given
+   * @param nowUs current time, in microseconds
+   * @param token the token passed to {@link PolicyCommands#setTimer}
    */
   void onTimer(long nowUs, long token);
 
   /**
-   * A health check has ended. A policy that requests none ignores it.
+   * Handles the end of a health check. Policies that request no health checks ignore it.
    *
-   * @param nowUs the present time
+   * @param nowUs current time, in microseconds
    * @param server the server checked
-   * @param result how the check ended
-   * @param tookUs its duration, in microseconds
-   * @param load the load metrics reported, in the order of the settings; valid if the result is OK
+   * @param result the outcome of the check
+   * @param tookUs duration of the check, in microseconds
+   * @param load the load metrics reported, in the order of the settings; valid only if the result
+   *     is {@code OK}
    */
   default void onHealthCheckResult(
       long nowUs, long server, HealthCheckResult result, long tookUs, float[] load) {}
 
   /**
-   * A message from another instance. A policy that needs no agreement ignores it.
+   * Handles a message from another instance. Policies that coordinate with no other instance ignore
+   * it.
    *
-   * @param nowUs the present time
-   * @param peer the sender
-   * @param body the message
+   * @param nowUs current time, in microseconds
+   * @param peer the sending instance
+   * @param body the content of the message
    */
   default void onPeerMessage(long nowUs, int peer, byte[] body) {}
 
   /**
-   * A proxy has joined.
+   * Handles a proxy that has joined.
    *
-   * @param nowUs the present time
+   * @param nowUs current time, in microseconds
    * @param proxy the proxy
-   * @param zone its zone
-   * @param requestsPerSecond its demand, as far as known
-   * @param listedChangesOnly whether it starts without tables and excludes only servers that the
-   *     endpoint list names as changed
+   * @param zone the zone of the proxy
+   * @param requestsPerSecond estimated demand of the proxy, in requests per second
+   * @param listedChangesOnly whether the proxy starts without tables and excludes only servers that
+   *     the endpoint list names as changed
    */
   void onProxyJoined(
       long nowUs, int proxy, int zone, double requestsPerSecond, boolean listedChangesOnly);
 
   /**
-   * A proxy has left.
+   * Handles a proxy that has left.
    *
-   * @param nowUs the present time
+   * @param nowUs current time, in microseconds
    * @param proxy the proxy
    */
   void onProxyLeft(long nowUs, int proxy);
 
   /**
-   * A table that an earlier process of this instance had published; reported before the first
-   * {@link #onBatchEnd}.
+   * Handles a table that an earlier process of this instance had published. The caller reports
+   * restored tables before the first {@link #onBatchEnd}.
    *
-   * @param nowUs the present time
+   * @param nowUs current time, in microseconds
    * @param table the table
    * @param weights published weights by server
    * @param levels published admission levels by request class
-   * @param retryModes published retry modes by request class; -1: neither level nor mode was
+   * @param retryModes published retry modes by request class; -1 if neither level nor mode was
    *     published
-   * @param lastAckNumber the last acknowledgement number that was requested
+   * @param lastAckNumber the acknowledgement number requested last
    */
   default void onTableRestored(
       long nowUs,
@@ -94,82 +97,87 @@
       int lastAckNumber) {}
 
   /**
-   * A proxy holds a table of this instance; reported in the batch in which it joins.
+   * Handles the report that a joining proxy already has a table of this instance. The caller
+   * reports it in the batch in which the proxy joins.
    *
-   * @param nowUs the present time
+   * @param nowUs current time, in microseconds
    * @param proxy the proxy
-   * @param table the table that it holds
-   * @param missingLines lines of the table's present content that it lacks
+   * @param table the table that the proxy has
+   * @param missingLines number of lines of the table's current content that the proxy has not
+   *     received
    */
   default void onTableHeld(long nowUs, int proxy, int table, int missingLines) {}
 
   /**
-   * A proxy has acknowledged an update.
+   * Handles the acknowledgement of an update by a proxy.
    *
-   * @param nowUs the present time
+   * @param nowUs current time, in microseconds
    * @param proxy the proxy
-   * @param ackNumber the number that {@link PolicyCommands#requestAck} was given
-   * @param tookUs time from the update to the acknowledgement, in microseconds
+   * @param ackNumber the number passed to {@link PolicyCommands#requestAck}
+   * @param tookUs time from the update to its acknowledgement, in microseconds
    */
   void onAcknowledgement(long nowUs, int proxy, int ackNumber, long tookUs);
 
   /**
-   * A load report.
+   * Handles a load report.
    *
-   * @param nowUs the present time
-   * @param report the attempts reported
+   * @param nowUs current time, in microseconds
+   * @param report the reported attempts
    */
   void onLoadReport(long nowUs, AttemptReport report);
 
   /**
-   * Requests of a class that arrived at a proxy within a span of time.
+   * Handles a usage report: the requests of a class that arrived at a proxy within a time span.
    *
-   * @param nowUs the present time
+   * @param nowUs current time, in microseconds
    * @param proxy the proxy
    * @param requestClass the request class
-   * @param requests requests that arrived
-   * @param failed requests that were admitted and not answered
-   * @param spanUs length of the span, in microseconds
+   * @param requests number of requests that arrived
+   * @param failed number of requests that were admitted and not answered
+   * @param spanUs length of the time span, in microseconds
    */
   void onUsageReport(
       long nowUs, int proxy, int requestClass, long requests, long failed, long spanUs);
 
   /**
-   * A slice was assigned to this instance or taken from it, where the settings have slices.
+   * Handles the assignment of a slice to this instance, or the end of the assignment, if the
+   * settings define slices.
    *
-   * @param nowUs the present time
+   * @param nowUs current time, in microseconds
    * @param slice the slice
-   * @param assigned whether it was assigned
+   * @param assigned true if the slice was assigned, false if the assignment ended
    */
   default void onSliceAssignment(long nowUs, int slice, boolean assigned) {}
 
   /**
-   * A weight of an assigned slice's table.
+   * Handles a weight of the table of an assigned slice.
    *
-   * @param nowUs the present time
+   * @param nowUs current time, in microseconds
    * @param slice the slice
    * @param server the server
-   * @param weight its weight
+   * @param weight the weight of the server
    */
   default void onSliceWeight(long nowUs, int slice, long server, double weight) {}
 
   /**
-   * Requests of a class that arrived for a slice within a span of time.
+   * Handles a usage report of a slice: the requests of a class that arrived for it within a time
+   * span.
    *
-   * @param nowUs the present time
+   * @param nowUs current time, in microseconds
    * @param slice the slice
    * @param requestClass the request class
-   * @param requests requests that arrived
-   * @param failed requests that were admitted and not answered
-   * @param spanUs length of the span, in microseconds
+   * @param requests number of requests that arrived
+   * @param failed number of requests that were admitted and not answered
+   * @param spanUs length of the time span, in microseconds
    */
   default void onSliceUsageReport(
       long nowUs, int slice, int requestClass, long requests, long failed, long spanUs) {}
 
   /**
-   * All events of this instant were reported. The policy decides and issues its commands.
+   * Ends a batch: the caller has reported all events of this instant. The policy decides and issues
+   * its commands.
    *
-   * @param nowUs the present time
+   * @param nowUs current time, in microseconds
    */
   void onBatchEnd(long nowUs);
 }
--- a/src/main/java/pearusher/policy/ChannelBudget.java
+++ b/src/main/java/pearusher/policy/ChannelBudget.java
@@ -7,25 +7,30 @@
 import java.util.TreeMap;
 
 /**
- * Accounts for the lines on the update channel to the proxies: an estimate of the backlog, the rate
- * at which it drains, and the corrections of both by acknowledgements. Grows with the updates that
- * are not acknowledged, times the recipients of each.
+ * Accounting of the lines on the update channel to the proxies. It estimates the backlog and the
+ * rate at which the backlog drains, and corrects both by acknowledgements. Memory grows with the
+ * number of unacknowledged updates times the recipients of each.
  */
 final class ChannelBudget {
-  /** Backlog, as a share of the deferrable limit, under which the channel is nearly idle. */
+  /**
+   * Backlog below which the channel is nearly idle, as a share of the deferrable limit divided by
+   * the deferrable priority's backlog share.
+   */
   private static final double NEARLY_IDLE_SHARE = 0.1;
 
-  /** Share of the backlog limit that may be in transit without any acknowledgement. */
+  /** Share of the backlog limit that may be in transit without an acknowledgement. */
   private static final double MAX_UNACKNOWLEDGED_SHARE = 0.95;
 
-  /** Least part of the estimated rate that the channel has while no acknowledgement comes. */
+  /**
+   * Lower bound of the channel's rate without acknowledgements, as a share of the estimated rate.
+   */
   private static final double SLOWEST_RATE_SHARE = 0.2;
 
-  /** The rate is estimated as a share of the configured one. */
+  /** Lower bound of the estimated rate, as a share of the configured rate. */
   private static final double MIN_RATE_SHARE = 0.05;
 
-  private static final double RATE_DECREASE = 0.5;
-  private static final double RATE_INCREASE = 1.1;
+  private static final double RATE_DECREASE_FACTOR = 0.5;
+  private static final double RATE_INCREASE_FACTOR = 1.1;
 
   private static final int MAX_ACK_NUMBER = 65_000;
   private static final double MICROS_PER_SECOND = 1e6;
@@ -34,7 +39,10 @@
   private final ChannelLimits limits;
   private final PolicyCommands commands;
 
-  /** An update that proxies have yet to acknowledge; lines are counted since the start. */
+  /**
+   * An update that not all recipients have acknowledged. Line positions count from the start of the
+   * process.
+   */
   private static final class PendingUpdate {
     final int ackNumber;
     final double linesBefore;
@@ -59,25 +67,26 @@
 
   private final ArrayDeque<PendingUpdate> pendingUpdates = new ArrayDeque<>();
 
-  /** Lines of the update being composed, by proxy. */
+  /** Content lines of the update being composed, by proxy. */
   private Map<Integer, Double> currentLines = new TreeMap<>();
 
-  /** Lines ordered before the update being composed. */
-  private double linesBeforeUpdate;
+  /** Lines reserved before the update being composed. */
+  private double reservedLinesBeforeUpdate;
 
   private int lastAckNumber;
   private long lastDrainUs;
   private double backlogLines;
 
-  /** The backlog if the channel is at its slowest. */
+  /** Backlog under the assumption that the channel drains at its lowest rate. */
   private double pessimisticBacklogLines;
 
-  private double orderedLines;
+  /** Lines reserved since the start of the process. */
+  private double reservedLines;
 
-  /** Lines that have left the channel according to acknowledgements. */
+  /** Lines delivered since the start of the process, according to acknowledgements. */
   private double deliveredLines;
 
-  /** Estimated rate as a share of the configured one. */
+  /** Estimated rate, as a share of the configured rate. */
   private double rateShare = 1;
 
   ChannelBudget(ChannelSettings channel, ChannelLimits limits, PolicyCommands commands) {
@@ -94,12 +103,12 @@
     lastDrainUs = nowUs;
   }
 
-  /** Continues the acknowledgement numbers of an earlier process. */
+  /** Restores the last acknowledgement number of an earlier process. */
   void restoreAckNumber(int ackNumber) {
     lastAckNumber = ackNumber;
   }
 
-  /** Begins an update: counts off what has drained since the last one. */
+  /** Begins an update and subtracts the lines that have drained since the previous update. */
   void beginUpdate(long nowUs) {
     double drainedLines =
         (nowUs - lastDrainUs) / MICROS_PER_SECOND * channel.linesPerSecond() * rateShare;
@@ -109,15 +118,15 @@
     lastDrainUs = nowUs;
     currentLines = new TreeMap<>();
     if (pessimisticBacklogLines == 0) {
-      // Acknowledgements may all be lost: in the end nothing can be in transit.
-      deliveredLines = orderedLines;
+      // All acknowledgements may be lost. Even at the lowest rate everything has been delivered.
+      deliveredLines = reservedLines;
     }
     pendingUpdates.removeIf(update -> update.linesAfter <= deliveredLines);
-    linesBeforeUpdate = orderedLines;
+    reservedLinesBeforeUpdate = reservedLines;
   }
 
   /**
-   * Ends an update, and requests its acknowledgement if it has lines.
+   * Ends an update and requests an acknowledgement if the update has lines.
    *
    * @return the recipients of the update
    */
@@ -127,13 +136,13 @@
       commands.requestAck(lastAckNumber, false);
       pendingUpdates.add(
           new PendingUpdate(
-              lastAckNumber, linesBeforeUpdate, orderedLines, backlogLines, currentLines));
+              lastAckNumber, reservedLinesBeforeUpdate, reservedLines, backlogLines, currentLines));
     }
     return currentLines.keySet();
   }
 
   void onAcknowledgement(int proxy, int ackNumber, long tookUs) {
-    // The channel keeps the order: what was ordered before this update was delivered as well.
+    // The channel preserves the order: all lines reserved before this update are delivered, too.
     pendingUpdates.stream()
         .filter(update -> update.ackNumber == ackNumber)
         .filter(update -> update.linesByProxy.containsKey(proxy))
@@ -147,22 +156,27 @@
             });
   }
 
-  /** An acknowledgement later than the longest delay shows that the channel is slower. */
+  /**
+   * Lowers the estimated rate if an acknowledgement took longer than the estimated drain time plus
+   * the longest transit time, and raises it if the acknowledgement was faster than the configured
+   * rate implies.
+   */
   private void updateRate(double linesAhead, long tookUs) {
     double nominalUs = linesAhead / channel.linesPerSecond() * MICROS_PER_SECOND;
     double drainUs = tookUs - channel.maxPushDelayUs();
     if (drainUs > nominalUs / rateShare) {
       rateShare =
-          Math.max(MIN_RATE_SHARE, Math.max(rateShare * RATE_DECREASE, nominalUs / drainUs));
+          Math.max(MIN_RATE_SHARE, Math.max(rateShare * RATE_DECREASE_FACTOR, nominalUs / drainUs));
     } else if (tookUs < channel.maxPushDelayUs() + nominalUs) {
-      rateShare = Math.min(1, rateShare * RATE_INCREASE);
+      rateShare = Math.min(1, rateShare * RATE_INCREASE_FACTOR);
     }
   }
 
   /**
-   * Reserves lines to each of the proxies if they all fit.
+   * Reserves lines for each of the proxies if all of them fit within the limits of the priority. A
+   * proxy without lines in this update is also charged the fixed lines of a message.
    *
-   * @return whether they fitted
+   * @return whether the lines were reserved
    */
   boolean reserve(Collection<Integer> proxies, double linesEach, ChannelPriority priority) {
     double overhead = channel.messageOverheadLines() + 1;
@@ -174,23 +188,24 @@
       return false;
     }
     backlogLines += cost;
-    orderedLines += cost;
+    reservedLines += cost;
     pessimisticBacklogLines += cost;
     proxies.forEach(id -> currentLines.merge(id, linesEach, Double::sum));
     return true;
   }
 
+  /** Returns whether the channel accepts this many lines at the priority. */
   boolean fits(double lines, ChannelPriority priority) {
     if (lines <= 0) {
       return true;
     }
-    // The channel may be slower than configured, which acknowledgements show late.
-    double unacknowledged = Math.min(pessimisticBacklogLines, orderedLines - deliveredLines);
-    return backlogLines + lines <= limits.maxWaitingLines(priority)
+    // The channel may be slower than configured; acknowledgements show this only later.
+    double unacknowledged = Math.min(pessimisticBacklogLines, reservedLines - deliveredLines);
+    return backlogLines + lines <= limits.maxBacklogLines(priority)
         && unacknowledged + lines <= MAX_UNACKNOWLEDGED_SHARE * channel.maxBacklogLines();
   }
 
-  /** Time until the backlog has drained. */
+  /** Returns the estimated time until the backlog has drained, in microseconds. */
   double drainTimeUs() {
     return backlogLines / channel.linesPerSecond() / rateShare * MICROS_PER_SECOND;
   }
@@ -199,14 +214,17 @@
     return backlogLines;
   }
 
-  /** Whether so little waits that messages up to the deferrable limit are worth their overhead. */
+  /**
+   * Returns whether the backlog is so small that messages up to the deferrable limit justify their
+   * overhead.
+   */
   boolean isNearlyIdle() {
     ChannelPriority deferrable = ChannelPriority.DEFERRABLE;
     return backlogLines
-        < NEARLY_IDLE_SHARE * limits.maxWaitingLines(deferrable) / deferrable.backlogShare;
+        < NEARLY_IDLE_SHARE * limits.maxBacklogLines(deferrable) / deferrable.backlogShare;
   }
 
-  /** Whether the update being composed has lines already. */
+  /** Returns whether the update being composed already has lines. */
   boolean hasCurrentLines() {
     return !currentLines.isEmpty();
   }
--- a/src/main/java/pearusher/policy/ChannelLimits.java
+++ b/src/main/java/pearusher/policy/ChannelLimits.java
@@ -1,22 +1,25 @@
 package pearusher.policy;
 
-/** What the update channel can carry: how much may wait, and how much arrives within a time. */
+/** Limits of the update channel: the largest backlog, and the lines that arrive within a time. */
 final class ChannelLimits {
-  /** Share of the lines within a grace that may be planned for what must arrive in it. */
+  /** Share of the lines of a drain grace period that is planned for messages due within it. */
   static final double TIMELY_GRACE_SHARE = 0.8;
 
-  /** Lines of a bind beside servers and levels: the bind, and the message's end. */
+  /** Lines of a bind besides servers and admission levels: the bind itself and the message end. */
   static final int FIXED_BIND_LINES = 2;
 
-  /** Bounds of the share of the grace's lines up to which all but ejections may wait. */
+  /**
+   * Bounds of the backlog limit for everything except ejections, as a share of the lines of a drain
+   * grace period.
+   */
   private static final double MIN_GRACE_SHARE = 0.1;
 
   private static final double MAX_GRACE_SHARE = 0.3;
 
-  /** Messages, and lines beside the levels, that each proxy needs when all join at once. */
-  private static final double JOIN_MESSAGES = 2.5;
+  /** Messages per proxy, and lines besides admission levels, when all proxies join at once. */
+  private static final double MESSAGES_PER_JOIN = 2.5;
 
-  private static final int JOIN_LINES = 4;
+  private static final int LINES_PER_JOIN = 4;
 
   private static final double MICROS_PER_SECOND = 1e6;
 
@@ -28,8 +31,9 @@
   /**
    * Creates the limits of a channel.
    *
-   * @param drainGraceUs the grace of a drain, in microseconds
-   * @param proxies proxies of the tier, over all instances
+   * @param channel the settings of the channel
+   * @param drainGraceUs length of the drain grace period, in microseconds
+   * @param proxies number of proxies of the tier, over all instances
    * @param classCount number of request classes
    */
   ChannelLimits(ChannelSettings channel, long drainGraceUs, int proxies, int classCount) {
@@ -40,45 +44,47 @@
   }
 
   /**
-   * The most lines that may wait at a priority. What is not an ejection leaves room for what must
-   * arrive within the grace if all proxies join at once while servers drain.
+   * Returns the largest backlog up to which messages of a priority are accepted, in lines. Limits
+   * of priorities below ejections reserve capacity for the case that all proxies join at once while
+   * servers drain: their messages must arrive within the drain grace period.
    */
-  double maxWaitingLines(ChannelPriority priority) {
+  double maxBacklogLines(ChannelPriority priority) {
     return Math.min(
-        priority.backlogShare * channel.maxBacklogLines(), graceShare(priority) * graceLines());
+        priority.backlogShare * channel.maxBacklogLines(),
+        graceShare(priority) * drainGraceLines());
   }
 
   private double graceShare(ChannelPriority priority) {
     return switch (priority) {
       case EJECTION -> priority.backlogShare;
       case REINSTATEMENT -> Math.min(MAX_GRACE_SHARE, priority.backlogShare);
-      case TIMELY, DEFERRABLE -> Math.min(MAX_GRACE_SHARE, shareBesideJoiners());
+      case TIMELY, DEFERRABLE -> Math.min(MAX_GRACE_SHARE, shareExcludingJoins());
     };
   }
 
-  private double shareBesideJoiners() {
-    double linesPerJoiner =
-        JOIN_MESSAGES * channel.messageOverheadLines() + JOIN_LINES + classCount;
-    double joinersShare = proxies * linesPerJoiner / graceLines();
-    return Math.max(MIN_GRACE_SHARE, ChannelPriority.EJECTION.backlogShare - joinersShare);
+  private double shareExcludingJoins() {
+    double linesPerJoin =
+        MESSAGES_PER_JOIN * channel.messageOverheadLines() + LINES_PER_JOIN + classCount;
+    double joinsShare = proxies * linesPerJoin / drainGraceLines();
+    return Math.max(MIN_GRACE_SHARE, ChannelPriority.EJECTION.backlogShare - joinsShare);
   }
 
-  /** Lines that reach proxies within the grace of a drain. */
-  double graceLines() {
+  /** Returns the number of lines that reach proxies within the drain grace period. */
+  double drainGraceLines() {
     return nominalLines(drainGraceUs - channel.maxPushDelayUs());
   }
 
-  /** Lines that the channel carries in a time at its configured rate. */
+  /** Returns the number of lines that the channel carries in a time at its configured rate. */
   double nominalLines(long durationUs) {
     return durationUs / MICROS_PER_SECOND * channel.linesPerSecond();
   }
 
-  /** Lines of a message with that many lines of content; none where it has no content. */
+  /** Returns the total lines of a message with this many content lines; 0 without content. */
   double messageLines(long contentLines) {
     return contentLines == 0 ? 0 : contentLines + channel.messageOverheadLines() + 1;
   }
 
-  /** Lines of a bind's message that are left for servers. */
+  /** Returns the lines available for servers in a bind message of this many lines. */
   double linesForServers(double bindLines) {
     return bindLines - channel.messageOverheadLines() - FIXED_BIND_LINES - classCount;
   }
--- a/src/main/java/pearusher/policy/ChannelPriority.java
+++ b/src/main/java/pearusher/policy/ChannelPriority.java
@@ -1,8 +1,8 @@
 package pearusher.policy;
 
-/** How urgent a message is: the share of the channel's backlog limit that it may fill. */
+/** Urgency of a message, which determines the share of the backlog limit that it may use. */
 enum ChannelPriority {
-  /** Weights, and binds of proxies that already have a table. */
+  /** Weights, and binds of proxies that are already bound to a table. */
   DEFERRABLE(0.5),
   /** Reinstatements. */
   REINSTATEMENT(0.6),
--- a/src/main/java/pearusher/policy/EjectionPublisher.java
+++ b/src/main/java/pearusher/policy/EjectionPublisher.java
@@ -3,14 +3,17 @@
 import java.util.List;
 
 /**
- * Publishes ejections ahead of all else. Behind a backlog they are batched until they outweigh the
- * overhead of their messages.
+ * Publisher of ejections, which precede all other changes. While the channel has a backlog,
+ * ejections are batched until they outweigh the overhead of their messages.
  */
 final class EjectionPublisher {
-  /** Share of the backlog limit under which few ejections are published. */
+  /** Share of the backlog limit up to which a small batch of ejections is published. */
   private static final double FEW_EJECTIONS_BACKLOG_SHARE = 0.27;
 
-  /** The same of many ejections, which take the rest of what ejections may fill. */
+  /**
+   * Share of the backlog limit up to which a large batch of ejections is published. A large batch
+   * uses the rest of the backlog that ejections may fill.
+   */
   private static final double MANY_EJECTIONS_BACKLOG_SHARE = 0.5;
 
   private static final ChannelPriority PRIORITY = ChannelPriority.EJECTION;
@@ -41,61 +44,65 @@
   }
 
   /**
-   * Publishes the pending ejections if it is time to.
+   * Publishes the pending ejections if they are due.
    *
-   * @return whether they would arrive after the grace of the oldest
+   * @return whether they would arrive after the drain grace period of the oldest one
    */
   boolean publish(long nowUs) {
-    double cost = cost();
-    boolean late = isLate(nowUs, cost);
-    if (isTimeToPublish(cost, late)) {
+    double costLines = costLines();
+    boolean late = isLate(nowUs, costLines);
+    if (isPublicationDue(costLines, late)) {
       ejections.publishEjections(this::publishOne);
     }
     return late;
   }
 
-  /** Lines of all pending ejections. */
-  private double cost() {
-    double followerLines =
-        fleet.tables().all().values().stream().mapToDouble(this::linesForFollowers).sum();
-    int others =
-        surge.isActive() ? 0 : fleet.proxies().oldestFirst(proxy -> !proxy.followsTable).size();
-    return followerLines + channel.limits().messageLines(ejections.ejectionCount()) * others;
+  /** Returns the channel lines of all pending ejections, message overhead included. */
+  private double costLines() {
+    double subscriberLines =
+        fleet.tables().all().values().stream().mapToDouble(this::linesForSubscribers).sum();
+    int unboundProxies =
+        surge.isActive() ? 0 : fleet.proxies().oldestFirst(proxy -> !proxy.subscribed).size();
+    return subscriberLines
+        + channel.limits().messageLines(ejections.ejectionCount()) * unboundProxies;
   }
 
-  private double linesForFollowers(ZoneTable table) {
+  private double linesForSubscribers(ZoneTable table) {
     long listed = ejections.countEjections(table::lists);
     return table.followers.size() * channel.limits().messageLines(listed);
   }
 
-  private boolean isLate(long nowUs, double cost) {
+  private boolean isLate(long nowUs, double costLines) {
     long waitUs =
         ejections.oldestEjection().stream()
             .map(id -> nowUs - fleet.servers().get(id).ejectionChangedUs)
             .findFirst()
             .orElse(0);
-    return channel.backlogLines() + cost + channel.limits().nominalLines(waitUs)
-        > ChannelLimits.TIMELY_GRACE_SHARE * channel.limits().graceLines();
+    return channel.backlogLines() + costLines + channel.limits().nominalLines(waitUs)
+        > ChannelLimits.TIMELY_GRACE_SHARE * channel.limits().drainGraceLines();
   }
 
-  private boolean isTimeToPublish(double cost, boolean late) {
+  private boolean isPublicationDue(double costLines, boolean late) {
     double maxBacklogLines = settings.channel().maxBacklogLines();
     boolean many = ejections.ejectionCount() > settings.channel().messageOverheadLines();
     boolean large =
-        many && cost > (PRIORITY.backlogShare - FEW_EJECTIONS_BACKLOG_SHARE) * maxBacklogLines;
+        many && costLines > (PRIORITY.backlogShare - FEW_EJECTIONS_BACKLOG_SHARE) * maxBacklogLines;
     double backlogShare = large ? MANY_EJECTIONS_BACKLOG_SHARE : FEW_EJECTIONS_BACKLOG_SHARE;
-    // Few that would be late are what a full channel left of many: these are published once they
-    // fit.
+    // A small batch that would be late is the rest of a large one that did not fit. It is published
+    // as soon as it fits.
     return channel.backlogLines() <= maxBacklogLines * backlogShare
-        || ((many || late) && channel.fits(cost, PRIORITY));
+        || ((many || late) && channel.fits(costLines, PRIORITY));
   }
 
   private boolean publishOne(long server) {
-    return surge.isActive() ? endEntries(server) : eject(server);
+    return surge.isActive() ? removeFromTables(server) : eject(server);
   }
 
-  /** In a join surge the server leaves the tables: joiners are bound before they need ejections. */
-  private boolean endEntries(long server) {
+  /**
+   * Removes the server from the published tables, instead of an ejection, during a join surge.
+   * Joining proxies are bound before they need ejections.
+   */
+  private boolean removeFromTables(long server) {
     fleet
         .tables()
         .all()
@@ -111,7 +118,7 @@
   private boolean eject(long server) {
     List<Integer> recipients =
         fleet.proxies().byId().keySet().stream()
-            .filter(id -> mayKnow(fleet.proxies().get(id), server))
+            .filter(id -> mayUse(fleet.proxies().get(id), server))
             .toList();
     boolean fits = channel.reserve(recipients, 1, PRIORITY);
     if (fits) {
@@ -120,7 +127,7 @@
     return fits;
   }
 
-  private boolean mayKnow(ProxyState proxy, long server) {
-    return !proxy.followsTable || fleet.tables().get(proxy.table).lists(server);
+  private boolean mayUse(ProxyState proxy, long server) {
+    return !proxy.subscribed || fleet.tables().get(proxy.table).lists(server);
   }
 }
--- a/src/main/java/pearusher/policy/EjectionQueue.java
+++ b/src/main/java/pearusher/policy/EjectionQueue.java
@@ -7,9 +7,9 @@
 import java.util.function.LongPredicate;
 
 /**
- * Ejections and reinstatements that wait for publication, oldest first. A server that is not ready
- * is ejected at once; one that is ready again is reinstated. Grows with the servers that changed
- * and are not published yet.
+ * Queue of ejections and reinstatements pending publication, oldest first. A server that is not
+ * ready is ejected at once; a server that is ready again is reinstated. Memory grows with the
+ * number of servers whose change is not yet published.
  */
 final class EjectionQueue {
   private final PolicyCommands commands;
@@ -20,6 +20,9 @@
     this.commands = commands;
   }
 
+  /**
+   * Updates the state of a server and queues the ejection or reinstatement that follows from it.
+   */
   void onLifecycle(long nowUs, Server server, Lifecycle lifecycle) {
     server.lifecycle = lifecycle;
     boolean mustBeEjected = lifecycle != Lifecycle.READY;
@@ -35,6 +38,7 @@
     }
   }
 
+  /** Raises the risk of a server and reports it; a risk that is not higher changes nothing. */
   void raiseStaleEjectionRisk(Server server, StaleEjectionRisk risk) {
     if (risk.exceeds(server.staleEjectionRisk)) {
       server.staleEjectionRisk = risk;
@@ -42,7 +46,7 @@
     }
   }
 
-  /** Queues ejections again, for proxies that joined after they were published. */
+  /** Queues ejections again for proxies that joined after their publication. */
   void requeueEjections(Collection<Long> servers) {
     ejections.addAll(servers);
   }
@@ -67,7 +71,7 @@
     return ejections.size();
   }
 
-  /** Counts the pending ejections that match. */
+  /** Returns the number of pending ejections that match. */
   long countEjections(LongPredicate filter) {
     return ejections.stream().filter(filter::test).count();
   }
@@ -76,12 +80,12 @@
     return ejections.stream().mapToLong(Long::longValue).findFirst();
   }
 
-  /** Removes each ejection that {@code publisher} has published. */
+  /** Passes each ejection to the publisher, and removes those for which it returns true. */
   void publishEjections(LongPredicate publisher) {
     ejections.removeIf(publisher::test);
   }
 
-  /** Removes each reinstatement that {@code publisher} has published. */
+  /** Passes each reinstatement to the publisher, and removes those for which it returns true. */
   void publishReinstatements(LongPredicate publisher) {
     reinstatements.removeIf(publisher::test);
   }
--- a/src/main/java/pearusher/policy/EndpointListWatch.java
+++ b/src/main/java/pearusher/policy/EndpointListWatch.java
@@ -1,18 +1,23 @@
 package pearusher.policy;
 
-/** Keeps the watch on the endpoint list: starts it, and renews it with backoff when it failed. */
+/** Watch on the endpoint list, which is renewed with backoff after a failure. */
 final class EndpointListWatch {
-  /** Least backoff, as a share of the control period. */
-  private static final double MIN_BACKOFF_PERIODS = 0.5;
+  /** Lower bound of the first backoff before jitter, in control periods. */
+  private static final double MIN_FIRST_BACKOFF_CONTROL_PERIODS = 0.5;
 
-  /** First backoff, as a share of the longest interval that the list may go unpolled. */
-  private static final double FIRST_BACKOFF_POLL_INTERVALS = 0.05;
+  /** First backoff before jitter, in longest allowed poll intervals of the list. */
+  private static final double FIRST_BACKOFF_MAX_POLL_INTERVALS = 0.05;
 
+  /** Upper bound of the backoff before jitter, in first backoffs. */
   private static final double MAX_BACKOFF_MULTIPLE = 4;
+
   private static final int MAX_DOUBLINGS = 9;
 
-  /** The backoff is multiplied by a figure from here to {@code + 0.5}, by seed and failure. */
-  private static final double MIN_JITTER = 0.75;
+  /**
+   * Lower bound of the jitter factor. The seed and the number of failures determine the factor,
+   * which ranges from this bound up to 0.5 more.
+   */
+  private static final double MIN_JITTER_FACTOR = 0.75;
 
   private static final int JITTER_STEPS = 1000;
   private static final double JITTER_DIVISOR = 2000.0;
@@ -48,10 +53,11 @@
   private double backoffUs() {
     double firstUs =
         Math.max(
-            settings.controlPeriodUs() * MIN_BACKOFF_PERIODS,
-            FIRST_BACKOFF_POLL_INTERVALS * settings.limits().maxPollIntervalUs());
+            settings.controlPeriodUs() * MIN_FIRST_BACKOFF_CONTROL_PERIODS,
+            FIRST_BACKOFF_MAX_POLL_INTERVALS * settings.limits().maxPollIntervalUs());
     double jitter =
-        MIN_JITTER + Math.floorMod(settings.seed() * failures, JITTER_STEPS) / JITTER_DIVISOR;
+        MIN_JITTER_FACTOR
+            + Math.floorMod(settings.seed() * failures, JITTER_STEPS) / JITTER_DIVISOR;
     int doublings = Math.min(failures - 1, MAX_DOUBLINGS);
     return firstUs * jitter * Math.min(MAX_BACKOFF_MULTIPLE, 1 << doublings);
   }
--- a/src/main/java/pearusher/policy/FaastPolicy.java
+++ b/src/main/java/pearusher/policy/FaastPolicy.java
@@ -5,15 +5,16 @@
 import java.util.OptionalInt;
 
 /**
- * The assignment policy after FaaSt's Algorithm 1: each control period it collects response times,
- * computes for each zone a table of weights inverse to the servers' times, and publishes what
- * changed. It coordinates the modules that decide, and decides nothing itself. Called by one
- * thread; grows with the servers listed, the proxies of this instance, and their zones.
+ * Assignment policy that implements Algorithm 1 of FaaSt. In each control period it collects
+ * response times, computes for each zone a table of weights that are inverse to the servers'
+ * response times, and publishes the changes. This class only coordinates the modules that decide.
+ * One thread calls all methods. Memory grows with the numbers of listed servers, of proxies of this
+ * instance, and of their zones.
  */
 public final class FaastPolicy implements AssignmentPolicy {
   private final PolicySettings settings;
 
-  // What is known of the fleet.
+  // State of the fleet.
   private final ControlClock clock;
   private final EndpointListWatch listWatch;
   private final EjectionQueue ejections;
@@ -23,12 +24,12 @@
   private final ZoneScope scope;
   private final ChannelBudget channel;
 
-  // What is measured.
+  // Measurements.
   private final ResponseTimeEstimator estimator;
   private final SuccessForecast forecast = new SuccessForecast();
   private final UtilizationMonitor utilization;
 
-  // What is decided.
+  // Decisions.
   private final OutlierDetector outliers;
   private final SlowStart slowStart;
   private final OverloadDetector overload;
@@ -38,15 +39,15 @@
   private final WeightCalculator weightCalculator;
   private final SubsetAssignment subsets;
 
-  // What is published.
+  // Publication.
   private final WeightPublisher weightPublisher;
   private final UpdatePublisher publisher;
 
   /**
    * Creates the policy of one instance.
    *
-   * @param settings what the instance is configured with
-   * @param commands receives the commands, from the thread that reports the events
+   * @param settings the settings of the instance
+   * @param commands receives the commands, on the thread that reports the events
    */
   public FaastPolicy(PolicySettings settings, PolicyCommands commands) {
     this.settings = settings;
@@ -86,10 +87,10 @@
     subsets = new SubsetAssignment(settings, commands, fleet);
 
     weightPublisher = new WeightPublisher(commands, fleet, channel, ejections);
-    UpdatePublisher.DecidedState decided =
-        new UpdatePublisher.DecidedState(
+    UpdatePublisher.DecisionModules decisions =
+        new UpdatePublisher.DecisionModules(
             admission, new RetryPolicy(overload), subsets, weightPublisher);
-    publisher = new UpdatePublisher(settings, commands, fleet, channel, ejections, hold, decided);
+    publisher = new UpdatePublisher(settings, commands, fleet, channel, ejections, hold, decisions);
     if (settings.slices() > 0) {
       commands.log("slices are not served: this instance binds and orders nothing");
     }
@@ -116,7 +117,7 @@
     ZoneTable table = tables.get(proxy.zone);
     table.recordUse(nowUs);
     if (clock.isStarted() && table.plannedShares.isEmpty()) {
-      bringIntoScope(proxy.zone);
+      planNewZone(proxy.zone);
     }
     proxies.add(nowUs, proxyId, proxy);
     if (clock.periodsWithReports() == 0) {
@@ -125,8 +126,11 @@
     hold.onProxyJoined(nowUs, proxy);
   }
 
-  /** Plans the table of a zone that comes into scope as if it had been there before. */
-  private void bringIntoScope(int zone) {
+  /**
+   * Plans the table of a zone that has come into scope, so that its proxies are bound in the same
+   * batch instead of the next control period.
+   */
+  private void planNewZone(int zone) {
     weightCalculator.recompute(zone);
     weightPublisher.publish(zone);
     subsets.update();
@@ -162,7 +166,7 @@
     ProxyState proxy = proxies.get(proxyId);
     boolean isRestored =
         tableNumber == proxy.zone && !tables.get(tableNumber).publishedWeights.isEmpty();
-    proxy.holdRestoredTable(isRestored ? OptionalInt.of(missingLines) : OptionalInt.empty());
+    proxy.setMissingLines(isRestored ? OptionalInt.of(missingLines) : OptionalInt.empty());
   }
 
   @Override
@@ -229,7 +233,7 @@
     return scope.servers().stream().noneMatch(server -> server.share > 0 && server.isServing());
   }
 
-  /** One control period: collect the reports, compute tables and levels; publishing follows. */
+  /** Collects the reports of a control period and computes tables and admission levels. */
   private void runControlPeriod(long nowUs) {
     collect(clock.beginPeriod(nowUs));
     scope.releaseUnusedZones(nowUs);
@@ -241,7 +245,7 @@
     if (hold.isReleased() || !hold.hasRestoredTables()) {
       admission.update(overload.admittedShare());
     }
-    servers.forgetRemoved(nowUs, tables);
+    servers.deleteExpired(nowUs, tables);
   }
 
   private void collect(long elapsedUs) {
@@ -249,7 +253,10 @@
     forecast.update(estimator.recent());
   }
 
-  /** Computes all tables: once a period, and at once after a restart of a server. */
+  /**
+   * Computes all tables. This happens once per control period, and at once if a recomputation was
+   * requested, for instance after the restart of a server.
+   */
   private void recomputeTables(long nowUs) {
     clock.clearRecomputeRequest();
     scope.refresh();
--- a/src/main/java/pearusher/policy/JoinSurge.java
+++ b/src/main/java/pearusher/policy/JoinSurge.java
@@ -3,13 +3,14 @@
 import java.util.List;
 
 /**
- * Detects a join surge: so many proxies join with old tables that complete new ones can't reach all
- * before the grace of the oldest ends. Each is then bound to a subset of the fleet first, which
- * guards against old tables that name drained servers for long. The surge ends when all are bound.
+ * Detector of join surges. In a join surge so many proxies join with old tables that complete new
+ * tables can't reach all of them before the drain grace period of the oldest one ends. Each joining
+ * proxy is then bound to a subset of the fleet first, so that it does not use an old table with
+ * drained servers for long. The surge ends when all proxies are bound.
  */
 final class JoinSurge {
-  /** Share of the lines within the grace that binds of all proxies to subsets take. */
-  private static final double BINDS_GRACE_SHARE = 0.5;
+  /** Share of the lines of a drain grace period that binds of all proxies to subsets use. */
+  private static final double SUBSET_BINDS_GRACE_SHARE = 0.5;
 
   private final PolicySettings settings;
   private final FleetState fleet;
@@ -35,7 +36,7 @@
     return active;
   }
 
-  /** Detects the begin and the end of a surge, and creates and removes the subsets. */
+  /** Detects the start and the end of a surge, and creates and removes the subsets. */
   void update(long nowUs) {
     fleet.scope().removeNotServing();
     List<Integer> joiners =
@@ -43,7 +44,9 @@
             .proxies()
             .oldestFirst(
                 proxy ->
-                    !proxy.bound && hold.isReleased() && (proxy.holdsTables || subsets.isInUse()));
+                    !proxy.bound
+                        && hold.isReleased()
+                        && (proxy.joinedWithTables || subsets.isInUse()));
     active = !joiners.isEmpty() && (active || arriveTooLate(nowUs, joiners));
     if (active && !subsets.isInUse() && !fleet.scope().servers().isEmpty()) {
       subsets.create(subsetCount());
@@ -55,12 +58,12 @@
   private boolean arriveTooLate(long nowUs, List<Integer> joiners) {
     long oldestWaitUs = nowUs - fleet.proxies().get(joiners.get(0)).joinedUs;
     double remainingLines =
-        channel.limits().graceLines() - channel.limits().nominalLines(oldestWaitUs);
+        channel.limits().drainGraceLines() - channel.limits().nominalLines(oldestWaitUs);
     return channel.backlogLines() + completeBindLines(joiners)
         > ChannelLimits.TIMELY_GRACE_SHARE * remainingLines;
   }
 
-  /** Lines of binds to complete tables for all joiners. */
+  /** Returns the channel lines of binds of all joining proxies to complete tables. */
   private double completeBindLines(List<Integer> joiners) {
     List<Server> servers = fleet.scope().servers();
     double atRiskForAll =
@@ -81,12 +84,14 @@
   }
 
   /**
-   * Subsets are so small that binds of all proxies at once take half of what arrives in time; the
-   * rest is for ejections. Smaller than half a message's overhead saves little.
+   * Returns the number of subsets. Subsets are so small that binds of all proxies at once use half
+   * of the lines of a drain grace period; the rest is for ejections. Subsets smaller than half of a
+   * message's overhead would save little.
    */
   private int subsetCount() {
     double overheadLines = settings.channel().messageOverheadLines();
-    double linesPerBind = BINDS_GRACE_SHARE * channel.limits().graceLines() / settings.proxies();
+    double linesPerBind =
+        SUBSET_BINDS_GRACE_SHARE * channel.limits().drainGraceLines() / settings.proxies();
     double serversPerBind = channel.limits().linesForServers(linesPerBind);
     double subsetSize = Math.max(overheadLines / 2, serversPerBind / 2);
     return (int) Math.ceil(fleet.scope().servers().size() / subsetSize);
--- a/src/main/java/pearusher/policy/Lifecycle.java
+++ b/src/main/java/pearusher/policy/Lifecycle.java
@@ -1,6 +1,6 @@
 package pearusher.policy;
 
-/** State of a server in the endpoint list. */
+/** Lifecycle state of a server in the endpoint list. Stored data contains the ordinals. */
 public enum Lifecycle {
   REMOVED,
   READY,
--- a/src/main/java/pearusher/policy/ListUpdateKind.java
+++ b/src/main/java/pearusher/policy/ListUpdateKind.java
@@ -1,13 +1,13 @@
 package pearusher.policy;
 
-/** What an update of the endpoint list holds. */
+/** Meaning of the entries of an endpoint list update. */
 public enum ListUpdateKind {
   /** The servers that changed. */
   DELTA,
   /** All servers. */
   COMPLETE,
-  /** All servers as last known, while discovery does not answer. */
+  /** All servers of the last list received, while discovery does not answer. */
   CACHED,
-  /** Nothing: the watch or the request failed. */
+  /** No entries, because the watch or the request failed. */
   FAILED
 }
--- a/src/main/java/pearusher/policy/PolicyTimer.java
+++ b/src/main/java/pearusher/policy/PolicyTimer.java
@@ -1,6 +1,6 @@
 package pearusher.policy;
 
-/** The timers of the policy, by the token that the caller hands back. */
+/** Timers of the policy. The caller returns the token of a timer when it fires. */
 enum PolicyTimer {
   CONTROL_PERIOD(1),
   ENDPOINT_LIST_WATCH(2),
--- a/src/main/java/pearusher/policy/ProxyBinder.java
+++ b/src/main/java/pearusher/policy/ProxyBinder.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.OptionalInt;
 
-/** Binds proxies to tables, those that joined first before the others. */
+/** Binder of proxies to tables, in the order in which the proxies joined. */
 final class ProxyBinder {
   private final PolicyCommands commands;
   private final FleetState fleet;
@@ -31,8 +31,8 @@
   }
 
   /**
-   * Binds proxies that hold their zone's table from an earlier process, if what they lack fits at
-   * once. Later they get a complete table.
+   * Binds the proxies that have their zone's table from an earlier process, if the missing lines
+   * fit into the channel at once. The others get a complete table later.
    */
   void bindRestored() {
     fleet
@@ -40,7 +40,7 @@
         .byId()
         .forEach(
             (id, proxy) -> {
-              OptionalInt missingLines = proxy.takeMissingLines();
+              OptionalInt missingLines = proxy.pollMissingLines();
               if (!proxy.bound && missingLines.isPresent()) {
                 bindRestored(id, proxy, missingLines.getAsInt());
               }
@@ -49,12 +49,12 @@
 
   private void bindRestored(int id, ProxyState proxy, int missingLines) {
     if (missingLines == 0 || channel.reserve(List.of(id), missingLines, ChannelPriority.TIMELY)) {
-      follow(id, proxy, proxy.zone);
+      issueBind(id, proxy, proxy.zone);
     }
   }
 
-  /** Updates the lists of the proxies that follow each table. */
-  void refreshFollowers() {
+  /** Updates the list of subscribers of each table. */
+  void refreshSubscribers() {
     fleet.tables().all().values().forEach(table -> table.followers.clear());
     fleet
         .proxies()
@@ -62,22 +62,22 @@
         .forEach(
             (id, proxy) -> {
               ZoneTable table = fleet.tables().get(proxy.table);
-              if (proxy.followsTable) {
+              if (proxy.subscribed) {
                 table.followers.add(id);
               }
             });
   }
 
   /**
-   * Binds the proxies that wait; during a join surge to subsets.
+   * Binds the proxies that wait for a table; during a join surge to tables of subsets.
    *
-   * @return whether all are bound
+   * @return whether all of them are bound
    */
   boolean bindWaiting() {
     List<Integer> waiting =
         fleet
             .proxies()
-            .oldestFirst(proxy -> !proxy.bound && (hold.isReleased() || !proxy.holdsTables));
+            .oldestFirst(proxy -> !proxy.bound && (hold.isReleased() || !proxy.joinedWithTables));
     boolean complete = true;
     for (int id : waiting) {
       complete &= bind(id, tableForJoiner(fleet.proxies().get(id).zone));
@@ -90,9 +90,9 @@
   }
 
   /**
-   * Binds proxies that have a subset's table to that of their zone, until one does not fit.
+   * Binds proxies from the tables of subsets to those of their zones, until a bind does not fit.
    *
-   * @return whether all fitted
+   * @return whether all binds fitted
    */
   boolean bindFromSubsetsToZones() {
     return fleet.proxies().oldestFirst(proxy -> fleet.tables().isSubsetTable(proxy.table)).stream()
@@ -116,7 +116,7 @@
     if (isSubsetTable) {
       table.followers.add(id);
     }
-    follow(id, proxy, tableNumber);
+    issueBind(id, proxy, tableNumber);
     return true;
   }
 
@@ -127,7 +127,10 @@
     return surge.isActive() ? ChannelPriority.EJECTION : ChannelPriority.TIMELY;
   }
 
-  /** Lines of a bind: itself, the table's weights and levels, and reinstatements. */
+  /**
+   * Returns the content lines of a bind: the bind itself, the table's weights and admission levels,
+   * and reinstatements.
+   */
   private double bindLines(ZoneTable table, ProxyState proxy) {
     long reinstatements =
         table.publishedWeights.keySet().stream()
@@ -137,7 +140,7 @@
     return 1 + table.publishedWeights.size() + reinstatements + levels;
   }
 
-  private void follow(int id, ProxyState proxy, int tableNumber) {
+  private void issueBind(int id, ProxyState proxy, int tableNumber) {
     proxy.bindTo(tableNumber);
     commands.bindProxy(id, tableNumber, 0);
   }
--- a/src/main/java/pearusher/policy/ProxyRegistry.java
+++ b/src/main/java/pearusher/policy/ProxyRegistry.java
@@ -9,17 +9,20 @@
 import java.util.function.Predicate;
 
 /**
- * The connected proxies, their demand, and how far behind their reports are. Grows with the proxies
- * of this instance and the request classes.
+ * Registry of the connected proxies, their demand, and the lag of their reports. Memory grows with
+ * the number of proxies of this instance times the number of request classes.
  */
 final class ProxyRegistry {
-  /** Drain graces after the start until older instances have reinstated what they ejected. */
-  private static final double CONFIRMATION_GRACES = 1.5;
+  /**
+   * Time after the start until older instances have reinstated the servers that they ejected, in
+   * drain grace periods.
+   */
+  private static final double CONFIRMATION_DELAY_DRAIN_GRACES = 1.5;
 
-  /** A gap between two usage reports longer than this was idle time. */
-  private static final double MAX_REPORT_GAP_PERIODS = 0.5;
+  /** Longest gap between two usage reports that does not count as idle time, in control periods. */
+  private static final double MAX_REPORT_GAP_CONTROL_PERIODS = 0.5;
 
-  /** Share of the message limit that deferrable messages may use. */
+  /** Share of the message limit of a proxy that deferrable messages may use. */
   private static final double DEFERRABLE_MESSAGES_SHARE = 0.5;
 
   private final PolicySettings settings;
@@ -41,7 +44,7 @@
     return proxies.values();
   }
 
-  /** The proxies by their numbers. */
+  /** Returns the proxies by number. */
   Map<Integer, ProxyState> byId() {
     return proxies;
   }
@@ -50,7 +53,7 @@
     return proxies.size();
   }
 
-  /** Creates the state of a proxy that joins; {@link #add} registers it. */
+  /** Creates the state of a joining proxy, which {@link #add} registers. */
   ProxyState create(long nowUs, int zone, double requestsPerSecond, boolean listedChangesOnly) {
     int classCount = settings.requestClasses().size();
     int knownZone = Math.min(zone, settings.zoneCount() - 1);
@@ -61,9 +64,9 @@
 
   void add(long nowUs, int id, ProxyState proxy) {
     proxies.put(id, proxy);
-    double unconfirmedUs = CONFIRMATION_GRACES * settings.limits().drainGraceUs();
-    boolean startIsLongAgo = clock.isStarted() && nowUs - clock.startedUs() > unconfirmedUs;
-    if (!proxy.holdsTables || startIsLongAgo) {
+    double confirmationDelayUs = CONFIRMATION_DELAY_DRAIN_GRACES * settings.limits().drainGraceUs();
+    boolean delayPassed = clock.isStarted() && nowUs - clock.startedUs() > confirmationDelayUs;
+    if (!proxy.joinedWithTables || delayPassed) {
       proxy.confirm();
       commands.confirmProxy(id);
     }
@@ -74,9 +77,9 @@
   }
 
   /**
-   * Counts a usage report.
+   * Updates the demand and the report coverage of a proxy by a usage report.
    *
-   * @return whether it was valid
+   * @return whether the report was valid
    */
   boolean onUsageReport(long nowUs, int id, int requestClass, long requests, long spanUs) {
     ProxyState proxy = proxies.get(id);
@@ -86,9 +89,9 @@
     long periodUs = settings.controlPeriodUs();
     double decay = EvidenceDecay.factor((double) spanUs, periodUs);
     double gapUs = proxy.reportGapUs(nowUs, requestClass, spanUs);
-    // Proxies send no report without requests: a gap was idle time or a lost report, not a late
-    // one.
-    boolean wasIdle = gapUs > periodUs * MAX_REPORT_GAP_PERIODS;
+    // Proxies send no reports without requests: a gap is idle time or a lost report, not a late
+    // report.
+    boolean wasIdle = gapUs > periodUs * MAX_REPORT_GAP_CONTROL_PERIODS;
     proxy.recordReport(nowUs, requestClass, spanUs + (wasIdle ? gapUs : 0));
     proxy.updateDemand(requestClass, decay, requests, spanUs);
     return true;
@@ -101,8 +104,9 @@
   }
 
   /**
-   * How far behind the reports are: the lower quartile over the proxies that reported, or over all.
-   * Idle and faulty proxies fall behind alone.
+   * Returns the lag of the usage reports, in microseconds. It is the lower quartile over the
+   * proxies that have reported, or over all proxies if none has, so that idle and faulty proxies do
+   * not raise it.
    */
   double reportLagUs(long nowUs) {
     boolean anyReported = proxies.values().stream().anyMatch(ProxyState::hasReported);
@@ -115,7 +119,7 @@
     return lags.length == 0 ? 0 : lags[lags.length / 4];
   }
 
-  /** The numbers of the proxies that match, in the order of their joining. */
+  /** Returns the numbers of the matching proxies, in the order in which they joined. */
   List<Integer> oldestFirst(Predicate<ProxyState> filter) {
     return proxies.keySet().stream()
         .filter(id -> filter.test(proxies.get(id)))
@@ -132,7 +136,7 @@
     proxies.get(id).recordMessage(nowUs);
   }
 
-  /** Whether one of these proxies may get no further deferrable messages for now. */
+  /** Returns whether one of these proxies may currently get no further deferrable messages. */
   boolean isAnyNearMessageLimit(Collection<Integer> ids) {
     double limit = DEFERRABLE_MESSAGES_SHARE * settings.channel().maxMessagesPerProxy();
     return limit > 0 && ids.stream().anyMatch(id -> proxies.get(id).recentMessageCount() >= limit);
--- a/src/main/java/pearusher/policy/ProxyState.java
+++ b/src/main/java/pearusher/policy/ProxyState.java
@@ -5,48 +5,55 @@
 import java.util.OptionalInt;
 
 /**
- * State of one proxy. It decides nothing: modules read its fields and change them by its methods.
- * Grows with the request classes.
+ * State of one proxy. It contains no decision logic: modules read its fields and change them
+ * through its methods. Memory grows with the number of request classes and of messages within the
+ * window of the message limit.
  */
 final class ProxyState {
   private static final double MICROS_PER_SECOND = 1e6;
 
   final int zone;
 
-  /** Whether it joined with tables that an earlier connection had published. */
-  final boolean holdsTables;
+  /** Whether the proxy joined with tables from an earlier connection. */
+  final boolean joinedWithTables;
 
   final long joinedUs;
 
-  /** Whether it excludes only servers that the endpoint list names as changed. */
+  /** Whether the proxy excludes only servers that the endpoint list names as changed. */
   boolean confirmed;
 
-  /** By request class. */
+  /** Estimated demand by request class, in requests per second. */
   final double[] requestsPerSecond;
 
-  /** Time since joining that its usage reports have covered, by request class. */
+  /** Time since joining that usage reports have covered, by request class, in microseconds. */
   private final double[] coveredUs;
 
-  /** Time of the last usage report, by request class. */
+  /** Time of the last usage report, by request class, in microseconds. */
   private final long[] lastReportUs;
 
-  /** Whether it is bound to the table that it should have. */
+  /** Whether the proxy is bound to its intended table. */
   boolean bound;
 
-  /** Whether it was ever bound: changes of its last table reach it until the next bind. */
-  boolean followsTable;
+  /**
+   * Whether the proxy was ever bound. It receives changes of its last table until the next bind.
+   */
+  boolean subscribed;
 
+  /** Number of the last table; the zone's table before the first bind. */
   int table;
 
-  /** Lines of its zone's restored table that it lacks; empty: it does not hold that table. */
+  /**
+   * Lines of the zone's restored table that the proxy has not received; empty if it does not have
+   * that table.
+   */
   private OptionalInt missingLines = OptionalInt.empty();
 
-  /** When messages were sent to it, within the window of the message limit. */
+  /** Times of the messages sent within the window of the message limit, in microseconds. */
   private final ArrayDeque<Long> recentMessagesUs = new ArrayDeque<>();
 
-  ProxyState(int zone, boolean holdsTables, int classCount, long joinedUs) {
+  ProxyState(int zone, boolean joinedWithTables, int classCount, long joinedUs) {
     this.zone = zone;
-    this.holdsTables = holdsTables;
+    this.joinedWithTables = joinedWithTables;
     this.joinedUs = joinedUs;
     table = zone;
     requestsPerSecond = new double[classCount];
@@ -56,47 +63,53 @@
 
   void bindTo(int tableNumber) {
     bound = true;
-    followsTable = true;
+    subscribed = true;
     table = tableNumber;
   }
 
-  /** Asks for a new bind; until then its last table's changes reach it. */
+  /** Requests a new bind. Until then the proxy receives the changes of its last table. */
   void requestRebind() {
     bound = false;
   }
 
-  /** Records what it lacks of its zone's restored table; empty: it does not hold that table. */
-  void holdRestoredTable(OptionalInt lackedLines) {
-    missingLines = lackedLines;
+  /**
+   * Sets the lines of the zone's restored table that the proxy has not received; empty if it does
+   * not have that table.
+   */
+  void setMissingLines(OptionalInt lines) {
+    missingLines = lines;
   }
 
-  /** Returns what it lacks of its zone's restored table, for one attempt to bind it at once. */
-  OptionalInt takeMissingLines() {
-    OptionalInt taken = missingLines;
+  /** Returns and clears the missing lines, which allow one attempt to bind the proxy at once. */
+  OptionalInt pollMissingLines() {
+    OptionalInt lines = missingLines;
     missingLines = OptionalInt.empty();
-    return taken;
+    return lines;
   }
 
-  /** Records that it excludes only servers that the endpoint list names as changed. */
+  /** Records that the proxy excludes only servers that the endpoint list names as changed. */
   void confirm() {
     confirmed = true;
   }
 
-  /** Time between the spans of the last two reports of a class; 0 at the first report. */
+  /**
+   * Returns the time between the span of the previous report of a class and that of a report which
+   * arrives now, in microseconds; 0 for the first report.
+   */
   double reportGapUs(long nowUs, int requestClass, long spanUs) {
     return coveredUs[requestClass] > 0 ? nowUs - lastReportUs[requestClass] - spanUs : 0;
   }
 
-  /** Records a usage report that covers a time. */
+  /** Records a usage report and the additional time that it covers, in microseconds. */
   void recordReport(long nowUs, int requestClass, double newlyCoveredUs) {
     coveredUs[requestClass] += newlyCoveredUs;
     lastReportUs[requestClass] = nowUs;
   }
 
   /**
-   * Blends a reported demand into the estimate.
+   * Updates the demand estimate by a report.
    *
-   * @param decay weight of the estimate so far, from 0 to 1
+   * @param decay weight of the previous estimate, from 0 to 1
    */
   void updateDemand(int requestClass, double decay, long requests, long spanUs) {
     requestsPerSecond[requestClass] =
@@ -108,7 +121,7 @@
     recentMessagesUs.add(nowUs);
   }
 
-  /** Drops messages that left the window of the message limit. */
+  /** Removes messages that have left the window of the message limit. */
   void dropMessagesBefore(long nowUs, long windowUs) {
     recentMessagesUs.removeIf(sentUs -> nowUs - sentUs >= windowUs);
   }
@@ -125,7 +138,7 @@
     return Arrays.stream(requestsPerSecond).sum();
   }
 
-  /** Time since joining that no usage report covers. */
+  /** Returns the time since joining that no usage report covers, in microseconds. */
   double reportLagUs(long nowUs) {
     return Math.max(0, nowUs - joinedUs - Arrays.stream(coveredUs).max().orElse(0));
   }
--- a/src/main/java/pearusher/policy/ReinstatementPublisher.java
+++ b/src/main/java/pearusher/policy/ReinstatementPublisher.java
@@ -3,11 +3,11 @@
 import java.util.Collection;
 
 /**
- * Publishes reinstatements, each together with the server's weights: a server in slow start would
- * else get the weight that it had before, and many restart at once.
+ * Publisher of reinstatements. Each one is published together with the server's weights, since a
+ * server in slow start would otherwise get its earlier weight, and many servers restart at once.
  */
 final class ReinstatementPublisher {
-  /** Lines for each proxy: the reinstatement and the weight. */
+  /** Lines per proxy: the reinstatement and the weight. */
   private static final int LINES_PER_PROXY = 2;
 
   private final PolicyCommands commands;
@@ -29,7 +29,7 @@
     this.weights = weights;
   }
 
-  /** Publishes the pending reinstatements, as far as the channel has room. */
+  /** Publishes the pending reinstatements that fit into the channel. */
   void publish() {
     ejections.publishReinstatements(id -> publish(fleet.servers().get(id)));
   }
@@ -51,12 +51,15 @@
     return true;
   }
 
-  /** Where no table lists the server, only proxies without a table may know it. */
+  /**
+   * Returns the proxies that need the reinstatement. If no table lists the server, only proxies
+   * that are not bound to a table may exclude it.
+   */
   private Collection<Integer> recipients(Server server) {
     boolean isListed =
         fleet.scope().isOutdated() || server.inScope || fleet.tables().isPublished(server.id);
     return isListed
         ? fleet.proxies().byId().keySet()
-        : fleet.proxies().oldestFirst(proxy -> !proxy.followsTable);
+        : fleet.proxies().oldestFirst(proxy -> !proxy.subscribed);
   }
 }
--- a/src/main/java/pearusher/policy/RestartHold.java
+++ b/src/main/java/pearusher/policy/RestartHold.java
@@ -3,18 +3,22 @@
 import java.util.List;
 
 /**
- * Holds back binds and levels after a restart: proxies with tables of an earlier process keep them
- * until this one has reports of the fleet, which guards against a flood after a crash in an
- * overload. A proxy may keep an outdated table for some periods.
+ * Hold of binds and admission levels after a restart. Proxies keep the tables of an earlier process
+ * until this process has reports of the fleet, which prevents a flood of requests after a crash
+ * during an overload. As a consequence, a proxy may use an outdated table for some control periods.
  */
 final class RestartHold {
-  /** The hold ends after so many periods with reports, or so many periods at most. */
-  private static final int PERIODS_WITH_REPORTS = 2;
+  /**
+   * Number of control periods with reports after which the hold ends. Reports are complete if their
+   * cycle is not longer than this many control periods.
+   */
+  private static final int REQUIRED_PERIODS_WITH_REPORTS = 2;
 
-  private static final double MAX_PERIODS = 3;
+  /** Longest duration of the hold, in control periods. */
+  private static final double MAX_HOLD_CONTROL_PERIODS = 3;
 
-  /** Drain graces until proxies that are held get all current ejections. */
-  private static final double EJECTIONS_AFTER_GRACES = 0.3;
+  /** Delay until proxies under the hold get all current ejections, in drain grace periods. */
+  private static final double EJECTIONS_DELAY_DRAIN_GRACES = 0.3;
 
   private final PolicySettings settings;
   private final PolicyCommands commands;
@@ -27,12 +31,16 @@
   private boolean released;
   private boolean tablesRestored;
 
-  /** When the first proxy with tables joined; 0: none waits for ejections. */
+  /**
+   * Time at which the first proxy with tables joined, in microseconds; 0 if no proxy waits for
+   * ejections.
+   */
   private long ejectionsWaitSinceUs;
 
-  /** Requests and attempts reported during the hold: their ratio is the admitted share. */
+  /** Requests reported during the hold. The ratio of attempts to requests is the admitted share. */
   private double requests;
 
+  /** Attempts reported during the hold. */
   private double attempts;
 
   RestartHold(
@@ -56,7 +64,7 @@
     return released;
   }
 
-  /** Whether tables of an earlier process are in force. */
+  /** Returns whether tables of an earlier process are in force. */
   boolean hasRestoredTables() {
     return tablesRestored;
   }
@@ -66,14 +74,14 @@
   }
 
   void onProxyJoined(long nowUs, ProxyState proxy) {
-    if (proxy.holdsTables && ejectionsWaitSinceUs == 0 && !released) {
+    if (proxy.joinedWithTables && ejectionsWaitSinceUs == 0 && !released) {
       ejectionsWaitSinceUs = nowUs;
       commands.setTimer((long) ejectionsDelayUs(), PolicyTimer.PUBLISH.token);
     }
   }
 
   private double ejectionsDelayUs() {
-    return EJECTIONS_AFTER_GRACES * settings.limits().drainGraceUs();
+    return EJECTIONS_DELAY_DRAIN_GRACES * settings.limits().drainGraceUs();
   }
 
   void onAttempts(long count) {
@@ -84,28 +92,29 @@
     requests += released ? 0 : count;
   }
 
-  /** Releases the hold when its time is over, and restores the share that proxies admit. */
+  /** Releases the hold when its time has passed, and restores the share that proxies admit. */
   void update(long nowUs) {
-    boolean anyHeld = fleet.proxies().all().stream().anyMatch(proxy -> proxy.holdsTables);
-    if (released || (anyHeld && mustWait(nowUs))) {
+    boolean anyProxyHeld = fleet.proxies().all().stream().anyMatch(proxy -> proxy.joinedWithTables);
+    if (released || (anyProxyHeld && mustWait(nowUs))) {
       return;
     }
-    released = clock.periodsWithReports() > 0 || anyHeld;
+    released = clock.periodsWithReports() > 0 || anyProxyHeld;
     boolean reportsComplete =
-        cycle.durationUs() <= PERIODS_WITH_REPORTS * settings.controlPeriodUs();
-    if (anyHeld && requests > 0 && reportsComplete) {
+        cycle.durationUs() <= REQUIRED_PERIODS_WITH_REPORTS * settings.controlPeriodUs();
+    if (anyProxyHeld && requests > 0 && reportsComplete) {
       overload.restoreAdmittedShare(attempts / requests);
     }
   }
 
   private boolean mustWait(long nowUs) {
-    return clock.periodsWithReports() < PERIODS_WITH_REPORTS
-        && nowUs - clock.startedUs() < MAX_PERIODS * settings.controlPeriodUs();
+    return clock.periodsWithReports() < REQUIRED_PERIODS_WITH_REPORTS
+        && nowUs - clock.startedUs() < MAX_HOLD_CONTROL_PERIODS * settings.controlPeriodUs();
   }
 
   /**
-   * Queues ejections for the proxies that are held: new ones at once, and all of them after a
-   * while. Where these would delay the binds behind them too long, the hold is released instead.
+   * Queues ejections for the proxies under the hold: new ejections at once, and all current
+   * ejections after a delay. If these would delay the subsequent binds too long, the hold is
+   * released instead.
    */
   void forwardEjections(long nowUs, EjectionQueue ejections) {
     if (ejectionsWaitSinceUs <= 0 || released) {
@@ -121,7 +130,7 @@
     int unbound = fleet.proxies().oldestFirst(proxy -> !proxy.bound).size();
     released =
         unbound * channelLimits.messageLines(ejected.size())
-            > channelLimits.maxWaitingLines(ChannelPriority.DEFERRABLE);
+            > channelLimits.maxBacklogLines(ChannelPriority.DEFERRABLE);
     if (!released) {
       ejections.requeueEjections(ejected);
     }
--- a/src/main/java/pearusher/policy/ServerRegistry.java
+++ b/src/main/java/pearusher/policy/ServerRegistry.java
@@ -10,12 +10,16 @@
 import java.util.TreeMap;
 
 /**
- * All known servers and their incarnations. Grows with the servers that the endpoint list names,
- * and with those removed in the last {@link #RETENTION_GRACES} drain graces.
+ * Registry of the servers and their incarnations. Memory grows with the number of servers in the
+ * endpoint list, plus those removed within the last {@link #RETENTION_DRAIN_GRACES} drain grace
+ * periods.
  */
 final class ServerRegistry {
-  /** Drain graces after which a removed server is forgotten: no proxy holds it then. */
-  private static final double RETENTION_GRACES = 30;
+  /**
+   * Retention time of a removed server, in drain grace periods. No proxy has the server in its
+   * table after that time.
+   */
+  private static final double RETENTION_DRAIN_GRACES = 30;
 
   private final PolicySettings settings;
   private final PolicyCommands commands;
@@ -23,8 +27,11 @@
   private final EjectionQueue ejections;
   private final Map<Long, Server> servers = new TreeMap<>();
 
-  /** Whether a server was ever forgotten: a number that returns may be ejected somewhere. */
-  private boolean forgotAny;
+  /**
+   * Whether a removed server was ever deleted. If its number returns, proxies may still exclude it
+   * by an earlier ejection.
+   */
+  private boolean anyServerDeleted;
 
   ServerRegistry(
       PolicySettings settings,
@@ -41,7 +48,7 @@
     return Optional.ofNullable(servers.get(id));
   }
 
-  /** A server that is known to be registered. */
+  /** Returns a registered server; null if there is none of this number. */
   Server get(long id) {
     return servers.get(id);
   }
@@ -50,7 +57,7 @@
     return servers.containsKey(id);
   }
 
-  /** All known servers, by their numbers. */
+  /** Returns all registered servers, ordered by number. */
   Collection<Server> all() {
     return servers.values();
   }
@@ -59,7 +66,7 @@
     return servers.values().stream().anyMatch(Server::isServing);
   }
 
-  /** Applies an update of the endpoint list. A complete list removes the servers it leaves out. */
+  /** Applies an update of the endpoint list. A complete list removes the servers that it omits. */
   void applyUpdate(long nowUs, ListUpdateKind kind, List<ServerEntry> entries) {
     Set<Long> listed = new LinkedHashSet<>();
     for (ServerEntry entry : entries) {
@@ -102,8 +109,9 @@
   }
 
   private StaleEjectionRisk riskOfNewServer(ListUpdateKind kind, ServerEntry entry) {
-    // Nobody can have ejected a server that started after this process, unless its number returned.
-    if (clock.isStarted() && entry.startedUs() > clock.startedUs() && !forgotAny) {
+    // No other process can have ejected a server that started after this one, unless the server's
+    // number was used before.
+    if (clock.isStarted() && entry.startedUs() > clock.startedUs() && !anyServerDeleted) {
       return StaleEjectionRisk.NONE;
     }
     boolean mayHaveChanged = kind != ListUpdateKind.CACHED || entry.startedUs() > 0;
@@ -117,22 +125,22 @@
     ejections.raiseStaleEjectionRisk(server, StaleEjectionRisk.ALL_PROXIES);
   }
 
-  /** Forgets servers that were removed long ago and that no table lists. */
-  void forgetRemoved(long nowUs, ZoneTables tables) {
-    servers.values().removeIf(server -> forgetIfRemoved(nowUs, server, tables));
+  /** Deletes servers whose retention time has passed and that no table lists. */
+  void deleteExpired(long nowUs, ZoneTables tables) {
+    servers.values().removeIf(server -> deleteIfExpired(nowUs, server, tables));
   }
 
-  private boolean forgetIfRemoved(long nowUs, Server server, ZoneTables tables) {
-    double retentionUs = RETENTION_GRACES * settings.limits().drainGraceUs();
+  private boolean deleteIfExpired(long nowUs, Server server, ZoneTables tables) {
+    double retentionUs = RETENTION_DRAIN_GRACES * settings.limits().drainGraceUs();
     boolean expired =
         server.lifecycle == Lifecycle.REMOVED
             && nowUs - server.ejectionChangedUs > retentionUs
             && !ejections.isEjectionPending(server.id)
             && !tables.isPublished(server.id);
     if (expired) {
-      tables.forgetServer(server.id);
+      tables.clearDueUpdates(server.id);
       commands.forgetServer(server.id);
-      forgotAny = true;
+      anyServerDeleted = true;
     }
     return expired;
   }
--- a/src/main/java/pearusher/policy/StaleEjectionRisk.java
+++ b/src/main/java/pearusher/policy/StaleEjectionRisk.java
@@ -1,8 +1,8 @@
 package pearusher.policy;
 
 /**
- * Which proxies may still exclude a server because of an ejection that this instance did not see. A
- * proxy at risk gets a reinstatement message along with the server's table entry.
+ * Set of the proxies that may still exclude a server because of an ejection unknown to this
+ * instance. A proxy at risk gets a reinstatement together with the server's table entry.
  */
 enum StaleEjectionRisk {
   NONE,
--- a/src/main/java/pearusher/policy/SubsetAssignment.java
+++ b/src/main/java/pearusher/policy/SubsetAssignment.java
@@ -7,15 +7,16 @@
 import java.util.stream.IntStream;
 
 /**
- * Assigns warm servers to subsets of the fleet, evenly from each zone, and plans the tables of the
- * subsets. While there are subsets it grows with zones in scope times subsets.
+ * Assignment of servers past slow start to subsets of the fleet, evenly from each zone, and
+ * planning of the subsets' tables. While subsets are in use, memory grows with the number of zones
+ * in scope times the number of subsets.
  */
 final class SubsetAssignment {
   private final PolicySettings settings;
   private final PolicyCommands commands;
   private final FleetState fleet;
 
-  /** Number of subsets; 0: none are in use. */
+  /** Number of subsets; 0 if none are in use. */
   private int count;
 
   SubsetAssignment(PolicySettings settings, PolicyCommands commands, FleetState fleet) {
@@ -43,27 +44,27 @@
     count = 0;
   }
 
-  /** Assigns new servers, and replans the tables of subsets from those of their zones. */
+  /** Assigns new servers and replans the tables of subsets from those of their zones. */
   void update() {
     if (count == 0) {
       return;
     }
-    List<Server> warm =
+    List<Server> rampedUp =
         fleet.scope().servers().stream()
             .filter(server -> server.readiness >= 1 && server.isServing())
             .toList();
-    assign(warm);
+    assign(rampedUp);
     for (int zone : fleet.tables().zonesInScope()) {
       for (int subset = 1; subset <= count; subset++) {
-        plan(zone, subset, warm);
+        planSubsetTable(zone, subset, rampedUp);
       }
     }
   }
 
-  private void assign(List<Server> warm) {
+  private void assign(List<Server> rampedUp) {
     int[][] sizes = new int[settings.zoneCount()][count + 1];
-    warm.forEach(server -> sizes[server.zone][server.subset]++);
-    for (Server server : warm) {
+    rampedUp.forEach(server -> sizes[server.zone][server.subset]++);
+    for (Server server : rampedUp) {
       int[] zoneSizes = sizes[server.zone];
       if (server.subset == 0) {
         server.subset = smallest(zoneSizes);
@@ -80,33 +81,35 @@
     return smallest;
   }
 
-  private void plan(int zone, int subset, List<Server> warm) {
+  private void planSubsetTable(int zone, int subset, List<Server> rampedUp) {
     int number = fleet.tables().subsetTable(zone, subset);
     ZoneTable zoneTable = fleet.tables().get(zone);
     ZoneTable table = fleet.tables().get(number);
-    List<Server> members = warm.stream().filter(server -> server.subset == subset).toList();
+    List<Server> members = rampedUp.stream().filter(server -> server.subset == subset).toList();
     table.plan(members, server -> zoneTable.plannedShare(server.id));
-    if (isDepleted(table, warm.size())) {
+    if (isDepleted(table, rampedUp.size())) {
       fleet.proxies().all().stream()
           .filter(proxy -> proxy.table == number)
           .forEach(ProxyState::requestRebind);
     }
   }
 
-  /** Whether the subset has lost more than half of its even part of the warm servers. */
-  private boolean isDepleted(ZoneTable table, long warmCount) {
+  /** Returns whether a subset has lost more than half of its even share of the servers. */
+  private boolean isDepleted(ZoneTable table, long rampedUpCount) {
     long listed = table.plannedShares.size();
-    return listed == 0 || 2 * listed * count < warmCount;
+    return listed == 0 || 2 * listed * count < rampedUpCount;
   }
 
-  /** The subset table of a zone with the fewest proxies for its servers, if any is usable. */
+  /**
+   * Returns the usable subset table of a zone with the fewest proxies per server; empty if none.
+   */
   OptionalInt leastUsedTable(int zone) {
-    long warmCount =
+    long rampedUpCount =
         fleet.scope().servers().stream().filter(server -> server.readiness >= 1).count();
     int[] usable =
         IntStream.rangeClosed(1, count)
             .map(subset -> fleet.tables().subsetTable(zone, subset))
-            .filter(number -> !isDepleted(fleet.tables().get(number), warmCount))
+            .filter(number -> !isDepleted(fleet.tables().get(number), rampedUpCount))
             .toArray();
     return Arrays.stream(usable)
         .boxed()
--- a/src/main/java/pearusher/policy/TableRestorer.java
+++ b/src/main/java/pearusher/policy/TableRestorer.java
@@ -6,13 +6,16 @@
 import java.util.Map;
 
 /**
- * Restores a table that an earlier process of this instance had published. Weights, levels and
- * retry modes stay in force until reports arrive, which guards against even weights and lifted
- * levels after a crash in an overload.
+ * Restorer of the tables that an earlier process of this instance had published. Weights, admission
+ * levels and retry modes stay in force until reports arrive. Otherwise weights would become even
+ * and levels would be lifted after a crash during an overload.
  */
 final class TableRestorer {
-  /** Bound of the ratio of times that weights imply: an outlier's weight implies too much. */
-  private static final double MAX_TIME_RATIO = 4;
+  /**
+   * Bound of the ratio of a response time to the mean that restored weights imply. The weight of an
+   * outlier implies a ratio that is too large.
+   */
+  private static final double MAX_RESPONSE_TIME_RATIO = 4;
 
   private final FleetState fleet;
   private final AdmissionLevels admission;
@@ -27,7 +30,9 @@
     this.hold = hold;
   }
 
-  /** Restores the table of a zone, as {@link AssignmentPolicy#onTableRestored} describes it. */
+  /**
+   * Restores the table of a zone from the arguments of {@link AssignmentPolicy#onTableRestored}.
+   */
   void restore(long nowUs, int zone, Map<Long, Double> weights, double[] levels, int[] retryModes) {
     ZoneTable table = fleet.tables().get(zone);
     table.recordUse(nowUs);
@@ -57,13 +62,17 @@
     }
   }
 
-  /** Weights are inverse to times, and those of the own zone depend on nothing else. */
+  /**
+   * Restores the response time ratios of the servers of the table's own zone. Weights are inverse
+   * to response times, and only those of the own zone depend on nothing else.
+   */
   private static void restoreTimeRatios(List<Server> ownZone, Map<Long, Double> shares) {
     double meanTime =
         total(ownZone, server -> 1 / shares.get(server.id)) / Math.max(1, ownZone.size());
     for (Server server : ownZone) {
       double ratio = 1 / shares.get(server.id) / meanTime;
-      server.restoredTimeRatio = Math.max(1 / MAX_TIME_RATIO, Math.min(MAX_TIME_RATIO, ratio));
+      server.restoredTimeRatio =
+          Math.max(1 / MAX_RESPONSE_TIME_RATIO, Math.min(MAX_RESPONSE_TIME_RATIO, ratio));
     }
   }
 
--- a/src/main/java/pearusher/policy/UpdatePublisher.java
+++ b/src/main/java/pearusher/policy/UpdatePublisher.java
@@ -1,13 +1,13 @@
 package pearusher.policy;
 
 /**
- * Publishes what was decided, in the order of its urgency: binds of proxies that hold their table,
- * ejections, admission levels, reinstatements, binds, and weights. What does not fit into the
- * channel is retried soon.
+ * Publisher of the decisions changes, in the order of their urgency: binds of proxies that already
+ * have their table, ejections, admission levels, reinstatements, other binds, and weights. Changes
+ * that do not fit into the channel are retried after a short delay.
  */
 final class UpdatePublisher {
-  /** Share of a control period after which what did not fit is retried. */
-  private static final double RETRY_AFTER_PERIODS = 0.1;
+  /** Delay until changes that did not fit are retried, in control periods. */
+  private static final double RETRY_DELAY_CONTROL_PERIODS = 0.1;
 
   private final PolicySettings settings;
   private final PolicyCommands commands;
@@ -25,7 +25,7 @@
 
   private boolean retryScheduled;
 
-  /** Whether binds from subsets to zones precede weights: they alternate. */
+  /** Whether binds from subsets to zones precede weights. The precedence alternates. */
   private boolean bindsPreferred;
 
   UpdatePublisher(
@@ -35,19 +35,19 @@
       ChannelBudget channel,
       EjectionQueue ejections,
       RestartHold hold,
-      DecidedState decided) {
+      DecisionModules decisions) {
     this.settings = settings;
     this.commands = commands;
     this.fleet = fleet;
     this.channel = channel;
     this.ejections = ejections;
     this.hold = hold;
-    subsets = decided.subsets();
-    weights = decided.weights();
+    subsets = decisions.subsets();
+    weights = decisions.weights();
     surge = new JoinSurge(settings, fleet, channel, hold, subsets);
     admissionPublisher =
         new AdmissionPublisher(
-            commands, fleet, channel, decided.admission(), decided.retryPolicy());
+            commands, fleet, channel, decisions.admission(), decisions.retryPolicy());
     ejectionPublisher =
         new EjectionPublisher(settings, commands, fleet, channel, ejections, surge, weights);
     reinstatementPublisher =
@@ -56,7 +56,7 @@
   }
 
   /** The modules whose decisions are published. */
-  record DecidedState(
+  record DecisionModules(
       AdmissionLevels admission,
       RetryPolicy retryPolicy,
       SubsetAssignment subsets,
@@ -66,15 +66,15 @@
     retryScheduled = false;
   }
 
-  /** Publishes as much as the channel has room for, as one update for each proxy. */
+  /** Publishes the changes that fit into the channel, as one update for each proxy. */
   void publish(long nowUs) {
     channel.beginUpdate(nowUs);
     fleet.proxies().dropOldMessages(nowUs);
     binder.bindRestored();
-    binder.refreshFollowers();
+    binder.refreshSubscribers();
     hold.forwardEjections(nowUs, ejections);
     surge.update(nowUs);
-    // A surge's binds are published first: a proxy that is bound needs fewer ejections.
+    // Binds of a join surge are published first, since a bound proxy needs fewer ejections.
     boolean complete = !surge.isActive() || binder.bindWaiting();
     publishEjections(nowUs);
     complete &= !ejections.hasEjections() && publishDeferrable();
@@ -86,7 +86,7 @@
 
   private void publishEjections(long nowUs) {
     boolean late = ejectionPublisher.publish(nowUs);
-    // Ejections that would be late cost more than binds to subsets, which need none.
+    // Ejections that would be late cost more lines than binds to subsets, which need no ejections.
     if (late
         && subsets.isInUse()
         && ejections.ejectionCount() > 1 + fleet.scope().servers().size() / subsets.count()) {
@@ -97,9 +97,9 @@
   }
 
   /**
-   * Publishes what waits while ejections are pending.
+   * Publishes the changes that wait while ejections are pending.
    *
-   * @return whether all is published
+   * @return whether all changes are published
    */
   private boolean publishDeferrable() {
     boolean wasNearlyIdle = channel.isNearlyIdle();
@@ -113,7 +113,8 @@
       bindsPreferred = !bindsPreferred;
       complete &= bindsPreferred && binder.bindFromSubsetsToZones();
     }
-    // Weights share the messages of levels: in an overload the channel may never be nearly idle.
+    // Weights share the messages of admission levels, since the channel may never be nearly idle
+    // during an overload.
     boolean sharesMessages = wasNearlyIdle && hasMessages;
     if (weights.isPending() && (sharesMessages || channel.isNearlyIdle())) {
       weights.publishPending();
@@ -125,7 +126,8 @@
     if (!retryScheduled) {
       retryScheduled = true;
       commands.setTimer(
-          (long) (RETRY_AFTER_PERIODS * settings.controlPeriodUs()), PolicyTimer.PUBLISH.token);
+          (long) (RETRY_DELAY_CONTROL_PERIODS * settings.controlPeriodUs()),
+          PolicyTimer.PUBLISH.token);
     }
   }
 }
--- a/src/main/java/pearusher/policy/WeightPublisher.java
+++ b/src/main/java/pearusher/policy/WeightPublisher.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Publishes the weights that changed beyond the hysteresis, the most important first. */
+/** Publisher of weights that changed beyond the hysteresis, the most important ones first. */
 final class WeightPublisher {
-  /** A weight is published once it has changed by this share. */
+  /** Relative change of a weight beyond which it is published. */
   static final double HYSTERESIS = 0.1;
 
   private final PolicyCommands commands;
@@ -18,14 +18,15 @@
   private final ChannelBudget channel;
   private final EjectionQueue ejections;
 
-  /** Whether tables were recomputed and not all of their changes are published. */
+  /** Whether tables were recomputed and not all of their changes have been published. */
   private boolean pending;
 
   /**
    * A weight that is due for an update.
    *
-   * @param urgent whether it is the lower weight of a server in slow start
-   * @param importance share of requests that moves, times how often the update was delayed
+   * @param importance share of requests that the update moves, times the number of times that it
+   *     was due
+   * @param urgent whether the update lowers the weight of a server in slow start
    */
   private record WeightUpdate(
       int tableNumber, long server, double weight, double importance, boolean urgent) {}
@@ -46,19 +47,21 @@
     return pending;
   }
 
-  /** Publishes the pending changes of all tables, as far as the channel has room. */
+  /** Publishes the pending changes of all tables that fit into the channel. */
   void publishPending() {
     pending = !publish(fleet.tables().all());
   }
 
-  /** Publishes the changes of one table, as far as the channel has room. */
+  /** Publishes the changes of one table that fit into the channel. */
   void publish(int tableNumber) {
     publish(Map.of(tableNumber, fleet.tables().get(tableNumber)));
   }
 
   /**
-   * Urgent updates come first, then table by table, for long messages, by importance; the entries
-   * of ejected servers end last.
+   * Publishes the changes of these tables. Urgent updates come first. The others follow by table,
+   * so that messages are long, and by importance. Entries of ejected servers are removed last.
+   *
+   * @return whether all changes are published
    */
   private boolean publish(Map<Integer, ZoneTable> tables) {
     List<WeightUpdate> updates = new ArrayList<>();
@@ -90,8 +93,8 @@
       double weight = server.isServing() ? plannedWeight : 0;
       double published = table.publishedWeight(id);
       if (isDue(id, weight, published)) {
-        int delays = server.isServing() ? table.countDueUpdate(id) : 0;
-        double importance = delays * Math.abs(weight - published);
+        int dueCount = server.isServing() ? table.countDueUpdate(id) : 0;
+        double importance = dueCount * Math.abs(weight - published);
         boolean urgent = server.isServing() && server.slowStartFactor < 1 && weight < published;
         updates.add(new WeightUpdate(number, id, weight, importance, urgent));
       }
@@ -120,7 +123,7 @@
     return fits;
   }
 
-  /** Sets a weight for which lines are reserved; 0 ends the entry. */
+  /** Sets a weight for which lines are reserved; 0 removes the entry. */
   void setWeight(int tableNumber, ZoneTable table, long server, double weight) {
     boolean unchanged = weight == table.publishedWeight(server);
     if (unchanged || (weight > 0 && fleet.scope().isFullFor(table, server))) {
--- a/src/main/java/pearusher/policy/ZoneScope.java
+++ b/src/main/java/pearusher/policy/ZoneScope.java
@@ -8,18 +8,18 @@
 import java.util.stream.Stream;
 
 /**
- * Chooses the servers that tables may list, and releases the tables of zones without proxies here.
- * Where a bind can't carry all serving servers, as many are listed as it can, by a random order of
- * this instance. Grows with the serving servers.
+ * Selection of the servers that tables may list, and release of the tables of zones without proxies
+ * at this instance. If a bind can't carry all serving servers, tables list as many as it can carry,
+ * in a random order specific to this instance. Memory grows with the number of serving servers.
  */
 final class ZoneScope {
-  /** Drain graces without a proxy of the zone after which its table is released. */
-  private static final double RELEASE_GRACES = 30;
+  /** Time without a proxy of a zone after which its table is released, in drain grace periods. */
+  private static final double RELEASE_DELAY_DRAIN_GRACES = 30;
 
   /** Share of the listed servers that come from the zones in scope. */
   private static final double OWN_ZONES_SHARE = 0.75;
 
-  /** A listed server takes its weight and maybe a reinstatement. */
+  /** Lines of a listed server in a bind: its weight and possibly a reinstatement. */
   private static final int LINES_PER_SERVER = 2;
 
   private final PolicySettings settings;
@@ -28,7 +28,7 @@
   private final ProxyRegistry proxies;
   private final ZoneTables tables;
 
-  /** Entries of a table that a bind can carry, each with a reinstatement. */
+  /** Number of entries that a bind can carry if each comes with a reinstatement. */
   private final long maxListedServers;
 
   private final List<Server> listedServers = new ArrayList<>();
@@ -47,16 +47,18 @@
     this.proxies = proxies;
     this.tables = tables;
     double bindLines =
-        channelLimits.linesForServers(channelLimits.maxWaitingLines(ChannelPriority.TIMELY));
+        channelLimits.linesForServers(channelLimits.maxBacklogLines(ChannelPriority.TIMELY));
     maxListedServers = (long) Math.max(1, bindLines / LINES_PER_SERVER);
   }
 
-  /** The servers that tables may list, as of the last {@link #refresh}; don't modify. */
+  /**
+   * Returns the servers that tables may list, as of the last {@link #refresh}; not to be modified.
+   */
   List<Server> servers() {
     return listedServers;
   }
 
-  /** The servers in scope that match, in the same order. */
+  /** Returns the servers of a zone that tables may list, in the order of {@link #servers}. */
   List<Server> serversOfZone(int zone) {
     return listedServers.stream().filter(server -> server.zone == zone).toList();
   }
@@ -73,7 +75,7 @@
     listedServers.removeIf(server -> !server.isServing());
   }
 
-  /** Chooses the servers again if the list or the zones in scope have changed. */
+  /** Selects the servers again if the endpoint list or the zones in scope have changed. */
   void refresh() {
     if (!outdated) {
       return;
@@ -101,18 +103,21 @@
             .collect(toSet()));
   }
 
-  /** Whether the table can take no further server: entries of others must end first. */
+  /**
+   * Returns whether a server can't be added to a table until other entries are removed; false if
+   * the table already lists it.
+   */
   boolean isFullFor(ZoneTable table, long server) {
     return !table.lists(server) && table.publishedWeights.size() >= maxListedServers;
   }
 
-  /** Releases the tables of zones that had no proxy here for long. */
+  /** Releases the tables of zones that had no proxy at this instance for the release delay. */
   void releaseUnusedZones(long nowUs) {
     proxies.all().forEach(proxy -> tables.get(proxy.zone).recordUse(nowUs));
-    double releaseUs = RELEASE_GRACES * settings.limits().drainGraceUs();
+    double releaseDelayUs = RELEASE_DELAY_DRAIN_GRACES * settings.limits().drainGraceUs();
     List<Integer> unused =
         tables.all().keySet().stream()
-            .filter(number -> tables.get(tables.zoneOf(number)).unusedUs(nowUs) > releaseUs)
+            .filter(number -> tables.get(tables.zoneOf(number)).unusedUs(nowUs) > releaseDelayUs)
             .toList();
     unused.forEach(this::release);
   }
--- a/src/main/java/pearusher/policy/ZoneTable.java
+++ b/src/main/java/pearusher/policy/ZoneTable.java
@@ -9,21 +9,24 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * A table of weighted servers that proxies share, for a zone or for a subset of the fleet. It
- * decides nothing: modules read its fields and change them by its methods. Grows with the servers
- * that a table may list, never with all that are known.
+ * Table of weighted servers that proxies share, for a zone or for a subset of the fleet. It
+ * contains no decision logic: modules read its fields and change them through its methods. Memory
+ * grows with the number of servers that a table may list, never with the number of all registered
+ * servers.
  */
 final class ZoneTable {
-  /** Shares by server, as last computed. */
+  /** Computed shares by server. */
   final Map<Long, Double> plannedShares = new TreeMap<>();
 
-  /** Weights by server, as last published. */
+  /** Published weights by server. */
   final Map<Long, Double> publishedWeights = new TreeMap<>();
 
-  /** By server: how often its weight was due for an update since it was last published. */
-  private final Map<Long, Integer> delayedUpdates = new TreeMap<>();
+  /** Number of times that an update of a weight was due since its last publication, by server. */
+  private final Map<Long, Integer> dueUpdates = new TreeMap<>();
 
-  /** Proxies that receive the changes of this table. Written by {@link ProxyBinder}. */
+  /**
+   * Subscribers: proxies that receive the changes of this table. Written by {@link ProxyBinder}.
+   */
   final List<Integer> followers = new ArrayList<>();
 
   /** Published admission level, by request class. */
@@ -32,16 +35,16 @@
   /** Published retry mode, by request class. */
   final int[] retryModes;
 
-  /** A bit for each request class whose level was published. */
+  /** Request classes whose admission level was published, as a bit mask. */
   private int publishedClassBits;
 
   /**
-   * How far requests are kept in the zone: 0, the even share, to 1, the most. Written by {@link
-   * LocalityPreference}.
+   * Degree to which requests stay in the zone, from 0, the even share, to 1, the maximum. Written
+   * by {@link LocalityPreference}.
    */
   double localityPreference;
 
-  /** When the zone last had a proxy at this instance. */
+  /** Time at which the zone last had a proxy at this instance, in microseconds. */
   private long lastUsedUs;
 
   ZoneTable(int classCount, double fullLevel, int defaultRetryMode) {
@@ -51,7 +54,7 @@
     Arrays.fill(retryModes, defaultRetryMode);
   }
 
-  /** Replaces the planned shares by those of the servers whose share is not 0. */
+  /** Replaces the planned shares by those of the servers whose share is above 0. */
   void plan(Collection<Server> servers, ToDoubleFunction<Server> shareOf) {
     plannedShares.clear();
     for (Server server : servers) {
@@ -62,24 +65,24 @@
     }
   }
 
-  /** The planned share of a server; 0: it is not in the plan. */
+  /** Returns the planned share of a server; 0 if the server is not planned. */
   double plannedShare(long server) {
     return plannedShares.getOrDefault(server, 0.0);
   }
 
-  /** The published weight of a server; 0: it has no entry. */
+  /** Returns the published weight of a server; 0 if the server has no entry. */
   double publishedWeight(long server) {
     return publishedWeights.getOrDefault(server, 0.0);
   }
 
-  /** Whether the published table lists the server. */
+  /** Returns whether the published table lists the server. */
   boolean lists(long server) {
     return publishedWeights.containsKey(server);
   }
 
-  /** Records the published weight of a server; 0 ends its entry. */
+  /** Records the published weight of a server; 0 removes its entry. */
   void recordWeight(long server, double weight) {
-    delayedUpdates.remove(server);
+    dueUpdates.remove(server);
     if (weight > 0) {
       publishedWeights.put(server, weight);
     } else {
@@ -88,17 +91,17 @@
   }
 
   /**
-   * Counts that a server's weight is due for an update.
+   * Counts a due update of a server's weight.
    *
-   * @return how often it was, since its weight was last published
+   * @return the number of times that an update was due since the weight was last published
    */
   int countDueUpdate(long server) {
-    return delayedUpdates.merge(server, 1, Integer::sum);
+    return dueUpdates.merge(server, 1, Integer::sum);
   }
 
-  /** Forgets the due updates of a server that no table lists. */
-  void forgetServer(long server) {
-    delayedUpdates.remove(server);
+  /** Clears the number of due updates of a server that no table lists. */
+  void clearDueUpdates(long server) {
+    dueUpdates.remove(server);
   }
 
   /** Records the published admission level and retry mode of a request class. */
@@ -108,7 +111,7 @@
     publishedClassBits |= 1 << requestClass;
   }
 
-  /** The number of request classes whose level was published. */
+  /** Returns the number of request classes whose admission level was published. */
   int publishedClassCount() {
     return Integer.bitCount(publishedClassBits);
   }
@@ -118,7 +121,7 @@
     lastUsedUs = nowUs;
   }
 
-  /** Time since the zone last had a proxy at this instance, in microseconds. */
+  /** Returns the time since the zone last had a proxy at this instance, in microseconds. */
   long unusedUs(long nowUs) {
     return nowUs - lastUsedUs;
   }
--- a/src/main/java/pearusher/policy/ZoneTables.java
+++ b/src/main/java/pearusher/policy/ZoneTables.java
@@ -6,8 +6,10 @@
 import java.util.function.Consumer;
 
 /**
- * The tables in scope: one for each zone that has proxies here, and those of subsets of the fleet;
- * subset k of zone z has the number z + k * zones. Grows with zones in scope times subsets.
+ * Tables in scope: one for each zone that has proxies at this instance, and one for each subset of
+ * the fleet and zone. The table of a zone has the number z of the zone; that of subset k, from 1,
+ * has the number z + k * zones. Memory grows with the number of zones in scope times the number of
+ * subsets.
  */
 final class ZoneTables {
   private final PolicySettings settings;
@@ -17,7 +19,7 @@
     this.settings = settings;
   }
 
-  /** The table of this number, created where there is none. */
+  /** Returns the table of this number, which is created if it does not exist. */
   ZoneTable get(int number) {
     return tables.computeIfAbsent(
         number,
@@ -36,12 +38,12 @@
     return tables.isEmpty();
   }
 
-  /** All tables by number. */
+  /** Returns all tables by number. */
   Map<Integer, ZoneTable> all() {
     return tables;
   }
 
-  /** The tables of zones, without those of subsets, by number. */
+  /** Returns the tables of zones, without those of subsets, by number. */
   Map<Integer, ZoneTable> zoneTables() {
     return tables.headMap(settings.zoneCount());
   }
@@ -58,7 +60,7 @@
     return zone + subset * settings.zoneCount();
   }
 
-  /** The zone that a table belongs to. */
+  /** Returns the zone of a table. */
   int zoneOf(int number) {
     return number % settings.zoneCount();
   }
@@ -67,19 +69,19 @@
     tables.remove(number);
   }
 
-  /** Removes the tables of all subsets, after {@code onRemoval} was called with each. */
+  /** Removes the tables of all subsets, after passing each number to {@code onRemoval}. */
   void removeSubsetTables(Consumer<Integer> onRemoval) {
     Map<Integer, ZoneTable> subsetTables = tables.tailMap(settings.zoneCount());
     subsetTables.keySet().forEach(onRemoval);
     subsetTables.clear();
   }
 
-  /** Whether a published table lists the server. */
+  /** Returns whether any published table lists the server. */
   boolean isPublished(long server) {
     return tables.values().stream().anyMatch(table -> table.lists(server));
   }
 
-  void forgetServer(long server) {
-    tables.values().forEach(table -> table.forgetServer(server));
+  void clearDueUpdates(long server) {
+    tables.values().forEach(table -> table.clearDueUpdates(server));
   }
 }
--- a/src/test/java/pearusher/policy/ChannelBudgetTest.java
+++ b/src/test/java/pearusher/policy/ChannelBudgetTest.java
@@ -20,17 +20,17 @@
 
   @Test
   void theLimitsAreSharesOfTheBacklog() {
-    assertEquals(250, limits.maxWaitingLines(ChannelPriority.DEFERRABLE));
-    assertEquals(300, limits.maxWaitingLines(ChannelPriority.REINSTATEMENT));
-    assertEquals(400, limits.maxWaitingLines(ChannelPriority.TIMELY));
-    assertEquals(450, limits.maxWaitingLines(ChannelPriority.EJECTION));
+    assertEquals(250, limits.maxBacklogLines(ChannelPriority.DEFERRABLE));
+    assertEquals(300, limits.maxBacklogLines(ChannelPriority.REINSTATEMENT));
+    assertEquals(400, limits.maxBacklogLines(ChannelPriority.TIMELY));
+    assertEquals(450, limits.maxBacklogLines(ChannelPriority.EJECTION));
   }
 
   @Test
   void aLargeTierLeavesRoomForItsJoins() {
     ChannelLimits large = new ChannelLimits(CHANNEL, 2 * SECOND_US, 1000, 1);
-    assertEquals(200, large.maxWaitingLines(ChannelPriority.TIMELY), 1e-9, "0.1 of the grace");
-    assertEquals(450, large.maxWaitingLines(ChannelPriority.EJECTION));
+    assertEquals(200, large.maxBacklogLines(ChannelPriority.TIMELY), 1e-9, "0.1 of the grace");
+    assertEquals(450, large.maxBacklogLines(ChannelPriority.EJECTION));
   }
 
   @Test
--- a/src/test/java/pearusher/policy/ProxyStateTest.java
+++ b/src/test/java/pearusher/policy/ProxyStateTest.java
@@ -46,8 +46,8 @@
 
   @Test
   void theMissingLinesAreTakenOnce() {
-    proxy.holdRestoredTable(OptionalInt.of(3));
-    assertEquals(OptionalInt.of(3), proxy.takeMissingLines());
-    assertEquals(OptionalInt.empty(), proxy.takeMissingLines());
+    proxy.setMissingLines(OptionalInt.of(3));
+    assertEquals(OptionalInt.of(3), proxy.pollMissingLines());
+    assertEquals(OptionalInt.empty(), proxy.pollMissingLines());
   }
 }
