--- a/src/main/java/pearusher/policy/ChannelLimits.java
+++ b/src/main/java/pearusher/policy/ChannelLimits.java
@@ -3,7 +3,7 @@
 /** Limits of the update channel: the largest backlog, and the lines that arrive within a time. */
 final class ChannelLimits {
   /** Share of the lines of a drain grace period that is planned for messages due within it. */
-  static final double TIMELY_GRACE_SHARE = 0.8;
+  static final double TIMELY_DRAIN_GRACE_SHARE = 0.8;
 
   /** Lines of a bind besides servers and admission levels: the bind itself and the message end. */
   static final int FIXED_BIND_LINES = 2;
@@ -12,9 +12,9 @@
    * Bounds of the backlog limit for everything except ejections, as a share of the lines of a drain
    * grace period.
    */
-  private static final double MIN_GRACE_SHARE = 0.1;
+  private static final double MIN_DRAIN_GRACE_SHARE = 0.1;
 
-  private static final double MAX_GRACE_SHARE = 0.3;
+  private static final double MAX_DRAIN_GRACE_SHARE = 0.3;
 
   /** Messages per proxy, and lines besides admission levels, when all proxies join at once. */
   private static final double MESSAGES_PER_JOIN = 2.5;
@@ -51,14 +51,14 @@
   double maxBacklogLines(ChannelPriority priority) {
     return Math.min(
         priority.backlogShare * channel.maxBacklogLines(),
-        graceShare(priority) * drainGraceLines());
+        drainGraceShare(priority) * drainGraceLines());
   }
 
-  private double graceShare(ChannelPriority priority) {
+  private double drainGraceShare(ChannelPriority priority) {
     return switch (priority) {
       case EJECTION -> priority.backlogShare;
-      case REINSTATEMENT -> Math.min(MAX_GRACE_SHARE, priority.backlogShare);
-      case TIMELY, DEFERRABLE -> Math.min(MAX_GRACE_SHARE, shareExcludingJoins());
+      case REINSTATEMENT -> Math.min(MAX_DRAIN_GRACE_SHARE, priority.backlogShare);
+      case TIMELY, DEFERRABLE -> Math.min(MAX_DRAIN_GRACE_SHARE, shareExcludingJoins());
     };
   }
 
@@ -66,7 +66,7 @@
     double linesPerJoin =
         MESSAGES_PER_JOIN * channel.messageOverheadLines() + LINES_PER_JOIN + classCount;
     double joinsShare = proxies * linesPerJoin / drainGraceLines();
-    return Math.max(MIN_GRACE_SHARE, ChannelPriority.EJECTION.backlogShare - joinsShare);
+    return Math.max(MIN_DRAIN_GRACE_SHARE, ChannelPriority.EJECTION.backlogShare - joinsShare);
   }
 
   /** Returns the number of lines that reach proxies within the drain grace period. */
--- a/src/main/java/pearusher/policy/EjectionPublisher.java
+++ b/src/main/java/pearusher/policy/EjectionPublisher.java
@@ -79,7 +79,7 @@
             .findFirst()
             .orElse(0);
     return channel.backlogLines() + costLines + channel.limits().nominalLines(waitUs)
-        > ChannelLimits.TIMELY_GRACE_SHARE * channel.limits().drainGraceLines();
+        > ChannelLimits.TIMELY_DRAIN_GRACE_SHARE * channel.limits().drainGraceLines();
   }
 
   private boolean isPublicationDue(double costLines, boolean late) {
--- a/src/main/java/pearusher/policy/JoinSurge.java
+++ b/src/main/java/pearusher/policy/JoinSurge.java
@@ -10,7 +10,7 @@
  */
 final class JoinSurge {
   /** Share of the lines of a drain grace period that binds of all proxies to subsets use. */
-  private static final double SUBSET_BINDS_GRACE_SHARE = 0.5;
+  private static final double SUBSET_BINDS_DRAIN_GRACE_SHARE = 0.5;
 
   private final PolicySettings settings;
   private final FleetState fleet;
@@ -60,7 +60,7 @@
     double remainingLines =
         channel.limits().drainGraceLines() - channel.limits().nominalLines(oldestWaitUs);
     return channel.backlogLines() + completeBindLines(joiners)
-        > ChannelLimits.TIMELY_GRACE_SHARE * remainingLines;
+        > ChannelLimits.TIMELY_DRAIN_GRACE_SHARE * remainingLines;
   }
 
   /** Returns the channel lines of binds of all joining proxies to complete tables. */
@@ -91,7 +91,7 @@
   private int subsetCount() {
     double overheadLines = settings.channel().messageOverheadLines();
     double linesPerBind =
-        SUBSET_BINDS_GRACE_SHARE * channel.limits().drainGraceLines() / settings.proxies();
+        SUBSET_BINDS_DRAIN_GRACE_SHARE * channel.limits().drainGraceLines() / settings.proxies();
     double serversPerBind = channel.limits().linesForServers(linesPerBind);
     double subsetSize = Math.max(overheadLines / 2, serversPerBind / 2);
     return (int) Math.ceil(fleet.scope().servers().size() / subsetSize);
--- a/src/main/java/pearusher/policy/ProxyRegistry.java
+++ b/src/main/java/pearusher/policy/ProxyRegistry.java
@@ -127,9 +127,9 @@
         .toList();
   }
 
-  void dropOldMessages(long nowUs) {
+  void removeExpiredMessages(long nowUs) {
     long windowUs = settings.channel().messageWindowUs();
-    proxies.values().forEach(proxy -> proxy.dropMessagesBefore(nowUs, windowUs));
+    proxies.values().forEach(proxy -> proxy.removeExpiredMessages(nowUs, windowUs));
   }
 
   void onMessageSent(long nowUs, int id) {
--- a/src/main/java/pearusher/policy/ProxyState.java
+++ b/src/main/java/pearusher/policy/ProxyState.java
@@ -122,7 +122,7 @@
   }
 
   /** Removes messages that have left the window of the message limit. */
-  void dropMessagesBefore(long nowUs, long windowUs) {
+  void removeExpiredMessages(long nowUs, long windowUs) {
     recentMessagesUs.removeIf(sentUs -> nowUs - sentUs >= windowUs);
   }
 
--- a/src/main/java/pearusher/policy/SubsetAssignment.java
+++ b/src/main/java/pearusher/policy/SubsetAssignment.java
@@ -82,7 +82,7 @@
   }
 
   private void planSubsetTable(int zone, int subset, List<Server> rampedUp) {
-    int number = fleet.tables().subsetTable(zone, subset);
+    int number = fleet.tables().subsetTableNumber(zone, subset);
     ZoneTable zoneTable = fleet.tables().get(zone);
     ZoneTable table = fleet.tables().get(number);
     List<Server> members = rampedUp.stream().filter(server -> server.subset == subset).toList();
@@ -108,7 +108,7 @@
         fleet.scope().servers().stream().filter(server -> server.readiness >= 1).count();
     int[] usable =
         IntStream.rangeClosed(1, count)
-            .map(subset -> fleet.tables().subsetTable(zone, subset))
+            .map(subset -> fleet.tables().subsetTableNumber(zone, subset))
             .filter(number -> !isDepleted(fleet.tables().get(number), rampedUpCount))
             .toArray();
     return Arrays.stream(usable)
--- a/src/main/java/pearusher/policy/UpdatePublisher.java
+++ b/src/main/java/pearusher/policy/UpdatePublisher.java
@@ -69,7 +69,7 @@
   /** Publishes the changes that fit into the channel, as one update for each proxy. */
   void publish(long nowUs) {
     channel.beginUpdate(nowUs);
-    fleet.proxies().dropOldMessages(nowUs);
+    fleet.proxies().removeExpiredMessages(nowUs);
     binder.bindRestored();
     binder.refreshSubscribers();
     hold.forwardEjections(nowUs, ejections);
--- a/src/main/java/pearusher/policy/ZoneTables.java
+++ b/src/main/java/pearusher/policy/ZoneTables.java
@@ -56,7 +56,7 @@
     return number >= settings.zoneCount();
   }
 
-  int subsetTable(int zone, int subset) {
+  int subsetTableNumber(int zone, int subset) {
     return zone + subset * settings.zoneCount();
   }
 
--- a/src/test/java/pearusher/policy/ChannelBudgetTest.java
+++ b/src/test/java/pearusher/policy/ChannelBudgetTest.java
@@ -8,7 +8,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** A channel of 1,000 lines per second, messages of 9 + 1 fixed lines, and a grace of 2 s. */
+/**
+ * Budget of a channel with 1,000 lines per second, messages with 9 + 1 fixed lines, and a drain
+ * grace period of 2 s.
+ */
 class ChannelBudgetTest {
   private static final long SECOND_US = 1_000_000;
   private static final ChannelSettings CHANNEL =
@@ -19,7 +22,7 @@
   private final ChannelBudget channel = new ChannelBudget(CHANNEL, limits, log.commands());
 
   @Test
-  void theLimitsAreSharesOfTheBacklog() {
+  void theLimitsOfPrioritiesAreSharesOfTheBacklogLimit() {
     assertEquals(250, limits.maxBacklogLines(ChannelPriority.DEFERRABLE));
     assertEquals(300, limits.maxBacklogLines(ChannelPriority.REINSTATEMENT));
     assertEquals(400, limits.maxBacklogLines(ChannelPriority.TIMELY));
@@ -27,9 +30,13 @@
   }
 
   @Test
-  void aLargeTierLeavesRoomForItsJoins() {
+  void limitsBelowEjectionsAreLowerForALargeTier() {
     ChannelLimits large = new ChannelLimits(CHANNEL, 2 * SECOND_US, 1000, 1);
-    assertEquals(200, large.maxBacklogLines(ChannelPriority.TIMELY), 1e-9, "0.1 of the grace");
+    assertEquals(
+        200,
+        large.maxBacklogLines(ChannelPriority.TIMELY),
+        1e-9,
+        "0.1 of the lines of a drain grace period");
     assertEquals(450, large.maxBacklogLines(ChannelPriority.EJECTION));
   }
 
@@ -45,13 +52,14 @@
   }
 
   @Test
-  void whatDoesNotFitIsNotReserved() {
+  void linesThatDoNotFitAreNotReserved() {
     channel.beginUpdate(0);
     assertTrue(channel.reserve(List.of(1), 230, ChannelPriority.DEFERRABLE));
     assertFalse(channel.reserve(List.of(1), 11, ChannelPriority.DEFERRABLE));
     assertEquals(240, channel.backlogLines());
     assertTrue(channel.reserve(List.of(1), 11, ChannelPriority.TIMELY));
-    assertTrue(channel.reserve(List.of(), 1000, ChannelPriority.DEFERRABLE), "without proxies");
+    assertTrue(
+        channel.reserve(List.of(), 1000, ChannelPriority.DEFERRABLE), "no proxies need no lines");
   }
 
   @Test
@@ -77,18 +85,18 @@
     channel.onAcknowledgement(1, 1, 10 * SECOND_US);
     assertEquals(200_000, channel.drainTimeUs(), 1e-6);
     channel.onAcknowledgement(1, 1, 10 * SECOND_US);
-    assertEquals(200_000, channel.drainTimeUs(), 1e-6, "it was acknowledged before");
+    assertEquals(200_000, channel.drainTimeUs(), 1e-6, "a second acknowledgement changes nothing");
   }
 
   @Test
-  void linesWithoutAcknowledgementAreLimitedWhateverHasDrained() {
+  void unacknowledgedLinesAreLimitedEvenAfterTheBacklogHasDrained() {
     channel.start(0);
     channel.beginUpdate(0);
     assertTrue(channel.reserve(List.of(1), 440, ChannelPriority.EJECTION));
     channel.finishUpdate();
     channel.beginUpdate(SECOND_US);
     assertEquals(0, channel.backlogLines());
-    assertFalse(channel.fits(226, ChannelPriority.EJECTION), "250 lines may be in transit");
+    assertFalse(channel.fits(226, ChannelPriority.EJECTION), "250 lines may still be in transit");
     assertTrue(channel.fits(225, ChannelPriority.EJECTION));
     channel.onAcknowledgement(1, 1, SECOND_US / 2);
     assertTrue(channel.fits(226, ChannelPriority.EJECTION));
--- a/src/test/java/pearusher/policy/ChannelModel.java
+++ b/src/test/java/pearusher/policy/ChannelModel.java
@@ -9,12 +9,13 @@
 import java.util.TreeSet;
 
 /**
- * The channel to the proxies as PROTOCOL counts it, independent of the policy: the overhead and the
- * lines of each message wait in one queue that drains at its true rate, whatever the settings
- * state; a proxy acknowledges each message that arrives.
+ * Model of the channel to the proxies, which counts lines as the protocol does and independently of
+ * the policy. The overhead and the lines of each message are added to one queue. The queue drains
+ * at the model's rate, whatever rate the settings state. A proxy acknowledges each message that
+ * arrives.
  */
 final class ChannelModel {
-  /** Overhead of a message and its acknowledgement number. */
+  /** Fixed lines of a message: its overhead and the acknowledgement number. */
   static final int OVERHEAD_LINES = 11;
 
   /** Rate and backlog limit of the channel in the default settings. */
@@ -47,7 +48,7 @@
     return backlogLines;
   }
 
-  /** Drains the queue up to the fixture's time and delivers the acknowledgements due since. */
+  /** Drains the queue up to the fixture's time and delivers the acknowledgements that are due. */
   void deliverAcks() {
     double capacityLines = (fixture.nowUs - nowUs) / 1e6 * linesPerSecond;
     double drainedLines = 0;
@@ -61,7 +62,7 @@
       linesInQueue.push(linesInQueue.poll() - (capacityLines - drainedLines));
     }
     nowUs = fixture.nowUs;
-    backlogLines = linesInQueue.stream().mapToDouble(l -> l).sum();
+    backlogLines = linesInQueue.stream().mapToDouble(lines -> lines).sum();
     for (int i = 0; i < pendingAcks.size(); i++) {
       if (pendingAckTimesUs.get(i) <= nowUs) {
         Message message = pendingAcks.remove(i);
@@ -72,7 +73,11 @@
     }
   }
 
-  /** Queues the messages that the commands since the last call become; gives lines by proxy. */
+  /**
+   * Queues the messages that result from the commands since the last call.
+   *
+   * @return lines by proxy
+   */
   Map<Integer, Integer> send() {
     Map<Integer, Integer> linesByProxy = messageLines(fixture, Set.of());
     linesByProxy.forEach(
@@ -86,8 +91,9 @@
   }
 
   /**
-   * Lines of each proxy's message that the commands since the last call become: its overhead, a
-   * complete table after a bind, with reinstatements of suspected servers, else the changes.
+   * Returns the lines of the message to each proxy that results from the commands since the last
+   * call. A message consists of its overhead and, after a bind, a complete table with
+   * reinstatements of suspected servers, otherwise the changes.
    */
   static Map<Integer, Integer> messageLines(PolicyFixture fixture, Set<Long> suspected) {
     Changes changes = new Changes();
@@ -103,7 +109,7 @@
     return linesByProxy;
   }
 
-  /** Commands of one message, reduced to one change for each weight, level and server. */
+  /** Changes of one message, at most one for each weight, admission level and server. */
   private static final class Changes {
     private final Map<Integer, Set<String>> changesByTable = new TreeMap<>();
     private final Set<Integer> newlyBound = new TreeSet<>();
@@ -133,11 +139,11 @@
         return (newlyBound.contains(proxy) ? 1 : 0) + ejectionChanges.size();
       }
       Set<Long> servers = commands.weightsByTable.getOrDefault(table, Map.of()).keySet();
-      int own =
+      int tableLines =
           newlyBound.contains(proxy)
               ? 1 + servers.size() + countIn(servers, suspected)
               : changesByTable.getOrDefault(table, Set.of()).size();
-      return own + countIn(servers, ejectionChanges);
+      return tableLines + countIn(servers, ejectionChanges);
     }
 
     private static int countIn(Set<Long> servers, Set<Long> counted) {
--- a/src/test/java/pearusher/policy/ChannelScenarios.java
+++ b/src/test/java/pearusher/policy/ChannelScenarios.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 
-/** Scripts of join surges, message caps, bounded tables and narrow channels. */
+/** Scenarios of join surges, message caps, bounded tables and slow channels. */
 final class ChannelScenarios {
   private ChannelScenarios() {}
 
@@ -71,7 +71,8 @@
   }
 
   /**
-   * Servers drain and return one after the other while the weights of others change all the time.
+   * Drains and reinstates servers one after the other while the weights of others change
+   * continually.
    */
   private static void drainsOnABusyChannel(PolicyHistory history) {
     history.start(30, 2, 8);
@@ -135,7 +136,7 @@
     history.run(6);
   }
 
-  /** Drains and returns of more and more servers at once on a channel that holds few lines. */
+  /** Drains and restarts ever more servers at once on a channel with a small backlog limit. */
   private static void smallBacklog(PolicyHistory history) {
     history.start(24, 2, 8);
     history.run(6);
--- a/src/test/java/pearusher/policy/EjectionQueueTest.java
+++ b/src/test/java/pearusher/policy/EjectionQueueTest.java
@@ -25,7 +25,7 @@
     assertTrue(server.ejected);
     assertEquals(100, server.ejectionChangedUs);
     queue.onLifecycle(200, server, Lifecycle.REMOVED);
-    assertEquals(100, server.ejectionChangedUs, "it was ejected before");
+    assertEquals(100, server.ejectionChangedUs, "the server was already ejected");
     assertEquals(1, queue.ejectionCount());
     queue.publishEjections(id -> true);
     queue.onLifecycle(300, server, Lifecycle.READY);
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void aChangeCancelsItsPendingOpposite() {
+  void aServerThatIsReadyAgainCancelsItsPendingEjection() {
     Server server = drained(7, 100);
     queue.onLifecycle(200, server, Lifecycle.READY);
     assertFalse(queue.hasEjections());
@@ -55,7 +55,10 @@
           return id != 3;
         });
     assertEquals(List.of(9L, 3L, 5L), published);
-    assertEquals(OptionalLong.of(3), queue.oldestEjection(), "it did not fit");
+    assertEquals(
+        OptionalLong.of(3),
+        queue.oldestEjection(),
+        "the ejection that was not published stays pending");
     assertEquals(1, queue.countEjections(id -> id == 3));
   }
 
@@ -72,7 +75,7 @@
   }
 
   @Test
-  void onlyProxiesThatAreNotConfirmedAreAtTheLowerRisk() {
+  void theLowerRiskAffectsOnlyUnconfirmedProxies() {
     ProxyState proxy = new ProxyState(0, true, 1, 0);
     assertFalse(StaleEjectionRisk.NONE.affects(proxy));
     assertTrue(StaleEjectionRisk.UNCONFIRMED_PROXIES.affects(proxy));
--- a/src/test/java/pearusher/policy/EjectionTest.java
+++ b/src/test/java/pearusher/policy/EjectionTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Ejection of servers that drain or are removed, and what is known of earlier ejections. */
+/** Ejection of draining and removed servers, and reports of possible earlier ejections. */
 class EjectionTest {
   @Test
   void drainingAndRemovedServersAreEjectedAheadOfWeights() {
@@ -41,13 +41,13 @@
     assertEquals(8, fixture.commands.ejected.size());
   }
 
-  /** The weight of a server that has never been ejected needs no reinstatement beside it. */
+  /** The weight of a server that was never ejected needs no reinstatement. */
   @Test
-  void onlyServersThatMayHaveBeenEjectedAreSuspected() {
+  void onlyServersThatMayHaveBeenEjectedAreReported() {
     PolicyFixture fixture = PolicyFixture.started(8, 4);
     assertFalse(
         fixture.commands.suspectedEjections.values().contains(true),
-        "known since long ago: only for unconfirmed proxies");
+        "servers that started long ago are at risk only for unconfirmed proxies");
     fixture.advance(PolicyFixture.SECOND_US);
     fixture.updateEndpoints(
         ListUpdateKind.DELTA,
@@ -57,7 +57,8 @@
             TestServers.readyServer(1, 1, fixture.nowUs),
             TestServers.serverIn(2, 0, Lifecycle.DRAINING)));
     assertFalse(
-        fixture.commands.suspectedEjections.containsKey(100L), "started after this instance");
+        fixture.commands.suspectedEjections.containsKey(100L),
+        "the server started after this instance");
     for (long id : List.of(101L, 1L, 2L)) {
       assertTrue(
           fixture.commands.suspectedEjections.get(id),
@@ -70,11 +71,12 @@
     assertTrue(fixture.commands.forgottenServers.contains(100L));
     fixture.updateEndpoints(
         ListUpdateKind.DELTA, List.of(TestServers.readyServer(102, 0, fixture.nowUs)));
-    assertTrue(fixture.commands.suspectedEjections.get(102L), "its number may have been forgotten");
+    assertTrue(
+        fixture.commands.suspectedEjections.get(102L), "the number may belong to a deleted server");
   }
 
   @Test
-  void aRemovedServerIsForgottenAfterAMinute() {
+  void aRemovedServerIsDeletedAfterAMinute() {
     PolicyFixture fixture = PolicyFixture.started(8, 4).runPeriods(3);
     fixture.updateEndpoints(
         ListUpdateKind.DELTA,
@@ -84,7 +86,10 @@
     fixture.runPeriods(50);
     assertEquals(List.of(), fixture.commands.forgottenServers);
     fixture.runPeriods(15);
-    assertEquals(List.of(3L), fixture.commands.forgottenServers, "a draining server may return");
+    assertEquals(
+        List.of(3L),
+        fixture.commands.forgottenServers,
+        "a draining server is not deleted, since it may return");
     fixture.updateEndpoints(ListUpdateKind.DELTA, List.of(TestServers.readyServer(3, 1, 0)));
     fixture.runPeriods(2);
     assertTrue(fixture.commands.weightsByTable.get(1).containsKey(3L));
--- a/src/test/java/pearusher/policy/EndpointListTest.java
+++ b/src/test/java/pearusher/policy/EndpointListTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The watch of the endpoint list and its renewal. */
+/** Watch on the endpoint list and its renewal after a failure. */
 class EndpointListTest {
   private static final RecordedCommand START_WATCH = new RecordedCommand.WatchEndpoints(true);
 
@@ -30,10 +30,11 @@
   }
 
   /**
-   * Instances that lose discovery at one instant must not retry at one instant, nor ever faster.
+   * Guards against instances that lose discovery at one instant and all retry at one instant, and
+   * against retries at ever shorter delays.
    */
   @Test
-  void renewalDelaysGrowToABoundAndAreSpreadBySeed() {
+  void renewalDelaysGrowToABoundAndDifferBySeed() {
     List<List<Long>> delays = new ArrayList<>();
     for (long seed : new long[] {0x8c1f30d27a5be964L, 0x1c1f30d27a5be965L}) {
       PolicyFixture fixture =
@@ -50,18 +51,19 @@
       assertEquals(
           delaysOfSeed.get(0),
           fixture.commands.timerDelayUs.get(PolicyFixture.ENDPOINT_LIST_TIMER),
-          "starts anew after a successful list");
+          "the delay is reset by a successful list");
       assertTrue(
           delaysOfSeed.get(0) >= 375_000 && delaysOfSeed.get(0) <= 625_000,
-          "the first " + delaysOfSeed);
+          "first delay not from 375 to 625 ms: " + delaysOfSeed);
       assertTrue(
           delaysOfSeed.get(2) >= 2 * delaysOfSeed.get(0)
-              && delaysOfSeed.stream().allMatch(d -> d <= 2_500_000),
-          "" + delaysOfSeed);
+              && delaysOfSeed.stream().allMatch(delayUs -> delayUs <= 2_500_000),
+          "third delay less than twice the first, or a delay above 2.5 s: " + delaysOfSeed);
       assertTrue(
-          delaysOfSeed.subList(2, 40).stream().distinct().count() > 10, "spread " + delaysOfSeed);
+          delaysOfSeed.subList(2, 40).stream().distinct().count() > 10,
+          "10 or fewer distinct delays: " + delaysOfSeed);
       delays.add(delaysOfSeed);
     }
-    assertFalse(delays.get(0).equals(delays.get(1)), "by seed");
+    assertFalse(delays.get(0).equals(delays.get(1)), "seeds with equal delays");
   }
 }
--- a/src/test/java/pearusher/policy/JoinSurgeTest.java
+++ b/src/test/java/pearusher/policy/JoinSurgeTest.java
@@ -11,12 +11,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Join surges: proxies are bound within the grace, to subsets where complete tables don't fit. */
+/**
+ * Join surges: proxies are bound within the drain grace period, to subsets if complete tables don't
+ * fit.
+ */
 class JoinSurgeTest {
   private static final long TICK_US = 100_000;
   private static final int LINES_PER_TICK = ChannelModel.LINES_PER_SECOND / 10;
 
-  /** Forty servers drain at once, and forty more eight ticks later. */
+  /** Returns the drains of a tick: 40 servers at the first drain, and 40 more eight ticks later. */
   private static List<ServerEntry> drainingAt(int ticksSinceFirstDrain) {
     return switch (ticksSinceFirstDrain) {
       case 0 -> TestServers.drainingServers(1, 40);
@@ -49,9 +52,12 @@
     assertEquals(300, fixture.commands.weightsByTable.get(0).size());
   }
 
-  /** A bind reinstates each server for a proxy that holds a table: lines that count as well. */
+  /**
+   * Guards against binds that exceed the backlog because their reinstatements are not counted: a
+   * bind of a proxy with a table reinstates each server.
+   */
   @Test
-  void bindsOfProxiesThatHoldTablesLeaveRoomForReinstatements() {
+  void bindsOfProxiesWithTablesAreCountedWithTheirReinstatements() {
     PolicyFixture fixture = new PolicyFixture();
     fixture.sendEndpointList(ListUpdateKind.CACHED, TestServers.readyServers(100, 2));
     for (int proxy = 0; proxy < 100; proxy++) {
@@ -76,11 +82,12 @@
   }
 
   /**
-   * Proxies of failed assigners join while servers drain: a complete table for each does not pass
-   * the channel within the grace.
+   * Guards against proxies that use draining servers for too long: proxies of failed assigners join
+   * while servers drain, and complete tables for all of them do not arrive within the drain grace
+   * period.
    */
   @Test
-  void aSurgeWithOldTablesIsBoundWithinTheGraceThoughCompleteTablesDoNotFit() {
+  void proxiesWithOldTablesAreBoundWithinTheDrainGraceThoughCompleteTablesDoNotFit() {
     PolicySettings settings =
         new PolicySettingsBuilder().idempotentRequestsOnly().proxies(140).build();
     PolicyFixture fixture = new PolicyFixture(settings).start(TestServers.readyServers(100, 2), 20);
@@ -102,7 +109,7 @@
           channel.backlogLines() <= ChannelModel.MAX_BACKLOG_LINES,
           "backlog lines " + channel.backlogLines());
       boundInTime = fixture.commands.tableByProxy.size();
-      // A message that is sent now arrives after the backlog and half a second of transit.
+      // A message that is sent now arrives after the backlog and a transit time of 0.5 s.
       double arrivalUs =
           channel.backlogLines() / ChannelModel.LINES_PER_SECOND * PolicyFixture.SECOND_US
               + 500_000;
@@ -111,23 +118,25 @@
         break;
       }
     }
-    assertEquals(140, boundInTime, "bound in time to arrive within the grace");
+    assertEquals(140, boundInTime, "proxies whose binds arrive within the drain grace period");
     for (int proxy = 0; proxy < 140; proxy++) {
       Map<Long, Double> table =
           fixture.commands.weightsByTable.get(fixture.commands.tableByProxy.get(proxy));
-      assertTrue(table.keySet().stream().noneMatch(id -> id <= 20), "a draining server is left");
+      assertTrue(table.keySet().stream().noneMatch(id -> id <= 20), "a draining server is listed");
       assertTrue(table.size() >= 2, "servers of proxy " + proxy + ": " + table);
     }
     fixture.runPeriods(60);
     for (int proxy = 0; proxy < 140; proxy++) {
       assertEquals(
-          proxy % 2, fixture.commands.tableByProxy.get(proxy), "the table of its zone in the end");
+          proxy % 2,
+          fixture.commands.tableByProxy.get(proxy),
+          "finally bound to the table of its zone");
     }
   }
 
   /**
-   * Ejections before the first control periods are sent to each proxy that holds a table; they must
-   * not delay the binds that make them needless.
+   * Ejections before the first control periods are sent to each proxy with a table. Guards against
+   * ejections that delay the binds which would make them unnecessary.
    */
   @Test
   void manyEjectionsBeforeTheFirstControlPeriodsDoNotDelayTheBinds() {
@@ -163,13 +172,14 @@
           "servers drain before the proxies join: " + drainsBeforeJoining);
       assertTrue(
           arrivalSeconds < (drainsBeforeJoining ? 2.1 : 1.5),
-          "the last bind arrives after " + arrivalSeconds + " s of 2");
+          "the last bind arrives after " + arrivalSeconds + " s, drain grace period 2 s");
     }
   }
 
   /**
-   * Proxies bound to complete tables that are to move to subsets follow their tables until then:
-   * changes of these tables are sent to them and count towards the backlog.
+   * Proxies with complete tables that wait for a bind to a subset are subscribers of their tables
+   * until then. Guards against changes of these tables that are sent to them but not counted
+   * towards the backlog.
    */
   @ParameterizedTest
   @CsvSource({
@@ -182,7 +192,7 @@
     "900, 40, 0",
     "600, 80, 6"
   })
-  void aProxyAwaitingASubsetIsCountedWhileItFollowsItsZoneTable(
+  void aProxyThatWaitsForASubsetIsCountedAsSubscriberOfItsZoneTable(
       double linesPerSecond, int initialProxies, int firstDrainTick) {
     PolicySettings settings =
         new PolicySettingsBuilder().idempotentRequestsOnly().proxies(200).build();
@@ -201,22 +211,22 @@
       channel.send();
       assertTrue(
           channel.backlogLines() <= ChannelModel.MAX_BACKLOG_LINES,
-          channel.backlogLines() + " lines of backlog after " + i);
+          "backlog lines " + channel.backlogLines() + " at tick " + i);
     }
     assertEquals(
         Math.min(200, initialProxies + 120),
         fixture.commands.tableByProxy.size(),
-        "and all are bound");
+        "all proxies are bound");
     fixture.commands.tableByProxy.forEach(
         (proxy, table) ->
             assertTrue(
                 fixture.commands.weightsByTable.get(table).keySet().stream()
                     .allMatch(id -> id > 80 || fixture.commands.ejected.contains(id)),
-                "a draining server is left"));
+                "proxy " + proxy + " may use a draining server"));
   }
 
   @Test
-  void proxiesThatRejoinAfterADisconnectLeaveDrainingServersWithinTheGrace() {
+  void proxiesThatRejoinAfterADisconnectStopUsingDrainingServersWithinTheDrainGrace() {
     PolicyFixture fixture = new PolicyFixture().start(TestServers.readyServers(120, 2), 60);
     fixture.runPeriods(6);
     fixture.advance(300_000);
@@ -252,7 +262,7 @@
           bind ->
               assertTrue(
                   arrivalUs <= 2_300_000 + joinedAtUs.getOrDefault(bind.proxy(), fixture.nowUs),
-                  "proxy " + bind.proxy() + " is bound too late"));
+                  "the bind of proxy " + bind.proxy() + " arrives after the drain grace period"));
       assertTrue(
           channel.backlogLines() <= ChannelModel.MAX_BACKLOG_LINES,
           "backlog lines " + channel.backlogLines());
--- a/src/test/java/pearusher/policy/MembershipScenarios.java
+++ b/src/test/java/pearusher/policy/MembershipScenarios.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Scripts of endpoint lists, restarts, restored state and events that name unknown things. */
+/** Scenarios of endpoint lists, restarts, restored state and events that name unknown numbers. */
 final class MembershipScenarios {
   private MembershipScenarios() {}
 
@@ -27,7 +27,7 @@
             "forgetting-and-released-zones",
             HistorySettings.defaults().zones(6).build(),
             13,
-            MembershipScenarios::forgottenServersAndReleasedZones),
+            MembershipScenarios::deletedServersAndReleasedZones),
         new PolicyScenario(
             "restored-in-a-jam",
             HistorySettings.defaults().crossZoneCost(0.06).build(),
@@ -107,7 +107,7 @@
     history.run(12);
   }
 
-  private static void forgottenServersAndReleasedZones(PolicyHistory history) {
+  private static void deletedServersAndReleasedZones(PolicyHistory history) {
     history.start(24, 6, 12);
     history.run(6);
     history.changeLifecycle(Lifecycle.REMOVED, serverIds(1, 4));
@@ -126,7 +126,7 @@
     history.run(10);
   }
 
-  /** A process starts with tables, levels and proxies of an earlier one. */
+  /** Starts a process with the tables, admission levels and proxies of an earlier one. */
   private static void restoredState(PolicyHistory history, double scale, double attemptsPerZone) {
     history.attemptsPerZone = attemptsPerZone;
     history.addServers(1, 16, 2, PolicyHistory.LONG_AGO_US);
@@ -204,7 +204,9 @@
     history.run(6);
   }
 
-  /** Events that name unknown servers, proxies, zones, classes, acknowledgements and timers. */
+  /**
+   * Sends events that name unknown servers, proxies, zones, classes, acknowledgements and timers.
+   */
   private static void unknownIds(PolicyHistory history) {
     AssignmentPolicy policy = history.policy;
     history.start(12, 2, 4);
--- a/src/test/java/pearusher/policy/ObjectCount.java
+++ b/src/test/java/pearusher/policy/ObjectCount.java
@@ -12,9 +12,9 @@
 import java.util.Set;
 
 /**
- * Counts the state of an object: objects of this product that can be reached from it, and the
- * elements of their collections, maps and arrays. Settings and the receiver of commands are not
- * counted.
+ * Size of an object's state: the number of objects of this project that are reachable from it, plus
+ * the number of elements of their collections, maps and arrays. Settings and the receiver of
+ * commands are not counted.
  */
 final class ObjectCount {
   private final Set<Object> seen = Collections.newSetFromMap(new IdentityHashMap<>());
@@ -32,7 +32,7 @@
     return counter.count;
   }
 
-  private static boolean isOwn(Object object) {
+  private static boolean isProjectObject(Object object) {
     return object.getClass().getName().startsWith("pearusher.")
         && !(object instanceof Enum)
         && !(object instanceof PolicySettings)
@@ -43,7 +43,7 @@
     boolean isCounted =
         object instanceof Collection
             || object instanceof Map
-            || (object != null && (isOwn(object) || object.getClass().isArray()));
+            || (object != null && (isProjectObject(object) || object.getClass().isArray()));
     if (isCounted && seen.add(object)) {
       pending.push(object);
     }
@@ -57,13 +57,13 @@
             enqueue(key);
             enqueue(value);
           });
-    } else if (object instanceof Collection<?> all) {
-      count += all.size();
-      all.forEach(this::enqueue);
+    } else if (object instanceof Collection<?> elements) {
+      count += elements.size();
+      elements.forEach(this::enqueue);
     } else if (object.getClass().isArray()) {
       count += Array.getLength(object);
-      for (int k = 0; object instanceof Object[] all && k < all.length; k++) {
-        enqueue(all[k]);
+      for (int k = 0; object instanceof Object[] elements && k < elements.length; k++) {
+        enqueue(elements[k]);
       }
     } else {
       count++;
@@ -75,16 +75,16 @@
     for (Class<?> type = object.getClass(); type != Object.class; type = type.getSuperclass()) {
       for (Field field : type.getDeclaredFields()) {
         if (!Modifier.isStatic(field.getModifiers()) && !field.getType().isPrimitive()) {
-          enqueue(read(field, object));
+          enqueue(valueOf(field, object));
         }
       }
     }
   }
 
-  private static Object read(Field field, Object from) {
+  private static Object valueOf(Field field, Object owner) {
     try {
       field.setAccessible(true);
-      return field.get(from);
+      return field.get(owner);
     } catch (IllegalAccessException e) {
       throw new IllegalStateException(e);
     }
--- a/src/test/java/pearusher/policy/PolicyEventsTest.java
+++ b/src/test/java/pearusher/policy/PolicyEventsTest.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Events that are out of place or not supported, and timers of early control periods. */
+/** Unexpected and unsupported events, and timers of early control periods. */
 class PolicyEventsTest {
   @Test
   void sliceAssignmentsAreLoggedAsUnsupported() {
@@ -18,7 +18,8 @@
     fixture.runPeriods(3);
     assertTrue(fixture.commands.tableByProxy.isEmpty());
     assertTrue(
-        fixture.commands.logLines.stream().anyMatch(l -> l.contains("slices are not served")));
+        fixture.commands.logLines.stream()
+            .anyMatch(line -> line.contains("slices are not served")));
   }
 
   @Test
@@ -49,10 +50,11 @@
 
   /**
    * Reports that arrive a little early start control periods of their own. Guards against timers
-   * that add up, one for each such period: they ran periods on partial reports and grew for ever.
+   * that accumulate, one for each such period: they ran control periods on partial reports, and
+   * their number grew without bound.
    */
   @Test
-  void earlyControlPeriodsLeaveNoTimersBehind() {
+  void earlyControlPeriodsDoNotAccumulateTimers() {
     PolicyFixture fixture = PolicyFixture.started(8, 4);
     TreeMap<Long, Integer> dueTimers = new TreeMap<>();
     int scannedCommands = 0;
@@ -71,7 +73,7 @@
           fixture.endBatch();
         }
       }
-      // The reports of a period come in two halves, the second three tenths after the first.
+      // The reports of a period arrive in two halves, the second one 0.3 s after the first.
       if (i % 9 == 0 || i % 9 == 3) {
         for (long id = 1L + nextHalf++ % 2; id <= 8; id += 2) {
           fixture.reportLoad(id, 0, 9, 0, PolicyFixture.SECOND_US, 200_000);
@@ -79,7 +81,8 @@
       }
       fixture.endBatch();
       assertTrue(
-          dueTimers.values().stream().mapToInt(k -> k).sum() <= 3, "timers pending: " + dueTimers);
+          dueTimers.values().stream().mapToInt(k -> k).sum() <= 3,
+          "more than 3 pending timers: " + dueTimers);
     }
   }
 }
--- a/src/test/java/pearusher/policy/PolicyInvariantsTest.java
+++ b/src/test/java/pearusher/policy/PolicyInvariantsTest.java
@@ -10,22 +10,22 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Invariants of the commands over random histories of deploys, failures, joins and leaves. */
+/** Invariants of the commands in random histories of deployments, failures, joins and leaves. */
 class PolicyInvariantsTest {
   private static final int STEPS = 60;
   private static final int PROXIES = 10;
-  private static final long RAMP_US = 10 * PolicyFixture.SECOND_US;
+  private static final long SLOW_START_US = 10 * PolicyFixture.SECOND_US;
   private static final int OVERHEAD_LINES = 11;
   private static final int LINES_PER_SECOND = 3000;
   private static final int MAX_BACKLOG_LINES = 4500;
 
-  /** One seeded history, in steps of a list update and a control period. */
+  /** One seeded history. Each step consists of a list update and a control period. */
   private static final class History {
     private final long seed;
     private final Random random;
     private final PolicyFixture fixture;
     private final RecordingCommands commands;
-    private final List<Long> alive;
+    private final List<Long> listedServers;
 
     /** Start times of the servers that were added during the history. */
     private final Map<Long, Long> startedUs = new TreeMap<>();
@@ -38,10 +38,10 @@
       random = new Random(seed);
       fixture = PolicyFixture.started(6 + random.nextInt(10), 2 + random.nextInt(8));
       commands = fixture.commands;
-      alive = new ArrayList<>(commands.weightsByTable.get(0).keySet());
+      listedServers = new ArrayList<>(commands.weightsByTable.get(0).keySet());
     }
 
-    void play(boolean checkInvariants) {
+    void run(boolean checkInvariants) {
       for (int i = 0; i < STEPS; i++) {
         fixture.advance(10_000);
         List<ServerEntry> changes = changeServers();
@@ -49,7 +49,7 @@
         fixture.updateEndpoints(ListUpdateKind.DELTA, changes);
         int lines = linesOfBatch();
         if (checkInvariants) {
-          assertEjectionsFollow(changes);
+          assertEjectionsMatch(changes);
         }
         fixture.runPeriod();
         lines += linesOfBatch();
@@ -62,18 +62,19 @@
 
     private List<ServerEntry> changeServers() {
       List<ServerEntry> changes = new ArrayList<>();
-      if (random.nextInt(4) == 0 && alive.size() > 2) {
-        long id = alive.remove(random.nextInt(alive.size()));
+      if (random.nextInt(4) == 0 && listedServers.size() > 2) {
+        long id = listedServers.remove(random.nextInt(listedServers.size()));
         Lifecycle state = random.nextBoolean() ? Lifecycle.REMOVED : Lifecycle.DRAINING;
         changes.add(TestServers.serverIn(id, 0, state));
       }
       if (random.nextInt(4) == 0) {
-        alive.add(++lastServer);
+        listedServers.add(++lastServer);
         startedUs.put(lastServer, fixture.nowUs);
         changes.add(TestServers.readyServer(lastServer, (int) (lastServer % 2), fixture.nowUs));
       }
       if (random.nextInt(5) == 0) {
-        fixture.failureShare.put(alive.get(random.nextInt(alive.size())), random.nextDouble());
+        fixture.failureShare.put(
+            listedServers.get(random.nextInt(listedServers.size())), random.nextDouble());
       }
       return changes;
     }
@@ -91,12 +92,12 @@
       return commands.linesThisBatch + OVERHEAD_LINES * commands.joinedProxies.size();
     }
 
-    private void assertEjectionsFollow(List<ServerEntry> changes) {
+    private void assertEjectionsMatch(List<ServerEntry> changes) {
       for (ServerEntry entry : changes) {
         assertEquals(
             entry.lifecycle() != Lifecycle.READY,
             commands.ejected.contains(entry.server()),
-            "ejected at once, seed " + seed);
+            "ejected in the same batch, seed " + seed);
       }
     }
 
@@ -105,61 +106,66 @@
           backlogLines <= MAX_BACKLOG_LINES, "backlog lines " + backlogLines + ", seed " + seed);
       for (int zone = 0; zone < 2; zone++) {
         assertTableIsUsable(zone);
-        for (long id : alive) {
-          assertColdShareIsBounded(zone, id);
+        for (long id : listedServers) {
+          assertSlowStartShareIsBounded(zone, id);
           assertTrue(
-              !isWarm(id) || commands.weightsByTable.get(zone).containsKey(id),
-              "all warm servers listed, seed " + seed);
+              !isPastSlowStart(id) || commands.weightsByTable.get(zone).containsKey(id),
+              "a server past slow start is not listed, seed " + seed);
         }
       }
       assertTrue(
-          commands.retryByClass.values().stream().allMatch(retry -> retry <= 1), "seed " + seed);
+          commands.retryByClass.values().stream().allMatch(retry -> retry <= 1),
+          "retry mode above 1, seed " + seed);
     }
 
     private void assertTableIsUsable(int zone) {
       assertTrue(
           commands.weightsByTable.get(zone).keySet().stream()
               .anyMatch(id -> !commands.ejected.contains(id)),
-          "a usable server, seed " + seed);
+          "no usable server, seed " + seed);
     }
 
-    /** While most servers are warm, a cold one's share is bounded by its progress on the ramp. */
-    private void assertColdShareIsBounded(int zone, long id) {
+    /**
+     * Asserts that the share of a server in slow start is bounded by its progress, while at least
+     * half of the servers are past slow start.
+     */
+    private void assertSlowStartShareIsBounded(int zone, long id) {
       Map<Long, Double> weights = commands.weightsByTable.get(zone);
-      long warmServers = alive.stream().filter(this::isWarm).count();
-      if (2 * warmServers < alive.size()
+      long serversPastSlowStart = listedServers.stream().filter(this::isPastSlowStart).count();
+      if (2 * serversPastSlowStart < listedServers.size()
           || !startedUs.containsKey(id)
           || !weights.containsKey(id)) {
         return;
       }
-      double age = (fixture.nowUs - startedUs.get(id)) / (double) RAMP_US;
-      double ready = Math.min(1, 0.1 + 0.9 * age);
-      double even = 1.0 / weights.size();
+      double progress = (fixture.nowUs - startedUs.get(id)) / (double) SLOW_START_US;
+      double readyShare = Math.min(1, 0.1 + 0.9 * progress);
+      double evenShare = 1.0 / weights.size();
       double share = commands.share(zone, id);
       assertTrue(
-          share < 4 * even * ready + 0.05, "cold server's share " + share + ", seed " + seed);
+          share < 4 * evenShare * readyShare + 0.05,
+          "share of a server in slow start " + share + ", seed " + seed);
     }
 
-    private boolean isWarm(long id) {
-      return startedUs.getOrDefault(id, 0L) + RAMP_US <= fixture.nowUs;
+    private boolean isPastSlowStart(long id) {
+      return startedUs.getOrDefault(id, 0L) + SLOW_START_US <= fixture.nowUs;
     }
   }
 
   private static List<RecordedCommand> commandsOf(long seed, boolean checkInvariants) {
     History history = new History(seed);
-    history.play(checkInvariants);
+    history.run(checkInvariants);
     return history.commands.issued;
   }
 
   @Test
-  void theInvariantsHoldOverManyHistories() {
+  void theInvariantsHoldInManyHistories() {
     for (long seed = 1; seed <= 150; seed++) {
       commandsOf(seed, true);
     }
   }
 
   @Test
-  void equalEventsGiveEqualCommands() {
+  void equalEventsResultInEqualCommands() {
     for (long seed = 1; seed <= 10; seed++) {
       assertEquals(commandsOf(seed, false), commandsOf(seed, false));
     }
--- a/src/test/java/pearusher/policy/ScopeSite.java
+++ b/src/test/java/pearusher/policy/ProxyTierHarness.java
@@ -15,67 +15,71 @@
 import java.util.stream.LongStream;
 
 /**
- * A policy with its channel and its proxies, run in ticks of a tenth of a second. It knows which
- * servers each proxy may use: those of its table, or of the old one that it holds until it is
- * bound, without the ejected ones.
+ * Harness that runs a policy with a model of its channel and proxies, in ticks of 0.1 s. It tracks
+ * the servers that each proxy may use: those of its table, or of the old table that it has until it
+ * is bound, without the ejected ones.
  */
-final class ScopeSite {
+final class ProxyTierHarness {
   static final long TICK_US = PolicyFixture.SECOND_US / 10;
 
-  /** Rate of the channel in the settings, and the longest transit to a proxy after it. */
+  /** Default rate of the channel, and the longest transit time to a proxy after the backlog. */
   static final double LINES_PER_SECOND = 3000;
 
   static final double TRANSIT_S = 0.5;
 
-  /** The grace of a drain, and a tolerance of 0.3 s. */
-  static final double GRACE_S = 2.3;
+  /** Drain grace period of 2 s, plus a tolerance of 0.3 s. */
+  static final double DRAIN_GRACE_WITH_TOLERANCE_S = 2.3;
 
   final PolicyFixture fixture;
   final RecordingCommands commands;
   private final double linesPerSecond;
   ChannelModel channel;
 
-  /** The zone of each proxy that has joined. */
+  /** Zones of the joined proxies, by proxy. */
   final Map<Integer, Integer> zoneByProxy = new TreeMap<>();
 
-  /** Servers of the tables that unbound proxies hold from an earlier stream. */
-  private final Map<Integer, Set<Long>> heldServers = new HashMap<>();
+  /** Servers of the tables that unbound proxies have from an earlier stream, by proxy. */
+  private final Map<Integer, Set<Long>> oldTableServers = new HashMap<>();
 
-  /** All tables that were ever cleared. */
+  /** Numbers of all tables that were ever cleared. */
   final Set<Integer> clearedTables = new HashSet<>();
 
   /** Commands of the last batch. */
   final List<RecordedCommand> lastCommands = new ArrayList<>();
 
-  /** A check after each batch. */
+  /** Check that runs after each batch. */
   Runnable invariant = () -> {};
 
   private int tickCount;
 
-  ScopeSite(PolicySettings settings) {
+  ProxyTierHarness(PolicySettings settings) {
     this(settings, LINES_PER_SECOND);
   }
 
-  ScopeSite(PolicySettings settings, double linesPerSecond) {
+  ProxyTierHarness(PolicySettings settings, double linesPerSecond) {
     this.linesPerSecond = linesPerSecond;
     fixture = new PolicyFixture(settings);
     commands = fixture.commands;
     fixture.attemptsPerZone = 3000;
   }
 
-  /** A site whose backlog and tables are checked after each batch, with one request class. */
-  static ScopeSite started(
+  /**
+   * Returns a started harness with one request class, whose backlog and tables are checked after
+   * each batch.
+   */
+  static ProxyTierHarness started(
       int zones, int fleetProxies, int servers, int zonesWithProxies, int proxiesPerZone) {
-    ScopeSite site = new ScopeSite(settings(zones, fleetProxies).build());
-    site.invariant = site::assertBacklogAndTables;
-    return site.start(TestServers.readyServers(servers, zones), zonesWithProxies, proxiesPerZone);
+    ProxyTierHarness harness = new ProxyTierHarness(settings(zones, fleetProxies).build());
+    harness.invariant = harness::assertBacklogAndTables;
+    return harness.start(
+        TestServers.readyServers(servers, zones), zonesWithProxies, proxiesPerZone);
   }
 
   static PolicySettingsBuilder settings(int zones, int fleetProxies) {
     return new PolicySettingsBuilder().idempotentRequestsOnly().zones(zones).proxies(fleetProxies);
   }
 
-  /** The servers with these numbers, both included. */
+  /** Returns the servers with these numbers, both included. */
   static Set<Long> servers(long first, long last) {
     return LongStream.rangeClosed(first, last)
         .boxed()
@@ -88,13 +92,16 @@
     return rest;
   }
 
-  /** Whether it sets a weight in a table of this zone, be it the zone's own or a subset's. */
+  /**
+   * Returns whether a command sets a weight in a table of this zone: the zone's own or that of a
+   * subset.
+   */
   static boolean setsWeightInZone(RecordedCommand command, int zone, int zones) {
     return command instanceof RecordedCommand.SetWeight weight && weight.table() % zones == zone;
   }
 
-  /** Starts with these servers and proxies that hold no table in the first zones. */
-  ScopeSite start(List<ServerEntry> servers, int zonesWithProxies, int proxiesPerZone) {
+  /** Starts the policy with these servers, and with proxies without tables in the first zones. */
+  ProxyTierHarness start(List<ServerEntry> servers, int zonesWithProxies, int proxiesPerZone) {
     fixture.sendEndpointList(ListUpdateKind.CACHED, servers);
     for (int proxy = 0; proxy < zonesWithProxies * proxiesPerZone; proxy++) {
       join(proxy, proxy % zonesWithProxies);
@@ -105,20 +112,20 @@
   }
 
   void join(int proxy, int zone) {
-    joinHolding(proxy, zone, Set.of());
+    joinWithTable(proxy, zone, Set.of());
   }
 
-  /** A proxy that holds a table of these servers from an earlier stream. */
-  void joinHolding(int proxy, int zone, Set<Long> table) {
+  /** Joins a proxy that has a table of these servers from an earlier stream; none if empty. */
+  void joinWithTable(int proxy, int zone, Set<Long> table) {
     zoneByProxy.put(proxy, zone);
-    heldServers.put(proxy, new HashSet<>(table));
+    oldTableServers.put(proxy, new HashSet<>(table));
     commands.tableByProxy.remove(proxy);
     fixture.join(proxy, zone, table.isEmpty());
   }
 
   void leave(int proxy) {
     zoneByProxy.remove(proxy);
-    heldServers.remove(proxy);
+    oldTableServers.remove(proxy);
     fixture.leave(proxy);
   }
 
@@ -132,7 +139,7 @@
     fixture.sendEndpointList(ListUpdateKind.DELTA, changes);
   }
 
-  /** Sends a list update with this state of some servers. */
+  /** Sends a list update with this lifecycle state of some servers. */
   void changeLifecycle(Set<Long> servers, Lifecycle state) {
     updateEndpoints(
         servers.stream()
@@ -140,7 +147,7 @@
             .toList());
   }
 
-  /** Ends the batch and sends its commands to the channel and the proxies. */
+  /** Ends the batch, and applies its commands to the proxies and the channel. */
   void endBatch() {
     fixture.fireTimer(PolicyFixture.CONTROL_PERIOD_TIMER);
     fixture.fireTimer(PolicyFixture.PACING_TIMER);
@@ -156,13 +163,13 @@
 
   private void apply(RecordedCommand command) {
     if (command instanceof RecordedCommand.BindProxy bind) {
-      heldServers.remove(bind.proxy());
+      oldTableServers.remove(bind.proxy());
     } else if (command instanceof RecordedCommand.ClearTable clear) {
       clearedTables.add(clear.table());
     } else if (command instanceof RecordedCommand.Eject eject) {
-      heldServers.values().forEach(table -> table.remove(eject.server()));
+      oldTableServers.values().forEach(table -> table.remove(eject.server()));
     } else if (command instanceof RecordedCommand.Reinstate reinstate) {
-      heldServers.values().forEach(table -> table.remove(reinstate.server()));
+      oldTableServers.values().forEach(table -> table.remove(reinstate.server()));
     }
   }
 
@@ -179,20 +186,20 @@
     endBatch();
   }
 
-  ScopeSite runTicks(int count) {
+  ProxyTierHarness runTicks(int count) {
     for (int i = 0; i < count; i++) {
       runTick();
     }
     return this;
   }
 
-  /** Runs in ticks of a second. */
-  ScopeSite runSeconds(int count) {
+  /** Runs steps of 1 s, each with one report. */
+  ProxyTierHarness runSeconds(int count) {
     return runSteps(count, 1);
   }
 
-  /** Runs in ticks of several seconds, each with one report. */
-  ScopeSite runSteps(int count, int seconds) {
+  /** Runs steps of several seconds, each with one report. */
+  ProxyTierHarness runSteps(int count, int seconds) {
     for (int i = 0; i < count; i++) {
       runTick(seconds * PolicyFixture.SECOND_US, true);
     }
@@ -200,26 +207,26 @@
   }
 
   /**
-   * Runs until the condition holds and fails after the limit.
+   * Runs until the condition is met, and fails after the limit.
    *
-   * @return seconds until the last message sent by then arrives
+   * @return time until the last message sent by then arrives, in seconds
    */
-  double runUntil(String condition, double limitS, BooleanSupplier holds) {
+  double runUntil(String description, double limitS, BooleanSupplier condition) {
     long from = fixture.nowUs;
-    while (!holds.getAsBoolean()) {
+    while (!condition.getAsBoolean()) {
       assertTrue(
-          (fixture.nowUs - from) / 1e6 < limitS, condition + ": not within " + limitS + " s");
+          (fixture.nowUs - from) / 1e6 < limitS, description + ": not within " + limitS + " s");
       runTick();
     }
     return (fixture.nowUs - from) / 1e6 + channel.backlogLines() / linesPerSecond + TRANSIT_S;
   }
 
-  /** The servers that a proxy may use as soon as all messages have arrived. */
+  /** Returns the servers that a proxy may use after all messages have arrived. */
   Set<Long> usableServers(int proxy) {
     Integer table = commands.tableByProxy.get(proxy);
     Set<Long> usable =
         table == null
-            ? new TreeSet<>(heldServers.get(proxy))
+            ? new TreeSet<>(oldTableServers.get(proxy))
             : new TreeSet<>(commands.weightsByTable.getOrDefault(table, Map.of()).keySet());
     if (table != null) {
       usable.removeAll(commands.ejected);
@@ -230,7 +237,7 @@
   boolean isAnyUsed(Set<Long> servers) {
     Set<Long> notEjected = new TreeSet<>(servers);
     notEjected.removeAll(commands.ejected);
-    return heldServers.values().stream()
+    return oldTableServers.values().stream()
             .anyMatch(table -> servers.stream().anyMatch(table::contains))
         || new TreeSet<>(commands.tableByProxy.values())
             .stream()
@@ -248,7 +255,10 @@
     return new TreeSet<>(commands.weightsByTable.getOrDefault(zone, Map.of()).keySet());
   }
 
-  /** The backlog is within its limit, and each table in use has a server that is not ejected. */
+  /**
+   * Asserts that the backlog is within its limit, and that each table in use has a server that is
+   * not ejected.
+   */
   void assertBacklogAndTables() {
     assertTrue(
         channel.backlogLines() <= fixture.settings.channel().maxBacklogLines(),
--- a/src/test/java/pearusher/policy/RestartHoldTest.java
+++ b/src/test/java/pearusher/policy/RestartHoldTest.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The warm-up hold after a restart: what waits for reports of the fleet. */
+/** Hold after a restart: binds and admission levels wait for reports of the fleet. */
 class RestartHoldTest {
-  private static final int EVERY_TABLE = 65535;
+  private static final int ALL_TABLES = 65535;
 
   @Test
-  void proxiesThatHoldTablesAreBoundAfterReportsOfTheFleet() {
+  void proxiesWithTablesAreBoundAfterReportsOfTheFleet() {
     PolicyFixture fixture = new PolicyFixture();
     fixture.sendEndpointList(ListUpdateKind.CACHED, TestServers.readyServers(8, 2));
     fixture.join(0, false);
@@ -35,13 +35,16 @@
     assertEquals(
         3,
         fixture.commands.issued.stream().filter(new RecordedCommand.Eject(1)::equals).count(),
-        "proxies that join with tables get the ejections in one round");
+        "proxies that join with tables get the ejections together");
     fixture.runPeriods(4);
     assertTrue(fixture.commands.tableByProxy.containsKey(0));
     assertTrue(fixture.commands.tableByProxy.containsKey(2));
   }
 
-  /** After a restart reports are partial: requests that they lack were not rejected. */
+  /**
+   * After a restart, reports are partial. Guards against requests missing from them that count as
+   * rejected.
+   */
   @Test
   void admissionIsNotInferredFromPartialReportsAfterARestart() {
     PolicyFixture fixture = new PolicyFixture();
@@ -62,13 +65,13 @@
     }
     assertEquals(List.of(), fixture.commands.logLines);
     assertTrue(
-        fixture.commands.admissionByClass.values().stream().allMatch(l -> l >= 1),
-        "" + fixture.commands.admissionByClass);
+        fixture.commands.admissionByClass.values().stream().allMatch(level -> level >= 1),
+        "levels below 1: " + fixture.commands.admissionByClass);
     assertTrue(fixture.commands.tableByProxy.size() > 0);
   }
 
   @Test
-  void admissionIsInferredByTableAfterARestart() {
+  void admissionIsInferredFromCompleteReportsAndSetByTableAfterARestart() {
     PolicyFixture fixture = new PolicyFixture();
     fixture.sendEndpointList(ListUpdateKind.CACHED, TestServers.readyServers(8, 2));
     for (int proxy = 0; proxy < 4; proxy++) {
@@ -84,9 +87,9 @@
     }
     assertTrue(
         fixture.commands.issued(RecordedCommand.SetAdmission.class).stream()
-            .noneMatch(command -> command.table() == EVERY_TABLE));
+            .noneMatch(command -> command.table() == ALL_TABLES));
     assertTrue(
-        fixture.commands.admissionByClass.get(1) < 0.7, "half of the requests were attempted");
+        fixture.commands.admissionByClass.get(1) < 0.7, "only half of the requests were attempted");
     assertTrue(fixture.commands.tableByProxy.size() == 4);
   }
 }
--- a/src/test/java/pearusher/policy/RestoredStateTest.java
+++ b/src/test/java/pearusher/policy/RestoredStateTest.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** A start with the state that an earlier process of the same assigner had published. */
+/** Start with the state that an earlier process of the same assigner had published. */
 class RestoredStateTest {
   private final PolicyFixture fixture = new PolicyFixture(new PolicySettingsBuilder().build());
 
@@ -31,7 +31,7 @@
     return Map.of(1L, 0.4, 2L, 0.1, 3L, 0.3, 4L, 0.2);
   }
 
-  private void joinHoldingTable(int proxy, int missingEntries) {
+  private void joinWithTable(int proxy, int missingEntries) {
     fixture.join(proxy, false);
     fixture.policy.onTableHeld(fixture.nowUs, proxy, proxy % 2, missingEntries);
   }
@@ -41,35 +41,39 @@
   }
 
   @Test
-  void aProxyWithARecentTableIsBoundAtOnceAndTheWeightsStay() {
+  void aProxyWithARecentTableIsBoundAtOnceAndItsWeightsAreUnchanged() {
     fixture.sendEndpointList(ListUpdateKind.CACHED, TestServers.readyServers(4, 2));
     restoreTables(unevenWeights(), 1, 1);
     fixture.endBatch();
     fixture.advance(10_000);
-    joinHoldingTable(0, 0);
-    joinHoldingTable(1, 2);
+    joinWithTable(0, 0);
+    joinWithTable(1, 2);
     fixture.join(2, false);
     fixture.endBatch();
     assertEquals(
         Map.of(0, 0, 1, 1),
         fixture.commands.tableByProxy,
-        "proxy 2 holds an unknown table and waits");
-    assertEquals(0, countWeightCommands(), "weights stay as they were");
+        "proxy 2 has an unknown table and waits");
+    assertEquals(0, countWeightCommands(), "restored weights are not published again");
     assertEquals(42, fixture.commands.lastAckNumber, "acknowledgement numbers continue");
     fixture.runPeriod();
     for (long id = 1; id <= 4; id++) {
       double ratio = fixture.commands.share(0, id) / unevenWeights().get(id);
       assertTrue(
-          ratio > 0.5 && ratio < 1.5, "a period moves a weight by a bounded factor: " + ratio);
+          ratio > 0.5 && ratio < 1.5,
+          "a control period changes a weight by a bounded factor: " + ratio);
     }
     assertFalse(fixture.commands.tableByProxy.containsKey(2));
     fixture.runPeriods(4);
     assertTrue(fixture.commands.tableByProxy.containsKey(2));
   }
 
-  /** The control of the test above: it is the restored state that keeps the weights. */
+  /**
+   * Counter-check: without restored state the weights become even, so that it is the restored state
+   * that preserves them.
+   */
   @Test
-  void withoutRestoredStateTheSameStartEvensTheWeights() {
+  void withoutRestoredStateWeightsBecomeEven() {
     fixture.sendEndpointList(ListUpdateKind.CACHED, TestServers.readyServers(4, 2));
     fixture.join(0, false);
     fixture.endBatch();
@@ -78,23 +82,27 @@
     assertTrue(fixture.commands.share(0, 1) < 0.3);
   }
 
-  /** After a crash during an overload nothing is relaxed before load reports have arrived. */
+  /**
+   * Guards against admission levels that are lifted and retries that are enabled after a crash
+   * during an overload, before load reports have arrived.
+   */
   @Test
-  void duringOverloadAdmissionStaysAndRetriesAreNotEnabled() {
+  void duringOverloadAdmissionIsUnchangedAndRetriesAreNotEnabled() {
     fixture.sendEndpointList(ListUpdateKind.CACHED, TestServers.readyServers(4, 2));
     restoreTables(unevenWeights(), 0.5, 0);
     fixture.endBatch();
     for (int proxy = 0; proxy < 4; proxy++) {
-      joinHoldingTable(proxy, 0);
+      joinWithTable(proxy, 0);
     }
     fixture.endBatch();
     fixture.advance(PolicyFixture.SECOND_US / 2);
     fixture.endBatch();
     assertFalse(
         fixture.commands.hasIssued(RecordedCommand.SetAdmission.class),
-        "" + fixture.commands.issued);
+        "admission changed before load reports: " + fixture.commands.issued);
     fixture.runPeriods(12);
-    assertEquals(1, fixture.commands.retryByClass.get(1), "retries after evidence of recovery");
+    assertEquals(
+        1, fixture.commands.retryByClass.get(1), "retries are enabled after evidence of recovery");
   }
 
   @Test
@@ -106,7 +114,7 @@
             TestServers.readyServer(2, 0, 0),
             TestServers.serverIn(3, 1, Lifecycle.DRAINING)));
     restoreTables(unevenWeights(), 1, 1);
-    joinHoldingTable(0, 0);
+    joinWithTable(0, 0);
     fixture.endBatch();
     assertTrue(fixture.commands.ejected.contains(3L));
     fixture.runPeriods(3);
@@ -121,7 +129,7 @@
         ListUpdateKind.CACHED,
         List.of(TestServers.readyServer(8, 0, 0), TestServers.readyServer(9, 1, 0)));
     restoreTables(unevenWeights(), 1, 1);
-    joinHoldingTable(0, 0);
+    joinWithTable(0, 0);
     fixture.join(1, true);
     fixture.commands.weightsByTable.clear();
     fixture.endBatch();
@@ -131,13 +139,15 @@
     assertEquals(0.5, fixture.commands.share(0, 8), 0.2);
   }
 
-  /** The missing entries exceed the budget: the proxy is bound later, to its complete table. */
+  /**
+   * A proxy whose missing entries exceed the channel budget is bound later, to a complete table.
+   */
   @Test
-  void aProxyThatLacksMoreThanFitsWaitsForACompleteTable() {
+  void aProxyWithMoreMissingEntriesThanFitWaitsForACompleteTable() {
     fixture.sendEndpointList(ListUpdateKind.CACHED, TestServers.readyServers(4, 2));
     restoreTables(unevenWeights(), 1, 1);
     fixture.endBatch();
-    joinHoldingTable(0, 5000);
+    joinWithTable(0, 5000);
     fixture.endBatch();
     assertFalse(fixture.commands.tableByProxy.containsKey(0));
     fixture.runPeriods(4);
--- a/src/test/java/pearusher/policy/ScopeModelTest.java
+++ b/src/test/java/pearusher/policy/ScopeModelTest.java
@@ -21,32 +21,34 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Random histories under drawn settings against a plain model that knows every server and every
- * proxy.
+ * Random histories under random settings, compared with a simple model that tracks every server and
+ * every proxy.
  */
 class ScopeModelTest {
   /**
-   * Thirty graces, a control period and the tick at its end: later a zone without proxies has no
-   * table.
+   * 30 drain grace periods, a control period and the tick at its end, after which a zone without
+   * proxies has no table.
    */
   private static final long RELEASE_US = 62 * PolicyFixture.SECOND_US;
 
-  /** Each slow start is over by the first; by the second a narrow channel has sent its backlog. */
+  /** Ticks without events after which every slow start is over. */
   private static final int MIN_QUIET_TICKS = 110;
 
+  /** Ticks without events after which a slow channel has sent its backlog. */
   private static final int MAX_QUIET_TICKS = 900;
+
   private static final int STEPS = 45;
   private static final int LINES_PER_PROXY = 50;
 
-  /** Parameters of one history; the channel is sized for the fleet. */
-  private record DrawnSite(
+  /** Parameters of one history. The channel bounds the size of the fleet. */
+  private record RandomParameters(
       int zones,
       int servers,
       double linesPerSecond,
       int maxMessagesPerProxy,
       int fleetProxies,
       long seed) {
-    DrawnSite {
+    RandomParameters {
       fleetProxies = Math.min(fleetProxies, (int) (linesPerSecond / LINES_PER_PROXY));
     }
 
@@ -64,7 +66,7 @@
   }
 
   @Provide
-  Arbitrary<DrawnSite> drawnSites() {
+  Arbitrary<RandomParameters> randomParameters() {
     return Combinators.combine(
             Arbitraries.integers().between(1, 40),
             Arbitraries.integers().between(1, 300),
@@ -72,31 +74,32 @@
             Arbitraries.of(0, 0, 20, 60),
             Arbitraries.integers().between(2, 30),
             Arbitraries.longs())
-        .as(DrawnSite::new);
+        .as(RandomParameters::new);
   }
 
-  /** One history: the endpoint list, the zones of the proxies, and when each zone was last used. */
+  /** One history, with the endpoint list and the time at which each zone last had a proxy. */
   private static final class History {
-    private final DrawnSite drawn;
+    private final RandomParameters parameters;
     private final Random random;
-    private final ScopeSite site;
+    private final ProxyTierHarness harness;
     private final Map<Long, ServerEntry> listedServers = new TreeMap<>();
-    private final Map<Integer, Long> zoneUsed = new HashMap<>();
+    private final Map<Integer, Long> lastUsedByZone = new HashMap<>();
     private final int maxEntries;
     private long nextServer = 100_000;
     private int nextProxy = 1000;
 
-    History(DrawnSite drawn) {
-      this.drawn = drawn;
-      random = new Random(drawn.seed);
-      maxEntries = maxEntriesOfABind(drawn.settings());
-      site = new ScopeSite(drawn.settings(), drawn.linesPerSecond);
-      TestServers.readyServers(drawn.servers, drawn.zones)
+    History(RandomParameters parameters) {
+      this.parameters = parameters;
+      random = new Random(parameters.seed);
+      maxEntries = maxEntriesOfABind(parameters.settings());
+      harness = new ProxyTierHarness(parameters.settings(), parameters.linesPerSecond);
+      TestServers.readyServers(parameters.servers, parameters.zones)
           .forEach(entry -> listedServers.put(entry.server(), entry));
-      site.invariant = this::assertInvariants;
-      int zonesWithProxies = 1 + random.nextInt(Math.min(4, drawn.zones));
-      int proxiesPerZone = 1 + random.nextInt(Math.max(1, drawn.fleetProxies / zonesWithProxies));
-      site.start(List.copyOf(listedServers.values()), zonesWithProxies, proxiesPerZone);
+      harness.invariant = this::assertInvariants;
+      int zonesWithProxies = 1 + random.nextInt(Math.min(4, parameters.zones));
+      int proxiesPerZone =
+          1 + random.nextInt(Math.max(1, parameters.fleetProxies / zonesWithProxies));
+      harness.start(List.copyOf(listedServers.values()), zonesWithProxies, proxiesPerZone);
     }
 
     private ServerEntry entry(ServerEntry entry, Lifecycle state, long startedUs) {
@@ -104,8 +107,8 @@
     }
 
     /**
-     * Some servers drain, are removed, return unchanged or restarted, or are new: each of a kind of
-     * its own, or all of the same.
+     * Returns changes of some servers, which drain, are removed, return unchanged, restart, or are
+     * new. Each change is of a random kind, or all are of the same kind.
      */
     private List<ServerEntry> randomChanges(int maxChanges, boolean sameKind) {
       List<ServerEntry> changes = new ArrayList<>();
@@ -113,14 +116,15 @@
       int changeKind = random.nextInt(5);
       for (int k = random.nextInt(maxChanges); k > 0; k--) {
         ServerEntry entry = existing.get(random.nextInt(existing.size()));
-        long now = site.fixture.nowUs;
+        long now = harness.fixture.nowUs;
         changes.add(
             switch (sameKind ? changeKind : random.nextInt(5)) {
               case 0 -> entry(entry, Lifecycle.DRAINING, entry.startedUs());
               case 1 -> entry(entry, Lifecycle.REMOVED, entry.startedUs());
               case 2 -> entry(entry, Lifecycle.READY, entry.startedUs());
               case 3 -> entry(entry, Lifecycle.READY, now);
-              default -> TestServers.readyServer(++nextServer, random.nextInt(drawn.zones), now);
+              default ->
+                  TestServers.readyServer(++nextServer, random.nextInt(parameters.zones), now);
             });
       }
       return changes;
@@ -131,15 +135,16 @@
       List<ServerEntry> changes = randomChanges(many ? 2 + 2 * listedServers.size() : 4, many);
       changes.forEach(entry -> listedServers.put(entry.server(), entry));
       if (random.nextInt(5) > 0) {
-        site.updateEndpoints(changes);
+        harness.updateEndpoints(changes);
         return;
       }
       // A complete list omits removed servers.
       listedServers.values().removeIf(entry -> entry.lifecycle() == Lifecycle.REMOVED);
-      site.fixture.sendEndpointList(ListUpdateKind.COMPLETE, List.copyOf(listedServers.values()));
+      harness.fixture.sendEndpointList(
+          ListUpdateKind.COMPLETE, List.copyOf(listedServers.values()));
     }
 
-    /** Many servers drain and return unchanged a little later. */
+    /** Drains many servers, which return unchanged a little later. */
     private void cancelDrain() {
       List<ServerEntry> draining =
           listedServers.values().stream().filter(entry -> random.nextInt(3) == 0).toList();
@@ -147,53 +152,53 @@
         List<ServerEntry> changes =
             draining.stream().map(entry -> entry(entry, state, entry.startedUs())).toList();
         changes.forEach(entry -> listedServers.put(entry.server(), entry));
-        site.updateEndpoints(changes);
-        site.endBatch();
-        site.runTicks(random.nextInt(25));
+        harness.updateEndpoints(changes);
+        harness.endBatch();
+        harness.runTicks(random.nextInt(25));
       }
     }
 
     private void joinOrLeave() {
-      if (random.nextBoolean() && !site.zoneByProxy.isEmpty()) {
-        List<Integer> existing = List.copyOf(site.zoneByProxy.keySet());
+      if (random.nextBoolean() && !harness.zoneByProxy.isEmpty()) {
+        List<Integer> existing = List.copyOf(harness.zoneByProxy.keySet());
         int proxy = existing.get(random.nextInt(existing.size()));
         if (random.nextInt(4) == 0) {
-          site.leaveZone(site.zoneByProxy.get(proxy));
+          harness.leaveZone(harness.zoneByProxy.get(proxy));
         } else {
-          site.leave(proxy);
+          harness.leave(proxy);
         }
         return;
       }
-      int zone = random.nextInt(drawn.zones);
-      boolean holds = random.nextBoolean();
+      int zone = random.nextInt(parameters.zones);
+      boolean hasTable = random.nextBoolean();
       for (int k = 1 + random.nextInt(4);
-          k > 0 && site.zoneByProxy.size() < drawn.fleetProxies;
+          k > 0 && harness.zoneByProxy.size() < parameters.fleetProxies;
           k--) {
-        if (holds) {
-          site.joinHolding(++nextProxy, zone, new HashSet<>(listedServers.keySet()));
+        if (hasTable) {
+          harness.joinWithTable(++nextProxy, zone, new HashSet<>(listedServers.keySet()));
         } else {
-          site.join(++nextProxy, zone);
+          harness.join(++nextProxy, zone);
         }
       }
     }
 
     private void changeLatencies() {
       for (long id : listedServers.keySet()) {
-        site.fixture.latencyMs.put(id, 100 + 200 * random.nextDouble());
+        harness.fixture.latencyMs.put(id, 100 + 200 * random.nextDouble());
       }
     }
 
-    void play(int steps) {
+    void run(int steps) {
       for (int i = 0; i < steps; i++) {
         switch (random.nextInt(7)) {
           case 0 -> updateList();
           case 1, 2 -> joinOrLeave();
           case 3 -> changeLatencies();
           case 4 -> cancelDrain();
-          case 5 -> site.runSteps(random.nextInt(12), 1);
-          default -> site.runTicks(random.nextInt(25));
+          case 5 -> harness.runSteps(random.nextInt(12), 1);
+          default -> harness.runTicks(random.nextInt(25));
         }
-        site.endBatch();
+        harness.endBatch();
       }
     }
 
@@ -205,30 +210,33 @@
       return ids;
     }
 
-    /** Checks after each batch. */
+    /** Asserts the invariants after each batch. */
     private void assertInvariants() {
-      long now = site.fixture.nowUs;
-      site.zoneByProxy.values().forEach(zone -> zoneUsed.put(zone, now));
-      for (RecordedCommand command : site.lastCommands) {
+      long now = harness.fixture.nowUs;
+      harness.zoneByProxy.values().forEach(zone -> lastUsedByZone.put(zone, now));
+      for (RecordedCommand command : harness.lastCommands) {
         OptionalInt table = tableOf(command);
         if (table.isPresent()) {
-          int zone = table.getAsInt() % drawn.zones;
+          int zone = table.getAsInt() % parameters.zones;
           assertTrue(
-              now - zoneUsed.getOrDefault(zone, Long.MIN_VALUE / 2) <= RELEASE_US,
-              command + ", though no proxy of its zone is here");
+              now - lastUsedByZone.getOrDefault(zone, Long.MIN_VALUE / 2) <= RELEASE_US,
+              "command for a zone without proxies at this instance: " + command);
         }
       }
       assertTrue(
-          site.channel.backlogLines() <= site.fixture.settings.channel().maxBacklogLines(),
-          "backlog lines " + site.channel.backlogLines());
-      site.commands.weightsByTable.forEach(
+          harness.channel.backlogLines() <= harness.fixture.settings.channel().maxBacklogLines(),
+          "backlog lines " + harness.channel.backlogLines());
+      harness.commands.weightsByTable.forEach(
           (number, table) -> {
-            assertTrue(table.size() <= maxEntries, "table " + number + " of " + table.size());
-            boolean used = site.commands.tableByProxy.containsValue(number);
+            assertTrue(
+                table.size() <= maxEntries,
+                "table " + number + " has " + table.size() + " entries, limit " + maxEntries);
+            boolean used = harness.commands.tableByProxy.containsValue(number);
             assertTrue(
                 !used
                     || readyServers().isEmpty()
-                    || table.keySet().stream().anyMatch(id -> !site.commands.ejected.contains(id)),
+                    || table.keySet().stream()
+                        .anyMatch(id -> !harness.commands.ejected.contains(id)),
                 "table " + number + " has no usable server");
           });
     }
@@ -246,40 +254,43 @@
       return OptionalInt.empty();
     }
 
-    /** Without further events all proxies get bound and tables list what they should. */
+    /**
+     * Runs without further events until all proxies are bound and the tables list all serving
+     * servers, or as many as a bind can carry.
+     */
     void runUntilSettled() {
-      site.runTicks(MIN_QUIET_TICKS);
+      harness.runTicks(MIN_QUIET_TICKS);
       for (int i = 0; i < MAX_QUIET_TICKS && !isSettled(); i++) {
-        site.runTick();
+        harness.runTick();
       }
       assertTrue(
           isSettled(),
           "bound "
-              + site.commands.tableByProxy
+              + harness.commands.tableByProxy
               + " of "
-              + site.zoneByProxy
+              + harness.zoneByProxy
               + ", serving "
               + readyServers()
               + ", tables "
-              + site.commands.weightsByTable);
+              + harness.commands.weightsByTable);
     }
 
     private boolean isSettled() {
       Set<Long> serving = readyServers();
       int size = Math.min(maxEntries, serving.size());
       return size == 0
-          || (site.commands.tableByProxy.equals(site.zoneByProxy)
-              && site.zoneByProxy.values().stream()
+          || (harness.commands.tableByProxy.equals(harness.zoneByProxy)
+              && harness.zoneByProxy.values().stream()
                   .allMatch(
                       zone ->
-                          site.listedServers(zone).size() == size
-                              && serving.containsAll(site.listedServers(zone))));
+                          harness.listedServers(zone).size() == size
+                              && serving.containsAll(harness.listedServers(zone))));
     }
   }
 
   /**
-   * The longest table that a bind can carry with a reinstatement for each weight, by
-   * docs/design.md.
+   * Returns the number of entries of the longest table that a bind can carry with a reinstatement
+   * for each weight, according to docs/design.md.
    */
   private static int maxEntriesOfABind(PolicySettings settings) {
     ChannelSettings channel = settings.channel();
@@ -287,12 +298,12 @@
         (settings.limits().drainGraceUs() - channel.maxPushDelayUs())
             / 1e6
             * channel.linesPerSecond();
-    double joinLoad =
+    double joinsShare =
         settings.proxies()
             * (2.5 * channel.messageOverheadLines() + 4 + settings.requestClasses().size())
             / graceLines;
-    double bindShare = Math.min(0.3, Math.max(0.1, 0.9 - joinLoad));
-    double budgetLines = Math.min(0.8 * channel.maxBacklogLines(), bindShare * graceLines);
+    double maxBacklogShare = Math.min(0.3, Math.max(0.1, 0.9 - joinsShare));
+    double budgetLines = Math.min(0.8 * channel.maxBacklogLines(), maxBacklogShare * graceLines);
     return (int)
         Math.max(
             1,
@@ -300,11 +311,11 @@
                 / 2);
   }
 
-  /** The same histories each time, as all tests here. */
+  /** The seed is fixed, so that each run checks equal histories. */
   @Property(tries = 10, seed = "20261202", shrinking = ShrinkingMode.OFF)
-  void theInvariantsHoldAfterEachBatch(@ForAll("drawnSites") DrawnSite drawn) {
-    History history = new History(drawn);
-    history.play(STEPS);
+  void theInvariantsHoldAfterEachBatch(@ForAll("randomParameters") RandomParameters parameters) {
+    History history = new History(parameters);
+    history.run(STEPS);
     history.runUntilSettled();
   }
 }
--- a/src/test/java/pearusher/policy/SharedOwnershipTest.java
+++ b/src/test/java/pearusher/policy/SharedOwnershipTest.java
@@ -10,16 +10,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Two assigners own the same proxies or zones for a while. */
+/** Two assigners that own the same proxies or zones for some time. */
 class SharedOwnershipTest {
-  /** Thirty graces, after which a zone without proxies is released, and a control period. */
+  /**
+   * 30 drain grace periods, after which a zone without proxies is released, and a control period.
+   */
   private static final int RELEASE_S = 62;
 
-  /** Twelve half-lives of evidence of six periods each: 3,000 attempts count as less than one. */
+  /**
+   * 12 half-lives of evidence, of six control periods each, after which 3,000 attempts count as
+   * less than one.
+   */
   private static final int EVIDENCE_EXPIRY_S = 72;
 
-  /** Whether it changes this table or binds this proxy. */
-  private static boolean concerns(RecordedCommand command, int table, int proxy) {
+  /** Returns whether a command changes this table or binds this proxy. */
+  private static boolean affects(RecordedCommand command, int table, int proxy) {
     if (command instanceof RecordedCommand.SetWeight weight) {
       return weight.table() == table;
     }
@@ -32,29 +37,33 @@
     return command instanceof RecordedCommand.BindProxy bind && bind.proxy() == proxy;
   }
 
-  /** Guards against an owner that disturbs another, or commands what it has released. */
+  /**
+   * Guards against owners that affect each other, or issue commands for tables they have released.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void twoOwnersOfOneProxyKeepTheInvariantsIndependently(boolean isReleased) {
-    ScopeSite first = ScopeSite.started(3, 8, 12, 2, 2);
-    ScopeSite second = ScopeSite.started(3, 8, 12, 1, 2);
+  void twoOwnersOfOneProxyEachMaintainTheInvariants(boolean isReleased) {
+    ProxyTierHarness first = ProxyTierHarness.started(3, 8, 12, 2, 2);
+    ProxyTierHarness second = ProxyTierHarness.started(3, 8, 12, 1, 2);
     first.join(20, 2);
     first.endBatch();
-    second.joinHolding(20, 2, first.listedServers(2));
+    second.joinWithTable(20, 2, first.listedServers(2));
     second.endBatch();
-    List<ScopeSite> both = List.of(first, second);
+    List<ProxyTierHarness> both = List.of(first, second);
     for (int change = 0; change < 60; change++) {
       Set<Long> server = Set.of(1L + change % 12);
-      for (ScopeSite site : both) {
-        site.changeLifecycle(server, Lifecycle.DRAINING);
-        site.endBatch();
-        assertTrue(site.commands.ejected.containsAll(server), "ejected in the same batch");
-        site.runSeconds(6);
-        assertFalse(site.isAnyUsed(server));
-        assertFalse(site.listedServers(2).containsAll(server), "and its weight is removed");
-        site.changeLifecycle(server, Lifecycle.READY);
-        site.runSteps(18, 3);
-        assertEquals(ScopeSite.servers(1, 12), site.usableServers(20));
+      for (ProxyTierHarness harness : both) {
+        harness.changeLifecycle(server, Lifecycle.DRAINING);
+        harness.endBatch();
+        assertTrue(harness.commands.ejected.containsAll(server), "ejected in the same batch");
+        harness.runSeconds(6);
+        assertFalse(harness.isAnyUsed(server));
+        assertFalse(
+            harness.listedServers(2).containsAll(server),
+            "the draining server is removed from the table");
+        harness.changeLifecycle(server, Lifecycle.READY);
+        harness.runSteps(18, 3);
+        assertEquals(ProxyTierHarness.servers(1, 12), harness.usableServers(20));
       }
     }
     if (isReleased) {
@@ -65,8 +74,8 @@
       first.invariant =
           () ->
               assertTrue(
-                  first.lastCommands.stream().noneMatch(command -> concerns(command, 2, 20)),
-                  "" + first.lastCommands);
+                  first.lastCommands.stream().noneMatch(command -> affects(command, 2, 20)),
+                  "commands for the released zone: " + first.lastCommands);
       first.changeLifecycle(Set.of(1L), Lifecycle.REMOVED);
       first.runSeconds(120);
     }
@@ -75,51 +84,62 @@
   }
 
   /**
-   * Guards against state of a region that stays after its zones returned to their owner, and
-   * against old lists for proxies that return.
+   * Guards against state of a region that remains after its zones have returned to their owner, and
+   * against outdated tables for proxies that return.
    */
   @Test
-  void aRegionOwnedTwiceForAnHourLeavesNoStateBehind() {
-    ScopeSite home = ScopeSite.started(6, 60, 30, 5, 2).runSeconds(120);
-    ScopeSite away = ScopeSite.started(6, 60, 30, 1, 2).runSeconds(120);
-    long objectsOfHomeBefore = ObjectCount.of(home.fixture.policy);
-    long objectsOfAwayBefore = ObjectCount.of(away.fixture.policy);
-    Set<Long> table = home.listedServers(2);
+  void aRegionOwnedTwiceForAnHourLeavesNoStateAfterItsReturn() {
+    ProxyTierHarness firstOwner = ProxyTierHarness.started(6, 60, 30, 5, 2).runSeconds(120);
+    ProxyTierHarness secondOwner = ProxyTierHarness.started(6, 60, 30, 1, 2).runSeconds(120);
+    long objectsOfFirstBefore = ObjectCount.of(firstOwner.fixture.policy);
+    long objectsOfSecondBefore = ObjectCount.of(secondOwner.fixture.policy);
+    Set<Long> table = firstOwner.listedServers(2);
     List<Integer> proxiesOfRegion =
-        home.zoneByProxy.keySet().stream().filter(p -> home.zoneByProxy.get(p) >= 2).toList();
-    proxiesOfRegion.forEach(p -> away.joinHolding(1000 + p, home.zoneByProxy.get(p), table));
-    away.runSteps(360, 5);
+        firstOwner.zoneByProxy.keySet().stream()
+            .filter(proxy -> firstOwner.zoneByProxy.get(proxy) >= 2)
+            .toList();
+    proxiesOfRegion.forEach(
+        proxy -> secondOwner.joinWithTable(1000 + proxy, firstOwner.zoneByProxy.get(proxy), table));
+    secondOwner.runSteps(360, 5);
     Set<Long> drained = Set.of(8L, 9L, 10L);
-    List.of(home, away)
+    List.of(firstOwner, secondOwner)
         .forEach(
-            site -> {
-              site.changeLifecycle(drained, Lifecycle.DRAINING);
-              site.endBatch();
+            harness -> {
+              harness.changeLifecycle(drained, Lifecycle.DRAINING);
+              harness.endBatch();
             });
-    home.runSteps(720, 5);
-    away.runSteps(360, 5);
+    firstOwner.runSteps(720, 5);
+    secondOwner.runSteps(360, 5);
     assertTrue(
-        ObjectCount.of(away.fixture.policy) > objectsOfAwayBefore + 4 * 30,
-        "it has the state of the region");
+        ObjectCount.of(secondOwner.fixture.policy) > objectsOfSecondBefore + 4 * 30,
+        "the second owner has state of the region");
     proxiesOfRegion.forEach(
-        p -> home.joinHolding(p, home.zoneByProxy.get(p), away.usableServers(1000 + p)));
-    home.endBatch();
-    proxiesOfRegion.forEach(p -> away.leave(1000 + p));
-    assertTrue(home.areAllBound(), "bound in the batch of their return");
+        proxy ->
+            firstOwner.joinWithTable(
+                proxy, firstOwner.zoneByProxy.get(proxy), secondOwner.usableServers(1000 + proxy)));
+    firstOwner.endBatch();
+    proxiesOfRegion.forEach(proxy -> secondOwner.leave(1000 + proxy));
+    assertTrue(firstOwner.areAllBound(), "bound in the batch of their return");
     proxiesOfRegion.forEach(
-        p -> assertFalse(home.usableServers(p).stream().anyMatch(drained::contains)));
-    List.of(home, away)
+        proxy -> assertFalse(firstOwner.usableServers(proxy).stream().anyMatch(drained::contains)));
+    List.of(firstOwner, secondOwner)
         .forEach(
-            site -> {
-              site.changeLifecycle(drained, Lifecycle.READY);
-              site.runSeconds(RELEASE_S + EVIDENCE_EXPIRY_S);
+            harness -> {
+              harness.changeLifecycle(drained, Lifecycle.READY);
+              harness.runSeconds(RELEASE_S + EVIDENCE_EXPIRY_S);
             });
-    assertTrue(away.clearedTables.containsAll(Set.of(2, 3, 4)));
+    assertTrue(secondOwner.clearedTables.containsAll(Set.of(2, 3, 4)));
     assertTrue(
-        ObjectCount.of(away.fixture.policy) <= 1.05 * objectsOfAwayBefore,
-        ObjectCount.of(away.fixture.policy) + " objects, " + objectsOfAwayBefore + " before");
+        ObjectCount.of(secondOwner.fixture.policy) <= 1.05 * objectsOfSecondBefore,
+        ObjectCount.of(secondOwner.fixture.policy)
+            + " objects of the second owner, "
+            + objectsOfSecondBefore
+            + " before");
     assertTrue(
-        ObjectCount.of(home.fixture.policy) <= 1.05 * objectsOfHomeBefore,
-        ObjectCount.of(home.fixture.policy) + " objects, " + objectsOfHomeBefore + " before");
+        ObjectCount.of(firstOwner.fixture.policy) <= 1.05 * objectsOfFirstBefore,
+        ObjectCount.of(firstOwner.fixture.policy)
+            + " objects of the first owner, "
+            + objectsOfFirstBefore
+            + " before");
   }
 }
--- a/src/test/java/pearusher/policy/TakeoverTest.java
+++ b/src/test/java/pearusher/policy/TakeoverTest.java
@@ -11,24 +11,29 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Proxies of a failed assigner join another one that has no evidence of their zone. */
+/** Takeover of a failed assigner's proxies by another one that has no evidence of their zone. */
 class TakeoverTest {
-  /** Entries that a bind may carry in a fleet of 140 proxies. */
+  /** Number of entries that a bind can carry in a fleet of 140 proxies. */
   private static final int MAX_ENTRIES_LARGE_FLEET = 218;
 
-  private static void takeOver(ScopeSite site, int from, int count, int zone, Set<Long> table) {
+  private static void takeOver(
+      ProxyTierHarness harness, int from, int count, int zone, Set<Long> table) {
     for (int proxy = from; proxy < from + count; proxy++) {
-      site.joinHolding(proxy, zone, table);
+      harness.joinWithTable(proxy, zone, table);
     }
-    site.endBatch();
+    harness.endBatch();
   }
 
-  /** What each server gets of the requests of all proxies, by the tables that these follow. */
-  private static Map<Long, Double> shareByServer(ScopeSite site) {
+  /**
+   * Returns the share of all proxies' requests by server, according to the tables of the proxies.
+   */
+  private static Map<Long, Double> shareByServer(ProxyTierHarness harness) {
     Map<Long, Double> shares = new TreeMap<>();
-    for (int table : site.commands.tableByProxy.values()) {
-      double weightScale = 1 / site.commands.totalWeight(table) / site.commands.tableByProxy.size();
-      site.commands
+    for (int table : harness.commands.tableByProxy.values()) {
+      double weightScale =
+          1 / harness.commands.totalWeight(table) / harness.commands.tableByProxy.size();
+      harness
+          .commands
           .weightsByTable
           .get(table)
           .forEach((id, weight) -> shares.merge(id, weight * weightScale, Double::sum));
@@ -37,88 +42,99 @@
   }
 
   /**
-   * Guards against tables that need evidence of their zone, and cold servers with the share of warm
-   * ones.
+   * Guards against tables that need evidence of their zone, and against servers in slow start that
+   * get a full share.
    */
   @ParameterizedTest
   @ValueSource(ints = {40, 100, 200, 400})
   void proxiesOfAFailedAssignerAreTakenOverWithoutEvidenceOfTheirZone(int servers) {
-    ScopeSite site = ScopeSite.started(4, 140, servers, 2, 10).runTicks(80);
-    long coldServer = 1_000_003;
-    site.updateEndpoints(List.of(TestServers.readyServer(coldServer, 3, site.fixture.nowUs)));
-    site.runTicks(10);
-    takeOver(site, 100, 30, 3, site.listedServers(0));
-    double arrivalS = site.runUntil("bound", 2, site::areAllBound);
-    assertTrue(arrivalS <= ScopeSite.GRACE_S, "bound after " + arrivalS);
+    ProxyTierHarness harness = ProxyTierHarness.started(4, 140, servers, 2, 10).runTicks(80);
+    long newServer = 1_000_003;
+    harness.updateEndpoints(List.of(TestServers.readyServer(newServer, 3, harness.fixture.nowUs)));
+    harness.runTicks(10);
+    takeOver(harness, 100, 30, 3, harness.listedServers(0));
+    double arrivalS = harness.runUntil("bound", 2, harness::areAllBound);
+    assertTrue(
+        arrivalS <= ProxyTierHarness.DRAIN_GRACE_WITH_TOLERANCE_S,
+        "proxies are bound after " + arrivalS + " s");
     for (int i = 0; i < 150; i++) {
       double even = 1.0 / (servers + 1);
-      double maxShare = site.fixture.settings.limits().recoveryOverloadFactor() * even;
-      Map<Long, Double> shares = shareByServer(site);
-      // The bound is meant for cold servers; where a table lists all, warm ones stay within it too.
+      double maxShare = harness.fixture.settings.limits().recoveryOverloadFactor() * even;
+      Map<Long, Double> shares = shareByServer(harness);
+      // The bound is meant for servers in slow start. Where a table lists all servers, the others
+      // comply with it, too.
       shares.forEach(
           (id, share) ->
               assertTrue(
                   share > 0 && (servers > MAX_ENTRIES_LARGE_FLEET || share <= maxShare),
-                  id + " gets " + share));
+                  "share of server " + id + ": " + share));
       double rampProgress = Math.min(1, 0.2 + 0.8 * (10 + i) / 100.0);
       assertTrue(
-          shares.getOrDefault(coldServer, 0.0) <= maxShare * rampProgress,
-          "share of a cold server at " + i);
-      site.runTick();
+          shares.getOrDefault(newServer, 0.0) <= maxShare * rampProgress,
+          "share of a server in slow start, tick " + i);
+      harness.runTick();
     }
-    site.runUntil("all at their zone's table", 60, () -> site.commands.tableByProxy.get(129) == 3);
+    harness.runUntil(
+        "all bound to the table of their zone",
+        60,
+        () -> harness.commands.tableByProxy.get(129) == 3);
   }
 
   /**
-   * Regression: a new zone, while proxies of others were bound to subsets, had no subsets until the
-   * next control period; its proxies waited for complete tables, 3.5 s where the grace is 2 s.
+   * Regression: a zone that was added while proxies of other zones were bound to subsets had no
+   * subsets until the next control period. Its proxies waited 3.5 s for complete tables, longer
+   * than the drain grace period of 2 s.
    */
   @ParameterizedTest
   @CsvSource({"100, 1", "100, 3", "100, 8", "140, 1", "140, 5"})
-  void proxiesOfASecondFailedAssignerAreBoundInTimeAsWell(int servers, int laterTicks) {
-    ScopeSite site = ScopeSite.started(4, 140, servers, 1, 20).runTicks(80);
-    Set<Long> table = site.listedServers(0);
-    takeOver(site, 100, 60, 1, table);
-    site.runTicks(laterTicks);
-    takeOver(site, 200, 60, 2, table);
-    double arrivalS = site.runUntil("bound", 2, site::areAllBound);
-    assertTrue(arrivalS <= ScopeSite.GRACE_S, "the second are bound after " + arrivalS);
+  void proxiesOfASecondFailedAssignerAreBoundWithinTheDrainGrace(int servers, int laterTicks) {
+    ProxyTierHarness harness = ProxyTierHarness.started(4, 140, servers, 1, 20).runTicks(80);
+    Set<Long> table = harness.listedServers(0);
+    takeOver(harness, 100, 60, 1, table);
+    harness.runTicks(laterTicks);
+    takeOver(harness, 200, 60, 2, table);
+    double arrivalS = harness.runUntil("bound", 2, harness::areAllBound);
+    assertTrue(
+        arrivalS <= ProxyTierHarness.DRAIN_GRACE_WITH_TOLERANCE_S,
+        "proxies of the second assigner are bound after " + arrivalS + " s");
   }
 
   /**
-   * Regression: subset tables outlived their zone and got weights; a server that was forgotten
-   * meanwhile ended the instance.
+   * Regression: subset tables were not removed with their zone and still got weights. A server that
+   * had been deleted in the meantime then terminated the instance.
    */
   @Test
   void subsetTablesAreClearedWithTheirZone() {
-    ScopeSite site = ScopeSite.started(3, 140, 60, 2, 10).runTicks(80);
-    takeOver(site, 100, 60, 2, site.listedServers(0));
-    takeOver(site, 200, 60, 0, site.listedServers(0));
+    ProxyTierHarness harness = ProxyTierHarness.started(3, 140, 60, 2, 10).runTicks(80);
+    takeOver(harness, 100, 60, 2, harness.listedServers(0));
+    takeOver(harness, 200, 60, 0, harness.listedServers(0));
     assertTrue(
-        site.commands.weightsByTable.keySet().stream().anyMatch(t -> t > 2 && t % 3 == 2),
-        "a join surge");
-    site.runTicks(5);
-    site.leaveZone(2);
-    site.invariant =
+        harness.commands.weightsByTable.keySet().stream().anyMatch(t -> t > 2 && t % 3 == 2),
+        "no join surge: no table of a subset of zone 2");
+    harness.runTicks(5);
+    harness.leaveZone(2);
+    harness.invariant =
         () ->
             assertTrue(
-                !site.clearedTables.contains(2)
-                    || site.lastCommands.stream()
-                        .noneMatch(command -> ScopeSite.setsWeightInZone(command, 2, 3)),
-                "" + site.lastCommands);
+                !harness.clearedTables.contains(2)
+                    || harness.lastCommands.stream()
+                        .noneMatch(command -> ProxyTierHarness.setsWeightInZone(command, 2, 3)),
+                "weights for a cleared table: " + harness.lastCommands);
     for (int i = 0; i < 1300; i++) {
       if (i % 30 == 0) {
-        // A join surge of proxies that lose their streams every three seconds.
-        takeOver(site, 200, 60, 0, site.listedServers(0));
+        // A join surge of proxies that lose their streams every 3 s.
+        takeOver(harness, 200, 60, 0, harness.listedServers(0));
       }
       if (i == 640) {
-        site.changeLifecycle(Set.of(5L), Lifecycle.REMOVED);
+        harness.changeLifecycle(Set.of(5L), Lifecycle.REMOVED);
       }
-      site.runTick();
+      harness.runTick();
     }
-    assertTrue(site.commands.forgottenServers.contains(5L), "forgotten in the meantime");
     assertTrue(
-        site.commands.weightsByTable.keySet().stream().noneMatch(t -> t % 3 == 2),
-        "left: " + site.commands.weightsByTable.keySet());
+        harness.commands.forgottenServers.contains(5L),
+        "the removed server is deleted in the meantime");
+    assertTrue(
+        harness.commands.weightsByTable.keySet().stream().noneMatch(t -> t % 3 == 2),
+        "tables: " + harness.commands.weightsByTable.keySet());
   }
 }
--- a/src/test/java/pearusher/policy/UpdateChannelTest.java
+++ b/src/test/java/pearusher/policy/UpdateChannelTest.java
@@ -11,12 +11,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The backlog of the channel to the proxies stays within its limit. */
+/** Limits of the backlog and of the messages on the channel to the proxies. */
 class UpdateChannelTest {
   private static final long TICK_US = 100_000;
   private static final int LINES_PER_TICK = ChannelModel.LINES_PER_SECOND / 10;
 
-  /** Backlog of a channel of this rate, counted by this test alone; the limit is 4,500 lines. */
+  /**
+   * Returns the backlog of a channel of this rate, counted independently of the policy, and asserts
+   * the limit of 4,500 lines.
+   */
   private static double backlogAfter(
       PolicyFixture fixture,
       double backlogLines,
@@ -63,19 +66,19 @@
           "backlog lines " + backlogLines + " after " + (fixture.nowUs - removedAtUs));
       backlogLines = Math.max(0, backlogLines - LINES_PER_TICK);
       if (i == 8) {
-        assertEquals(50, fixture.commands.ejected.size(), "all ejected within a second");
+        assertEquals(50, fixture.commands.ejected.size(), "all servers are ejected within 1 s");
       }
     }
     for (long id = 2; id <= 100; id += 2) {
       assertTrue(
           fixture.commands.ejected.contains(id) || fixture.commands.share(0, id) < 0.004,
-          "cold and reinstated at " + fixture.commands.share(0, id));
+          "share of a reinstated server in slow start: " + fixture.commands.share(0, id));
     }
-    assertTrue(fixture.commands.ejected.size() < 50, "some are reinstated within two seconds");
+    assertTrue(fixture.commands.ejected.size() < 50, "some servers are reinstated within 2 s");
   }
 
   @Test
-  void ejectionsBeyondTheBacklogShareFewMessages() {
+  void ejectionsThatExceedTheBacklogAreBatchedIntoFewMessages() {
     PolicyFixture fixture = new PolicyFixture().start(TestServers.readyServers(160, 2), 70);
     fixture.runPeriods(8);
     double backlogLines = 0;
@@ -99,18 +102,19 @@
       assertTrue(backlogLines <= ChannelModel.MAX_BACKLOG_LINES, "backlog lines " + backlogLines);
       backlogLines = Math.max(0, backlogLines - LINES_PER_TICK);
     }
-    assertEquals(80, fixture.commands.ejected.size(), "all are ejected within 4 s");
-    assertTrue(messages <= 6, "in few messages: " + messages);
+    assertEquals(80, fixture.commands.ejected.size(), "all servers are ejected within 4 s");
+    assertTrue(messages <= 6, "more than 6 messages: " + messages);
   }
 
   /**
-   * All proxies of the fleet may join one assigner while servers drain in steps. Weights, which may
-   * be deferred, leave room for that, the more the larger the fleet is, and are sent to the proxies
-   * of one table after the other.
+   * All proxies of the fleet may join one assigner while servers drain in steps. Guards against
+   * deferrable weights that use the capacity needed for that, which grows with the fleet, and
+   * against weights that are not sent table by table in long messages.
    */
   @ParameterizedTest
   @CsvSource({"20, 1350", "100, 1050", "140, 450"})
-  void deferrableWeightsLeaveRoomForAllProxiesOfTheFleet(int fleetProxies, double maxBacklogLines) {
+  void deferrableWeightsReserveCapacityForAllProxiesOfTheFleet(
+      int fleetProxies, double maxBacklogLines) {
     PolicySettings settings =
         new PolicySettingsBuilder().idempotentRequestsOnly().proxies(fleetProxies).build();
     PolicyFixture fixture = new PolicyFixture(settings).start(TestServers.readyServers(100, 2), 20);
@@ -138,15 +142,16 @@
     assertTrue(
         channel.maxBacklogLines <= maxBacklogLines
             && channel.maxBacklogLines > 0.8 * maxBacklogLines,
-        channel.maxBacklogLines + " lines of backlog");
-    assertTrue(longestMeanMessage > 40, "lines a message " + longestMeanMessage);
+        "largest backlog: " + channel.maxBacklogLines + " lines");
+    assertTrue(longestMeanMessage > 40, "longest mean message: " + longestMeanMessage + " lines");
   }
 
   /**
-   * A returning zone is reinstated many servers at once: each message costs an overhead a proxy.
+   * Guards against reinstatements in many small messages when a zone returns: each message has its
+   * overhead for every proxy.
    */
   @Test
-  void aReturningZoneIsReinstatedManyServersAtOnceInALargeFleet() {
+  void manyServersOfAReturningZoneAreReinstatedAtOnceInALargeFleet() {
     PolicySettings settings =
         new PolicySettingsBuilder().idempotentRequestsOnly().proxies(140).build();
     PolicyFixture fixture = new PolicyFixture(settings).start(TestServers.readyServers(100, 2), 20);
@@ -170,11 +175,11 @@
   }
 
   /**
-   * A channel may be slower than stated, which acknowledgements show late: the estimate alone
-   * admits more until then.
+   * A channel may be slower than the settings state, which acknowledgements show only later. Guards
+   * against a backlog limit that relies on the estimate alone, which admits more lines until then.
    */
   @Test
-  void aChannelMuchSlowerThanStatedNeverExceedsTheBacklog() {
+  void theBacklogStaysWithinItsLimitOnAChannelMuchSlowerThanConfigured() {
     for (double linesPerSecond : new double[] {3000, 1500, 900}) {
       PolicySettings settings =
           new PolicySettingsBuilder().idempotentRequestsOnly().proxies(200).build();
@@ -195,10 +200,15 @@
         channel.send();
         assertTrue(
             channel.backlogLines() <= ChannelModel.MAX_BACKLOG_LINES,
-            channel.backlogLines() + " lines of backlog at " + linesPerSecond);
+            channel.backlogLines()
+                + " lines of backlog at "
+                + linesPerSecond
+                + " lines per second");
       }
       assertEquals(
-          200, fixture.commands.tableByProxy.size(), "and all are bound at " + linesPerSecond);
+          200,
+          fixture.commands.tableByProxy.size(),
+          "all are bound at " + linesPerSecond + " lines per second");
     }
   }
 
@@ -232,7 +242,7 @@
       fixture.runPeriod();
       acksBefore = Math.max(acksBefore, fixture.commands.lastAckNumber);
     }
-    assertTrue(acksBefore <= 3, "messages without ejections in ten seconds: " + acksBefore);
+    assertTrue(acksBefore <= 3, "messages without ejections in 10 s: " + acksBefore);
     fixture.advance(1000);
     fixture.updateEndpoints(
         ListUpdateKind.DELTA, List.of(TestServers.serverIn(2, 0, Lifecycle.REMOVED)));
@@ -274,6 +284,7 @@
             fixture.nowUs, proxy, fixture.commands.lastAckNumber, 20 * PolicyFixture.SECOND_US);
       }
     }
-    assertTrue(sent < 60 * 160, "lines sent into a channel that takes 20 s: " + sent);
+    assertTrue(
+        sent < 60 * 160, "lines sent on a channel with acknowledgements after 20 s: " + sent);
   }
 }
--- a/src/test/java/pearusher/policy/ZoneTableTest.java
+++ b/src/test/java/pearusher/policy/ZoneTableTest.java
@@ -12,7 +12,7 @@
   private final ZoneTable table = new ZoneTable(2, 1, RetryPolicy.RETRY_IF_NOT_RUN);
 
   @Test
-  void aPlanReplacesTheLastOneAndLeavesOutServersWithoutAShare() {
+  void aPlanReplacesTheLastOneAndOmitsServersWithoutAShare() {
     table.plan(List.of(new Server(1, 0)), server -> 1);
     table.plan(List.of(new Server(2, 0), new Server(3, 0)), server -> server.id == 2 ? 0.5 : 0);
     assertEquals(Map.of(2L, 0.5), table.plannedShares);
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void theWeightZeroEndsAnEntry() {
+  void weightZeroRemovesTheEntry() {
     table.recordWeight(1, 0.5);
     assertTrue(table.lists(1));
     table.recordWeight(1, 0);
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void aClassCountsAsPublishedOnce() {
+  void aClassThatIsPublishedTwiceIsCountedOnce() {
     table.recordAdmission(1, 0.5, RetryPolicy.NO_RETRY);
     table.recordAdmission(1, 0.6, RetryPolicy.NO_RETRY);
     assertEquals(1, table.publishedClassCount());
