--- a/src/main/java/pearusher/policy/FaastPolicy.java
+++ b/src/main/java/pearusher/policy/FaastPolicy.java
@@ -14,7 +14,6 @@
 public final class FaastPolicy implements AssignmentPolicy {
   private final PolicySettings settings;
 
-  // State of the fleet.
   private final ControlClock clock;
   private final EndpointListWatch listWatch;
   private final EjectionQueue ejections;
@@ -24,12 +23,10 @@
   private final ZoneScope scope;
   private final ChannelBudget channel;
 
-  // Measurements.
   private final ResponseTimeEstimator estimator;
   private final SuccessForecast forecast = new SuccessForecast();
   private final UtilizationMonitor utilization;
 
-  // Decisions.
   private final OutlierDetector outliers;
   private final SlowStart slowStart;
   private final OverloadDetector overload;
@@ -39,7 +36,6 @@
   private final WeightCalculator weightCalculator;
   private final SubsetAssignment subsets;
 
-  // Publication.
   private final WeightPublisher weightPublisher;
   private final UpdatePublisher publisher;
 
--- a/src/main/java/pearusher/policy/TableRestorer.java
+++ b/src/main/java/pearusher/policy/TableRestorer.java
@@ -64,7 +64,7 @@
 
   /**
    * Restores the response time ratios of the servers of the table's own zone. Weights are inverse
-   * to response times, and only those of the own zone depend on nothing else.
+   * to response times, and only those of the own zone depend on nothing but response times.
    */
   private static void restoreTimeRatios(List<Server> ownZone, Map<Long, Double> shares) {
     double meanTime =
--- a/src/main/java/pearusher/policy/UpdatePublisher.java
+++ b/src/main/java/pearusher/policy/UpdatePublisher.java
@@ -1,7 +1,7 @@
 package pearusher.policy;
 
 /**
- * Publisher of the decisions changes, in the order of their urgency: binds of proxies that already
+ * Publisher of the decided changes, in the order of their urgency: binds of proxies that already
  * have their table, ejections, admission levels, reinstatements, other binds, and weights. Changes
  * that do not fit into the channel are retried after a short delay.
  */
