--- a/src/main/java/pearusher/control/BoundedReportQueue.java
+++ b/src/main/java/pearusher/control/BoundedReportQueue.java
@@ -6,58 +6,60 @@
 import org.tinylog.Logger;
 
 /**
- * Bounds the reports among the events of the loop: those beyond the capacity are dropped and
- * counted, so that a flood of them cannot exhaust the memory. Any thread may add one. It holds
- * counters only.
+ * Bounds the number of reports among the queued events of the event loop. Reports beyond the
+ * capacity are dropped and counted, so that a flood of reports cannot exhaust the memory. Any
+ * thread may add a report. The reports themselves are queued in the event loop; this class stores
+ * only counters.
  */
 final class BoundedReportQueue {
-  /** Most reports that wait. */
+  /** Maximum number of queued reports. */
   static final int CAPACITY = 20_000;
 
   /**
-   * Dropping counts as over once no more than this many wait: at the capacity itself it would begin
-   * and end with each report.
+   * Queue size at which dropping is logged as ended. With a threshold at the capacity, the log
+   * would report a start and an end for each dropped report.
    */
-  private static final int RECOVERED_SIZE = CAPACITY / 2;
+  private static final int DROPPING_END_SIZE = CAPACITY / 2;
 
   private final EventLoop loop;
-  private final AtomicInteger size = new AtomicInteger();
-  private final AtomicLong dropped = new AtomicLong();
+  private final AtomicInteger queuedCount = new AtomicInteger();
+  private final AtomicLong droppedCount = new AtomicLong();
   private final AtomicBoolean isDropping = new AtomicBoolean();
 
   BoundedReportQueue(EventLoop loop) {
     this.loop = loop;
   }
 
-  /** Adds a report as an event of the loop, or drops it. */
+  /** Queues a report as an event of the loop, or drops it if the capacity is reached. */
   void add(Runnable report) {
-    if (size.incrementAndGet() > CAPACITY) {
-      size.decrementAndGet();
+    if (queuedCount.incrementAndGet() > CAPACITY) {
+      queuedCount.decrementAndGet();
       onDropped();
       return;
     }
     loop.add(
         () -> {
-          onTaken();
+          onDequeued();
           report.run();
         });
   }
 
   private void onDropped() {
-    dropped.incrementAndGet();
+    droppedCount.incrementAndGet();
     if (isDropping.compareAndSet(false, true)) {
       Logger.warn("reports dropped: {} wait, more are dropped from here on", CAPACITY);
     }
   }
 
-  private void onTaken() {
-    if (size.decrementAndGet() <= RECOVERED_SIZE && isDropping.compareAndSet(true, false)) {
-      Logger.warn("reports dropped no more: {} in all", dropped.get());
+  private void onDequeued() {
+    if (queuedCount.decrementAndGet() <= DROPPING_END_SIZE
+        && isDropping.compareAndSet(true, false)) {
+      Logger.warn("reports dropped no more: {} in all", droppedCount.get());
     }
   }
 
   /** Returns the number of reports dropped since the start. */
-  long dropped() {
-    return dropped.get();
+  long droppedCount() {
+    return droppedCount.get();
   }
 }
--- a/src/main/java/pearusher/control/CommandDispatcher.java
+++ b/src/main/java/pearusher/control/CommandDispatcher.java
@@ -8,9 +8,10 @@
 import pearusher.publish.PublishedTables;
 
 /**
- * Executes the policy's commands: those on tables, proxies and servers go to the published tables
- * and, by the server's name, to the persistence; the others go to the event loop, the endpoint list
- * or the outbound ports. Only the event-loop thread uses it. It holds no state.
+ * Executes the policy's commands. Commands on tables, proxies and servers are forwarded to the
+ * published tables and to the persistence, which identifies servers by name. All others are
+ * forwarded to the event loop, the endpoint list handler or the outbound ports. Only the event-loop
+ * thread uses it. It is stateless.
  */
 final class CommandDispatcher implements PolicyCommands {
   private final EventLoop loop;
@@ -22,7 +23,7 @@
   private final Consumer<String> logger;
 
   /**
-   * @param logger takes the policy's log texts, with the names of servers
+   * @param logger receives the policy's log messages, with server numbers replaced by names
    */
   CommandDispatcher(
       EventLoop loop,
@@ -74,8 +75,8 @@
     persistence
         .bindProxy(proxy, table, tables.coversAllClasses(classes))
         .ifPresentOrElse(
-            lacking ->
-                tables.bindWithCatchUp(proxy, lacking, servers.byNumber(lacking.ejections())),
+            catchUp ->
+                tables.bindWithCatchUp(proxy, catchUp, servers.byNumber(catchUp.ejections())),
             () -> tables.bindProxy(proxy, table, classes));
   }
 
@@ -85,14 +86,14 @@
   }
 
   @Override
-  public void suspectEjection(long server, boolean all) {
-    tables.suspectEjection(server, all);
+  public void suspectEjection(long server, boolean allProxies) {
+    tables.suspectEjection(server, allProxies);
   }
 
   @Override
-  public void setAdmission(int table, int classBits, double level, int retry) {
+  public void setAdmission(int table, int classBits, double level, int retryMode) {
     ClassSet classes = tables.classes(classBits);
-    AdmissionLevel admission = new AdmissionLevel(level, retry);
+    AdmissionLevel admission = new AdmissionLevel(level, retryMode);
     tables.setAdmission(table, classes, admission);
     if (table != PublishedTables.ALL_TABLES) {
       classes.forEach(requestClass -> persistence.setAdmission(table, requestClass, admission));
@@ -105,12 +106,12 @@
     persistence.requestAck(number);
   }
 
-  /** Every server is replaced in time: what is stored about one is removed with it. */
+  /** Discards all state of a server, so that it does not accumulate as servers are replaced. */
   @Override
   public void forgetServer(long server) {
-    servers.findName(server).ifPresent(persistence::forgetServer);
-    servers.forget(server);
-    tables.forgetServer(server);
+    servers.findName(server).ifPresent(persistence::discardServer);
+    servers.discard(server);
+    tables.discardServer(server);
   }
 
   @Override
@@ -138,9 +139,9 @@
     outbound.get().peers().send((int) peer, body);
   }
 
-  /** The policy refers to servers by number, the log by name. */
+  /** Logs a message with server numbers replaced by names. */
   @Override
   public void log(String text) {
-    logger.accept(servers.replaceNumbers(text));
+    logger.accept(servers.replaceNumbersByNames(text));
   }
 }
--- a/src/main/java/pearusher/control/CommitPipeline.java
+++ b/src/main/java/pearusher/control/CommitPipeline.java
@@ -11,16 +11,17 @@
 import pearusher.store.WriteBatch;
 
 /**
- * Submits the changes of each iteration to the store and holds the iteration's messages back until
- * they are durable. After a fault of the store, or if a message waits for it for too long, it gives
- * the store up: what waits is sent, and so is every later message at once.
+ * Submits the changes of each iteration to the store and delays the iteration's messages until the
+ * changes are durable. If the store fails, or if a message waits longer than the maximum commit
+ * delay, the pipeline abandons the store: it sends the waiting messages, and every later message
+ * immediately.
  *
- * <p>The event-loop thread submits, which never waits for the disk; the store's thread sends. It
- * grows with the messages that wait for the disk.
+ * <p>The event-loop thread submits and never waits for the disk; the store's thread sends. Mutable
+ * state is guarded by a lock. Its size grows with the number of messages that wait for the disk.
  */
 final class CommitPipeline implements AutoCloseable {
 
-  /** A message that is sent once its iteration is durable. */
+  /** A message to send once its iteration is durable. */
   record PendingMessage(ProxyStream stream, byte[] message) {
     void send() {
       stream.send(message);
@@ -31,25 +32,23 @@
   private final GroupCommitter committer;
   private final Object lock = new Object();
 
-  // All below is guarded by the lock.
-
   private final Outbox<PendingMessage> outbox;
-  private boolean hasGivenUp;
+  private boolean hasAbandonedStore;
 
-  /** Whether an earlier process gave the store up; the first commit makes it complete again. */
-  private boolean isStoreAbandoned;
+  /** Whether the store is marked as abandoned by an earlier process; the first commit clears it. */
+  private boolean mustClearAbandoned;
 
   /**
-   * @param isStoreAbandoned whether an earlier process gave the store up
-   * @param clock gives microseconds of Unix time
+   * @param wasAbandoned whether an earlier process abandoned the store
+   * @param clock returns the Unix time in microseconds
    */
   CommitPipeline(
-      Store store, PersistenceOptions options, boolean isStoreAbandoned, LongSupplier clock) {
-    this.isStoreAbandoned = isStoreAbandoned;
+      Store store, PersistenceOptions options, boolean wasAbandoned, LongSupplier clock) {
+    mustClearAbandoned = wasAbandoned;
     this.clock = clock;
     outbox = new Outbox<>(PendingMessage::send, options.maxCommitDelayUs());
     committer =
-        new GroupCommitter(store, options.storeOptions(), new StoreEventLog(this::giveUpStore));
+        new GroupCommitter(store, options.storeOptions(), new StoreEventLog(this::abandonStore));
   }
 
   /** Starts the store's thread. */
@@ -58,59 +57,59 @@
   }
 
   /**
-   * Submits an iteration.
+   * Submits the changes and messages of an iteration, without waiting for the disk.
    *
-   * @param changes what the ledger changed in the iteration
-   * @param messages to be sent once the changes are durable
+   * @param changes the changes of the ledger in the iteration
+   * @param messages the messages to send once the changes are durable
    */
   void submit(LedgerChanges changes, List<PendingMessage> messages, long nowUs) {
     synchronized (lock) {
-      long ticket = outbox.offer(messages, nowUs);
-      if (ticket == Outbox.SENT) {
-        // The store was given up: the messages are sent already.
+      long commitNumber = outbox.offer(messages, nowUs);
+      if (commitNumber == Outbox.SENT) {
+        // The store was abandoned, and the outbox has already sent the messages.
         return;
       }
       WriteBatch batch = new WriteBatch();
       changes.forEach(batch::put, batch::delete);
-      if (isStoreAbandoned) {
-        isStoreAbandoned = false;
-        committer.submitAndClearAbandoned(batch, () -> onDurable(ticket));
+      if (mustClearAbandoned) {
+        mustClearAbandoned = false;
+        committer.submitAndClearAbandoned(batch, () -> onDurable(commitNumber));
       } else {
-        committer.submit(batch, () -> onDurable(ticket));
+        committer.submit(batch, () -> onDurable(commitNumber));
       }
     }
   }
 
-  private void onDurable(long ticket) {
+  private void onDurable(long commitNumber) {
     synchronized (lock) {
-      outbox.release(ticket);
+      outbox.release(commitNumber);
     }
   }
 
-  /** Gives the store up if a message has waited for it for too long. Any thread may call it. */
+  /** Abandons the store if a message has waited too long for it; any thread may call it. */
   void checkDeadline() {
     synchronized (lock) {
-      if (!hasGivenUp && outbox.isOverdue(clock.getAsLong())) {
-        giveUpStore("a message waited for the disk longer than store.patience");
+      if (!hasAbandonedStore && outbox.isOverdue(clock.getAsLong())) {
+        abandonStore("a message waited for the disk longer than store.patience");
       }
     }
   }
 
-  private void giveUpStore(String cause) {
+  private void abandonStore(String cause) {
     synchronized (lock) {
-      if (hasGivenUp) {
+      if (hasAbandonedStore) {
         return;
       }
-      hasGivenUp = true;
+      hasAbandonedStore = true;
       Logger.error("store given up: waiting={} cause=\"{}\"", outbox.size(), cause);
-      // Started before the messages are sent, but not waited for: they may be sent before the mark
-      // is durable (docs/ROADMAP.md).
+      // Starts marking the store before sending the messages, but does not wait for the mark: the
+      // messages may be sent before the mark is durable (docs/ROADMAP.md).
       committer.markAbandoned();
       outbox.abandon();
     }
   }
 
-  /** Whether the store's thread is running. */
+  /** Returns whether the store's thread is running. */
   boolean isRunning() {
     return committer.isRunning();
   }
--- a/src/main/java/pearusher/control/Controller.java
+++ b/src/main/java/pearusher/control/Controller.java
@@ -21,11 +21,15 @@
 import pearusher.publish.PublishedTables;
 
 /**
- * Wires the policy to its surroundings: it owns the policy, takes events from any thread to the one
- * event-loop thread on which the policy runs, and ends each iteration of the loop by publishing
- * what the policy commanded. It does no I/O and decides nothing.
+ * Owns the policy and connects it to the rest of the assigner. The controller queues events of any
+ * thread, passes them to the policy on the event-loop thread, and publishes the policy's commands
+ * at the end of each iteration. It performs no I/O and takes no assignment decisions.
  *
- * <p>Its parts grow with the servers that are listed and the proxies that are joined.
+ * <p>Only the event-loop thread accesses the policy, the published tables, the server directory,
+ * the stream membership and the outbound ports. The methods of the implemented interfaces and
+ * {@link #execute} may be called by any thread.
+ *
+ * <p>Its size grows with the number of listed servers and joined proxies.
  */
 public class Controller implements ProxyEvents, DiscoveryEvents, PeerEvents {
   private final AssignerConfig config;
@@ -33,9 +37,7 @@
   private final Persistence persistence;
   private final EventLoop loop;
   private final BoundedReportQueue reportQueue;
-  private final ReportDispatcher reports;
-
-  // All below belongs to the event-loop thread.
+  private final ReportDispatcher reportDispatcher;
 
   private final ServerDirectory servers = new ServerDirectory();
   private final PublishedTables tables;
@@ -45,7 +47,7 @@
   private OutboundPorts outbound;
   private AssignmentPolicy policy;
 
-  /** Handles the parts of an iteration besides its events. */
+  /** Runs the steps of an iteration other than its events. */
   private final class IterationHandler implements EventLoop.Handler {
     @Override
     public void awaitTick() throws InterruptedException {
@@ -54,12 +56,12 @@
 
     @Override
     public boolean isOverloaded() {
-      return reports.isOverloaded();
+      return reportDispatcher.isOverloaded();
     }
 
     @Override
-    public void deliverDue() {
-      reports.deliverDue();
+    public void deliverQueuedReports() {
+      reportDispatcher.deliverQueuedReports();
     }
 
     @Override
@@ -73,7 +75,7 @@
     }
   }
 
-  /** Makes a controller without persistence and intake. */
+  /** Creates a controller that records nothing and has no intake. */
   public Controller(
       AssignerConfig config,
       BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> policyFactory,
@@ -83,11 +85,11 @@
   }
 
   /**
-   * Makes a controller; the policy itself is made by {@link #start}.
+   * Creates a controller; {@link #start} creates the policy.
    *
-   * @param clock gives microseconds of Unix time
-   * @param failureHandler called with what ended the event loop
-   * @param intake queues reports; if empty, each is an event of its own
+   * @param clock returns the Unix time in microseconds
+   * @param failureHandler called with the exception or error that ended the event loop
+   * @param intake queues the reports; if empty, each report is a separate event
    */
   public Controller(
       AssignerConfig config,
@@ -101,7 +103,7 @@
     this.persistence = persistence;
     loop = new EventLoop(clock, failureHandler, new IterationHandler());
     reportQueue = new BoundedReportQueue(loop);
-    reports = intake.map(this::intakeDispatcher).orElseGet(this::directDispatcher);
+    reportDispatcher = intake.map(this::intakeDispatcher).orElseGet(this::directDispatcher);
     tables = new PublishedTables(config.names().classes(), servers::name);
     streams = new StreamMembership(loop, servers, tables, persistence, () -> policy);
     endpointLists =
@@ -120,31 +122,34 @@
     return new DirectReportDispatcher(loop, reportQueue, servers, () -> policy);
   }
 
-  /** Returns a clock of microseconds of Unix time that never runs back. */
+  /** Returns a clock that reads the Unix time in microseconds and never runs backwards. */
   public static LongSupplier unixClock() {
     long baseUs = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
     long startNs = System.nanoTime();
     return () -> baseUs + TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNs);
   }
 
-  /** Sets where calls and messages to peers go; before {@link #start}. */
+  /**
+   * Sets the receivers of outbound calls and peer messages; must be called before {@link #start}.
+   */
   public void connect(OutboundCalls calls, PeerMessenger peers) {
     outbound = new OutboundPorts(calls, peers);
   }
 
   /**
-   * Makes the policy, hands it the list last known and what an earlier process commanded, and runs
-   * the first iteration, on the caller's thread.
+   * Creates the policy, passes it the last known endpoint list and the restored state of an earlier
+   * process, and ends the first iteration. It runs on the caller's thread.
    */
   public void start() {
     loop.start();
     policy = policyFactory.apply(config.settings(), commands);
-    EndpointList known = persistence.initialEndpointList(config.knownServers());
-    endpointLists.onInitialList(known);
+    EndpointList initialList = persistence.initialEndpointList(config.knownServers());
+    endpointLists.onInitialList(initialList);
     StateRestorer restorer = new StateRestorer(servers, tables, policy, idempotencyByClass());
-    persistence.recover(loop.nowUs(), known, ledger -> restorer.restore(loop.nowUs(), ledger));
+    persistence.recover(
+        loop.nowUs(), initialList, ledger -> restorer.restore(loop.nowUs(), ledger));
     if (!config.settings().endpointListOnRequest()) {
-      // The policy does not ask for a watch where changes are pushed.
+      // The policy does not request a watch if discovery pushes changes.
       endpointLists.setWatching(true);
     }
     endIteration();
@@ -154,22 +159,22 @@
     return config.settings().requestClasses().stream().map(RequestClass::idempotency).toList();
   }
 
-  /** Runs the event loop until the thread is interrupted or an iteration fails. */
+  /** Runs the event loop until the calling thread is interrupted or an iteration fails. */
   public void run() {
     loop.run();
   }
 
-  /** Waits for an event or a timer, and runs one iteration. */
+  /** Waits for an event or a due timer, then runs one iteration. */
   public void runIteration() throws InterruptedException {
     loop.runIteration();
   }
 
-  /** Waits for one tick of the settings; tests with a clock of their own do not. */
+  /** Waits for one tick of the settings; tests with a simulated clock override this method. */
   public void awaitTick() throws InterruptedException {
     TimeUnit.MICROSECONDS.sleep(config.settings().tickUs());
   }
 
-  /** Logs a text of the policy. */
+  /** Logs a message of the policy. */
   protected void log(String text) {
     Logger.info(text);
   }
@@ -182,9 +187,7 @@
     persistence.commitIteration(nowUs);
   }
 
-  // Events, from any thread.
-
-  /** Runs a task on the event-loop thread. */
+  /** Queues a task for the event-loop thread; any thread may call it. */
   public void execute(Runnable task) {
     loop.add(task);
   }
@@ -199,7 +202,7 @@
     execute(() -> streams.onStreamClosed(stream, proxy));
   }
 
-  /** Bounded as reports are: a proxy may send acknowledgements without end. */
+  /** Queues the acknowledgement in the bounded report queue, since a proxy may send any number. */
   @Override
   public void onAcknowledgement(ProxyStream stream, Message.Acknowledgement acknowledgement) {
     reportQueue.add(() -> streams.onAcknowledgement(stream, acknowledgement));
@@ -207,12 +210,12 @@
 
   @Override
   public void onLoadReport(Message.LoadReport report, int origin) {
-    reports.onLoadReport(report, origin);
+    reportDispatcher.onLoadReport(report, origin);
   }
 
   @Override
   public void onUsageReport(Message.UsageReport report, int origin) {
-    reports.onUsageReport(report, origin);
+    reportDispatcher.onUsageReport(report, origin);
   }
 
   @Override
@@ -246,42 +249,43 @@
     execute(() -> policy.onHealthCheckResult(loop.nowUs(), server, result, tookUs, load));
   }
 
-  /** Bounded as reports are. */
+  /** Queues the message in the bounded report queue. */
   @Override
   public void onPeerMessage(int peer, byte[] body) {
     reportQueue.add(() -> policy.onPeerMessage(loop.nowUs(), peer, body));
   }
 
-  // Figures, for the life of the process and for tests.
-
-  /** Returns the number of reports dropped since the start. */
+  /** Returns the number of reports, acknowledgements and peer messages dropped since the start. */
   public long droppedReports() {
-    return reportQueue.dropped();
+    return reportQueue.droppedCount();
   }
 
-  /** Returns the number of events that wait. */
+  /** Returns the number of queued events. */
   public int pendingEvents() {
     return loop.pendingEvents();
   }
 
-  /** Sets what is called on the event-loop thread with each report of the intake that is due. */
+  /**
+   * Sets the listener that is called on the event-loop thread with each report that the intake
+   * delivers; ignored if there is no intake.
+   */
   public void setReportListener(Consumer<QueuedReport> listener) {
-    if (reports instanceof IntakeReportDispatcher intakeReports) {
-      intakeReports.setListener(listener);
+    if (reportDispatcher instanceof IntakeReportDispatcher intakeDispatcher) {
+      intakeDispatcher.setListener(listener);
     }
   }
 
-  /** The sizes of what is stored by server, proxy and timer. */
+  /** Numbers of entries stored per server, proxy and timer. */
   record RetainedSizes(
-      int serverNames, int serverNumbers, int streams, int timers, int publishedState) {}
+      int serverNames, int serverNumbers, int streams, int timers, int publishedEntries) {}
 
-  /** Returns the sizes of what must not grow without end. */
+  /** Returns the sizes of the collections that must stay bounded. */
   RetainedSizes retainedSizes() {
     return new RetainedSizes(
         servers.nameCount(),
         servers.numberCount(),
         streams.size(),
         loop.timerCount(),
-        tables.size());
+        tables.entryCount());
   }
 }
--- a/src/main/java/pearusher/control/DirectReportDispatcher.java
+++ b/src/main/java/pearusher/control/DirectReportDispatcher.java
@@ -6,8 +6,8 @@
 import pearusher.protocol.Message;
 
 /**
- * Hands the policy each report as an event of its own, through the bounded queue: for an assigner
- * without an intake. It holds no state.
+ * Delivers each report to the policy as a separate event, through the bounded queue. Used by an
+ * assigner without an intake. It is stateless.
  */
 final class DirectReportDispatcher implements ReportDispatcher {
   private final EventLoop loop;
@@ -67,5 +67,5 @@
   }
 
   @Override
-  public void deliverDue() {}
+  public void deliverQueuedReports() {}
 }
--- a/src/main/java/pearusher/control/DiscoveryEvents.java
+++ b/src/main/java/pearusher/control/DiscoveryEvents.java
@@ -4,10 +4,11 @@
 import pearusher.policy.HealthCheckResult;
 import pearusher.protocol.EndpointList;
 
-/** What discovery and health checks report to the controller. Any thread may call it. */
+/** Receiver of endpoint lists and health check results. Any thread may call it. */
 public interface DiscoveryEvents {
   /**
-   * A list or a change of it arrived; one older than the list in force is ignored.
+   * Handles an endpoint list or a change of it, from a call that is always current. A list older
+   * than the list in force is ignored, unless discovery is assumed to have restarted.
    *
    * @param startsWatch whether it is the first list of a watch
    */
@@ -16,24 +17,31 @@
   }
 
   /**
-   * A list or a change of it arrived, from a call that may be superseded by now. The last lists of
-   * a replaced watch may be delivered after the first of the new one, where an older complete list
-   * would look like a discovery that restarted.
+   * Handles an endpoint list or a change of it, unless the call that it arrived on is superseded.
+   * The last lists of a replaced watch may be delivered after the first list of the new watch. An
+   * older complete list delivered then could be mistaken for that of a discovery that has
+   * restarted.
    *
-   * @param isCurrent whether the call still counts; asked on the event-loop thread
+   * @param startsWatch whether it is the first list of a watch
+   * @param isCurrent returns whether the call is not superseded; called on the event-loop thread
    */
   void onEndpointList(EndpointList list, boolean startsWatch, BooleanSupplier isCurrent);
 
   /**
-   * A fetch failed, or a watch ended.
+   * Handles a failed fetch or the end of a watch.
    *
-   * @param isCurrent whether the call still counts; asked on the event-loop thread
+   * @param isCurrent returns whether the call is not superseded; called on the event-loop thread
    */
   void onEndpointListFailed(BooleanSupplier isCurrent);
 
-  /** The address of discovery may have changed. */
+  /** Handles a possible change of the address of discovery. */
   void onDiscoveryMoved();
 
-  /** A health check ended. */
+  /**
+   * Handles the result of a health check.
+   *
+   * @param tookUs the duration of the check, in microseconds
+   * @param load the load metrics reported, in the order of the settings; valid if the result is OK
+   */
   void onHealthCheckResult(long server, HealthCheckResult result, long tookUs, float[] load);
 }
--- a/src/main/java/pearusher/control/DurablePublisher.java
+++ b/src/main/java/pearusher/control/DurablePublisher.java
@@ -28,10 +28,10 @@
 import pearusher.store.StoreCopy;
 
 /**
- * The persistence of an assigner with a store: it records commands and acknowledgements in the
- * ledger, and passes the ledger's changes and the messages of each iteration on to the {@link
- * CommitPipeline}. The event-loop thread uses it, but where a method says otherwise. It grows with
- * the ledger.
+ * The persistence of an assigner with a store. It records commands and acknowledgements in the
+ * ledger, and passes the ledger's changes and the messages of each iteration to the {@link
+ * CommitPipeline}. Only the event-loop thread may call its methods, unless a method is documented
+ * otherwise. Its size grows with the ledger.
  */
 public final class DurablePublisher implements Persistence, AutoCloseable {
 
@@ -39,41 +39,43 @@
   private final Ledger ledger;
   private final long heartbeatUs;
 
-  /** Messages of this iteration. */
+  /** Messages of the current iteration. */
   private final List<CommitPipeline.PendingMessage> messages = new ArrayList<>();
 
-  /** What the proxies that joined in this iteration lack, until they are bound. */
-  private final Map<Integer, CatchUp> catchUpByJoiner = new HashMap<>();
+  /** Catch-ups of the proxies that joined in this iteration and are not bound yet. */
+  private final Map<Integer, CatchUp> catchUpByJoiningProxy = new HashMap<>();
 
   private long lastCommitUs;
 
   /**
-   * Takes over an open store.
+   * Creates a publisher that owns an open store.
    *
-   * @param clock gives microseconds of Unix time
+   * @param clock returns the Unix time in microseconds
    */
   public DurablePublisher(
       AssignerConfig config, PersistenceOptions options, Store store, LongSupplier clock) {
-    Store.Recovered found = store.takeRecovered();
+    Store.Recovered recovered = store.takeRecovered();
     lastCommitUs = clock.getAsLong();
     heartbeatUs = options.heartbeatUs();
     ledger =
         LedgerRecovery.recover(
-            found.state(),
+            recovered.state(),
             new RecoveryConditions(
-                trustIn(found),
+                trustOf(recovered),
                 settingsFingerprint(config),
                 lastCommitUs,
                 options.maxTrustedAgeUs(),
                 config.settings().instances() > 1));
-    pipeline = new CommitPipeline(store, options, found.wasAbandoned(), clock);
-    StoreEventLog.logRecovery(found, ledger);
+    pipeline = new CommitPipeline(store, options, recovered.wasAbandoned(), clock);
+    StoreEventLog.logRecovery(recovered, ledger);
   }
 
   /**
-   * Opens the store that the settings name.
+   * Opens the store in the directory of the options, which is created if necessary.
    *
-   * @throws IOException if it cannot be opened, or is damaged and the settings refuse that
+   * @param clock returns the Unix time in microseconds
+   * @throws IOException if the store cannot be opened, or is damaged and the options reject a
+   *     damaged store
    */
   public static DurablePublisher open(
       AssignerConfig config, PersistenceOptions options, LongSupplier clock) throws IOException {
@@ -82,14 +84,16 @@
     return new DurablePublisher(config, options, Store.open(disk, options.storeOptions()), clock);
   }
 
-  private static RecoveryTrust trustIn(Store.Recovered found) {
-    if (found.state().containsKey(StoreCopy.MARKER_KEY)) {
+  private static RecoveryTrust trustOf(Store.Recovered recovered) {
+    if (recovered.state().containsKey(StoreCopy.MARKER_KEY)) {
       return RecoveryTrust.RESTORED_COPY;
     }
-    return found.wasAbandoned() ? RecoveryTrust.ABANDONED : RecoveryTrust.FULL;
+    return recovered.wasAbandoned() ? RecoveryTrust.ABANDONED : RecoveryTrust.FULL;
   }
 
-  /** Returns the names that give the numbers in the store their meaning. */
+  /**
+   * Returns the names of the assigner, classes and zones, to which the numbers in the store refer.
+   */
   private static String settingsFingerprint(AssignerConfig config) {
     String[] zones = new String[config.names().zones().size()];
     config.names().zones().forEach((name, position) -> zones[position] = name);
@@ -105,21 +109,19 @@
     pipeline.start();
   }
 
-  // Start.
-
   @Override
   public EndpointList initialEndpointList(EndpointList configured) {
-    RecoveredServerList given =
+    RecoveredServerList configuredList =
         new RecoveredServerList(configured.generation(), ListedServers.of(configured.endpoints()));
-    RecoveredServerList merged = RecoveredServerList.merge(given, ledger);
+    RecoveredServerList merged = RecoveredServerList.merge(configuredList, ledger);
     List<Endpoint> endpoints = merged.servers().stream().map(ListedServers::toEndpoint).toList();
     return new EndpointList(merged.generation(), true, endpoints);
   }
 
   @Override
-  public void recover(long nowUs, EndpointList known, Consumer<Ledger> restorer) {
+  public void recover(long nowUs, EndpointList initialList, Consumer<Ledger> restorer) {
     List<ListedServer> servers =
-        known.endpoints().stream()
+        initialList.endpoints().stream()
             .filter(endpoint -> endpoint.lifecycle() != Lifecycle.REMOVED)
             .map(ListedServers::of)
             .toList();
@@ -127,12 +129,10 @@
     restorer.accept(ledger);
   }
 
-  // Events, on the event-loop thread.
-
   @Override
-  public Optional<CatchUp> onProxyJoined(int proxy, boolean fresh) {
-    Optional<CatchUp> catchUp = ledger.onProxyJoined(proxy, fresh);
-    catchUp.ifPresent(lacking -> catchUpByJoiner.put(proxy, lacking));
+  public Optional<CatchUp> onProxyJoined(int proxy, boolean isFresh) {
+    Optional<CatchUp> catchUp = ledger.onProxyJoined(proxy, isFresh);
+    catchUp.ifPresent(missing -> catchUpByJoiningProxy.put(proxy, missing));
     return catchUp;
   }
 
@@ -151,18 +151,16 @@
     ledger.onEndpointList(list.generation(), list.complete(), ListedServers.of(list.endpoints()));
   }
 
-  // Commands of the policy.
-
   @Override
-  public Optional<CatchUp> bindProxy(int proxy, int table, boolean allClasses) {
-    CatchUp lacking = catchUpByJoiner.remove(proxy);
-    if (!allClasses) {
+  public Optional<CatchUp> bindProxy(int proxy, int table, boolean coversAllClasses) {
+    CatchUp catchUp = catchUpByJoiningProxy.remove(proxy);
+    if (!coversAllClasses) {
       ledger.unbindProxy(proxy);
       return Optional.empty();
     }
-    boolean needsCompleteTable = lacking == null || lacking.table() != table;
+    boolean needsCompleteTable = catchUp == null || catchUp.table() != table;
     ledger.bindProxy(proxy, table, needsCompleteTable);
-    return needsCompleteTable ? Optional.empty() : Optional.of(lacking);
+    return needsCompleteTable ? Optional.empty() : Optional.of(catchUp);
   }
 
   @Override
@@ -191,12 +189,10 @@
   }
 
   @Override
-  public void forgetServer(String server) {
+  public void discardServer(String server) {
     ledger.forgetServer(server);
   }
 
-  // End of an iteration.
-
   @Override
   public void send(int proxy, ProxyStream stream, byte[] message) {
     ledger.onMessageSent(proxy);
@@ -205,8 +201,9 @@
 
   @Override
   public void commitIteration(long nowUs) {
-    catchUpByJoiner.clear();
-    // No message is sent without a record in the store, whatever caused it.
+    catchUpByJoiningProxy.clear();
+    // Every iteration that sends a message is recorded in the store, even if the ledger is
+    // unchanged.
     if (!messages.isEmpty() || nowUs - lastCommitUs >= heartbeatUs) {
       ledger.requestHeartbeat();
     }
@@ -220,34 +217,36 @@
   }
 
   /**
-   * Gives the store up if a message has waited for it for too long, so that a disk that hangs does
-   * not hold up an ejection. To be called regularly, on any thread.
+   * Abandons the store if a message has waited for it longer than the maximum commit delay, so that
+   * a hanging disk does not delay ejections. Must be called regularly; any thread may call it.
    */
   public void checkDeadline() {
     pipeline.checkDeadline();
   }
 
-  /** Closes the store as {@link #close} does; a fault is logged. */
+  /**
+   * Writes the submitted changes and closes the store; logs an exception instead of throwing it.
+   */
   public void closeQuietly() {
     try {
       close();
     } catch (IOException e) {
-      Logger.warn("store not closed: cause=\"{}\"", e.getMessage());
+      Logger.warn("store could not be closed: cause=\"{}\"", e.getMessage());
     }
   }
 
-  /** Whether the store's thread is running. */
+  /** Returns whether the store's thread is running. */
   boolean isRunning() {
     return pipeline.isRunning();
   }
 
-  /** Returns the number of iterations whose messages wait for the disk, on any thread. */
+  /** Returns the number of iterations whose messages wait for the disk; any thread may call it. */
   public int pendingIterations() {
     return pipeline.pendingIterations();
   }
 
   /**
-   * Writes what was submitted and closes the store.
+   * Writes the submitted changes and closes the store.
    *
    * @throws IOException if the last writes fail
    */
--- a/src/main/java/pearusher/control/EndpointListHandler.java
+++ b/src/main/java/pearusher/control/EndpointListHandler.java
@@ -15,7 +15,7 @@
 import pearusher.protocol.EndpointListLimits;
 
 /**
- * Checks endpoint lists for their version and size, and passes them on to the server directory, the
+ * Checks the version and size of endpoint lists and passes them to the server directory, the
  * persistence and the policy. Only the event-loop thread uses it. Its own size is constant.
  */
 final class EndpointListHandler {
@@ -27,7 +27,7 @@
   private final EndpointListLimits limits;
   private final EndpointListState state;
 
-  /** Lists that would have made more servers known than the heap can hold. */
+  /** Lists that were rejected because the heap cannot hold all of their servers. */
   private final RepeatedEvent oversizedLists = new RepeatedEvent();
 
   EndpointListHandler(
@@ -46,36 +46,40 @@
     state = new EndpointListState(config.settings().limits().maxPollIntervalUs());
   }
 
-  /** Takes the list last known before the start, whatever its size. */
-  void onInitialList(EndpointList known) {
-    apply(ListUpdateKind.CACHED, known);
+  /** Applies the last list known before the start, regardless of its size. */
+  void onInitialList(EndpointList list) {
+    apply(ListUpdateKind.CACHED, list);
   }
 
-  /** As {@link DiscoveryEvents#onEndpointList(EndpointList, boolean)}. */
+  /**
+   * Handles a list or a change of the list that arrived from discovery.
+   *
+   * @param startsWatch whether it is the first list of a watch
+   */
   void onEndpointList(EndpointList list, boolean startsWatch) {
     switch (state.compare(list, startsWatch, loop.nowUs())) {
       case CURRENT ->
           applyIfWithinLimit(
               list.complete() ? ListUpdateKind.COMPLETE : ListUpdateKind.DELTA, list);
-      case OUTDATED -> applyIfWithinLimit(ListUpdateKind.DELTA, noChange());
+      case OUTDATED -> applyIfWithinLimit(ListUpdateKind.DELTA, emptyDelta());
       case RESTARTED -> applyIfWithinLimit(ListUpdateKind.COMPLETE, list);
       case LAGGING -> stopWatch();
     }
   }
 
-  private EndpointList noChange() {
+  private EndpointList emptyDelta() {
     return new EndpointList(state.generation(), false, List.of());
   }
 
-  /** A fetch failed, or the watch ended. */
+  /** Handles a failed fetch or the end of the watch. */
   void onEndpointListFailed() {
     state.setWatching(false);
     policy.get().onEndpointList(loop.nowUs(), ListUpdateKind.FAILED, List.of());
   }
 
   /**
-   * The address of discovery may have changed: a running watch is started again there, before the
-   * old address closes it. The policy restarts one that has failed.
+   * Handles a possible change of the address of discovery: restarts a running watch at the new
+   * address, before the old address closes it. The policy restarts a watch that has failed.
    */
   void onDiscoveryMoved() {
     if (state.isWatching()) {
@@ -83,7 +87,7 @@
     }
   }
 
-  /** Starts or stops the watch, on the policy's command. */
+  /** Starts or stops the watch. */
   void setWatching(boolean isOn) {
     state.setWatching(isOn);
     outbound.get().calls().watchEndpoints(isOn, state.generation());
@@ -111,7 +115,7 @@
     state.setGeneration(list.generation());
     List<ServerEntry> entries = new ArrayList<>();
     for (Endpoint endpoint : list.endpoints()) {
-      // The removal of an unknown server means nothing, and its entry would never be forgotten.
+      // The removal of an unknown server has no effect, and its entry would never be discarded.
       if (endpoint.lifecycle() != Lifecycle.REMOVED || servers.contains(endpoint.server())) {
         entries.add(register(endpoint));
       }
@@ -132,15 +136,16 @@
   }
 
   /**
-   * Whether a list would make more servers known than the heap can hold: short deltas may name new
-   * servers without end, and complete lists may follow each other faster than the policy forgets.
+   * Returns whether a list would raise the number of known servers above the limit of the heap.
+   * Even short lists can: deltas may add servers indefinitely, and complete lists may replace
+   * servers faster than the policy discards the previous ones.
    */
   private boolean exceedsKnownLimit(EndpointList list) {
     int remaining = limits.maxKnown() - servers.nameCount();
-    return list.endpoints().size() > remaining && newServers(list) > remaining;
+    return list.endpoints().size() > remaining && countUnknownServers(list) > remaining;
   }
 
-  private long newServers(EndpointList list) {
+  private long countUnknownServers(EndpointList list) {
     return list.endpoints().stream()
         .filter(endpoint -> endpoint.lifecycle() != Lifecycle.REMOVED)
         .filter(endpoint -> !servers.contains(endpoint.server()))
--- a/src/main/java/pearusher/control/EndpointListState.java
+++ b/src/main/java/pearusher/control/EndpointListState.java
@@ -5,21 +5,22 @@
 import pearusher.protocol.EndpointList;
 
 /**
- * The version of the endpoint list in force, whether a watch of discovery is running, and what to
- * make of an older list. Only the event-loop thread uses it. Its size is constant.
+ * The generation of the endpoint list in force and the state of the discovery watch. It classifies
+ * lists that arrive by comparing their generations. Only the event-loop thread uses it. Its size is
+ * constant.
  */
 final class EndpointListState {
-  /** How a list compares with the one in force. */
+  /** Result of comparing the generation of a list with that of the list in force. */
   enum Freshness {
-    /** Not older: it takes effect. */
+    /** The list is not older and takes effect. */
     CURRENT,
-    /** Older, but not the first of a watch: it only shows that discovery is alive. */
+    /** The list is older but does not start a watch. It only shows that discovery responds. */
     OUTDATED,
-    /** A watch started with an older complete list: it is ignored, and the watch has failed. */
+    /** The list is older, complete and starts a watch. It is ignored and the watch has failed. */
     LAGGING,
     /**
-     * Lagging for as long as an assigner may go without polling: discovery restarted with other
-     * versions. The list takes effect.
+     * Discovery has lagged for the maximum poll interval and is therefore assumed to have restarted
+     * with a new version counter. The list takes effect.
      */
     RESTARTED
   }
@@ -27,20 +28,20 @@
   private final long maxPollIntervalUs;
   private long generation;
 
-  /** Since when discovery has started its watches with older lists only; empty if it does not. */
+  /** When discovery started to lag, in microseconds; empty if it does not lag. */
   private OptionalLong laggingSinceUs = OptionalLong.empty();
 
-  /** Whether the policy asked for a watch that has not failed since. */
+  /** Whether a watch was started and has neither failed nor been stopped. */
   private boolean isWatching;
 
   /**
-   * @param maxPollIntervalUs how long an assigner may go without polling discovery
+   * @param maxPollIntervalUs the maximum time that an assigner may go without polling discovery
    */
   EndpointListState(long maxPollIntervalUs) {
     this.maxPollIntervalUs = maxPollIntervalUs;
   }
 
-  /** Returns the version of the list in force. */
+  /** Returns the generation of the list in force. */
   long generation() {
     return generation;
   }
@@ -58,7 +59,7 @@
   }
 
   /**
-   * Compares a list with the one in force.
+   * Compares a list with the list in force.
    *
    * @param startsWatch whether it is the first list of a watch
    */
@@ -67,16 +68,15 @@
       laggingSinceUs = OptionalLong.empty();
       return Freshness.CURRENT;
     }
-    return list.complete() && startsWatch ? onOlderWatch(list, nowUs) : Freshness.OUTDATED;
+    return list.complete() && startsWatch ? compareOlderFirstList(list, nowUs) : Freshness.OUTDATED;
   }
 
   /**
-   * A watch starts with a complete list that is older than the one in force: discovery is either
-   * lagging, and its list would reinstate drained servers, or has lost its version counter. The
-   * last good list stays in force until this has lasted for as long as an assigner may go without
-   * polling.
+   * Classifies an older complete list that starts a watch. Discovery either lags, in which case the
+   * list would reinstate drained servers, or has lost its version counter. The last good list stays
+   * in force until discovery has lagged for the maximum poll interval.
    */
-  private Freshness onOlderWatch(EndpointList list, long nowUs) {
+  private Freshness compareOlderFirstList(EndpointList list, long nowUs) {
     long sinceUs = laggingSinceUs.orElse(nowUs);
     if (nowUs - sinceUs >= maxPollIntervalUs) {
       Logger.warn("discovery restarted: generation {} after {}", list.generation(), generation);
--- a/src/main/java/pearusher/control/EventLoop.java
+++ b/src/main/java/pearusher/control/EventLoop.java
@@ -6,38 +6,39 @@
 import java.util.function.LongSupplier;
 
 /**
- * The controller's event loop, with its clock and timers. Events that arrive without a pause of a
- * tick make one iteration, which has a single time, fires the timers that are due after its events,
- * and ends once. Any thread may add an event, all else belongs to the event-loop thread.
+ * The controller's event loop, with its clock and timers. An iteration handles a burst of events:
+ * those that arrive without a pause of one tick. It reads the clock once, runs the events, fires
+ * the due timers, and then calls {@link Handler#onIterationEnd} once. Any thread may call {@link
+ * #add} and {@link #pendingEvents}; all other methods are for the event-loop thread.
  *
- * <p>The queue grows with the events that no iteration has taken yet: reports are bounded by {@link
- * BoundedReportQueue}, other events are not.
+ * <p>The queue grows with the number of pending events. {@link BoundedReportQueue} bounds the
+ * reports among them; other events are unbounded.
  */
 final class EventLoop {
-  /** Most ticks for which an iteration waits for the rest of a burst. */
-  private static final int MAX_GATHER_TICKS = 4;
+  /** Maximum time for which an iteration waits for the end of a burst. */
+  private static final int MAX_BURST_TICKS = 4;
 
-  /** Most events of one iteration, so that a flood of them cannot hold up timers and updates. */
-  private static final int MAX_EVENTS = BoundedReportQueue.CAPACITY;
+  /** Limits an iteration so that a flood of events cannot delay timers and updates. */
+  private static final int MAX_EVENTS_PER_ITERATION = BoundedReportQueue.CAPACITY;
 
-  /** Longest wait while the intake is overloaded, in microseconds. */
-  private static final long OVERLOADED_WAIT_US = 20_000;
+  /** Maximum wait for an event while the intake is overloaded. */
+  private static final long MAX_OVERLOAD_WAIT_US = 20_000;
 
-  /** Handles the parts of an iteration besides its events, on the event-loop thread. */
+  /** Steps of an iteration other than its events; called on the event-loop thread. */
   interface Handler {
     /** Waits for one tick. */
     void awaitTick() throws InterruptedException;
 
-    /** Whether reports wait outside of the queue that no event announces. */
+    /** Returns whether reports are queued outside the event loop without a corresponding event. */
     boolean isOverloaded();
 
-    /** Handles those of the unannounced reports that are due. */
-    void deliverDue();
+    /** Delivers the due reports among those queued without a corresponding event. */
+    void deliverQueuedReports();
 
-    /** A timer is due. */
+    /** Handles a due timer. */
     void onTimer(long token);
 
-    /** The iteration ends. */
+    /** Ends the iteration, after its events and timers. */
     void onIterationEnd();
   }
 
@@ -49,9 +50,9 @@
   private long nowUs;
 
   /**
-   * @param clock gives microseconds
-   * @param failureHandler called with what an event, a timer or the end of an iteration threw,
-   *     which ends the loop
+   * @param clock returns the time in microseconds
+   * @param failureHandler called with the exception or error that an event, a timer or the end of
+   *     an iteration threw, which ends the loop
    */
   EventLoop(LongSupplier clock, Consumer<Throwable> failureHandler, Handler handler) {
     this.clock = clock;
@@ -59,37 +60,37 @@
     this.handler = handler;
   }
 
-  /** Adds an event, from any thread. */
+  /** Queues an event; any thread may call it. */
   void add(Runnable event) {
     events.add(event);
   }
 
-  /** Returns the number of events that wait. */
+  /** Returns the number of queued events; any thread may call it. */
   int pendingEvents() {
     return events.size();
   }
 
-  /** Returns the time of the iteration. */
+  /** Returns the time of the current iteration, in microseconds of the clock. */
   long nowUs() {
     return nowUs;
   }
 
-  /** Reads the clock before the first iteration. */
+  /** Sets the time of the first iteration from the clock. */
   void start() {
     nowUs = clock.getAsLong();
   }
 
-  /** Sets a timer, counted from the time of the iteration. */
+  /** Sets a timer relative to the time of the current iteration; a negative delay counts as 0. */
   void setTimer(long delayUs, long token) {
     timers.add(nowUs + Math.max(0, delayUs), token);
   }
 
-  /** Returns the number of timers that are set. */
+  /** Returns the number of pending timers. */
   int timerCount() {
     return timers.size();
   }
 
-  /** Runs iterations until the thread is interrupted or one of them fails. */
+  /** Runs iterations until the calling thread is interrupted or an iteration fails. */
   void run() {
     try {
       while (!Thread.currentThread().isInterrupted()) {
@@ -102,42 +103,42 @@
     }
   }
 
-  /** Waits for an event or a timer, and runs one iteration. */
+  /** Waits for an event or a due timer, then runs one iteration. */
   void runIteration() throws InterruptedException {
     boolean isOverloaded = handler.isOverloaded();
     Runnable firstEvent = awaitEvent(isOverloaded);
     if (firstEvent != null) {
-      gatherBurst();
+      awaitBurstEnd();
     }
     nowUs = Math.max(nowUs, clock.getAsLong());
-    boolean hasActed = runEvents(firstEvent);
+    boolean needsIterationEnd = runEvents(firstEvent);
     if (isOverloaded) {
-      handler.deliverDue();
-      hasActed = true;
+      handler.deliverQueuedReports();
+      needsIterationEnd = true;
     }
-    hasActed |= fireTimers();
-    if (hasActed) {
+    needsIterationEnd |= fireTimers();
+    if (needsIterationEnd) {
       handler.onIterationEnd();
     }
   }
 
-  /** Returns the first event, or null if a timer is due or the wait is over before one arrives. */
+  /** Returns the first event, or null if a timer falls due or the wait times out before it. */
   private Runnable awaitEvent(boolean isOverloaded) throws InterruptedException {
     long waitUs = timers.isEmpty() ? Long.MAX_VALUE : timers.nextDueUs() - clock.getAsLong();
     if (isOverloaded) {
-      waitUs = Math.min(waitUs, OVERLOADED_WAIT_US);
+      waitUs = Math.min(waitUs, MAX_OVERLOAD_WAIT_US);
     }
     return waitUs <= 0 ? events.poll() : events.poll(waitUs, TimeUnit.MICROSECONDS);
   }
 
   /**
-   * Waits for the rest of a burst, up to a few ticks. The reports of one instant arrive over
-   * several connections within some milliseconds, and a control period should not see only a part
-   * of them.
+   * Waits until no event arrives for one tick, up to a limit. Reports that were sent at the same
+   * time arrive over several connections within some milliseconds, and a control period should not
+   * see only some of them.
    */
-  private void gatherBurst() throws InterruptedException {
+  private void awaitBurstEnd() throws InterruptedException {
     int previousSize = -1;
-    for (int tick = 0; tick < MAX_GATHER_TICKS && events.size() != previousSize; tick++) {
+    for (int tick = 0; tick < MAX_BURST_TICKS && events.size() != previousSize; tick++) {
       previousSize = events.size();
       handler.awaitTick();
     }
@@ -147,7 +148,7 @@
     Runnable event = firstEvent;
     for (int count = 1; event != null; count++) {
       event.run();
-      event = count < MAX_EVENTS ? events.poll() : null;
+      event = count < MAX_EVENTS_PER_ITERATION ? events.poll() : null;
     }
     return firstEvent != null;
   }
--- a/src/main/java/pearusher/control/IntakeEventLog.java
+++ b/src/main/java/pearusher/control/IntakeEventLog.java
@@ -5,10 +5,10 @@
 import pearusher.intake.QueuedReport;
 import pearusher.logging.RepeatedEvent;
 
-/** Logs when the intake is overloaded, and what that costs. Its size is constant. */
+/** Logs the overloads of the intake and the resulting loss of reports. Its size is constant. */
 final class IntakeEventLog implements Intake.Events {
-  private final RepeatedEvent sampled = new RepeatedEvent();
-  private final RepeatedEvent expired = new RepeatedEvent();
+  private final RepeatedEvent samplings = new RepeatedEvent();
+  private final RepeatedEvent expiredReports = new RepeatedEvent();
 
   @Override
   public void onOverloadStarted(int origin, double share) {
@@ -18,7 +18,7 @@
 
   @Override
   public void onSampled(double keptShare, double error) {
-    sampled.record(
+    samplings.record(
         count ->
             Logger.warn(
                 "reports sampled: times={} kept={} error={}",
@@ -29,7 +29,7 @@
 
   @Override
   public void onExpired(QueuedReport report) {
-    expired.record(
+    expiredReports.record(
         count ->
             Logger.warn(
                 "reports expired: count={} origin=\"{}\"", count, describe(report.origin())));
--- a/src/main/java/pearusher/control/IntakeReportDispatcher.java
+++ b/src/main/java/pearusher/control/IntakeReportDispatcher.java
@@ -9,11 +9,11 @@
 import pearusher.protocol.Message;
 
 /**
- * Queues reports in the intake, which merges and samples them under overload, and hands the policy
- * those that are due. It holds no state; what waits is the intake's.
+ * Queues reports in the intake, which merges and samples them under overload, and delivers the due
+ * reports to the policy. Waiting reports are stored in the intake only.
  */
 final class IntakeReportDispatcher implements ReportDispatcher {
-  /** Control periods after which a usage report is too old to say anything about the present. */
+  /** Usage reports older than this many control periods do not describe the current load. */
   private static final int MAX_USAGE_AGE_PERIODS = 2;
 
   private static final float[] NO_LOAD = {};
@@ -39,7 +39,7 @@
     maxUsageAgeUs = MAX_USAGE_AGE_PERIODS * controlPeriodUs;
   }
 
-  /** Sets what is called with each report that is due, on the event-loop thread. */
+  /** Sets the listener that is called with each delivered report, on the event-loop thread. */
   void setListener(Consumer<QueuedReport> listener) {
     this.listener = listener;
   }
@@ -50,21 +50,21 @@
         ReportTotals.of(
             report.attempts(), report.failed(), report.meanUs(), report.spanUs(), report.load());
     QueuedReport.Subject subject = new QueuedReport.ServerAttempts(report.server(), report.zone());
-    intake.offer(new QueuedReport(origin, subject, totals), this::announce);
+    intake.offer(new QueuedReport(origin, subject, totals), this::queueDelivery);
   }
 
   @Override
   public void onUsageReport(Message.UsageReport report, int origin) {
-    // More requests may have failed than arrived: successes must not be derived from the two, so
-    // the totals are made without a mean.
+    // More requests may have failed than arrived in the span. The number of successes must not be
+    // derived from the two, so the totals are created without a mean.
     ReportTotals totals =
         new ReportTotals(report.requests(), report.failed(), 0, report.spanUs(), 1, NO_LOAD, 0);
     QueuedReport.Subject subject =
         new QueuedReport.ProxyRequests(report.proxy(), report.requestClass());
-    intake.offer(new QueuedReport(origin, subject, totals), this::announce);
+    intake.offer(new QueuedReport(origin, subject, totals), this::queueDelivery);
   }
 
-  private void announce() {
+  private void queueDelivery() {
     loop.add(() -> intake.pollOldest(loop.nowUs(), this::deliver));
   }
 
@@ -74,7 +74,7 @@
   }
 
   @Override
-  public void deliverDue() {
+  public void deliverQueuedReports() {
     intake.pollDue(loop.nowUs(), this::deliver);
   }
 
--- a/src/main/java/pearusher/control/NoPersistence.java
+++ b/src/main/java/pearusher/control/NoPersistence.java
@@ -7,7 +7,7 @@
 import pearusher.recovery.CatchUp;
 import pearusher.recovery.Ledger;
 
-/** The persistence of an assigner without a store: nothing is recorded, messages go at once. */
+/** The persistence of an assigner without a store: records nothing, sends messages immediately. */
 enum NoPersistence implements Persistence {
   INSTANCE;
 
@@ -17,10 +17,10 @@
   }
 
   @Override
-  public void recover(long nowUs, EndpointList known, Consumer<Ledger> restorer) {}
+  public void recover(long nowUs, EndpointList initialList, Consumer<Ledger> restorer) {}
 
   @Override
-  public Optional<CatchUp> onProxyJoined(int proxy, boolean fresh) {
+  public Optional<CatchUp> onProxyJoined(int proxy, boolean isFresh) {
     return Optional.empty();
   }
 
@@ -34,7 +34,7 @@
   public void onEndpointList(EndpointList list) {}
 
   @Override
-  public Optional<CatchUp> bindProxy(int proxy, int table, boolean allClasses) {
+  public Optional<CatchUp> bindProxy(int proxy, int table, boolean coversAllClasses) {
     return Optional.empty();
   }
 
@@ -54,7 +54,7 @@
   public void requestAck(int number) {}
 
   @Override
-  public void forgetServer(String server) {}
+  public void discardServer(String server) {}
 
   @Override
   public void send(int proxy, ProxyStream stream, byte[] message) {
--- a/src/main/java/pearusher/control/OutboundCalls.java
+++ b/src/main/java/pearusher/control/OutboundCalls.java
@@ -1,12 +1,12 @@
 package pearusher.control;
 
-/** Calls to discovery and to servers; results come back as {@link DiscoveryEvents}. */
+/** Outbound calls to discovery and servers. Results are reported to {@link DiscoveryEvents}. */
 public interface OutboundCalls {
   /**
-   * Starts a watch of the endpoint list in place of a running one, or stops it.
+   * Starts a watch of the endpoint list, replacing a running watch, or stops the running watch.
    *
-   * @param isOn whether to watch
-   * @param sinceGeneration the version after which changes are wanted
+   * @param isOn whether to start a watch, otherwise the running watch is stopped
+   * @param sinceGeneration the generation of the list in force; the watch reports later changes
    */
   void watchEndpoints(boolean isOn, long sinceGeneration);
 
--- a/src/main/java/pearusher/control/PeerEvents.java
+++ b/src/main/java/pearusher/control/PeerEvents.java
@@ -1,7 +1,11 @@
 package pearusher.control;
 
-/** What other assigners send to the controller. Any thread may call it. */
+/** Receiver of the messages of other assigners. Any thread may call it. */
 public interface PeerEvents {
-  /** A message of another assigner arrived. */
+  /**
+   * Handles a message of another assigner.
+   *
+   * @param peer the number of the assigner
+   */
   void onPeerMessage(int peer, byte[] body);
 }
--- a/src/main/java/pearusher/control/PeerMessenger.java
+++ b/src/main/java/pearusher/control/PeerMessenger.java
@@ -2,11 +2,11 @@
 
 /** Sends messages to other assigners. */
 public interface PeerMessenger {
-  /** Stands for all peers. */
+  /** The peer number that addresses all peers. */
   int ALL_PEERS = -1;
 
   /**
-   * Sends a message, without a guarantee of delivery.
+   * Sends a message; delivery is not guaranteed.
    *
    * @param peer the number of an assigner, or {@link #ALL_PEERS}
    */
--- a/src/main/java/pearusher/control/Persistence.java
+++ b/src/main/java/pearusher/control/Persistence.java
@@ -8,78 +8,83 @@
 import pearusher.recovery.Ledger;
 
 /**
- * Records what the policy commands and what proxies acknowledge, and sends messages to proxies once
- * the changes behind them are durable. Servers go by their names in the endpoint list, because
- * their numbers do not outlive the process. The event-loop thread calls all methods; none blocks.
+ * Records the commands of the policy and the acknowledgements of proxies, and sends messages to
+ * proxies once the changes that caused them are durable. Servers are identified by their names in
+ * the endpoint list, because server numbers are valid for one process only. Only the event-loop
+ * thread calls the methods, and none of them blocks.
+ *
+ * <p>At the start, {@link #initialEndpointList} and {@link #recover} are called in this order. In
+ * each iteration, events and commands are recorded before messages are sent; {@link
+ * #commitIteration} ends the iteration.
  */
 public interface Persistence {
 
-  /** Returns a persistence that records nothing and sends every message at once. */
+  /** Returns a persistence that records nothing and sends every message immediately. */
   static Persistence none() {
     return NoPersistence.INSTANCE;
   }
 
-  // Start.
-
-  /** Returns the list to start with: the configured one merged with the one recovered. */
+  /**
+   * Returns the endpoint list to start with: the configured list merged with the recovered list.
+   */
   EndpointList initialEndpointList(EndpointList configured);
 
   /**
-   * Starts recording, and hands over the recovered state if there is any.
+   * Starts recording, and passes on the recovered state if there is any.
    *
-   * @param known the list to start with, from {@link #initialEndpointList}
-   * @param restorer called once with the recovered state, or not at all
+   * @param initialList the list returned by {@link #initialEndpointList}
+   * @param restorer called once with the recovered state, or not called if there is none
    */
-  void recover(long nowUs, EndpointList known, Consumer<Ledger> restorer);
+  void recover(long nowUs, EndpointList initialList, Consumer<Ledger> restorer);
 
-  // Events.
-
-  /** Returns what a joining proxy lacks of its table; empty if it needs the complete table. */
-  Optional<CatchUp> onProxyJoined(int proxy, boolean fresh);
+  /**
+   * Records that a proxy joined.
+   *
+   * @param isFresh whether the proxy starts without tables
+   * @return the entries that the proxy is missing from its table; empty if it needs the complete
+   *     table
+   */
+  Optional<CatchUp> onProxyJoined(int proxy, boolean isFresh);
 
-  /** The stream of a proxy ended. */
+  /** Records that the stream of a proxy ended. */
   void onProxyLeft(int proxy);
 
-  /** A proxy acknowledged everything up to this acknowledgement number. */
+  /** Records that a proxy acknowledged all requests up to and including the given number. */
   void onAcknowledgement(int proxy, int number);
 
-  /** The policy is about to be given this list. */
+  /** Records an endpoint list or a change of it, before the policy receives it. */
   void onEndpointList(EndpointList list);
 
-  // Commands of the policy.
-
   /**
    * Records a binding.
    *
-   * @param allClasses whether the table serves all request classes of the proxy
-   * @return what the proxy lacks, if it joined in this iteration and holds the rest of the table;
-   *     empty if it needs the complete table
+   * @param coversAllClasses whether all request classes of the proxy are bound to the table
+   * @return the entries that the proxy is missing, if it joined in this iteration and retains the
+   *     rest of the table; empty if it needs the complete table
    */
-  Optional<CatchUp> bindProxy(int proxy, int table, boolean allClasses);
+  Optional<CatchUp> bindProxy(int proxy, int table, boolean coversAllClasses);
 
-  /** Records the weight of a server; 0 removes it from the table. */
+  /** Records the weight of a server in a table; 0 removes the server from the table. */
   void setWeight(int table, String server, double weight);
 
-  /** Records that a table was emptied. */
+  /** Records that a table was cleared. */
   void clearTable(int table);
 
   /** Records an ejection or a reinstatement. */
   void setEjected(String server, boolean isEjected, long nowUs);
 
-  /** Records the admission level of one request class. */
+  /** Records the admission level of one request class in a table. */
   void setAdmission(int table, int requestClass, AdmissionLevel level);
 
   /** Records the number of the acknowledgement requested in this iteration. */
   void requestAck(int number);
 
-  /** Drops what is recorded of a server. */
-  void forgetServer(String server);
-
-  // End of an iteration.
+  /** Discards the recorded state of a server. */
+  void discardServer(String server);
 
-  /** Sends a message once this iteration is durable. */
+  /** Queues a message of this iteration; it is sent once the iteration is durable. */
   void send(int proxy, ProxyStream stream, byte[] message);
 
-  /** Ends an iteration: its changes are submitted, its messages wait for them. */
+  /** Ends an iteration: submits its changes, and releases its messages once these are durable. */
   void commitIteration(long nowUs);
 }
--- a/src/main/java/pearusher/control/PersistenceOptions.java
+++ b/src/main/java/pearusher/control/PersistenceOptions.java
@@ -4,14 +4,14 @@
 import pearusher.store.StoreOptions;
 
 /**
- * The operators' settings of an assigner's store.
+ * The operators' settings of an assigner's persistence.
  *
- * @param directory where the store is
- * @param storeOptions options of the store itself
- * @param maxCommitDelayUs how long a message may wait for the disk, in microseconds
- * @param heartbeatUs longest time without a record in the store, in microseconds
- * @param maxTrustedAgeUs longest age of the last record at which a start trusts what the store says
- *     about proxies, in microseconds
+ * @param directory the directory of the store
+ * @param storeOptions the options of the store itself
+ * @param maxCommitDelayUs the maximum time that a message waits for the disk, in microseconds
+ * @param heartbeatUs the maximum time between two records in the store, in microseconds
+ * @param maxTrustedAgeUs the maximum age of the last record at which a start trusts the stored
+ *     state of proxies, in microseconds
  */
 public record PersistenceOptions(
     Path directory,
--- a/src/main/java/pearusher/control/ProxyEvents.java
+++ b/src/main/java/pearusher/control/ProxyEvents.java
@@ -2,42 +2,42 @@
 
 import pearusher.protocol.Message;
 
-/** What proxies and collectors send to the controller. Any thread may call it. */
+/** Receiver of the messages of proxies and collectors. Any thread may call it. */
 public interface ProxyEvents {
-  /** Stands for a collector that is not told apart from others. */
+  /** The origin of reports whose collector is not identified. */
   int ANONYMOUS_COLLECTOR = -1;
 
-  /** A stream identified its proxy. */
+  /** Handles the join of a proxy, by which the stream identifies the proxy. */
   void onProxyJoined(ProxyStream stream, Message.ProxyJoin join);
 
-  /** The stream of a proxy ended; ignored if a newer stream of the proxy took its place. */
+  /** Handles the end of a stream; ignored if a newer stream of the proxy has replaced it. */
   void onStreamClosed(ProxyStream stream, int proxy);
 
-  /** A proxy acknowledged an update. */
+  /** Handles the acknowledgement of an update. */
   void onAcknowledgement(ProxyStream stream, Message.Acknowledgement acknowledgement);
 
-  /** As {@link #onLoadReport(Message.LoadReport, int)}, from a collector. */
+  /** Handles a load report from an unidentified collector. */
   default void onLoadReport(Message.LoadReport report) {
     onLoadReport(report, ANONYMOUS_COLLECTOR);
   }
 
   /**
-   * Attempts at a server were reported. A report on a server that is not listed is dropped: the
-   * list of the proxies may be newer.
+   * Handles a report of attempts at a server. A report on an unlisted server is dropped: such
+   * reports are expected, since the endpoint list of the proxies may be newer.
    *
    * @param origin the number of the proxy, or a negative number that identifies a collector
    */
   void onLoadReport(Message.LoadReport report, int origin);
 
-  /** As {@link #onUsageReport(Message.UsageReport, int)}, from the proxy itself. */
+  /** Handles a usage report whose origin is the reported proxy itself. */
   default void onUsageReport(Message.UsageReport report) {
     onUsageReport(report, report.proxy());
   }
 
   /**
-   * Requests that arrived at a proxy were reported.
+   * Handles a report of requests that arrived at a proxy.
    *
-   * @param origin as in {@link #onLoadReport(Message.LoadReport, int)}
+   * @param origin the number of the proxy, or a negative number that identifies a collector
    */
   void onUsageReport(Message.UsageReport report, int origin);
 }
--- a/src/main/java/pearusher/control/ProxyStream.java
+++ b/src/main/java/pearusher/control/ProxyStream.java
@@ -2,16 +2,18 @@
 
 /**
  * The connection over which a proxy receives updates. The event-loop thread or the store's thread
- * calls it; no method blocks.
+ * calls its methods; none of them blocks.
  */
 public interface ProxyStream {
-  /** Queues an encoded message. */
+  /** Queues an encoded message for sending. */
   void send(byte[] message);
 
-  /** A newer stream of the same proxy took the place of this one. */
+  /** Handles the replacement of this stream by a newer stream of the same proxy. */
   void onReplaced();
 
-  /** Returns the position among all accepted connections: the higher of two is the newer. */
+  /**
+   * Returns the position in the order of accepted connections; newer ones have higher positions.
+   */
   default long acceptOrder() {
     return 0;
   }
--- a/src/main/java/pearusher/control/ReportDispatcher.java
+++ b/src/main/java/pearusher/control/ReportDispatcher.java
@@ -2,17 +2,20 @@
 
 import pearusher.protocol.Message;
 
-/** Takes reports from any thread to the policy on the event-loop thread. */
+/** Accepts reports on any thread and delivers them to the policy on the event-loop thread. */
 interface ReportDispatcher {
-  /** Takes a load report; see {@link ProxyEvents#onLoadReport(Message.LoadReport, int)}. */
+  /** Accepts a load report; see {@link ProxyEvents#onLoadReport(Message.LoadReport, int)}. */
   void onLoadReport(Message.LoadReport report, int origin);
 
-  /** Takes a usage report; see {@link ProxyEvents#onUsageReport(Message.UsageReport, int)}. */
+  /** Accepts a usage report; see {@link ProxyEvents#onUsageReport(Message.UsageReport, int)}. */
   void onUsageReport(Message.UsageReport report, int origin);
 
-  /** Whether reports wait that no event announces. */
+  /** Returns whether reports are queued without a corresponding event of the event loop. */
   boolean isOverloaded();
 
-  /** Hands the policy those of the unannounced reports that are due, on the event-loop thread. */
-  void deliverDue();
+  /**
+   * Delivers the due reports among those queued without a corresponding event; called on the
+   * event-loop thread.
+   */
+  void deliverQueuedReports();
 }
--- a/src/main/java/pearusher/control/ServerDirectory.java
+++ b/src/main/java/pearusher/control/ServerDirectory.java
@@ -10,12 +10,12 @@
 import java.util.regex.Pattern;
 
 /**
- * Maps the names of listed servers to numbers, which are never reused for another server, and keeps
- * the address last listed. It belongs to the event-loop thread and grows with the servers that were
- * listed and not forgotten.
+ * Maps the names of listed servers to numbers, and stores the last listed address of each server. A
+ * number is never reused for another server. Only the event-loop thread uses it. Its size grows
+ * with the number of servers that were listed and not discarded.
  */
 final class ServerDirectory {
-  /** A server number in a log text of the policy, in hexadecimal. */
+  /** Matches a server number, in hexadecimal, in a log message of the policy. */
   private static final Pattern SERVER_NUMBER = Pattern.compile("\\bserver ([0-9a-f]+)\\b");
 
   private static final int HEXADECIMAL = 16;
@@ -23,15 +23,15 @@
   private static final class Entry {
     private final long number;
 
-    /** The same number, made once because it is looked up with each load report. */
-    private final OptionalLong present;
+    /** The number as an Optional, allocated once because each load report looks it up. */
+    private final OptionalLong optionalNumber;
 
     private final String name;
     private String hostPort;
 
     Entry(long number, String name) {
       this.number = number;
-      present = OptionalLong.of(number);
+      optionalNumber = OptionalLong.of(number);
       this.name = name;
     }
   }
@@ -41,8 +41,9 @@
   private long nextNumber;
 
   /**
-   * Adds a server, or updates the address of one that is known.
+   * Adds a server, or updates the address of a known server.
    *
+   * @param hostPort the address, or null if none is listed
    * @return the server's number
    */
   long add(String name, String hostPort) {
@@ -52,7 +53,7 @@
       byName.put(name, entry);
       byNumber.put(entry.number, entry);
     }
-    // An unchanged address keeps its string, so that the one just read can be collected.
+    // Keeps the stored string of an unchanged address, so that the new string can be collected.
     if (hostPort == null || !hostPort.equals(entry.hostPort)) {
       entry.hostPort = hostPort;
     }
@@ -63,13 +64,13 @@
     return byName.containsKey(name);
   }
 
-  /** Returns the number of a server; empty if it was never listed or is forgotten. */
+  /** Returns the number of a server; empty if it was never listed or was discarded. */
   OptionalLong number(String name) {
     Entry entry = byName.get(name);
-    return entry == null ? OptionalLong.empty() : entry.present;
+    return entry == null ? OptionalLong.empty() : entry.optionalNumber;
   }
 
-  /** Returns a map by name as a map by number, without the servers that are not known. */
+  /** Converts a map by server name to a map by server number; omits unknown servers. */
   <V> Map<Long, V> byNumber(Map<String, V> valuesByName) {
     Map<Long, V> valuesByNumber = new TreeMap<>();
     valuesByName.forEach(
@@ -77,35 +78,36 @@
     return valuesByNumber;
   }
 
-  /** Returns the name of a server; empty if there is none with this number or it is forgotten. */
+  /** Returns the name of a server; empty if no server has this number or it was discarded. */
   Optional<String> findName(long number) {
     return Optional.ofNullable(name(number));
   }
 
   /**
-   * Returns the name of a server that the policy refers to, or null if it is forgotten: looked up
-   * with each weight entry that is sent, hence no Optional.
+   * Returns the name of a server, or null if it was discarded. Returns no Optional because it is
+   * called for each weight entry that is sent.
    */
   String name(long number) {
     Entry entry = byNumber.get(number);
     return entry == null ? null : entry.name;
   }
 
-  /** Returns the address last listed, or null if there is none. */
+  /** Returns the last listed address of a server, or null if there is none. */
   String hostPort(long number) {
     Entry entry = byNumber.get(number);
     return entry == null ? null : entry.hostPort;
   }
 
-  void forget(long number) {
+  /** Discards a server. */
+  void discard(long number) {
     Entry entry = byNumber.remove(number);
     if (entry != null) {
       byName.remove(entry.name);
     }
   }
 
-  /** Returns a log text of the policy with the numbers of known servers replaced by their names. */
-  String replaceNumbers(String text) {
+  /** Replaces the numbers of known servers in a log message of the policy by their names. */
+  String replaceNumbersByNames(String text) {
     return SERVER_NUMBER
         .matcher(text)
         .replaceAll(match -> Matcher.quoteReplacement("server " + nameOrNumber(match)));
--- a/src/main/java/pearusher/control/StateRestorer.java
+++ b/src/main/java/pearusher/control/StateRestorer.java
@@ -12,14 +12,15 @@
 import pearusher.recovery.Ledger;
 
 /**
- * Hands the policy and the published tables what an earlier process had commanded; server names
- * become numbers. It runs once on the event-loop thread, at the start, and holds no state.
+ * Restores the state published by an earlier process to the policy and the published tables, with
+ * server names converted to numbers. It runs once at the start, on the thread that starts the
+ * controller. It is stateless.
  */
 final class StateRestorer {
-  /** The table that is restored even if it is empty. */
-  private static final int FIRST_TABLE = 0;
+  /** The table that is always restored, even if the ledger does not contain it. */
+  private static final int DEFAULT_TABLE = 0;
 
-  /** Tells the policy that neither a level nor a retry policy was set for a class. */
+  /** Indicates to the policy that neither a level nor a retry policy was set for a class. */
   private static final AdmissionLevel NOT_SET = new AdmissionLevel(0, -1);
 
   private final ServerDirectory servers;
@@ -28,7 +29,7 @@
   private final List<Idempotency> idempotencyByClass;
 
   /**
-   * @param idempotencyByClass for each request class, in the order of the settings
+   * @param idempotencyByClass the idempotency of each request class, in the order of the settings
    */
   StateRestorer(
       ServerDirectory servers,
@@ -41,14 +42,15 @@
     this.idempotencyByClass = idempotencyByClass;
   }
 
+  /** Restores ejections, tables and the last acknowledgement number. */
   void restore(long nowUs, Ledger ledger) {
     ledger
         .ejectedServers()
         .forEach(name -> servers.number(name).ifPresent(tables::restoreEjection));
-    // Without any table the last acknowledgement number has to be restored all the same: a proxy
-    // must not take a new request for one that it has acknowledged before.
+    // The last acknowledgement number must be restored even if there is no table. Otherwise, a new
+    // request could have the number of one that a proxy has already acknowledged.
     Set<Integer> numbers = new TreeSet<>(ledger.tables());
-    numbers.add(FIRST_TABLE);
+    numbers.add(DEFAULT_TABLE);
     for (int number : numbers) {
       restoreTable(nowUs, ledger, number);
     }
--- a/src/main/java/pearusher/control/StoreEventLog.java
+++ b/src/main/java/pearusher/control/StoreEventLog.java
@@ -7,36 +7,37 @@
 import pearusher.store.GroupCommitter;
 import pearusher.store.Store;
 
-/** Logs what happens to the store. Any thread may call it; it holds no state of its own. */
+/** Logs the events of the store. Any thread may call it. It is stateless. */
 final class StoreEventLog implements GroupCommitter.Events {
   private final Consumer<String> onFailure;
 
   /**
-   * @param onFailure called with the cause once the store cannot be written any more
+   * @param onFailure called with the cause when the store can no longer be written
    */
   StoreEventLog(Consumer<String> onFailure) {
     this.onFailure = onFailure;
   }
 
-  /** Logs what a start found in the store, and how far it trusts that. */
-  static void logRecovery(Store.Recovered found, Ledger ledger) {
-    if (!found.damage().isEmpty()) {
-      Logger.warn("store damaged: sequence={} lost=\"{}\"", found.sequence(), found.damage());
+  /** Logs the state in which a start found the store, and how far it trusts the stored state. */
+  static void logRecovery(Store.Recovered recovered, Ledger ledger) {
+    if (!recovered.damage().isEmpty()) {
+      Logger.warn(
+          "store damaged: sequence={} lost=\"{}\"", recovered.sequence(), recovered.damage());
     }
-    if (found.truncatedBytes() > 0) {
+    if (recovered.truncatedBytes() > 0) {
       Logger.info(
-          "store end cut: sequence={} bytes={} records={}",
-          found.sequence(),
-          found.truncatedBytes(),
-          found.truncatedRecords());
+          "store log truncated, unconfirmed end dropped: sequence={} bytes={} records={}",
+          recovered.sequence(),
+          recovered.truncatedBytes(),
+          recovered.truncatedRecords());
     }
     Logger.info(
-        "store open: sequence={} epoch={} iteration={} keys={} closed={} trust=\"{}\"",
-        found.sequence(),
+        "store opened: sequence={} epoch={} iteration={} keys={} closed={} trust=\"{}\"",
+        recovered.sequence(),
         ledger.epoch(),
         ledger.iteration(),
-        found.state().size(),
-        found.wasClosed() ? "yes" : "no",
+        recovered.state().size(),
+        recovered.wasClosed() ? "yes" : "no",
         ledger.trust().description());
   }
 
@@ -48,7 +49,8 @@
   @Override
   public void onMarkAbandonedFailed(IOException cause) {
     Logger.error(
-        "store not marked as given up, begin the next start with an empty directory: cause=\"{}\"",
+        "store could not be marked as given up, use an empty directory for the next start:"
+            + " cause=\"{}\"",
         cause.getMessage());
   }
 
@@ -59,6 +61,6 @@
 
   @Override
   public void onCompactionFailed(IOException cause) {
-    Logger.warn("store not compacted: cause=\"{}\"", cause.getMessage());
+    Logger.warn("store compaction failed: cause=\"{}\"", cause.getMessage());
   }
 }
--- a/src/main/java/pearusher/control/StreamMembership.java
+++ b/src/main/java/pearusher/control/StreamMembership.java
@@ -11,9 +11,9 @@
 import pearusher.recovery.CatchUp;
 
 /**
- * Tracks which stream belongs to which proxy, and passes joins, ends of streams and
- * acknowledgements on to the policy, the published tables and the persistence. Only the event-loop
- * thread uses it. It grows with the proxies that are joined here.
+ * Maps each joined proxy to its stream, and passes joins, closed streams and acknowledgements to
+ * the policy, the published tables and the persistence. Only the event-loop thread uses it. Its
+ * size grows with the number of joined proxies.
  */
 final class StreamMembership {
   private final EventLoop loop;
@@ -23,7 +23,7 @@
   private final Supplier<AssignmentPolicy> policy;
 
   private final Map<Integer, ProxyStream> streams = new HashMap<>();
-  private final RepeatedEvent impossibleAcknowledgements = new RepeatedEvent();
+  private final RepeatedEvent droppedAcknowledgements = new RepeatedEvent();
 
   StreamMembership(
       EventLoop loop,
@@ -38,7 +38,7 @@
     this.policy = policy;
   }
 
-  /** Returns the stream of a proxy that is joined. */
+  /** Returns the stream of a proxy, or null if the proxy is not joined. */
   ProxyStream stream(int proxy) {
     return streams.get(proxy);
   }
@@ -48,9 +48,10 @@
   }
 
   /**
-   * A stream identified its proxy. Joins may be read in another order than their connections were
-   * accepted: a proxy that was cut off right after it joined reconnects, and both connections may
-   * be read at once. The older one must not replace the newer one.
+   * Adds the stream of a joining proxy, or closes it if a newer stream of the proxy exists. Joins
+   * may be read in a different order than their connections were accepted: a proxy that is
+   * disconnected right after it joined reconnects, and both connections may become readable at
+   * once. The older stream must not replace the newer one.
    */
   void onProxyJoined(ProxyStream stream, Message.ProxyJoin join) {
     int proxy = join.proxy();
@@ -70,16 +71,16 @@
         .onProxyJoined(loop.nowUs(), proxy, join.zone(), join.requestsPerSecond(), join.fresh());
     persistence
         .onProxyJoined(proxy, join.fresh())
-        .ifPresent(lacking -> onTableHeld(proxy, lacking));
+        .ifPresent(catchUp -> resumeTable(proxy, catchUp));
   }
 
-  /** A joining proxy holds a table that an earlier process sent, all but what it lacks. */
-  private void onTableHeld(int proxy, CatchUp lacking) {
-    tables.setAnnounced(proxy, servers.byNumber(lacking.announced()));
-    policy.get().onTableHeld(loop.nowUs(), proxy, lacking.table(), lacking.cost());
+  /** Resumes the table that a joining proxy retains, except for the entries in the catch-up. */
+  private void resumeTable(int proxy, CatchUp catchUp) {
+    tables.setAnnounced(proxy, servers.byNumber(catchUp.announced()));
+    policy.get().onTableHeld(loop.nowUs(), proxy, catchUp.table(), catchUp.cost());
   }
 
-  /** A stream ended; ignored if a newer stream of the proxy took its place. */
+  /** Removes a closed stream; ignored if a newer stream of the proxy has replaced it. */
   void onStreamClosed(ProxyStream stream, int proxy) {
     if (streams.remove(proxy, stream)) {
       tables.removeProxy(proxy);
@@ -89,8 +90,8 @@
   }
 
   /**
-   * A proxy acknowledged an update; ignored if the request went to another stream, or if the
-   * acknowledgement is impossible.
+   * Handles an acknowledgement of a proxy. Ignored if a newer stream has replaced this one; dropped
+   * and counted if no matching request is pending.
    */
   void onAcknowledgement(ProxyStream stream, Message.Acknowledgement acknowledgement) {
     int proxy = acknowledgement.proxy();
@@ -99,14 +100,14 @@
       return;
     }
     if (!tables.acknowledge(loop.nowUs(), proxy, number, acknowledgement.tookUs())) {
-      impossibleAcknowledgements.record(count -> logDropped(count, acknowledgement));
+      droppedAcknowledgements.record(count -> logDroppedAcknowledgement(count, acknowledgement));
       return;
     }
     persistence.onAcknowledgement(proxy, number);
     policy.get().onAcknowledgement(loop.nowUs(), proxy, number, acknowledgement.tookUs());
   }
 
-  private static void logDropped(long count, Message.Acknowledgement last) {
+  private static void logDroppedAcknowledgement(long count, Message.Acknowledgement last) {
     Logger.warn(
         "acknowledgements dropped: {} so far, the last of proxy {}: no request {} is {} us old",
         count,
--- a/src/main/java/pearusher/control/SynchronizedIntake.java
+++ b/src/main/java/pearusher/control/SynchronizedIntake.java
@@ -7,20 +7,19 @@
 import pearusher.intake.QueuedReport;
 
 /**
- * An intake behind a lock: connections add reports on their threads, the event-loop thread takes
- * them out. The lock is not held while reports are delivered. It grows with the reports that wait,
- * within the bounds of the intake.
+ * A thread-safe intake: connection threads add reports, and the event-loop thread polls them. A
+ * lock guards the intake; it is not held while reports are delivered. The size grows with the
+ * number of queued reports, within the bounds of the intake.
  */
 public final class SynchronizedIntake {
   private final Object lock = new Object();
 
-  /** Guarded by the lock. */
   private final Intake intake;
 
-  /** Reports on their way from the intake to the consumer; event-loop thread only. */
+  /** Reports that were polled but not delivered yet; only the event-loop thread uses it. */
   private final List<QueuedReport> polled = new ArrayList<>();
 
-  /** Makes an empty intake that logs when it is overloaded. */
+  /** Creates an empty intake that logs its overloads. */
   public SynchronizedIntake(Intake.Bounds bounds) {
     intake = new Intake(bounds, new IntakeEventLog());
   }
@@ -28,18 +27,19 @@
   /**
    * Adds a report.
    *
-   * @param announce called if the report was queued and the intake is not overloaded, in the order
-   *     of the reports; it must lead to one {@link #pollOldest}
+   * @param queueDelivery called if the report was queued and the intake is not overloaded, in the
+   *     order of the reports and with the lock held; each call must result in one call of {@link
+   *     #pollOldest}
    */
-  public void offer(QueuedReport report, Runnable announce) {
+  public void offer(QueuedReport report, Runnable queueDelivery) {
     synchronized (lock) {
       if (intake.offer(report) && !intake.isOverloaded()) {
-        announce.run();
+        queueDelivery.run();
       }
     }
   }
 
-  /** Hands over the oldest report, unless the intake is overloaded. */
+  /** Delivers the oldest report to the consumer, unless the intake is overloaded. */
   public void pollOldest(long nowUs, Consumer<QueuedReport> consumer) {
     synchronized (lock) {
       intake.pollOldest(nowUs, polled::add);
@@ -47,7 +47,7 @@
     deliver(consumer);
   }
 
-  /** Hands over the reports that are due while the intake is overloaded. */
+  /** Delivers the due reports to the consumer if the intake is overloaded. */
   public void pollDue(long nowUs, Consumer<QueuedReport> consumer) {
     synchronized (lock) {
       intake.serve(nowUs, polled::add);
@@ -60,14 +60,14 @@
     polled.clear();
   }
 
-  /** Whether more reports wait than the policy can take at once. */
+  /** Returns whether the intake is in overload mode. */
   public boolean isOverloaded() {
     synchronized (lock) {
       return intake.isOverloaded();
     }
   }
 
-  /** Returns the number of reports that wait. */
+  /** Returns the number of queued reports. */
   public int size() {
     synchronized (lock) {
       return intake.size();
--- a/src/main/java/pearusher/control/TimerQueue.java
+++ b/src/main/java/pearusher/control/TimerQueue.java
@@ -4,8 +4,9 @@
 import java.util.PriorityQueue;
 
 /**
- * The policy's timers, ordered by due time; those due at the same time fire in the order in which
- * they were set. Only the event-loop thread uses it. It grows with the timers that are not yet due.
+ * The policy's timers, ordered by due time. Timers with the same due time fire in the order in
+ * which they were set. Only the event-loop thread uses it. Its size grows with the number of
+ * pending timers.
  */
 final class TimerQueue {
   private record Timer(long dueUs, long sequence, long token) {
@@ -28,7 +29,11 @@
     return timers.size();
   }
 
-  /** Returns when the next timer is due; there must be one. */
+  /**
+   * Returns the due time of the next timer, in microseconds.
+   *
+   * @throws java.util.NoSuchElementException if the queue is empty
+   */
   long nextDueUs() {
     return timers.element().dueUs();
   }
@@ -37,7 +42,11 @@
     return !timers.isEmpty() && nextDueUs() <= nowUs;
   }
 
-  /** Removes the next timer and returns its token; there must be one. */
+  /**
+   * Removes the next timer and returns its token.
+   *
+   * @throws java.util.NoSuchElementException if the queue is empty
+   */
   long remove() {
     return timers.remove().token();
   }
--- a/src/main/java/pearusher/control/package-info.java
+++ b/src/main/java/pearusher/control/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The event loop of the controller and the wiring around the policy: events from any thread are
- * queued and run on the one event-loop thread, the policy's commands go to the published tables,
- * the ledger and the outbound calls. It does no network I/O itself and decides nothing.
+ * The controller: its event loop, and the connections between the policy and the rest of the
+ * assigner. Any thread may queue events, which run on the single event-loop thread. Commands of the
+ * policy are forwarded to the published tables, the ledger and the outbound calls. The package
+ * performs no network I/O and takes no assignment decisions.
  */
 package pearusher.control;
--- a/src/main/java/pearusher/publish/AckRequest.java
+++ b/src/main/java/pearusher/publish/AckRequest.java
@@ -1,9 +1,9 @@
 package pearusher.publish;
 
 /**
- * The policy's request for an acknowledgement of this iteration's updates.
+ * The policy's request for an acknowledgement of the current iteration's updates.
  *
- * @param number rises from request to request
- * @param toAll whether proxies without any other update are sent the request as well
+ * @param number the acknowledgement number, which increases with each request
+ * @param toAll whether the request is also sent to proxies that have no other update
  */
 record AckRequest(int number, boolean toAll) {}
--- a/src/main/java/pearusher/publish/AckTracker.java
+++ b/src/main/java/pearusher/publish/AckTracker.java
@@ -3,22 +3,23 @@
 import java.util.ArrayDeque;
 
 /**
- * The acknowledgements that were requested on one proxy's stream and have not arrived. Only the
- * event-loop thread uses it. It grows with the requests, up to a limit.
+ * The pending acknowledgements of one proxy's stream: those that were requested and have not
+ * arrived. Only the event-loop thread uses it. Its size is limited to {@value #MAX_PENDING}
+ * requests.
  */
 final class AckTracker {
-  /** Requests stored for a proxy that acknowledges none; the oldest is dropped beyond. */
+  /** Maximum number of pending requests; beyond it, the oldest request is dropped. */
   private static final int MAX_PENDING = 1000;
 
   private record PendingAck(int number, long requestedUs) {
-    boolean canBeAcknowledged(int acknowledged, long tookUs, long nowUs) {
-      return number == acknowledged && tookUs <= nowUs - requestedUs;
+    boolean matches(int acknowledgedNumber, long tookUs, long nowUs) {
+      return number == acknowledgedNumber && tookUs <= nowUs - requestedUs;
     }
   }
 
   private final ArrayDeque<PendingAck> pending = new ArrayDeque<>();
 
-  /** An update that requests an acknowledgement is sent. */
+  /** Adds a request that is sent with an update. */
   void onRequested(int number, long nowUs) {
     pending.add(new PendingAck(number, nowUs));
     if (pending.size() > MAX_PENDING) {
@@ -27,17 +28,19 @@
   }
 
   /**
-   * Takes an acknowledgement, which covers all requests before it as well.
+   * Removes the acknowledged request and all earlier ones, which the acknowledgement covers.
    *
-   * @param tookUs how long the proxy says that it took
-   * @return false if there is no such request, or it is not as old as that
+   * @param tookUs the time between request and acknowledgement that the proxy reports, in
+   *     microseconds
+   * @return false if no request with this number is pending, or if the request was made less than
+   *     {@code tookUs} ago
    */
   boolean onAcknowledged(int number, long tookUs, long nowUs) {
-    if (pending.stream().noneMatch(ack -> ack.canBeAcknowledged(number, tookUs, nowUs))) {
+    if (pending.stream().noneMatch(ack -> ack.matches(number, tookUs, nowUs))) {
       return false;
     }
     while (pending.remove().number() != number) {
-      // Requests before this one are covered by it.
+      // The acknowledgement covers the earlier requests.
     }
     return true;
   }
--- a/src/main/java/pearusher/publish/ClassSet.java
+++ b/src/main/java/pearusher/publish/ClassSet.java
@@ -3,14 +3,14 @@
 import java.util.function.IntConsumer;
 
 /**
- * An immutable set of request classes by their positions in the settings.
+ * An immutable set of request classes, each identified by its position in the settings.
  *
- * @param bits a bit for each class, the lowest for position 0
+ * @param bits one bit per class; the lowest bit stands for position 0
  */
 public record ClassSet(int bits) {
   static final ClassSet EMPTY = new ClassSet(0);
 
-  /** Returns the set of one class. */
+  /** Returns a set that contains one class. */
   static ClassSet of(int requestClass) {
     return new ClassSet(1 << requestClass);
   }
@@ -31,7 +31,7 @@
     return new ClassSet(bits & ~other.bits);
   }
 
-  /** Calls an action with each class, in ascending order of the positions. */
+  /** Calls the action with the position of each class, in ascending order. */
   public void forEach(IntConsumer action) {
     for (int remaining = bits; remaining != 0; remaining &= remaining - 1) {
       action.accept(Integer.numberOfTrailingZeros(remaining));
--- a/src/main/java/pearusher/publish/EjectionSelector.java
+++ b/src/main/java/pearusher/publish/EjectionSelector.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 
 /**
- * Selects the ejections and reinstatements that one proxy must be sent in an iteration. Only the
- * event-loop thread uses it. It holds no state.
+ * Selects the ejections and reinstatements to send to one proxy in an iteration. Only the
+ * event-loop thread uses it. It is stateless.
  */
 final class EjectionSelector {
   private final int classCount;
@@ -20,13 +20,15 @@
   }
 
   /**
-   * Returns servers to announce as ejected (true) or reinstated: those that changed in this
-   * iteration, where they concern the proxy, and the state of each server that a table gains at the
-   * proxy now.
+   * Returns the servers to announce to the proxy as ejected (true) or reinstated (false).
    *
-   * <p>A proxy remembers ejections over streams and over restarts of the assigner: without a
-   * reinstatement, a server ejected long ago would stay so. At a confirmed proxy these are sent for
-   * suspected servers only, because they count against the update budget.
+   * <p>These are the servers whose state changed in this iteration and to which the proxy may send
+   * requests, and the servers that this update adds to a table of the proxy.
+   *
+   * <p>A proxy retains ejections across streams and across restarts of the assigner. Without a
+   * reinstatement, a server that was ejected long ago would remain ejected at the proxy. A
+   * confirmed proxy is sent reinstatements of suspected servers only, because reinstatements count
+   * against the update budget.
    */
   Map<Long, Boolean> select(ProxyStreamState proxy) {
     Map<Long, Boolean> selected = new TreeMap<>(proxy.catchUpEjections());
@@ -34,22 +36,23 @@
         .changed()
         .forEach(
             (server, isEjected) -> {
-              if (concerns(proxy, server)) {
+              if (maySendTo(proxy, server)) {
                 selected.put(server, isEjected);
               }
             });
     for (int requestClass = 0; requestClass < classCount; requestClass++) {
-      addGainedServers(selected, proxy, requestClass);
+      addServersNewToProxy(selected, proxy, requestClass);
     }
     selected.entrySet().removeIf(entry -> proxy.isAnnounced(entry.getKey(), entry.getValue()));
     return selected;
   }
 
   /**
-   * Whether a proxy may send to a server now. To others the state of the server is announced once
-   * their table gains it; the policy does not charge the update budget for them.
+   * Returns whether a proxy may send requests to a server at present. To any other proxy, the state
+   * of the server is announced once it is added to one of the proxy's tables; the policy does not
+   * charge the update budget for such a proxy.
    */
-  private boolean concerns(ProxyStreamState proxy, long server) {
+  private boolean maySendTo(ProxyStreamState proxy, long server) {
     if (proxy.hasUnboundClass()) {
       return true;
     }
@@ -61,15 +64,15 @@
     return false;
   }
 
-  private void addGainedServers(
+  private void addServersNewToProxy(
       Map<Long, Boolean> selected, ProxyStreamState proxy, int requestClass) {
     if (proxy.table(requestClass).isEmpty()) {
       return;
     }
     PublishedTable table = tables.get(proxy.table(requestClass).getAsInt());
-    Set<Long> sentServers =
+    Set<Long> serversToSend =
         proxy.needsCompleteTable(requestClass) ? table.servers() : table.changedServers();
-    for (long server : sentServers) {
+    for (long server : serversToSend) {
       if (table.contains(server) && ejections.needsAnnouncement(server, proxy.isConfirmed())) {
         selected.put(server, ejections.isEjected(server));
       }
--- a/src/main/java/pearusher/publish/EjectionState.java
+++ b/src/main/java/pearusher/publish/EjectionState.java
@@ -7,12 +7,13 @@
 import java.util.TreeMap;
 
 /**
- * Which servers are ejected, which were ejected or reinstated in this iteration, and which of them
- * a proxy may wrongly believe to be ejected. Only the event-loop thread uses it. It grows with the
- * servers that the policy has not forgotten.
+ * The ejected servers, the servers that were ejected or reinstated in the current iteration, and
+ * the suspected servers, which proxies may exclude because of an ejection by another assigner or an
+ * earlier process. Only the event-loop thread uses it. Its size grows with the number of servers
+ * that the policy has not discarded.
  */
 final class EjectionState {
-  /** Which proxies may believe that a server is ejected. */
+  /** The proxies that may exclude a suspected server. */
   private enum Suspicion {
     UNCONFIRMED_PROXIES,
     ALL_PROXIES
@@ -20,13 +21,13 @@
 
   private final Set<Long> ejected = new HashSet<>();
 
-  /** Servers that some assigner may have ejected, as the policy says. */
+  /** Servers that, according to the policy, another assigner or process may have ejected. */
   private final Map<Long, Suspicion> suspected = new HashMap<>();
 
-  /** Servers that were ejected (true) or reinstated in this iteration. */
+  /** Servers that were ejected (true) or reinstated (false) in this iteration. */
   private final Map<Long, Boolean> changed = new TreeMap<>();
 
-  /** Ejects a server, or reinstates it. */
+  /** Ejects or reinstates a server. */
   void set(long server, boolean isEjected) {
     if (isEjected) {
       ejected.add(server);
@@ -36,21 +37,22 @@
     changed.put(server, isEjected);
   }
 
-  /** Restores a server that an earlier process ejected. */
+  /** Restores the ejection of a server by an earlier process; it does not count as a change. */
   void restore(long server) {
     ejected.add(server);
   }
 
   /**
-   * Some assigner may have ejected a server.
+   * Marks a server as suspected: another assigner or an earlier process may have ejected it.
    *
-   * @param all whether confirmed proxies may believe so too
+   * @param allProxies whether confirmed proxies may exclude the server too
    */
-  void suspect(long server, boolean all) {
-    suspected.put(server, all ? Suspicion.ALL_PROXIES : Suspicion.UNCONFIRMED_PROXIES);
+  void suspect(long server, boolean allProxies) {
+    suspected.put(server, allProxies ? Suspicion.ALL_PROXIES : Suspicion.UNCONFIRMED_PROXIES);
   }
 
-  void forget(long server) {
+  /** Discards the state of a server. */
+  void discard(long server) {
     suspected.remove(server);
     ejected.remove(server);
   }
@@ -60,7 +62,8 @@
   }
 
   /**
-   * Whether the state of a server must be announced to a proxy whose table gains it.
+   * Returns whether the state of a server must be announced to a proxy when the server is added to
+   * one of the proxy's tables.
    *
    * @param isConfirmed whether the policy confirmed the proxy
    */
@@ -73,7 +76,7 @@
         || (suspicion == Suspicion.UNCONFIRMED_PROXIES && !isConfirmed);
   }
 
-  /** Returns the servers that were ejected (true) or reinstated in this iteration. */
+  /** Returns the servers that were ejected (true) or reinstated (false) in this iteration. */
   Map<Long, Boolean> changed() {
     return changed;
   }
@@ -82,8 +85,8 @@
     changed.clear();
   }
 
-  /** Returns the number of entries by server. */
-  int size() {
+  /** Returns the number of entries in all collections of this object. */
+  int entryCount() {
     return suspected.size() + ejected.size() + changed.size();
   }
 }
--- a/src/main/java/pearusher/publish/GlobalAdmissionLevels.java
+++ b/src/main/java/pearusher/publish/GlobalAdmissionLevels.java
@@ -4,8 +4,9 @@
 import pearusher.policy.AdmissionLevel;
 
 /**
- * The admission levels that hold for all tables, by request class, and which of them were set in
- * this iteration. Only the event-loop thread uses it. It grows with the request classes.
+ * The admission levels that apply to all tables, by request class, and the classes whose level was
+ * set in the current iteration. Only the event-loop thread uses it. Its size is proportional to the
+ * number of request classes.
  */
 final class GlobalAdmissionLevels {
   private final AdmissionLevel[] levels;
@@ -15,12 +16,13 @@
     levels = new AdmissionLevel[classCount];
   }
 
+  /** Sets the level of the given classes. */
   void set(ClassSet classes, AdmissionLevel level) {
     classes.forEach(requestClass -> levels[requestClass] = level);
     changed = changed.union(classes);
   }
 
-  /** Returns the level of a class, if one was set. */
+  /** Returns the global level of a class; empty if none was set. */
   Optional<AdmissionLevel> get(int requestClass) {
     return Optional.ofNullable(levels[requestClass]);
   }
@@ -31,17 +33,17 @@
   }
 
   /**
-   * Returns the level that is in force for a class of a table: the lower of the table's own and the
-   * global one, with the table's own retry policy.
+   * Returns the level in force for a class of a table: the lower of the table's level and the
+   * global level, combined with the retry policy of the table. Empty if neither level was set.
    */
   Optional<AdmissionLevel> effective(PublishedTable table, int requestClass) {
-    AdmissionLevel own = table.level(requestClass);
-    AdmissionLevel global = levels[requestClass];
-    if (own == null || global == null) {
-      return Optional.ofNullable(own == null ? global : own);
+    AdmissionLevel tableLevel = table.level(requestClass);
+    AdmissionLevel globalLevel = levels[requestClass];
+    if (tableLevel == null || globalLevel == null) {
+      return Optional.ofNullable(tableLevel == null ? globalLevel : tableLevel);
     }
-    double lower = Math.min(own.probabilityOrRate(), global.probabilityOrRate());
-    return Optional.of(new AdmissionLevel(lower, own.retryMode()));
+    double lower = Math.min(tableLevel.probabilityOrRate(), globalLevel.probabilityOrRate());
+    return Optional.of(new AdmissionLevel(lower, tableLevel.retryMode()));
   }
 
   void endIteration() {
--- a/src/main/java/pearusher/publish/ProxyStreamState.java
+++ b/src/main/java/pearusher/publish/ProxyStreamState.java
@@ -8,30 +8,32 @@
 import pearusher.recovery.CatchUp;
 
 /**
- * What one proxy's stream is bound to, which ejections and reinstatements were announced on it, and
- * its pending acknowledgements. Only the event-loop thread uses it. It grows with the servers that
- * were announced, and with the pending acknowledgements.
+ * The state of one proxy's stream: the tables to which its request classes are bound, the ejections
+ * and reinstatements announced on it, and its pending acknowledgements. Only the event-loop thread
+ * uses it. Its size grows with the number of announced servers and pending acknowledgements.
  */
 final class ProxyStreamState {
-  /** By request class; empty where the proxy is bound to no table of this assigner. */
+  /** The bound table by request class; empty if the class is bound to no table of this assigner. */
   private final OptionalInt[] tables;
 
-  /** Classes that were bound in this iteration and are sent their complete table. */
+  /** Classes that were bound in this iteration and require their complete table. */
   private ClassSet classesToReplace = ClassSet.EMPTY;
 
-  /** What the proxy is sent in place of its complete table, if it was bound so this iteration. */
+  /**
+   * The catch-up that replaces the complete table, if the proxy was bound with one this iteration.
+   */
   private Optional<CatchUp> catchUp = Optional.empty();
 
-  /** Ejections (true) and reinstatements that belong to the catch-up. */
+  /** Ejections (true) and reinstatements (false) of the catch-up. */
   private Map<Long, Boolean> catchUpEjections = Map.of();
 
-  /** Servers that were announced as ejected (true) or reinstated on this stream. */
+  /** Servers that were announced as ejected (true) or reinstated (false) on this stream. */
   private final Map<Long, Boolean> announced = new TreeMap<>();
 
-  /** Whether only servers that are suspected at all proxies may be ejected at this one. */
+  /** Whether this proxy excludes no servers other than those suspected at all proxies. */
   private boolean isConfirmed;
 
-  /** Classes whose global admission level was announced while they were not bound. */
+  /** Unbound classes whose current global admission level was announced. */
   private ClassSet announcedGlobalLevels = ClassSet.EMPTY;
 
   private final AckTracker acks = new AckTracker();
@@ -41,25 +43,30 @@
     Arrays.fill(tables, OptionalInt.empty());
   }
 
-  /** Binds classes to a table, which is sent to the proxy completely. */
+  /** Binds classes to a table; the next update contains the complete table. */
   void bind(ClassSet classes, int table) {
     classes.forEach(requestClass -> tables[requestClass] = OptionalInt.of(table));
     classesToReplace = classesToReplace.union(classes);
   }
 
-  /** Binds all classes to a table of which the proxy lacks only a part. */
-  void bindWithCatchUp(CatchUp lacking, Map<Long, Boolean> ejections) {
-    Arrays.fill(tables, OptionalInt.of(lacking.table()));
-    catchUp = Optional.of(lacking);
+  /**
+   * Binds all classes to a table that the proxy already has, except for the entries in the
+   * catch-up.
+   *
+   * @param ejections servers to announce as ejected (true) or reinstated (false)
+   */
+  void bindWithCatchUp(CatchUp missingEntries, Map<Long, Boolean> ejections) {
+    Arrays.fill(tables, OptionalInt.of(missingEntries.table()));
+    catchUp = Optional.of(missingEntries);
     catchUpEjections = ejections;
   }
 
-  /** Returns the table to which a class is bound. */
+  /** Returns the table to which a class is bound; empty if it is not bound. */
   OptionalInt table(int requestClass) {
     return tables[requestClass];
   }
 
-  /** Whether a class was bound in this iteration and needs its complete table. */
+  /** Returns whether a class was bound in this iteration and requires its complete table. */
   boolean needsCompleteTable(int requestClass) {
     return classesToReplace.contains(requestClass);
   }
@@ -72,21 +79,24 @@
     return catchUpEjections;
   }
 
-  /** Whether some class is not bound. */
+  /** Returns whether at least one class is not bound. */
   boolean hasUnboundClass() {
     return Arrays.stream(tables).anyMatch(OptionalInt::isEmpty);
   }
 
-  /** Whether some class is bound to a table. */
+  /** Returns whether at least one class is bound to the given table. */
   boolean isBoundTo(int table) {
     return Arrays.stream(tables).anyMatch(bound -> bound.isPresent() && bound.getAsInt() == table);
   }
 
-  /** Whether a class was bound in this iteration, in either way. */
+  /** Returns whether a class was bound in this iteration, with or without a catch-up. */
   boolean wasBound() {
     return catchUp.isPresent() || !classesToReplace.isEmpty();
   }
 
+  /**
+   * Marks the proxy as confirmed: it excludes no servers other than those suspected at all proxies.
+   */
   void confirm() {
     isConfirmed = true;
   }
@@ -95,22 +105,22 @@
     return isConfirmed;
   }
 
-  /** Notes that a server is announced as ejected or reinstated. */
+  /** Records that a server is announced as ejected or reinstated. */
   void onAnnounced(long server, boolean isEjected) {
     announced.put(server, isEjected);
   }
 
-  /** Notes what was announced to the proxy on an earlier stream. */
+  /** Records the servers announced as ejected (true) or reinstated (false) on an earlier stream. */
   void setAnnounced(Map<Long, Boolean> ejections) {
     announced.putAll(ejections);
   }
 
-  /** Whether the last announcement of a server was this one. */
+  /** Returns whether the last announcement of a server had the given state. */
   boolean isAnnounced(long server, boolean isEjected) {
     return Boolean.valueOf(isEjected).equals(announced.get(server));
   }
 
-  void forgetServer(long server) {
+  void discardServer(long server) {
     announced.remove(server);
   }
 
@@ -126,7 +136,6 @@
     announcedGlobalLevels = announcedGlobalLevels.minus(classes);
   }
 
-  /** Returns the pending acknowledgements of this stream. */
   AckTracker acks() {
     return acks;
   }
@@ -137,8 +146,8 @@
     catchUpEjections = Map.of();
   }
 
-  /** Returns the size of what is stored: itself, announcements and pending acknowledgements. */
-  int size() {
+  /** Returns the number of announcements and pending acknowledgements, plus 1 for this object. */
+  int entryCount() {
     return 1 + announced.size() + acks.size();
   }
 }
--- a/src/main/java/pearusher/publish/PublishedTable.java
+++ b/src/main/java/pearusher/publish/PublishedTable.java
@@ -9,14 +9,15 @@
 import pearusher.policy.AdmissionLevel;
 
 /**
- * One table as the policy set it: weights, admission levels, and what of them was set in this
- * iteration. Only the event-loop thread uses it. It grows with the servers of the table.
+ * The weights and admission levels of one table as set by the policy, and the entries that were set
+ * in the current iteration. Only the event-loop thread uses it. Its size grows with the number of
+ * servers in the table.
  */
 final class PublishedTable {
-  /** By server; all above 0. */
+  /** Weights by server; all are above 0. */
   private final Map<Long, Double> weights = new TreeMap<>();
 
-  /** By request class; null where none was set. */
+  /** Levels by request class; null if none was set. */
   private final AdmissionLevel[] levels;
 
   private final Set<Long> changedServers = new TreeSet<>();
@@ -27,7 +28,7 @@
     levels = new AdmissionLevel[classCount];
   }
 
-  /** Restores what an earlier process had set; it does not count as a change. */
+  /** Restores the weights and levels set by an earlier process; they do not count as changes. */
   void restore(Map<Long, Double> restoredWeights, Map<Integer, AdmissionLevel> restoredLevels) {
     weights.putAll(restoredWeights);
     restoredLevels.forEach((requestClass, level) -> levels[requestClass] = level);
@@ -62,7 +63,7 @@
     return Collections.unmodifiableSet(weights.keySet());
   }
 
-  /** Returns the weight of a server, 0 if the table does not contain it. */
+  /** Returns the weight of a server; 0 if the table does not contain the server. */
   double weight(long server) {
     return weights.getOrDefault(server, 0.0);
   }
@@ -72,7 +73,7 @@
     return levels[requestClass];
   }
 
-  /** Returns the servers whose weights were set in this iteration, removed ones included. */
+  /** Returns the servers whose weights were set in this iteration, including removed servers. */
   Set<Long> changedServers() {
     return Collections.unmodifiableSet(changedServers);
   }
@@ -82,18 +83,18 @@
     return changedLevels;
   }
 
-  /** Whether the table was cleared in this iteration. */
+  /** Returns whether the table was cleared in this iteration. */
   boolean isCleared() {
     return isCleared;
   }
 
-  /** Whether anything was set in this iteration. */
+  /** Returns whether a weight or level was set, or the table cleared, in this iteration. */
   boolean isChanged() {
     return isCleared || !changedLevels.isEmpty() || !changedServers.isEmpty();
   }
 
-  /** Whether the table was cleared in this iteration and is empty since. */
-  boolean isEmptied() {
+  /** Returns whether the table was cleared in this iteration and has no servers. */
+  boolean isClearedAndEmpty() {
     return isCleared && weights.isEmpty();
   }
 
--- a/src/main/java/pearusher/publish/PublishedTables.java
+++ b/src/main/java/pearusher/publish/PublishedTables.java
@@ -12,21 +12,21 @@
 import pearusher.recovery.CatchUp;
 
 /**
- * The state that proxies are sent: tables with weights and admission levels, global admission
- * levels, ejections, bindings, and what was announced to each proxy on its stream. It turns the
- * policy's commands of one iteration into one update per proxy and changes nothing about them.
+ * The state published to proxies: tables with weights and admission levels, global admission
+ * levels, ejections, bindings, and the announcements on each proxy's stream. It combines the
+ * policy's commands of one iteration, unmodified, into one update per proxy.
  *
- * <p>Only the event-loop thread uses it. It grows with the tables and their servers, and with the
- * proxies and the servers that were announced to each.
+ * <p>Only the event-loop thread uses it. Its size grows with the number of tables and their
+ * servers, and with the number of proxies and the servers announced to each.
  */
 public final class PublishedTables {
-  /** The table number that stands for all tables in {@link #setAdmission}. */
+  /** The table number that {@link #setAdmission} interprets as all tables. */
   public static final int ALL_TABLES = 65535;
 
-  /** Sends a proxy its update. */
+  /** Sends updates to proxies. */
   @FunctionalInterface
   public interface UpdateSender {
-    /** Sends an encoded update. */
+    /** Sends an encoded update to a proxy. */
     void send(int proxy, byte[] message);
   }
 
@@ -37,14 +37,14 @@
   private final EjectionState ejections = new EjectionState();
   private final UpdateComposer composer;
 
-  /** The request of this iteration. */
+  /** The acknowledgement request of this iteration; empty if the policy made none. */
   private Optional<AckRequest> ackRequest = Optional.empty();
 
   /**
-   * Makes an empty state.
+   * Creates an empty state.
    *
    * @param classNames the names of the request classes, in the order of the settings
-   * @param serverNames gives the name of a server by its number
+   * @param serverNames returns the name of a server for its number
    */
   public PublishedTables(List<String> classNames, LongFunction<String> serverNames) {
     requestClasses = new RequestClasses(classNames);
@@ -52,52 +52,58 @@
     composer = new UpdateComposer(requestClasses, serverNames, tables, globalLevels, ejections);
   }
 
-  /** Returns the set of classes that a command means: a bit for each by position, 0 for all. */
+  /** Returns the classes of a command, given as one bit per position; 0 stands for all classes. */
   public ClassSet classes(int classBits) {
     return new ClassSet(requestClasses.bits(classBits));
   }
 
-  /** Whether a set contains all request classes. */
+  /** Returns whether a set contains all request classes. */
   public boolean coversAllClasses(ClassSet classes) {
     return requestClasses.coversAll(classes.bits());
   }
 
-  // State of an earlier process, before the first iteration.
-
-  /** Restores a table; it is sent to the proxies that are bound to it from now on. */
+  /**
+   * Restores a table of an earlier process, before the first iteration. It is not sent until a
+   * proxy is bound to it.
+   */
   public void restoreTable(
       int table, Map<Long, Double> weights, Map<Integer, AdmissionLevel> levels) {
     table(table).restore(weights, levels);
   }
 
-  /** Restores a server that was ejected. */
+  /** Restores the ejection of a server by an earlier process, before the first iteration. */
   public void restoreEjection(long server) {
     ejections.restore(server);
   }
 
-  // Proxies.
-
-  /** A proxy joined: it is not bound, and its ejections are not known. */
+  /** Adds a proxy that joined, without bindings, announcements or confirmation. */
   public void addProxy(int proxy) {
     proxies.put(proxy, new ProxyStreamState(requestClasses.count()));
   }
 
-  /** A proxy left. */
+  /** Removes a proxy that left. */
   public void removeProxy(int proxy) {
     proxies.remove(proxy);
   }
 
-  /** Notes which servers were announced to a joined proxy on an earlier stream. */
+  /**
+   * Records the announcements that a joined proxy received on an earlier stream.
+   *
+   * @param ejections servers announced as ejected (true) or reinstated (false)
+   */
   public void setAnnounced(int proxy, Map<Long, Boolean> ejections) {
     proxies.get(proxy).setAnnounced(ejections);
   }
 
-  /** Notes that a proxy has ejected no server but those that are suspected at all proxies. */
+  /** Confirms that a proxy excludes no servers other than those suspected at all proxies. */
   public void confirmProxy(int proxy) {
     proxies.get(proxy).confirm();
   }
 
-  /** Binds classes of a proxy to a table, which it is sent completely; ignored if it has left. */
+  /**
+   * Binds classes of a proxy to a table; the proxy's next update contains the complete table.
+   * Ignored if the proxy has left.
+   */
   public void bindProxy(int proxy, int table, ClassSet classes) {
     ProxyStreamState stream = proxies.get(proxy);
     if (stream != null) {
@@ -107,29 +113,31 @@
   }
 
   /**
-   * Binds all classes of a joined proxy to a table of which it is sent only what it lacks.
+   * Binds all classes of a joined proxy to a table; the proxy's next update contains only the
+   * entries of the table that the proxy is missing.
    *
-   * @param ejections servers to announce as ejected (true) or reinstated
+   * @param ejections servers to announce as ejected (true) or reinstated (false)
    */
-  public void bindWithCatchUp(int proxy, CatchUp lacking, Map<Long, Boolean> ejections) {
-    createIfAbsent(lacking.table());
-    proxies.get(proxy).bindWithCatchUp(lacking, ejections);
+  public void bindWithCatchUp(int proxy, CatchUp missingEntries, Map<Long, Boolean> ejections) {
+    createIfAbsent(missingEntries.table());
+    proxies.get(proxy).bindWithCatchUp(missingEntries, ejections);
   }
 
   /**
-   * Takes a proxy's acknowledgement. A wrong one would distort the policy's update budget, which
-   * relies on it.
+   * Removes the request that a proxy acknowledges, and all earlier requests, from those pending on
+   * its stream. Implausible acknowledgements are rejected because they would distort the policy's
+   * update budget.
    *
-   * @return false if none with this number is pending on the proxy's stream, or the request is not
-   *     as old as the time that the proxy says it took
+   * @param tookUs the time between request and acknowledgement that the proxy reports, in
+   *     microseconds
+   * @return false if no request with this number is pending on the proxy's stream, or if the
+   *     request was made less than {@code tookUs} ago
    */
   public boolean acknowledge(long nowUs, int proxy, int number, long tookUs) {
     ProxyStreamState stream = proxies.get(proxy);
     return stream != null && stream.acks().onAcknowledged(number, tookUs, nowUs);
   }
 
-  // Tables, levels and ejections.
-
   private PublishedTable table(int number) {
     return tables.computeIfAbsent(number, n -> new PublishedTable(requestClasses.count()));
   }
@@ -138,17 +146,17 @@
     table(number);
   }
 
-  /** Sets the weight of a server in a table; 0 removes it. */
+  /** Sets the weight of a server in a table; 0 removes the server from the table. */
   public void setWeight(int table, long server, double weight) {
     table(table).setWeight(server, weight);
   }
 
-  /** Empties a table, its admission levels included. */
+  /** Removes all weights and admission levels of a table. */
   public void clearTable(int table) {
     table(table).clear();
   }
 
-  /** Sets the admission level of classes, in one table or {@link #ALL_TABLES}. */
+  /** Sets the admission level of classes in one table, or globally for {@link #ALL_TABLES}. */
   public void setAdmission(int table, ClassSet classes, AdmissionLevel level) {
     if (table == ALL_TABLES) {
       globalLevels.set(classes, level);
@@ -157,34 +165,34 @@
     }
   }
 
-  /** Ejects a server, or reinstates it. */
+  /** Ejects or reinstates a server. */
   public void setEjected(long server, boolean isEjected) {
     ejections.set(server, isEjected);
   }
 
   /**
-   * Notes that other assigners may have ejected a server: its state is announced with its weight.
+   * Marks a server as suspected: another assigner or an earlier process may have ejected it. Its
+   * state is announced together with its weight.
    *
-   * @param all whether to all proxies, or only to those that are not confirmed
+   * @param allProxies whether the state is announced to all proxies; otherwise, only to those that
+   *     are not confirmed
    */
-  public void suspectEjection(long server, boolean all) {
-    ejections.suspect(server, all);
+  public void suspectEjection(long server, boolean allProxies) {
+    ejections.suspect(server, allProxies);
   }
 
-  /** Drops all that is stored about a server which no table contains any more. */
-  public void forgetServer(long server) {
-    ejections.forget(server);
-    proxies.values().forEach(proxy -> proxy.forgetServer(server));
+  /** Discards all state of a server that no table contains any longer. */
+  public void discardServer(long server) {
+    ejections.discard(server);
+    proxies.values().forEach(proxy -> proxy.discardServer(server));
   }
 
-  /** Requests an acknowledgement of this iteration's updates; a number below 0 requests none. */
+  /** Requests an acknowledgement of this iteration's updates; a negative number requests none. */
   public void requestAck(int number, boolean toAll) {
     ackRequest = number < 0 ? Optional.empty() : Optional.of(new AckRequest(number, toAll));
   }
 
-  // End of an iteration.
-
-  /** Sends each proxy its update of this iteration, and begins the next iteration. */
+  /** Sends each proxy its update of this iteration, if any, and starts the next iteration. */
   public void publish(long nowUs, UpdateSender sender) {
     boolean isChanged = isChanged();
     proxies.forEach(
@@ -198,7 +206,7 @@
     endIteration();
   }
 
-  /** Whether the policy set anything in this iteration besides bindings. */
+  /** Returns whether the policy changed anything other than bindings in this iteration. */
   private boolean isChanged() {
     return !ejections.changed().isEmpty()
         || !globalLevels.changed().isEmpty()
@@ -225,20 +233,24 @@
     ackRequest = Optional.empty();
   }
 
-  /** Whether a table was emptied and no proxy is bound to it, as of a zone that was removed. */
+  /**
+   * Returns whether a table was cleared and no proxy is bound to it, as after a zone is removed.
+   */
   private boolean isUnused(int number, PublishedTable table) {
-    return table.isEmptied()
+    return table.isClearedAndEmpty()
         && proxies.values().stream().noneMatch(proxy -> proxy.isBoundTo(number));
   }
 
-  // Sizes, for tests of what must not grow without end.
-
-  /** Returns the number of entries by server and proxy, besides the contents of tables. */
-  public int size() {
-    return ejections.size() + proxies.values().stream().mapToInt(ProxyStreamState::size).sum();
+  /**
+   * Returns the number of entries stored per server and per proxy, excluding the contents of
+   * tables.
+   */
+  public int entryCount() {
+    return ejections.entryCount()
+        + proxies.values().stream().mapToInt(ProxyStreamState::entryCount).sum();
   }
 
-  /** Returns the number of tables. */
+  /** Returns the number of tables, including empty ones. */
   int tableCount() {
     return tables.size();
   }
--- a/src/main/java/pearusher/publish/UpdateComposer.java
+++ b/src/main/java/pearusher/publish/UpdateComposer.java
@@ -13,16 +13,20 @@
 import pearusher.recovery.CatchUp;
 
 /**
- * Composes the one update that a proxy is sent in an iteration, from what the policy set and what
- * was announced on the proxy's stream before, and notes there what is announced now. Only the
- * event-loop thread uses it. It holds no state of its own.
+ * Composes the single update that a proxy is sent in an iteration, from the published state and the
+ * earlier announcements on the proxy's stream. It records the new announcements in the state of the
+ * stream. Only the event-loop thread uses it. It is stateless.
  */
 final class UpdateComposer {
-  /** Most weights of one part, which stays far below the largest message of the protocol. */
+  /** Limits the size of a part to far below the maximum message size of the protocol. */
   private static final int MAX_WEIGHTS_PER_PART = 8192;
 
-  /** Classes with the same table and the same need of it share parts. */
-  private record TableNeed(int table, boolean isComplete) {}
+  /**
+   * The table content that one or more classes are sent; classes with equal content share parts.
+   *
+   * @param isComplete whether the complete table is sent, otherwise only its changes
+   */
+  private record TableContent(int table, boolean isComplete) {}
 
   private final int classCount;
   private final LongFunction<String> serverNames;
@@ -45,42 +49,43 @@
     updateParts = new UpdateParts(requestClasses);
   }
 
-  /** Returns the parts of a proxy's update; none if there is nothing to send. */
+  /** Returns the parts of a proxy's update; empty if there is nothing to send. */
   List<UpdatePart> compose(ProxyStreamState proxy, Optional<AckRequest> ackRequest) {
     List<UpdatePart> parts = new ArrayList<>();
-    tableNeeds(proxy).forEach((need, classes) -> addTable(parts, proxy, classes, need));
+    tableContents(proxy).forEach((content, classes) -> addTable(parts, proxy, classes, content));
     addEjections(parts, proxy, ackRequest);
-    // Global levels that were not announced yet go along with the next update.
+    // Global levels that have not been announced yet are added to the next update.
     if (!parts.isEmpty() || !globalLevels.changed().isEmpty()) {
       addGlobalLevels(parts, proxy);
     }
     return parts;
   }
 
-  private Map<TableNeed, ClassSet> tableNeeds(ProxyStreamState proxy) {
-    Map<TableNeed, ClassSet> needs = new LinkedHashMap<>();
+  private Map<TableContent, ClassSet> tableContents(ProxyStreamState proxy) {
+    Map<TableContent, ClassSet> contents = new LinkedHashMap<>();
     for (int requestClass = 0; requestClass < classCount; requestClass++) {
       OptionalInt table = proxy.table(requestClass);
       if (table.isPresent()) {
         int number = table.getAsInt();
         boolean isComplete =
             proxy.needsCompleteTable(requestClass) || tables.get(number).isCleared();
-        needs.merge(new TableNeed(number, isComplete), ClassSet.of(requestClass), ClassSet::union);
+        contents.merge(
+            new TableContent(number, isComplete), ClassSet.of(requestClass), ClassSet::union);
       }
     }
-    return needs;
+    return contents;
   }
 
-  /** Adds the weights of one table and the admission levels of the classes that share them. */
+  /** Adds the weights of one table and the admission levels of the classes that are sent them. */
   private void addTable(
-      List<UpdatePart> parts, ProxyStreamState proxy, ClassSet classes, TableNeed need) {
-    PublishedTable table = tables.get(need.table());
-    Optional<CatchUp> catchUp = need.isComplete() ? Optional.empty() : proxy.catchUp();
-    Map<AdmissionLevel, ClassSet> levels = dueLevels(table, classes, need, catchUp);
+      List<UpdatePart> parts, ProxyStreamState proxy, ClassSet classes, TableContent content) {
+    PublishedTable table = tables.get(content.table());
+    Optional<CatchUp> catchUp = content.isComplete() ? Optional.empty() : proxy.catchUp();
+    Map<AdmissionLevel, ClassSet> levels = levelsToSend(table, classes, content, catchUp);
     Optional<AdmissionLevel> commonLevel = commonLevel(levels, classes);
-    List<Map<String, Double>> chunks = chunks(dueWeights(table, need, catchUp));
+    List<Map<String, Double>> chunks = chunks(weightsToSend(table, content, catchUp));
     for (int i = 0; i < chunks.size(); i++) {
-      boolean replacesTable = need.isComplete() && i == 0;
+      boolean replacesTable = content.isComplete() && i == 0;
       boolean isLast = i == chunks.size() - 1;
       if (replacesTable || !chunks.get(i).isEmpty() || commonLevel.isPresent()) {
         Optional<AdmissionLevel> level = isLast ? commonLevel : Optional.empty();
@@ -93,7 +98,7 @@
     }
   }
 
-  /** Returns the level that is due for all the classes, if it is the same for all of them. */
+  /** Returns the level to send if it is the same for all the given classes, otherwise empty. */
   private static Optional<AdmissionLevel> commonLevel(
       Map<AdmissionLevel, ClassSet> levels, ClassSet classes) {
     return levels.entrySet().stream()
@@ -102,27 +107,27 @@
         .findFirst();
   }
 
-  /** Returns the weights to send by the names of the servers; 0 removes a server. */
-  private Map<String, Double> dueWeights(
-      PublishedTable table, TableNeed need, Optional<CatchUp> catchUp) {
+  /** Returns the weights to send by server name; 0 removes a server. */
+  private Map<String, Double> weightsToSend(
+      PublishedTable table, TableContent content, Optional<CatchUp> catchUp) {
     Map<String, Double> weights = new LinkedHashMap<>();
-    catchUp.ifPresent(lacking -> weights.putAll(lacking.weights()));
-    for (long server : need.isComplete() ? table.servers() : table.changedServers()) {
+    catchUp.ifPresent(missing -> weights.putAll(missing.weights()));
+    for (long server : content.isComplete() ? table.servers() : table.changedServers()) {
       weights.put(serverNames.apply(server), table.weight(server));
     }
     return weights;
   }
 
-  /** Returns the admission levels to send, each with its classes. */
-  private Map<AdmissionLevel, ClassSet> dueLevels(
-      PublishedTable table, ClassSet classes, TableNeed need, Optional<CatchUp> catchUp) {
+  /** Returns the admission levels to send, each with the classes that have it. */
+  private Map<AdmissionLevel, ClassSet> levelsToSend(
+      PublishedTable table, ClassSet classes, TableContent content, Optional<CatchUp> catchUp) {
     ClassSet changed = table.changedLevels().union(globalLevels.changed());
     Map<AdmissionLevel, ClassSet> levels = new LinkedHashMap<>();
     classes.forEach(
         requestClass -> {
-          boolean isLacking =
+          boolean isMissing =
               catchUp.isPresent() && catchUp.get().admissionLevels().containsKey(requestClass);
-          if (need.isComplete() || isLacking || changed.contains(requestClass)) {
+          if (content.isComplete() || isMissing || changed.contains(requestClass)) {
             globalLevels
                 .effective(table, requestClass)
                 .ifPresent(
@@ -132,7 +137,7 @@
     return levels;
   }
 
-  /** Returns the weights in chunks of the size of a part; one empty chunk if there are none. */
+  /** Returns the weights in chunks of at most one part; a single empty chunk if there are none. */
   private static List<Map<String, Double>> chunks(Map<String, Double> weights) {
     List<Map<String, Double>> chunks = new ArrayList<>();
     Map<String, Double> chunk = new LinkedHashMap<>();
@@ -147,7 +152,7 @@
     return chunks;
   }
 
-  /** Adds ejections, reinstatements and the request of an acknowledgement to the last part. */
+  /** Adds ejections, reinstatements and the acknowledgement request to the last part. */
   private void addEjections(
       List<UpdatePart> parts, ProxyStreamState proxy, Optional<AckRequest> ackRequest) {
     List<String> ejected = new ArrayList<>();
@@ -173,7 +178,7 @@
     }
   }
 
-  /** Adds global levels for classes that no table of this assigner serves. */
+  /** Adds the global levels of classes that are not bound to a table of this assigner. */
   private void addGlobalLevels(List<UpdatePart> parts, ProxyStreamState proxy) {
     Map<AdmissionLevel, ClassSet> levels = new LinkedHashMap<>();
     for (int requestClass = 0; requestClass < classCount; requestClass++) {
--- a/src/main/java/pearusher/publish/UpdateParts.java
+++ b/src/main/java/pearusher/publish/UpdateParts.java
@@ -8,7 +8,7 @@
 import pearusher.protocol.RequestClasses;
 import pearusher.protocol.UpdatePart;
 
-/** Makes the parts of updates. It holds no state but the names of the request classes. */
+/** Creates the parts of updates. Its only state is the names of the request classes. */
 final class UpdateParts {
   private final RequestClasses requestClasses;
 
@@ -17,9 +17,10 @@
   }
 
   /**
-   * Returns a part with weights.
+   * Returns a part that sets weights.
    *
-   * @param level the admission level of all the classes, if it changes
+   * @param replacesTable whether the weights replace the table, otherwise they change it
+   * @param level the admission level of all the classes; empty if it is not sent
    */
   UpdatePart weights(
       ClassSet classes,
@@ -36,12 +37,12 @@
         OptionalInt.empty());
   }
 
-  /** Returns a part with an admission level alone. */
+  /** Returns a part that sets only an admission level. */
   UpdatePart admission(ClassSet classes, AdmissionLevel level) {
     return weights(classes, false, Map.of(), Optional.of(level));
   }
 
-  /** Returns a part without any content, for all classes. */
+  /** Returns a part without content, for all classes. */
   UpdatePart empty() {
     return new UpdatePart(
         Optional.empty(),
@@ -53,7 +54,7 @@
         OptionalInt.empty());
   }
 
-  /** Returns a part with ejections, reinstatements and a request of an acknowledgement added. */
+  /** Returns a copy of a part with ejections, reinstatements and an acknowledgement request. */
   UpdatePart withEjections(
       UpdatePart part, List<String> ejected, List<String> reinstated, OptionalInt ackNumber) {
     return new UpdatePart(
--- a/src/main/java/pearusher/publish/package-info.java
+++ b/src/main/java/pearusher/publish/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The state that proxies are sent: tables with their weights and admission levels, ejections, and
- * what was announced on each proxy's stream. It composes one update per proxy and event-loop
- * iteration, on the event-loop thread, and decides nothing.
+ * The state published to proxies: tables with their weights and admission levels, ejections, and
+ * the announcements on each proxy's stream. The package composes one update per proxy and
+ * event-loop iteration, on the event-loop thread. It takes no assignment decisions.
  */
 package pearusher.publish;
--- a/src/test/java/pearusher/control/BoundedStateTest.java
+++ b/src/test/java/pearusher/control/BoundedStateTest.java
@@ -73,7 +73,7 @@
     assertEquals(KNOWN_SERVERS.size(), last.serverNames(), "those of the known list stay");
     assertEquals(KNOWN_SERVERS.size(), last.serverNumbers(), "those of the known list stay");
     assertEquals(0, last.streams());
-    assertTrue(last.timers() <= 3 && last.publishedState() <= 2, "" + last);
+    assertTrue(last.timers() <= 3 && last.publishedEntries() <= 2, "" + last);
   }
 
   /** Replaces one server by one with a new name, and removes one that was never listed. */
@@ -110,7 +110,7 @@
     assertTrue(late.serverNumbers() <= early.serverNumbers() + SERVERS, message);
     assertTrue(late.streams() <= early.streams() + SERVERS, message);
     assertTrue(late.timers() <= early.timers() + SERVERS, message);
-    assertTrue(late.publishedState() <= early.publishedState() + SERVERS, message);
+    assertTrue(late.publishedEntries() <= early.publishedEntries() + SERVERS, message);
   }
 
   private static void removeEverything(ChurnSite site, List<String> names)
--- a/src/test/java/pearusher/control/DurablePublisherTest.java
+++ b/src/test/java/pearusher/control/DurablePublisherTest.java
@@ -213,15 +213,15 @@
 
   private static final List<Refusal> REFUSALS =
       List.of(
-          new Refusal("create", ".tmp", false, 30, "WARN store not compacted: cause=\""),
+          new Refusal("create", ".tmp", false, 30, "WARN store compaction failed: cause=\""),
           new Refusal(
               "create",
               ABANDONED_MARK,
               true,
               30,
-              "ERROR store not marked as given up, begin the next start with an empty "
-                  + "directory: cause=\""),
-          new Refusal("sync", "log-", false, 0, "WARN store not closed: cause=\""));
+              "ERROR store could not be marked as given up, use an empty directory for the next "
+                  + "start: cause=\""),
+          new Refusal("sync", "log-", false, 0, "WARN store could not be closed: cause=\""));
 
   /** The log lines of the operators' page that no process can be made to write. */
   @Test
@@ -230,7 +230,9 @@
     ByteArrayOutputStream log = new ByteArrayOutputStream();
     System.setOut(new PrintStream(log, true, StandardCharsets.UTF_8));
     try {
-      for (long seed = 1; !log.toString(StandardCharsets.UTF_8).contains("store end cut"); seed++) {
+      for (long seed = 1;
+          !log.toString(StandardCharsets.UTF_8).contains("store log truncated");
+          seed++) {
         checkPowerCuts(seed, 2);
       }
       for (Refusal refusal : REFUSALS) {
@@ -241,7 +243,10 @@
       }
       assertTrue(
           log.toString(StandardCharsets.UTF_8)
-              .matches("(?s).*INFO store end cut: sequence=\\d+ bytes=\\d+ records=\\d+\n.*"));
+              .matches(
+                  "(?s).*INFO store log truncated, unconfirmed end dropped: sequence=\\d+"
+                      + " bytes=\\d+ records=\\d+\n"
+                      + ".*"));
     } finally {
       System.setOut(standardOutput);
     }
--- a/src/test/java/pearusher/control/ServerDirectoryTest.java
+++ b/src/test/java/pearusher/control/ServerDirectoryTest.java
@@ -24,7 +24,7 @@
   @Test
   void aForgottenServerIsUnknownAndItsNumberIsNotUsedAgain() {
     long number = servers.add("s1", "10.0.0.1:80");
-    servers.forget(number);
+    servers.discard(number);
     assertFalse(servers.contains("s1"));
     assertEquals(OptionalLong.empty(), servers.number("s1"));
     assertEquals(Optional.empty(), servers.findName(number));
@@ -44,6 +44,6 @@
     }
     assertEquals(
         "server name-10$1 slower than server ff",
-        servers.replaceNumbers("server a slower than server ff"));
+        servers.replaceNumbersByNames("server a slower than server ff"));
   }
 }
