--- a/src/test/java/pearusher/control/BoundedStateTest.java
+++ b/src/test/java/pearusher/control/BoundedStateTest.java
@@ -16,8 +16,9 @@
 import pearusher.server.ExampleConfig;
 
 /**
- * Servers and proxies are replaced by the thousand, with the controller and the real policy: what
- * is stored must not grow. Sizes are counted, not timed.
+ * Thousands of servers and proxies are replaced, with the controller and the real policy. Guards
+ * against stored state that grows with every replacement. The test counts entries and measures no
+ * times.
  */
 class BoundedStateTest {
   private static final int SERVERS = 6;
@@ -26,11 +27,11 @@
 
   @TempDir Path dir;
 
-  private List<String> addServers(ChurnSite site, int count) {
+  private List<String> addServers(ChurnFixture fixture, int count) {
     List<String> names = new ArrayList<>();
     for (int position = 0; position < count; position++) {
       names.add("s-first-" + position);
-      site.change(site.endpoint(names.get(position), position, Lifecycle.READY));
+      fixture.deliverChange(fixture.endpoint(names.get(position), position, Lifecycle.READY));
     }
     return names;
   }
@@ -41,65 +42,66 @@
     return names;
   }
 
-  private static void runPeriods(ChurnSite site, int count, List<String> servers)
+  private static void runPeriods(ChurnFixture fixture, int count, List<String> servers)
       throws InterruptedException {
     for (int period = 0; period < count; period++) {
-      site.runPeriod(servers);
+      fixture.runPeriod(servers);
     }
   }
 
-  /** Every server is replaced again and again under a new name, streams break and reconnect. */
+  /** Every server is repeatedly replaced under a new name; streams disconnect and reconnect. */
   @Test
   void storedStateStaysBoundedWhileServersProxiesAndTimersAreReplaced() throws Exception {
-    ChurnSite site = new ChurnSite(new ExampleConfig().read(dir));
-    List<String> names = addServers(site, SERVERS);
+    ChurnFixture fixture = new ChurnFixture(new ExampleConfig().read(dir));
+    List<String> names = addServers(fixture, SERVERS);
     Map<Integer, AppliedUpdates> appliedByProxy = new HashMap<>();
     for (int proxy = 0; proxy < PROXIES; proxy++) {
-      appliedByProxy.put(proxy, site.newProxy());
-      site.join(proxy, appliedByProxy.get(proxy), true);
+      appliedByProxy.put(proxy, fixture.newProxy());
+      fixture.join(proxy, appliedByProxy.get(proxy), true);
     }
     Controller.RetainedSizes early = null;
     for (int round = 0; round < 1200; round++) {
-      replaceServer(site, names, round);
+      replaceServer(fixture, names, round);
       int proxy = round % PROXIES;
-      site.join(proxy, appliedByProxy.get(proxy), false);
-      site.runPeriod(names);
-      early = round == 200 ? site.retainedSizes() : early;
+      fixture.join(proxy, appliedByProxy.get(proxy), false);
+      fixture.runPeriod(names);
+      early = round == 200 ? fixture.retainedSizes() : early;
     }
-    appliedByProxy.values().forEach(applied -> assertHoldsOnly(applied, names));
-    assertNoLargerThan(early, site.retainedSizes());
-    removeEverything(site, names);
-    Controller.RetainedSizes last = site.retainedSizes();
-    assertEquals(KNOWN_SERVERS.size(), last.serverNames(), "those of the known list stay");
-    assertEquals(KNOWN_SERVERS.size(), last.serverNumbers(), "those of the known list stay");
+    appliedByProxy.values().forEach(applied -> assertUsesOnly(applied, names));
+    assertNoLargerThan(early, fixture.retainedSizes());
+    removeAllServersAndProxies(fixture, names);
+    Controller.RetainedSizes last = fixture.retainedSizes();
+    assertEquals(KNOWN_SERVERS.size(), last.serverNames(), "only servers of the known list remain");
+    assertEquals(
+        KNOWN_SERVERS.size(), last.serverNumbers(), "only servers of the known list remain");
     assertEquals(0, last.streams());
     assertTrue(last.timers() <= 3 && last.publishedEntries() <= 2, "" + last);
   }
 
-  /** Replaces one server by one with a new name, and removes one that was never listed. */
-  private static void replaceServer(ChurnSite site, List<String> names, int round)
+  /** Replaces a server by one with a new name, and removes a server that was never listed. */
+  private static void replaceServer(ChurnFixture fixture, List<String> names, int round)
       throws InterruptedException {
     int position = round % SERVERS;
     String old = names.get(position);
     String replacement = "s-" + round;
-    site.change(
-        site.endpoint(old, position, Lifecycle.DRAINING),
-        site.endpoint(replacement, position, Lifecycle.READY));
-    site.runPeriod(names);
-    site.change(
-        site.endpoint(old, position, Lifecycle.REMOVED),
-        site.endpoint("s-never-" + round, position, Lifecycle.REMOVED));
+    fixture.deliverChange(
+        fixture.endpoint(old, position, Lifecycle.DRAINING),
+        fixture.endpoint(replacement, position, Lifecycle.READY));
+    fixture.runPeriod(names);
+    fixture.deliverChange(
+        fixture.endpoint(old, position, Lifecycle.REMOVED),
+        fixture.endpoint("s-never-" + round, position, Lifecycle.REMOVED));
     names.set(position, replacement);
   }
 
-  private static void assertHoldsOnly(AppliedUpdates applied, List<String> servers) {
+  private static void assertUsesOnly(AppliedUpdates applied, List<String> servers) {
     List<String> expected = new ArrayList<>(servers);
     expected.addAll(KNOWN_SERVERS);
     Map<String, Float> weights = applied.usableWeights("lookup");
     assertEquals(List.of(), applied.faults);
     assertTrue(!weights.isEmpty() && expected.containsAll(weights.keySet()), "" + weights);
-    // Guards against weights that grow without end as servers are replaced, until none can be
-    // decoded.
+    // Guards against weights that grow without bound as servers are replaced, until they can no
+    // longer be decoded.
     assertTrue(weights.values().stream().allMatch(weight -> weight < 1000), "" + weights);
   }
 
@@ -113,81 +115,87 @@
     assertTrue(late.publishedEntries() <= early.publishedEntries() + SERVERS, message);
   }
 
-  private static void removeEverything(ChurnSite site, List<String> names)
+  private static void removeAllServersAndProxies(ChurnFixture fixture, List<String> names)
       throws InterruptedException {
     for (String name : names) {
-      site.change(site.endpoint(name, 0, Lifecycle.REMOVED));
+      fixture.deliverChange(fixture.endpoint(name, 0, Lifecycle.REMOVED));
     }
-    site.closeStreams();
-    runPeriods(site, 120, List.of());
+    fixture.closeStreams();
+    runPeriods(fixture, 120, List.of());
   }
 
   @Test
-  void aServerListedAgainAfterItWasForgottenIsReinstated() throws Exception {
-    ChurnSite site = new ChurnSite(new ExampleConfig().read(dir));
-    AppliedUpdates applied = site.newProxy();
-    site.join(3, applied, true);
-    site.change(site.endpoint("s-again", 1, Lifecycle.READY));
-    runPeriods(site, 30, withKnownServers("s-again"));
+  void aServerListedAgainAfterItWasDiscardedIsReinstated() throws Exception {
+    ChurnFixture fixture = new ChurnFixture(new ExampleConfig().read(dir));
+    AppliedUpdates applied = fixture.newProxy();
+    fixture.join(3, applied, true);
+    fixture.deliverChange(fixture.endpoint("s-again", 1, Lifecycle.READY));
+    runPeriods(fixture, 30, withKnownServers("s-again"));
     assertTrue(applied.usableWeights("order").containsKey("s-again"), applied.describe());
-    site.change(site.endpoint("s-again", 1, Lifecycle.REMOVED));
-    runPeriods(site, 120, KNOWN_SERVERS);
+    fixture.deliverChange(fixture.endpoint("s-again", 1, Lifecycle.REMOVED));
+    runPeriods(fixture, 120, KNOWN_SERVERS);
     assertTrue(applied.ejectedServers.contains("s-again"), applied.describe());
-    assertEquals(KNOWN_SERVERS.size(), site.retainedSizes().serverNames(), "it is forgotten");
-    site.change(site.endpoint("s-again", 1, Lifecycle.READY));
-    runPeriods(site, 30, withKnownServers("s-again"));
+    assertEquals(
+        KNOWN_SERVERS.size(),
+        fixture.retainedSizes().serverNames(),
+        "the removed server is discarded");
+    fixture.deliverChange(fixture.endpoint("s-again", 1, Lifecycle.READY));
+    runPeriods(fixture, 30, withKnownServers("s-again"));
     assertTrue(applied.usableWeights("order").containsKey("s-again"), applied.describe());
   }
 
   /**
-   * Many proxies, servers that are replaced in batches, streams that break, proxies that restart
-   * without state: everything on the wire counts, also reinstatements that the policy did not
-   * command. Guards the update budget against servers new to a stream, which are sent with a
-   * reinstatement.
+   * Many proxies, servers that are replaced in batches, streams that disconnect, and proxies that
+   * restart without state. The backlog includes everything sent, also reinstatements that the
+   * policy did not command. Guards against an exceeded update budget because of servers that are
+   * new to a stream, which are sent with a reinstatement.
    */
   @Test
   void theBacklogOfUpdatesStaysWithinTheLimitWhileServersAndProxiesAreReplaced() throws Exception {
     int proxies = 150;
     int servers = 30;
-    ChurnSite site =
-        new ChurnSite(
+    ChurnFixture fixture =
+        new ChurnFixture(
             new ExampleConfig()
                 .with("\"proxyCount\": 8", "\"proxyCount\": " + proxies)
                 .with("\"reportsPerS\": 150.0", "\"reportsPerS\": 2000.0")
                 .read(dir));
-    List<String> names = addServers(site, servers);
+    List<String> names = addServers(fixture, servers);
     List<AppliedUpdates> appliedByProxy = new ArrayList<>();
     for (int proxy = 0; proxy < proxies; proxy++) {
-      appliedByProxy.add(site.newProxy());
-      site.join(proxy, appliedByProxy.get(proxy), true);
+      appliedByProxy.add(fixture.newProxy());
+      fixture.join(proxy, appliedByProxy.get(proxy), true);
     }
     Random random = new Random(7);
     for (int round = 0; round < 90; round++) {
       if (round % 6 == 3) {
-        replaceBatch(site, names, round);
+        replaceBatch(fixture, names, round);
       }
       for (int count = 0; count < 25 && round % 4 == 0; count++) {
         int proxy = random.nextInt(proxies);
         boolean isFresh = round % 8 == 0;
         if (isFresh) {
-          appliedByProxy.set(proxy, site.newProxy());
+          appliedByProxy.set(proxy, fixture.newProxy());
         }
-        site.join(proxy, appliedByProxy.get(proxy), isFresh);
+        fixture.join(proxy, appliedByProxy.get(proxy), isFresh);
       }
-      site.runPeriod(names);
+      fixture.runPeriod(names);
     }
-    double limit = site.maxBacklogLines();
-    assertTrue(site.largestBacklog() > 0.3 * limit, "not loaded: " + site.largestBacklog());
-    assertTrue(site.largestBacklog() <= limit, site.largestBacklog() + " lines waited of " + limit);
+    double limit = fixture.maxBacklogLines();
+    assertTrue(
+        fixture.largestBacklog() > 0.3 * limit, "load is too low: " + fixture.largestBacklog());
+    assertTrue(
+        fixture.largestBacklog() <= limit,
+        fixture.largestBacklog() + " lines of backlog, limit " + limit);
   }
 
-  private static void replaceBatch(ChurnSite site, List<String> names, int round) {
+  private static void replaceBatch(ChurnFixture fixture, List<String> names, int round) {
     int first = round % names.size();
     for (int number = first; number < first + 6; number++) {
       int position = number % names.size();
-      site.change(site.endpoint(names.get(position), number, Lifecycle.DRAINING));
+      fixture.deliverChange(fixture.endpoint(names.get(position), number, Lifecycle.DRAINING));
       names.set(position, "s-" + round + "-" + number);
-      site.change(site.endpoint(names.get(position), number, Lifecycle.READY));
+      fixture.deliverChange(fixture.endpoint(names.get(position), number, Lifecycle.READY));
     }
   }
 }
--- a/src/test/java/pearusher/control/ChurnSite.java
+++ b/src/test/java/pearusher/control/ChurnFixture.java
@@ -14,17 +14,19 @@
 import pearusher.server.AppliedUpdates;
 
 /**
- * A controller with the real policy, and proxies that apply their updates and acknowledge them. It
- * counts the backlog of a channel with the rate limit of the settings, independently of the policy.
+ * A controller with the real policy, and simulated proxies that apply and acknowledge their
+ * updates. It simulates the backlog of an update channel at the rate limit of the settings,
+ * independently of the policy's own accounting.
  */
-final class ChurnSite {
+final class ChurnFixture {
   private static final long START_US = 1_000_000_000_000_000L;
   private static final int ZONES = 2;
   private static final long FIRST_GENERATION = 41;
 
-  /** Iterations of a control period before the reports arrive, and after. */
+  /** Iterations of a control period before the reports arrive. */
   private static final int ITERATIONS_BEFORE_REPORTS = 18;
 
+  /** Iterations of a control period after the reports have arrived. */
   private static final int ITERATIONS_AFTER_REPORTS = 4;
 
   private final AtomicLong clock = new AtomicLong(START_US);
@@ -35,13 +37,13 @@
   private double backlogLines;
   private double largestBacklog;
 
-  ChurnSite(AssignerConfig config) {
+  ChurnFixture(AssignerConfig config) {
     this.config = config;
     controller = new ManualController(config, FaastPolicy::new, clock::get, Persistence.none());
     controller.start();
   }
 
-  /** A stream whose proxy applies its updates and acknowledges them at once. */
+  /** A stream whose proxy applies and acknowledges its updates immediately. */
   private final class ApplyingStream implements ProxyStream {
     private final int proxy;
     private final AppliedUpdates applied;
@@ -70,7 +72,7 @@
     public void onReplaced() {}
   }
 
-  /** Returns the lines of the channel that a part takes. */
+  /** Returns the number of channel lines that a part of an update uses. */
   private static int lines(List<String> part) {
     int lines = 0;
     for (int field = 1; field < part.size(); field += 2) {
@@ -84,21 +86,23 @@
     return lines;
   }
 
-  /** Returns a proxy that has applied no update yet. */
+  /** Creates the state of a proxy that has not applied an update. */
   AppliedUpdates newProxy() {
     return new AppliedUpdates(config.names().classes());
   }
 
+  /** Creates a list entry; the position determines the zone and the cell. */
   Endpoint endpoint(String name, int position, Lifecycle lifecycle) {
     int zone = position % ZONES;
     return new Endpoint(name, "127.0.0.1:1", zone, 0, position, lifecycle, 1, clock.get());
   }
 
-  void change(Endpoint... endpoints) {
+  /** Delivers a change of the endpoint list. */
+  void deliverChange(Endpoint... endpoints) {
     controller.onEndpointList(new EndpointList(++generation, false, List.of(endpoints)), false);
   }
 
-  /** A proxy joins, or joins again on a new stream. */
+  /** Joins a proxy; if it is joined already, a new stream replaces its previous one. */
   void join(int proxy, AppliedUpdates applied, boolean isFresh) {
     ApplyingStream stream = new ApplyingStream(proxy, applied);
     ApplyingStream previous = streams.put(proxy, stream);
@@ -121,7 +125,7 @@
       controller.runEmptyIteration();
     }
     report(servers);
-    // Timers fall due between the reports of two periods too.
+    // Timers also fall due between the reports of two periods.
     for (int iteration = 0; iteration < ITERATIONS_AFTER_REPORTS; iteration++) {
       controller.runEmptyIteration();
       advance(periodUs / 40);
--- a/src/test/java/pearusher/control/DecodedUpdate.java
+++ b/src/test/java/pearusher/control/DecodedUpdate.java
@@ -6,11 +6,15 @@
 import pearusher.protocol.RespException;
 import pearusher.protocol.RespReader;
 
-/** Decodes the updates that proxies are sent. */
+/** Decodes updates as proxies receive them. */
 public final class DecodedUpdate {
   private DecodedUpdate() {}
 
-  /** Returns the parts of an update, each as the strings of its message. */
+  /**
+   * Returns the parts of an update, each as the strings of its message.
+   *
+   * @throws IllegalStateException if the update is malformed
+   */
   public static List<List<String>> parts(byte[] message) {
     List<List<String>> parts = new ArrayList<>();
     try (RespReader reader = new RespReader(RespReader.MAX_MESSAGE_BYTES)) {
--- a/src/test/java/pearusher/control/DurableSite.java
+++ b/src/test/java/pearusher/control/DurableControllerFixture.java
@@ -21,15 +21,16 @@
 import pearusher.store.StoreOptions;
 
 /**
- * A controller with the real policy and a store on a simulated disk, over several lives: proxies
- * keep what they have applied, servers drain and return, and a checker reads every update. Time is
- * the test's; an iteration is over once the disk is done with it, or the power is cut.
+ * A controller with the real policy and a store on a simulated disk, over several successive
+ * processes. Simulated proxies retain the updates they have applied, servers drain and return, and
+ * a checker reads every update. The clock is simulated. An iteration is complete once the disk has
+ * processed it or the power is cut.
  */
-final class DurableSite {
+final class DurableControllerFixture {
   static final int PROXIES = 6;
   static final int SERVERS = 7;
 
-  /** Steps after which an acknowledgement is beyond the slack of the checker. */
+  /** Number of steps after which an acknowledgement is older than the slack of the checker. */
   static final int STEPS_BEYOND_SLACK = 8;
 
   private static final int ZONES = 2;
@@ -37,7 +38,7 @@
   private static final long STEP_US = 500_000;
   private static final long SLACK_US = 2_500_000;
   private static final long FIRST_GENERATION = 100;
-  private static final int MAX_STEPS_PER_LIFE = 200;
+  private static final int MAX_STEPS_PER_PROCESS = 200;
   private static final StoreOptions OPTIONS =
       new StoreOptions(StoreOptions.Policy.EACH, 0, 4000, 2000, 2, StoreOptions.Damage.REFUSE);
 
@@ -53,7 +54,7 @@
   private long generation = FIRST_GENERATION;
   private long killedUs;
 
-  DurableSite(Path directory, SimDisk disk) throws Exception {
+  DurableControllerFixture(Path directory, SimDisk disk) throws Exception {
     this.directory = directory;
     this.disk = disk;
     clock = new AtomicLong(START_US);
@@ -64,7 +65,7 @@
     }
   }
 
-  /** A stream whose updates go to the checker until it is cut off. */
+  /** A stream that passes its updates to the checker until it is disconnected. */
   private final class CheckedStream implements ProxyStream {
     private final int proxy;
     private boolean isOpen = true;
@@ -96,8 +97,7 @@
     return publisher;
   }
 
-  // Life of the process.
-
+  /** Starts a process on the present content of the disk. */
   void start() throws Exception {
     PersistenceOptions options =
         new PersistenceOptions(directory, OPTIONS, 30_000_000, 5_000_000, 600_000_000);
@@ -109,7 +109,7 @@
     awaitDisk();
   }
 
-  /** Discovery that answers a watch at once with the complete list. */
+  /** Discovery that answers each watch immediately with the complete list. */
   private final class ImmediateDiscovery extends ManualController.NoOutboundCalls {
     @Override
     public void watchEndpoints(boolean isOn, long sinceGeneration) {
@@ -118,19 +118,19 @@
     }
   }
 
-  /** Starts, and all proxies join and acknowledge what they are sent. */
+  /** Starts a process; all proxies join and acknowledge the updates they receive. */
   void startAndJoinAll(boolean isFresh) throws Exception {
     start();
     joinAll(isFresh);
-    runCalmSteps(STEPS_BEYOND_SLACK);
+    runIdleSteps(STEPS_BEYOND_SLACK);
   }
 
   /**
-   * Runs lives that each end with a power cut at a random call of the disk, then a last one, and
-   * compares what the proxies have applied in the end.
+   * Runs processes that each end with a power cut at a random disk call, then a last process
+   * without one, and finally compares the tables that the proxies have applied.
    */
-  void runLives(int lives, Random random) throws Exception {
-    for (int life = 0; life < lives; life++) {
+  void runWithPowerCuts(int powerCuts, Random random) throws Exception {
+    for (int powerCut = 0; powerCut < powerCuts; powerCut++) {
       start();
       for (int proxy = 0; proxy < PROXIES; proxy++) {
         join(proxy, checker.lastAckNumber(proxy) == 0);
@@ -138,7 +138,7 @@
       runIteration();
       disk.powerCutAtCall = disk.callCount + 40 + random.nextInt(60);
       int steps = 0;
-      while (runStep(random) && steps < MAX_STEPS_PER_LIFE) {
+      while (runStep(random) && steps < MAX_STEPS_PER_PROCESS) {
         steps++;
       }
       cutPower(random);
@@ -149,33 +149,32 @@
     compareWithCompleteTables();
   }
 
+  /** Cuts the power: unsynchronized data may be lost, and all streams are disconnected. */
   void cutPower(Random random) {
     killedUs = clock.get();
-    cutOffAllStreams();
+    disconnectAllStreams();
     disk = disk.afterPowerCut(random);
     clock.addAndGet(300_000 + random.nextInt(2_000_000));
   }
 
-  /** The process ends, and the next start finds what is on the disk. */
+  /** Stops the process; the next start reads the state that is on the disk. */
   void stopProcess() {
     killedUs = clock.get();
-    cutOffAllStreams();
+    disconnectAllStreams();
     publisher.closeQuietly();
   }
 
-  /** Time passes between a process that has stopped and the next one. */
+  /** Ends the disk access of a stopped process and advances the clock to the next start. */
   void prepareRestart() {
     disk.kill();
     clock.addAndGet(2_000_000);
   }
 
-  private void cutOffAllStreams() {
+  private void disconnectAllStreams() {
     streams.values().forEach(stream -> stream.isOpen = false);
     streams.clear();
   }
 
-  // Proxies.
-
   void join(int proxy, boolean isFresh) {
     CheckedStream stream = new CheckedStream(proxy);
     streams.put(proxy, stream);
@@ -189,7 +188,7 @@
     }
   }
 
-  /** A stream breaks and its proxy reconnects: what was under way on the old one is lost. */
+  /** Reconnects a proxy; messages in transit on its previous stream are lost. */
   void rejoin(int proxy) {
     CheckedStream previous = streams.get(proxy);
     previous.isOpen = false;
@@ -206,13 +205,11 @@
     checker.onAcknowledged(proxy, clock.get());
   }
 
-  /** Returns the servers to which a proxy may send. */
-  Set<String> openServers(int proxy) {
+  /** Returns the servers to which a proxy may send requests. */
+  Set<String> usableServers(int proxy) {
     return checker.applied(proxy).usableWeights("lookup").keySet();
   }
 
-  // Servers.
-
   static String serverName(int number) {
     return "s" + number;
   }
@@ -222,8 +219,8 @@
         serverName(number), "127.0.0.1:1", number % ZONES, 0, number, lifecycle, 1, startedUs);
   }
 
-  /** A server starts draining, or returns in a new incarnation. */
-  void toggle(int number) {
+  /** Lists a ready server as draining, or a draining server as ready and restarted. */
+  void toggleDraining(int number) {
     Endpoint previous = endpoints.get(serverName(number));
     boolean startsDraining = previous.lifecycle() == Lifecycle.READY;
     Endpoint changed =
@@ -235,17 +232,15 @@
     controller.onEndpointList(new EndpointList(++generation, false, List.of(changed)), false);
   }
 
-  /** All servers from one on start draining. */
+  /** Lists all servers with the given number or a higher one as draining. */
   void drainFrom(int first) {
     for (int number = first; number < SERVERS; number++) {
-      toggle(number);
+      toggleDraining(number);
     }
   }
 
-  // Steps.
-
   /**
-   * Runs an iteration and waits until the disk is done with it.
+   * Runs an iteration and waits until the disk has processed it.
    *
    * @return false if the power was cut
    */
@@ -271,14 +266,14 @@
   }
 
   /**
-   * Runs half a second of ordinary load, with changes of servers and broken streams.
+   * Runs half a second of normal load, with random lifecycle changes of servers and reconnects.
    *
    * @return false if the power was cut
    */
   boolean runStep(Random random) throws InterruptedException {
     clock.addAndGet(STEP_US);
     if (random.nextInt(5) == 0) {
-      toggle(random.nextInt(SERVERS));
+      toggleDraining(random.nextInt(SERVERS));
     }
     reportLoad(random);
     for (int proxy : streams.keySet()) {
@@ -308,8 +303,8 @@
     }
   }
 
-  /** Runs half seconds without load, in which every proxy acknowledges what it receives. */
-  void runCalmSteps(int steps) throws InterruptedException {
+  /** Runs steps of half a second without load; every proxy acknowledges its updates. */
+  void runIdleSteps(int steps) throws InterruptedException {
     for (int step = 0; step < steps; step++) {
       clock.addAndGet(STEP_US);
       for (int proxy : streams.keySet()) {
@@ -324,8 +319,8 @@
   }
 
   /**
-   * Two more proxies join without state, one in each zone, and are sent complete tables: every
-   * other proxy of their zones must have applied the same by now.
+   * Joins one additional proxy without state per zone, which is sent the complete tables. Reports a
+   * fault for each proxy whose applied tables differ from those of the new proxy of its zone.
    */
   void compareWithCompleteTables() throws InterruptedException {
     for (int zone = 0; zone < ZONES; zone++) {
--- a/src/test/java/pearusher/control/DurablePublisherTest.java
+++ b/src/test/java/pearusher/control/DurablePublisherTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pearusher.control.DurableSite.STEPS_BEYOND_SLACK;
+import static pearusher.control.DurableControllerFixture.STEPS_BEYOND_SLACK;
 
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
@@ -21,35 +21,39 @@
 import pearusher.store.StoreException;
 
 /**
- * The controller, the real policy and the store over power cuts and disks that fail: no update may
- * be lost, repeated or incomplete. Where a defence of the store is taken out, the checker must find
- * that.
+ * The controller with the real policy and a store, over power cuts and disk failures. Guards
+ * against updates that are lost, repeated or incomplete after a restart. To show that the checker
+ * detects such faults, some tests disable a safeguard of the store and expect faults.
  */
 class DurablePublisherTest {
   private static final int POWER_CUT_SEEDS = 25;
   private static final int FAILING_DISK_SEEDS = 12;
-  private static final int LIVES = 4;
+  private static final int POWER_CUTS = 4;
 
-  /** The file by which a process marks a store that it has given up. */
+  /** The file with which a process marks a store that it has abandoned. */
   private static final String ABANDONED_MARK = "given-up";
 
   @TempDir Path directory;
 
-  /** Runs several lives that end with power cuts, and returns the checker's view of them. */
-  private UpdateChecker checkPowerCuts(long seed, int lives, SimDisk.SkippedSync... skippedSyncs)
-      throws Exception {
-    DurableSite site = new DurableSite(directory, new SimDisk(skippedSyncs));
+  /**
+   * Runs several processes that each end with a power cut, and returns the checker with its
+   * findings.
+   */
+  private UpdateChecker checkPowerCuts(
+      long seed, int powerCuts, SimDisk.SkippedSync... skippedSyncs) throws Exception {
+    DurableControllerFixture fixture =
+        new DurableControllerFixture(directory, new SimDisk(skippedSyncs));
     try {
-      site.runLives(lives, new Random(seed));
+      fixture.runWithPowerCuts(powerCuts, new Random(seed));
     } catch (StoreException refused) {
-      site.checker().faults().add(new UpdateFault(Kind.STORE_REFUSED, refused.getMessage()));
+      fixture.checker().faults().add(new UpdateFault(Kind.STORE_REFUSED, refused.getMessage()));
     }
-    return site.checker();
+    return fixture.checker();
   }
 
   private boolean findsFault(SimDisk.SkippedSync skippedSync) throws Exception {
     for (long seed = 1; seed <= POWER_CUT_SEEDS; seed++) {
-      if (!checkPowerCuts(seed, LIVES, skippedSync).faults().isEmpty()) {
+      if (!checkPowerCuts(seed, POWER_CUTS, skippedSync).faults().isEmpty()) {
         return true;
       }
     }
@@ -61,7 +65,7 @@
     int updates = 0;
     int deltas = 0;
     for (long seed = 1; seed <= POWER_CUT_SEEDS; seed++) {
-      UpdateChecker checker = checkPowerCuts(seed, LIVES);
+      UpdateChecker checker = checkPowerCuts(seed, POWER_CUTS);
       assertEquals(List.of(), checker.faults(), "seed " + seed);
       updates += checker.updates();
       deltas += checker.deltasAtJoin();
@@ -71,48 +75,54 @@
   }
 
   /**
-   * With one server left: the acknowledgements were durable, so that neither end of a stream takes
-   * them back.
+   * Only one server remains ready. Guards against acknowledgements that are lost when a stream
+   * disconnects or the power is cut, although they were durable.
    */
   @Test
   void aProxyThatAcknowledgedItsTableIsSentNoCompleteTableAfterABrokenStreamOrAPowerCut()
       throws Exception {
-    DurableSite site = new DurableSite(directory, new SimDisk());
-    site.startAndJoinAll(true);
-    site.drainFrom(1);
-    site.runCalmSteps(STEPS_BEYOND_SLACK);
-    site.rejoin(2);
-    site.runCalmSteps(STEPS_BEYOND_SLACK);
-    site.cutPower(new Random(1));
-    site.startAndJoinAll(false);
-    assertEquals(Set.of("s0"), site.openServers(2));
-    site.toggle(0);
-    site.runCalmSteps(STEPS_BEYOND_SLACK);
-    assertEquals(List.of(), site.checker().faults());
-    assertEquals(0, site.checker().completeTablesAtRejoin());
-    assertEquals(Set.of(), site.openServers(2));
+    DurableControllerFixture fixture = new DurableControllerFixture(directory, new SimDisk());
+    fixture.startAndJoinAll(true);
+    fixture.drainFrom(1);
+    fixture.runIdleSteps(STEPS_BEYOND_SLACK);
+    fixture.rejoin(2);
+    fixture.runIdleSteps(STEPS_BEYOND_SLACK);
+    fixture.cutPower(new Random(1));
+    fixture.startAndJoinAll(false);
+    assertEquals(Set.of("s0"), fixture.usableServers(2));
+    fixture.toggleDraining(0);
+    fixture.runIdleSteps(STEPS_BEYOND_SLACK);
+    assertEquals(List.of(), fixture.checker().faults());
+    assertEquals(0, fixture.checker().completeTablesAtRejoin());
+    assertEquals(Set.of(), fixture.usableServers(2));
   }
 
-  /** No proxy is bound to an empty table: one that joins then is bound once a server returns. */
+  /**
+   * Proxies are not bound to an empty table; a proxy that joins meanwhile is bound once a server
+   * returns.
+   */
   @Test
   void aProxyThatRejoinsWhileItsTableIsEmptyIsSentTheCompleteTableOnceAServerReturns()
       throws Exception {
-    DurableSite site = new DurableSite(directory, new SimDisk());
-    site.startAndJoinAll(true);
-    site.drainFrom(0);
-    site.runCalmSteps(STEPS_BEYOND_SLACK);
-    int updatesBefore = site.checker().updates();
-    site.rejoin(2);
-    site.runCalmSteps(STEPS_BEYOND_SLACK);
-    assertEquals(updatesBefore, site.checker().updates(), "updates while the table is empty");
-    site.toggle(3);
-    site.runCalmSteps(STEPS_BEYOND_SLACK);
-    assertEquals(List.of(), site.checker().faults());
-    assertEquals(1, site.checker().completeTablesAtRejoin(), "to proxy 2 alone");
-    assertEquals(Set.of("s3"), site.openServers(2));
+    DurableControllerFixture fixture = new DurableControllerFixture(directory, new SimDisk());
+    fixture.startAndJoinAll(true);
+    fixture.drainFrom(0);
+    fixture.runIdleSteps(STEPS_BEYOND_SLACK);
+    int updatesBefore = fixture.checker().updates();
+    fixture.rejoin(2);
+    fixture.runIdleSteps(STEPS_BEYOND_SLACK);
+    assertEquals(updatesBefore, fixture.checker().updates(), "updates while the table is empty");
+    fixture.toggleDraining(3);
+    fixture.runIdleSteps(STEPS_BEYOND_SLACK);
+    assertEquals(List.of(), fixture.checker().faults());
+    assertEquals(1, fixture.checker().completeTablesAtRejoin(), "to proxy 2 alone");
+    assertEquals(Set.of("s3"), fixture.usableServers(2));
   }
 
-  /** Updates are sent before they are durable: acknowledgement numbers and tables fall back. */
+  /**
+   * Updates are sent before they are durable, so a restart reverts tables and acknowledgement
+   * numbers.
+   */
   @Test
   void withoutTheSyncOfTheLogTheCheckerFindsFaults() throws Exception {
     assertTrue(findsFault(SimDisk.SkippedSync.FILE));
@@ -124,41 +134,46 @@
   }
 
   /**
-   * The disk fails while proxies are joined: updates go on from memory, and the next start must not
-   * trust what it finds.
+   * Runs a process whose disk fails while proxies are joined, and then a second process. The first
+   * continues to send updates from memory; the second must not trust the store.
    *
-   * @param keepsMark whether the mark of an abandoned store is left for the next start
+   * @param keepsAbandonedMark whether the mark of the abandoned store is kept for the second
+   *     process
    */
-  private DurableSite runWithFailingDisk(long seed, boolean keepsMark) throws Exception {
-    DurableSite site = new DurableSite(directory, new SimDisk());
+  private DurableControllerFixture runWithFailingDisk(long seed, boolean keepsAbandonedMark)
+      throws Exception {
+    DurableControllerFixture fixture = new DurableControllerFixture(directory, new SimDisk());
     Random random = new Random(seed);
-    site.start();
-    site.joinAll(true);
-    site.runIteration();
-    site.runSteps(6, random);
-    int updatesBefore = site.checker().updates();
-    failNextWriteOfTheLog(site.disk());
-    site.runSteps(30, random);
-    assertTrue(site.checker().updates() > updatesBefore + 3, site.checker().updates() + " updates");
-    assertEquals(0, site.publisher().pendingIterations());
-    if (keepsMark) {
-      awaitAbandonedMark(site.disk());
+    fixture.start();
+    fixture.joinAll(true);
+    fixture.runIteration();
+    fixture.runSteps(6, random);
+    int updatesBefore = fixture.checker().updates();
+    failNextWriteOfTheLog(fixture.disk());
+    fixture.runSteps(30, random);
+    assertTrue(
+        fixture.checker().updates() > updatesBefore + 3, fixture.checker().updates() + " updates");
+    assertEquals(0, fixture.publisher().pendingIterations());
+    if (keepsAbandonedMark) {
+      awaitAbandonedMark(fixture.disk());
     }
-    site.stopProcess();
-    if (!keepsMark) {
-      awaitAbandonedMark(site.disk());
-      site.disk().delete(ABANDONED_MARK);
+    fixture.stopProcess();
+    if (!keepsAbandonedMark) {
+      awaitAbandonedMark(fixture.disk());
+      fixture.disk().delete(ABANDONED_MARK);
     }
-    site.prepareRestart();
-    site.start();
-    site.joinAll(false);
-    site.runIteration();
-    site.runSteps(8, random);
-    site.compareWithCompleteTables();
-    return site;
+    fixture.prepareRestart();
+    fixture.start();
+    fixture.joinAll(false);
+    fixture.runIteration();
+    fixture.runSteps(8, random);
+    fixture.compareWithCompleteTables();
+    return fixture;
   }
 
-  /** A write of the log ends the store; a compaction that fails would not. */
+  /**
+   * Lets the next write of the log fail, because a failed compaction would not make the store fail.
+   */
   private static void failNextWriteOfTheLog(SimDisk disk) {
     disk.callListener =
         (operation, file) -> {
@@ -176,17 +191,17 @@
 
   @Test
   void noUpdateIsLostWhenTheDiskFailsAndTheNextStartDoesNotTrustTheStore() throws Exception {
-    // A start that does not trust the store sends complete tables, and its acknowledgement numbers
-    // begin where the store ended.
+    // A start that does not trust the store sends complete tables. Its acknowledgement numbers
+    // continue from the last stored number, without those sent after the store was abandoned.
     Set<Kind> expected = EnumSet.of(Kind.UNNEEDED_COMPLETE_TABLE, Kind.REPEATED, Kind.ACK_NUMBER);
     for (long seed = 1; seed <= FAILING_DISK_SEEDS; seed++) {
-      DurableSite site = runWithFailingDisk(seed, true);
+      DurableControllerFixture fixture = runWithFailingDisk(seed, true);
       List<UpdateFault> unexpected =
-          site.checker().faults().stream()
+          fixture.checker().faults().stream()
               .filter(fault -> !expected.contains(fault.kind()))
               .toList();
       assertEquals(List.of(), unexpected, "seed " + seed);
-      assertFalse(site.disk().list().contains(ABANDONED_MARK), "the store is in use again");
+      assertFalse(fixture.disk().list().contains(ABANDONED_MARK), "the store is in use again");
     }
   }
 
@@ -198,34 +213,34 @@
           runWithFailingDisk(seed, false).checker().faults().stream()
               .anyMatch(fault -> fault.kind() == Kind.DIVERGED_WEIGHTS);
     }
-    assertTrue(isFound, "a proxy with other weights than the others");
+    assertTrue(isFound, "no proxy has weights that differ from those of the others");
   }
 
   /**
-   * A call of the disk that fails, and the line that the log then has.
+   * A disk call that fails, and the log line that reports it.
    *
-   * @param file a part of the name of the file
-   * @param storeHasFailed whether the store has failed before
-   * @param steps steps to run until the call is made
+   * @param file a substring of the file name
+   * @param storeHasFailed whether a disk call of the store failed before
+   * @param steps the number of steps to run until the call is made
    */
-  private record Refusal(
+  private record DiskFailure(
       String operation, String file, boolean storeHasFailed, int steps, String logLine) {}
 
-  private static final List<Refusal> REFUSALS =
+  private static final List<DiskFailure> DISK_FAILURES =
       List.of(
-          new Refusal("create", ".tmp", false, 30, "WARN store compaction failed: cause=\""),
-          new Refusal(
+          new DiskFailure("create", ".tmp", false, 30, "WARN store compaction failed: cause=\""),
+          new DiskFailure(
               "create",
               ABANDONED_MARK,
               true,
               30,
               "ERROR store could not be marked as given up, use an empty directory for the next "
                   + "start: cause=\""),
-          new Refusal("sync", "log-", false, 0, "WARN store could not be closed: cause=\""));
+          new DiskFailure("sync", "log-", false, 0, "WARN store could not be closed: cause=\""));
 
-  /** The log lines of the operators' page that no process can be made to write. */
+  /** Checks log lines documented for operators that cannot be provoked in a real process. */
   @Test
-  void logLinesTellOfAnIncompleteLastRecordAndOfADiskThatRefuses() throws Exception {
+  void logReportsATruncatedLogAndDiskFailures() throws Exception {
     PrintStream standardOutput = System.out;
     ByteArrayOutputStream log = new ByteArrayOutputStream();
     System.setOut(new PrintStream(log, true, StandardCharsets.UTF_8));
@@ -235,11 +250,11 @@
           seed++) {
         checkPowerCuts(seed, 2);
       }
-      for (Refusal refusal : REFUSALS) {
-        runWith(refusal);
+      for (DiskFailure failure : DISK_FAILURES) {
+        runWith(failure);
         TestPeers.awaitUntil(
-            refusal.logLine(),
-            () -> log.toString(StandardCharsets.UTF_8).contains(refusal.logLine()));
+            failure.logLine(),
+            () -> log.toString(StandardCharsets.UTF_8).contains(failure.logLine()));
       }
       assertTrue(
           log.toString(StandardCharsets.UTF_8)
@@ -252,22 +267,22 @@
     }
   }
 
-  private void runWith(Refusal refusal) throws Exception {
-    DurableSite site = new DurableSite(directory, new SimDisk());
-    site.start();
-    site.joinAll(true);
-    site.runIteration();
-    SimDisk disk = site.disk();
+  private void runWith(DiskFailure failure) throws Exception {
+    DurableControllerFixture fixture = new DurableControllerFixture(directory, new SimDisk());
+    fixture.start();
+    fixture.joinAll(true);
+    fixture.runIteration();
+    SimDisk disk = fixture.disk();
     disk.callListener =
         (operation, file) -> {
-          if (operation.equals(refusal.operation()) && file.contains(refusal.file())) {
+          if (operation.equals(failure.operation()) && file.contains(failure.file())) {
             disk.failAtCall = disk.callCount;
           }
         };
-    if (refusal.storeHasFailed()) {
+    if (failure.storeHasFailed()) {
       disk.failAtCall = disk.callCount + 1;
     }
-    site.runSteps(refusal.steps(), new Random(5));
-    site.publisher().closeQuietly();
+    fixture.runSteps(failure.steps(), new Random(5));
+    fixture.publisher().closeQuietly();
   }
 }
--- a/src/test/java/pearusher/control/EndpointListStateTest.java
+++ b/src/test/java/pearusher/control/EndpointListStateTest.java
@@ -11,7 +11,7 @@
 class EndpointListStateTest {
   private static final long MAX_POLL_INTERVAL_US = 10_000_000;
   private static final long GENERATION = 41;
-  private static final long OLDER = 30;
+  private static final long OLDER_GENERATION = 30;
   private static final long START_US = 1_000_000;
 
   private final EndpointListState state = new EndpointListState(MAX_POLL_INTERVAL_US);
@@ -27,31 +27,32 @@
   }
 
   @Test
-  void aListOfTheSameOrALaterVersionIsCurrent() {
+  void aListOfTheSameOrALaterGenerationIsCurrent() {
     assertEquals(Freshness.CURRENT, compare(GENERATION, true, true, START_US));
     assertEquals(Freshness.CURRENT, compare(GENERATION + 1, false, false, START_US));
   }
 
   @Test
   void anOlderListIsOutdatedUnlessItIsCompleteAndStartsAWatch() {
-    assertEquals(Freshness.OUTDATED, compare(OLDER, true, false, START_US));
-    assertEquals(Freshness.OUTDATED, compare(OLDER, false, true, START_US));
-    assertEquals(Freshness.LAGGING, compare(OLDER, true, true, START_US));
+    assertEquals(Freshness.OUTDATED, compare(OLDER_GENERATION, true, false, START_US));
+    assertEquals(Freshness.OUTDATED, compare(OLDER_GENERATION, false, true, START_US));
+    assertEquals(Freshness.LAGGING, compare(OLDER_GENERATION, true, true, START_US));
   }
 
   @Test
-  void discoveryThatLagsForTheWholePollIntervalHasRestarted() {
+  void discoveryThatLagsForTheMaximumPollIntervalHasRestarted() {
     long almostUs = START_US + MAX_POLL_INTERVAL_US - 1;
-    assertEquals(Freshness.LAGGING, compare(OLDER, true, true, START_US));
-    assertEquals(Freshness.LAGGING, compare(OLDER, true, true, almostUs));
-    assertEquals(Freshness.RESTARTED, compare(OLDER, true, true, almostUs + 1));
+    assertEquals(Freshness.LAGGING, compare(OLDER_GENERATION, true, true, START_US));
+    assertEquals(Freshness.LAGGING, compare(OLDER_GENERATION, true, true, almostUs));
+    assertEquals(Freshness.RESTARTED, compare(OLDER_GENERATION, true, true, almostUs + 1));
   }
 
   @Test
-  void aCurrentListEndsTheTimeForWhichDiscoveryLags() {
-    compare(OLDER, true, true, START_US);
+  void aCurrentListResetsTheTimeForWhichDiscoveryHasLagged() {
+    compare(OLDER_GENERATION, true, true, START_US);
     compare(GENERATION, false, false, START_US + 1);
     assertEquals(
-        Freshness.LAGGING, compare(OLDER, true, true, START_US + MAX_POLL_INTERVAL_US + 1));
+        Freshness.LAGGING,
+        compare(OLDER_GENERATION, true, true, START_US + MAX_POLL_INTERVAL_US + 1));
   }
 }
--- a/src/test/java/pearusher/control/ManualController.java
+++ b/src/test/java/pearusher/control/ManualController.java
@@ -9,8 +9,8 @@
 import pearusher.policy.PolicySettings;
 
 /**
- * A controller whose iterations the test runs on its own thread, with a clock of the test. It does
- * not wait for bursts, and it is connected to neither discovery nor peers.
+ * A controller whose iterations run on the thread of the test, with a simulated clock. It does not
+ * wait for the end of bursts, and is connected to neither discovery nor peers.
  */
 final class ManualController extends Controller {
   ManualController(
@@ -25,13 +25,13 @@
   @Override
   public void awaitTick() {}
 
-  /** Runs an iteration even if no event waits. */
+  /** Runs an iteration even if no event is queued. */
   void runEmptyIteration() throws InterruptedException {
     execute(() -> {});
     runIteration();
   }
 
-  /** Calls that lead nowhere. */
+  /** Ignores all calls. */
   static class NoOutboundCalls implements OutboundCalls {
     @Override
     public void watchEndpoints(boolean isOn, long sinceGeneration) {}
--- a/src/test/java/pearusher/control/ReceivedPart.java
+++ b/src/test/java/pearusher/control/ReceivedPart.java
@@ -9,11 +9,12 @@
 /**
  * A part of an update as a proxy receives it.
  *
- * @param classes the request classes that it is for
+ * @param classes the request classes to which it applies
  * @param isComplete whether it replaces the table
  * @param weights entries of the form SERVER:WEIGHT
- * @param level admission level and retry policy as one text; empty if there is none
+ * @param level the admission level and the retry policy as one text; empty if there is none
  * @param retryPolicy the number of the retry policy; 0 if there is none
+ * @param ackNumber the number of the requested acknowledgement; empty if none is requested
  */
 record ReceivedPart(
     List<String> classes,
@@ -25,7 +26,7 @@
 
   private static final String MORE = "more";
 
-  /** Whether further parts of the same update follow. */
+  /** Returns whether further parts of the same update follow. */
   static boolean hasMore(List<String> strings) {
     return strings.contains(MORE);
   }
@@ -33,8 +34,8 @@
   /**
    * Decodes a part.
    *
-   * @param strings the strings of its message: a name, then keys and values
-   * @param allClasses the classes of a part that names none
+   * @param strings the strings of its message: the message name, then alternating keys and values
+   * @param allClasses the classes of a part that does not name any
    */
   static ReceivedPart of(List<String> strings, List<String> allClasses) {
     Map<String, String> fields = new HashMap<>();
@@ -54,7 +55,10 @@
         ackNumber == null ? OptionalInt.empty() : OptionalInt.of(Integer.parseInt(ackNumber)));
   }
 
-  /** Returns what the part sets, by request class, and by request class and server. */
+  /**
+   * Returns the settings of the part: weights by request class and server (CLASS/SERVER), and
+   * admission levels by request class.
+   */
   Map<String, String> settings() {
     Map<String, String> settings = new HashMap<>();
     for (String requestClass : classes) {
@@ -69,12 +73,12 @@
     return settings;
   }
 
-  /** Returns the classes of this part that are among others. */
-  List<String> classesAmong(Iterable<String> others) {
+  /** Returns the given classes to which this part applies. */
+  List<String> classesAmong(Iterable<String> candidates) {
     List<String> common = new ArrayList<>();
-    for (String other : others) {
-      if (classes.contains(other)) {
-        common.add(other);
+    for (String candidate : candidates) {
+      if (classes.contains(candidate)) {
+        common.add(candidate);
       }
     }
     return common;
--- a/src/test/java/pearusher/control/ScriptedPolicy.java
+++ b/src/test/java/pearusher/control/ScriptedPolicy.java
@@ -17,21 +17,22 @@
 import pearusher.server.TestPeers;
 
 /**
- * A policy that records its events as texts, and gives the commands that a test asks for at the end
- * of an iteration. A text is the name of the method of {@link AssignmentPolicy} and its arguments
- * without the time, separated by spaces.
+ * A policy that records its events as texts, and issues the commands of the test at the end of an
+ * iteration. The text of an event consists of the name of the method of {@link AssignmentPolicy}
+ * and the arguments without the time, separated by spaces.
  */
 public final class ScriptedPolicy
     implements BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> {
   private static final String BATCH_END = "onBatchEnd";
   private static final String PROXY_JOINED = "onProxyJoined";
 
-  /** Positions among the arguments of {@link AssignmentPolicy#onProxyJoined}. */
-  private static final int JOINED_PROXY = 1;
+  /** Position of the proxy in the arguments of {@link AssignmentPolicy#onProxyJoined}. */
+  private static final int PROXY_ARGUMENT = 1;
 
-  private static final int JOINED_FRESH = 4;
+  /** Position of the flag for a proxy without tables in these arguments. */
+  private static final int IS_FRESH_ARGUMENT = 4;
 
-  /** The events so far, without those that {@link #awaitEvent} has passed. */
+  /** The recorded events, without those that {@link #awaitEvent} has removed. */
   public final List<String> events = new CopyOnWriteArrayList<>();
 
   private final LinkedBlockingQueue<Consumer<PolicyCommands>> scripts = new LinkedBlockingQueue<>();
@@ -54,8 +55,8 @@
       runScripts(commands);
       return;
     }
-    if (name.equals(PROXY_JOINED) && (Boolean) arguments[JOINED_FRESH]) {
-      commands.confirmProxy((Integer) arguments[JOINED_PROXY]);
+    if (name.equals(PROXY_JOINED) && (Boolean) arguments[IS_FRESH_ARGUMENT]) {
+      commands.confirmProxy((Integer) arguments[PROXY_ARGUMENT]);
     }
     events.add(describe(name, arguments));
   }
@@ -74,7 +75,7 @@
     return String.join(" ", texts);
   }
 
-  /** The text of an argument of an event. */
+  /** Returns the text of an argument of an event. */
   public static String describe(Object argument) {
     if (argument instanceof AttemptReport report) {
       return describe(report);
@@ -85,7 +86,7 @@
     return argument instanceof byte[] bytes ? Arrays.toString(bytes) : String.valueOf(argument);
   }
 
-  /** The fields of a load report, without its age if that is 0. */
+  /** Returns the fields of a load report; omits the age if it is 0. */
   private static String describe(AttemptReport report) {
     Stream<Object> fields =
         Stream.of(
@@ -102,23 +103,23 @@
         .collect(Collectors.joining(" "));
   }
 
-  /** Sets the controller of this policy. */
-  public void setController(Controller of) {
-    controller = of;
+  /** Sets the controller that runs this policy; must be called before {@link #command}. */
+  public void setController(Controller owner) {
+    controller = owner;
   }
 
-  /** Gives commands at the end of the next iteration, and causes one. */
+  /** Issues commands at the end of the next iteration, and triggers that iteration. */
   public void command(Consumer<PolicyCommands> script) {
     scripts.add(script);
     controller.execute(() -> {});
   }
 
-  /** Waits for an event that starts with a text, and removes all events up to it. */
+  /** Waits for an event that starts with the given text; removes it and all earlier events. */
   public void awaitEvent(String start) throws InterruptedException {
     TestPeers.awaitUntil(
         start + " in " + events, () -> events.stream().anyMatch(event -> event.startsWith(start)));
     while (!events.remove(0).startsWith(start)) {
-      // Events before it are dropped.
+      // Drops the earlier events.
     }
   }
 }
--- a/src/test/java/pearusher/control/ServerDirectoryTest.java
+++ b/src/test/java/pearusher/control/ServerDirectoryTest.java
@@ -13,7 +13,7 @@
   private final ServerDirectory servers = new ServerDirectory();
 
   @Test
-  void aServerListedAgainKeepsItsNumberAndTakesTheNewAddress() {
+  void aServerListedAgainKeepsItsNumberAndHasTheNewAddress() {
     long number = servers.add("s1", "10.0.0.1:80");
     assertEquals(number, servers.add("s1", "10.0.0.2:80"));
     assertEquals("10.0.0.2:80", servers.hostPort(number));
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void aForgottenServerIsUnknownAndItsNumberIsNotUsedAgain() {
+  void aDiscardedServerIsUnknownAndItsNumberIsNotReused() {
     long number = servers.add("s1", "10.0.0.1:80");
     servers.discard(number);
     assertFalse(servers.contains("s1"));
@@ -32,13 +32,13 @@
   }
 
   @Test
-  void aMapByNameLosesUnknownServersWhenItIsTurnedIntoOneByNumber() {
+  void convertingAMapByNameToAMapByNumberOmitsUnknownServers() {
     long number = servers.add("s1", null);
     assertEquals(Map.of(number, 2), servers.byNumber(Map.of("s1", 2, "s2", 3)));
   }
 
   @Test
-  void numbersOfKnownServersAreReplacedByNamesInLogTexts() {
+  void numbersOfKnownServersAreReplacedByNamesInLogMessages() {
     for (int index = 0; index <= 10; index++) {
       servers.add("name-" + index + "$1", null);
     }
--- a/src/test/java/pearusher/control/StoredDataSite.java
+++ b/src/test/java/pearusher/control/StoredDataFixture.java
@@ -30,17 +30,17 @@
 import pearusher.store.StoreOptions;
 
 /**
- * A controller on a store directory, with a clock of its own and a policy that gives exactly the
- * commands of the test. It writes the stored test data and reads it again.
+ * A controller on a store directory, with a simulated clock and a policy that issues exactly the
+ * commands of the test. It is used both to write the stored test data and to read it.
  */
-final class StoredDataSite implements AutoCloseable {
-  /** Segments so small that a short scenario has several; no automatic compaction. */
+final class StoredDataFixture implements AutoCloseable {
+  /** Small segments, so that a short scenario has several, and no automatic compaction. */
   static final StoreOptions OPTIONS =
       new StoreOptions(StoreOptions.Policy.EACH, 0, 1500, 1 << 30, 2, StoreOptions.Damage.REFUSE);
 
   static final long MAX_TRUSTED_AGE_US = 600_000_000;
 
-  /** The server "sN" has the cell FIRST_CELL + N. */
+  /** The cell of server "s0"; server "sN" has the cell FIRST_CELL + N. */
   static final int FIRST_CELL = 10;
 
   private static final long MAX_COMMIT_DELAY_US = 30_000_000;
@@ -49,18 +49,18 @@
   private static final double REQUESTS_PER_SECOND = 2.5;
 
   /**
-   * Binds each proxy that joins, to the table of its zone or the one that it holds, and gives the
-   * commands of the test at the end of an iteration.
+   * Binds each joining proxy to the table that it retains, or else to the table of its zone, and
+   * issues the commands of the test at the end of an iteration.
    */
-  private static final class CommandedPolicy implements AssignmentPolicy {
+  private static final class TestCommandPolicy implements AssignmentPolicy {
     private final PolicyCommands commands;
     private final Queue<Consumer<PolicyCommands>> scripts = new ArrayDeque<>();
     private final Map<Long, Integer> cellByServer = new HashMap<>();
-    private final Map<Integer, Integer> tableByJoiner = new TreeMap<>();
+    private final Map<Integer, Integer> tableByJoiningProxy = new TreeMap<>();
     private final List<String> restoredTables = new ArrayList<>();
     private int lastAckNumber;
 
-    CommandedPolicy(PolicyCommands commands) {
+    TestCommandPolicy(PolicyCommands commands) {
       this.commands = commands;
     }
 
@@ -75,7 +75,7 @@
         int table,
         Map<Long, Double> weights,
         double[] levels,
-        int[] retries,
+        int[] retryModes,
         int ackNumber) {
       Map<String, Double> weightByName = new TreeMap<>();
       weights.forEach(
@@ -88,7 +88,7 @@
               + " levels "
               + Arrays.toString(levels)
               + " retries "
-              + Arrays.toString(retries)
+              + Arrays.toString(retryModes)
               + " last mark "
               + ackNumber);
       lastAckNumber = ackNumber;
@@ -97,22 +97,22 @@
     @Override
     public void onProxyJoined(
         long nowUs, int proxy, int zone, double requestsPerSecond, boolean isFresh) {
-      tableByJoiner.put(proxy, zone);
+      tableByJoiningProxy.put(proxy, zone);
     }
 
     @Override
-    public void onTableHeld(long nowUs, int proxy, int table, int missing) {
-      tableByJoiner.put(proxy, table);
+    public void onTableHeld(long nowUs, int proxy, int table, int missingLines) {
+      tableByJoiningProxy.put(proxy, table);
     }
 
     @Override
     public void onBatchEnd(long nowUs) {
-      tableByJoiner.forEach((proxy, table) -> commands.bindProxy(proxy, table, ALL_CLASSES));
-      if (!tableByJoiner.isEmpty()) {
+      tableByJoiningProxy.forEach((proxy, table) -> commands.bindProxy(proxy, table, ALL_CLASSES));
+      if (!tableByJoiningProxy.isEmpty()) {
         commands.requestAck(++lastAckNumber, false);
       }
-      tableByJoiner.clear();
-      // A request of an acknowledgement among these replaces the one above.
+      tableByJoiningProxy.clear();
+      // An acknowledgement request of the test replaces the one above.
       Consumer<PolicyCommands> script = scripts.poll();
       while (script != null) {
         script.accept(commands);
@@ -145,7 +145,7 @@
         long nowUs, int proxy, int requestClass, long requests, long failed, long spanUs) {}
   }
 
-  /** Records what it is sent. */
+  /** Records the messages that it is sent. */
   private static final class RecordingStream implements ProxyStream {
     private final List<byte[]> messages = new ArrayList<>();
 
@@ -157,25 +157,25 @@
     @Override
     public void onReplaced() {}
 
-    synchronized List<byte[]> take() {
-      List<byte[]> taken = List.copyOf(messages);
+    synchronized List<byte[]> drain() {
+      List<byte[]> drained = List.copyOf(messages);
       messages.clear();
-      return taken;
+      return drained;
     }
   }
 
   private final AtomicLong clock;
   private final DurablePublisher publisher;
   private final ManualController controller;
-  private CommandedPolicy policy;
+  private TestCommandPolicy policy;
   private final Map<Integer, RecordingStream> streams = new TreeMap<>();
 
   /**
    * Opens the store and runs the first iteration.
    *
-   * @param work an empty directory, for the configuration
+   * @param work an empty directory for the configuration file
    */
-  StoredDataSite(Path store, Path work, long nowUs) throws Exception {
+  StoredDataFixture(Path store, Path work, long nowUs) throws Exception {
     clock = new AtomicLong(nowUs);
     AssignerConfig config = new ExampleConfig().read(work);
     FileDisk disk = new FileDisk(store);
@@ -191,7 +191,7 @@
   }
 
   private AssignmentPolicy makePolicy(PolicySettings settings, PolicyCommands commands) {
-    policy = new CommandedPolicy(commands);
+    policy = new TestCommandPolicy(commands);
     return policy;
   }
 
@@ -199,9 +199,9 @@
     return "s" + (cell - FIRST_CELL);
   }
 
-  /** Lets time pass, then runs an iteration and waits until the disk is done with it. */
-  void runIteration(long passedUs) throws InterruptedException {
-    clock.addAndGet(passedUs);
+  /** Advances the clock, then runs an iteration and waits until the disk has processed it. */
+  void runIteration(long elapsedUs) throws InterruptedException {
+    clock.addAndGet(elapsedUs);
     controller.runEmptyIteration();
     awaitDisk();
   }
@@ -212,16 +212,17 @@
     }
   }
 
-  void list(long generation, boolean isComplete, List<Endpoint> servers) {
+  /** Delivers an endpoint list or a change of it. */
+  void deliverList(long generation, boolean isComplete, List<Endpoint> servers) {
     controller.onEndpointList(new EndpointList(generation, isComplete, servers), false);
   }
 
-  /** Gives commands at the end of the next iteration. */
+  /** Issues commands at the end of the next iteration. */
   void command(Consumer<PolicyCommands> script) {
     policy.scripts.add(script);
   }
 
-  /** Returns the policy's number of the server "sN". */
+  /** Returns the number by which the policy refers to the server "sN". */
   long server(int number) {
     return policy.server(number);
   }
@@ -237,25 +238,25 @@
     controller.onAcknowledgement(streams.get(proxy), new Message.Acknowledgement(proxy, number, 0));
   }
 
-  /** Returns the tables that were restored to the policy at the start, a line each. */
+  /** Returns the tables that the policy was passed at the start, one line per table. */
   List<String> restoredTables() {
     return policy.restoredTables;
   }
 
-  /** Returns what a proxy was sent since the last call: the bytes as text. */
-  List<String> takeUpdates(int proxy) {
+  /** Returns the updates that a proxy was sent since the last call, as text. */
+  List<String> drainUpdates(int proxy) {
     List<String> updates = new ArrayList<>();
-    for (byte[] message : streams.get(proxy).take()) {
+    for (byte[] message : streams.get(proxy).drain()) {
       updates.add("proxy " + proxy + ": " + describe(message));
     }
     return updates.isEmpty() ? List.of("proxy " + proxy + ": nothing") : updates;
   }
 
   /**
-   * Returns an update without a complete table byte by byte, but for the order of ejected and
-   * reinstated servers. That order, and the order of the weights of a complete table, follows the
-   * numbers that a start gives to the servers of an unordered map, which differ from process to
-   * process: there the servers are sorted.
+   * Returns an update as text. Servers are sorted in lists of ejected or reinstated servers and in
+   * complete tables, because their order depends on the server numbers. A start assigns these
+   * numbers in the order of an unordered map, which differs between processes. Updates without a
+   * complete table are otherwise returned byte by byte.
    */
   private static String describe(byte[] message) {
     String text = new String(message, StandardCharsets.UTF_8).replace("\r\n", "|");
@@ -265,12 +266,12 @@
           .collect(Collectors.joining("|"));
     }
     return DecodedUpdate.parts(message).stream()
-        .map(StoredDataSite::sorted)
+        .map(StoredDataFixture::sorted)
         .collect(Collectors.joining(" ; "));
   }
 
   private static String sorted(List<String> part) {
-    return part.stream().map(StoredDataSite::sorted).collect(Collectors.joining(" "));
+    return part.stream().map(StoredDataFixture::sorted).collect(Collectors.joining(" "));
   }
 
   private static String sorted(String commaSeparated) {
--- a/src/test/java/pearusher/control/StoredDataTest.java
+++ b/src/test/java/pearusher/control/StoredDataTest.java
@@ -14,15 +14,15 @@
 import pearusher.cli.CommandRun;
 
 /**
- * A store directory of format 1 that an earlier build wrote ({@link StoredDataWriter}): every later
- * build reads the same from it. The directory and the expected texts are committed and never
- * written again.
+ * Reads a store directory of format 1 that an earlier build wrote with {@link StoredDataWriter}.
+ * Guards against builds that read other values from an existing store. The directory and the
+ * expected texts are committed and must never be rewritten.
  */
 class StoredDataTest {
   private static final Path RESOURCES = Path.of("src", "test", "resources", "pearusher");
   private static final Path EXPECTED = RESOURCES.resolve(StoredDataWriter.EXPECTED);
 
-  /** The entry that marks a copy in its dump, with the sequence of its last record. */
+  /** The entry of a dump that marks a copy and contains the sequence of its last record. */
   private static final String COPY_MARK = "\"!copied\":\"[0-9a-f]{16}\",";
 
   @TempDir Path work;
@@ -111,7 +111,7 @@
     assertEquals(expected("dump.json"), dump(store), "the store itself is unchanged");
   }
 
-  /** Updates may have been sent after the copy was made: none of its tables is trusted. */
+  /** Updates may have been sent after the copy was made, so that none of its tables is trusted. */
   @Test
   void aControllerOnARestoredCopyRestoresNoTable() throws Exception {
     Path backup = work.resolve("backup");
@@ -122,7 +122,7 @@
 
   @Test
   void aControllerOnAStoreWhoseLastRecordIsTooOldRestoresNoTable() throws Exception {
-    long tooLateUs = StoredDataWriter.END_US + StoredDataSite.MAX_TRUSTED_AGE_US + 1_000_000;
+    long tooLateUs = StoredDataWriter.END_US + StoredDataFixture.MAX_TRUSTED_AGE_US + 1_000_000;
     assertEquals(
         expectedLines("start-of-copy.txt"), StoredDataWriter.start(store, work, tooLateUs));
   }
--- a/src/test/java/pearusher/control/StoredDataWriter.java
+++ b/src/test/java/pearusher/control/StoredDataWriter.java
@@ -23,9 +23,9 @@
 import pearusher.store.Inspection;
 
 /**
- * Writes the store directory that {@link StoredDataTest} reads, and the texts that it expects. A
- * committed directory is never written again: it represents the stores of the program that wrote
- * it. A new format of the store gets a directory of its own, with
+ * Writes the store directory that {@link StoredDataTest} reads, and the expected texts. A committed
+ * directory must never be rewritten, because it represents the stores of the build that wrote it.
+ * For a new store format, write an additional directory with
  *
  * <pre>java -cp TEST-CLASSPATH pearusher.control.StoredDataWriter EMPTY-DIRECTORY</pre>
  */
@@ -34,17 +34,17 @@
   static final String EXPECTED = "store-v1-expected";
   static final long START_US = 1_700_000_000_000_000L;
 
-  /** When the last iteration of the scenario ends. */
+  /** The end of the last iteration of the scenario. */
   static final long END_US = START_US + 60_000_000;
 
-  /** When the stored data is read: while the store is recent enough to be trusted. */
+  /** When the stored data is read; the store is still recent enough to be trusted. */
   static final long READ_US = END_US + 10_000_000;
 
   static final int NORTH = 0;
   static final int SOUTH = 1;
   static final int PROXIES = 6;
 
-  /** The names that give the stored numbers their meaning, as the ledger stores them. */
+  /** The names to which the stored numbers refer, as the ledger stores them. */
   static final String SETTINGS_FINGERPRINT = "n0 lookup,order north,south";
 
   private static final int SERVERS = 8;
@@ -62,10 +62,10 @@
     Path target = Path.of(arguments[0]);
     Path store = target.resolve(STORE);
     Path work = Files.createTempDirectory("stored-data");
-    long firstLifeEndUs = runFirstLife(store, work);
+    long firstProcessEndUs = runFirstProcess(store, work);
     CommandRun.output(0, "store", "compact", store.toString());
-    runSecondLife(store, work, firstLifeEndUs + STEP_US);
-    // Over a hundred kilobytes of zeros, and a start does not need it.
+    runSecondProcess(store, work, firstProcessEndUs + STEP_US);
+    // The file consists of over a hundred kilobytes of zeros, and a start does not need it.
     Files.deleteIfExists(store.resolve(RESERVE));
     Path expected = Files.createDirectories(target.resolve(EXPECTED));
     Files.writeString(
@@ -91,7 +91,7 @@
         number == 5 ? null : "127.0.0.1:" + (9000 + number),
         number % 2,
         number % 3 == 0 ? 1 : 0,
-        StoredDataSite.FIRST_CELL + number,
+        StoredDataFixture.FIRST_CELL + number,
         lifecycle,
         1 + number / 4.0,
         number < 4 ? 0 : START_US - number * 1_000_000L);
@@ -106,108 +106,109 @@
   }
 
   /**
-   * Three tables, admission levels, ejections, proxies that have acknowledged different updates; an
-   * orderly end.
+   * Runs a process with three tables, admission levels, ejections and proxies that have
+   * acknowledged different updates. It closes the store in order.
    *
-   * @return when it ended
+   * @return the time at which the process ended, in microseconds
    */
-  private static long runFirstLife(Path store, Path work) throws Exception {
+  private static long runFirstProcess(Path store, Path work) throws Exception {
     long endUs = START_US;
-    try (StoredDataSite site = new StoredDataSite(store, work, START_US)) {
-      site.list(100, true, servers());
-      site.runIteration(STEP_US);
-      site.command(
+    try (StoredDataFixture fixture = new StoredDataFixture(store, work, START_US)) {
+      fixture.deliverList(100, true, servers());
+      fixture.runIteration(STEP_US);
+      fixture.command(
           commands -> {
             for (int number = 0; number < SERVERS - 2; number++) {
-              commands.setWeight(NORTH, site.server(number), 1 + number / 8.0);
-              commands.setWeight(SOUTH, site.server(number), 2 - number / 8.0);
+              commands.setWeight(NORTH, fixture.server(number), 1 + number / 8.0);
+              commands.setWeight(SOUTH, fixture.server(number), 2 - number / 8.0);
             }
-            commands.setWeight(SUBSET_TABLE, site.server(7), 1);
+            commands.setWeight(SUBSET_TABLE, fixture.server(7), 1);
             commands.setAdmission(NORTH, LOOKUP_BIT, 0.75, 2);
             commands.setAdmission(SOUTH, 0, 0.5, 0);
             commands.setAdmission(SUBSET_TABLE, 0, 1, 1);
           });
       for (int proxy = 0; proxy < 4; proxy++) {
-        site.join(proxy, proxy % 2, true);
+        fixture.join(proxy, proxy % 2, true);
       }
-      site.runIteration(STEP_US);
+      fixture.runIteration(STEP_US);
       for (int proxy = 0; proxy < 3; proxy++) {
-        site.acknowledge(proxy, 1);
+        fixture.acknowledge(proxy, 1);
       }
-      site.command(
+      fixture.command(
           commands -> {
-            commands.eject(site.server(2));
-            commands.eject(site.server(4));
+            commands.eject(fixture.server(2));
+            commands.eject(fixture.server(4));
             commands.requestAck(2, false);
           });
-      site.runIteration(STEP_US);
-      site.acknowledge(0, 2);
-      site.command(
+      fixture.runIteration(STEP_US);
+      fixture.acknowledge(0, 2);
+      fixture.command(
           commands -> {
-            commands.reinstate(site.server(4));
-            commands.setWeight(SUBSET_TABLE, site.server(1), 1.25);
+            commands.reinstate(fixture.server(4));
+            commands.setWeight(SUBSET_TABLE, fixture.server(1), 1.25);
             commands.clearTable(SUBSET_TABLE);
-            commands.setWeight(SUBSET_TABLE, site.server(3), 0.5);
+            commands.setWeight(SUBSET_TABLE, fixture.server(3), 0.5);
             commands.requestAck(3, false);
           });
-      site.runIteration(STEP_US);
+      fixture.runIteration(STEP_US);
       endUs += 4 * STEP_US;
     }
     return endUs;
   }
 
   /**
-   * Proxies join again; weights, levels and the list change over several segments of the log; an
-   * orderly end.
+   * Runs a second process: proxies rejoin, and weights, levels and the endpoint list change over
+   * several segments of the log. It closes the store in order.
    */
-  private static void runSecondLife(Path store, Path work, long startUs) throws Exception {
+  private static void runSecondProcess(Path store, Path work, long startUs) throws Exception {
     long nowUs = startUs;
-    try (StoredDataSite site = new StoredDataSite(store, work, nowUs)) {
+    try (StoredDataFixture fixture = new StoredDataFixture(store, work, nowUs)) {
       for (int proxy = 0; proxy < 4; proxy++) {
-        site.join(proxy, proxy % 2, false);
+        fixture.join(proxy, proxy % 2, false);
       }
-      site.runIteration(STEP_US);
+      fixture.runIteration(STEP_US);
       nowUs += STEP_US;
       for (int round = 0; round < 24; round++) {
         int step = round;
         for (int proxy = 0; proxy < 3; proxy++) {
-          // Each proxy stops acknowledging in another round.
+          // Each proxy stops acknowledging in a different round.
           if (round < 8 * (3 - proxy)) {
-            site.acknowledge(proxy, 4 + round);
+            fixture.acknowledge(proxy, 4 + round);
           }
         }
-        site.command(
+        fixture.command(
             commands -> {
               for (int change = 0; change < 3; change++) {
-                long server = site.server((step + 2 * change) % (SERVERS - 2));
+                long server = fixture.server((step + 2 * change) % (SERVERS - 2));
                 commands.setWeight(NORTH, server, 1 + (step * 7 + change) % 16 / 16.0);
                 commands.setWeight(SOUTH, server, 2 - (step * 5 + change) % 16 / 16.0);
               }
               commands.setAdmission(NORTH, 0, 1 - step / 64.0, step % 2);
               commands.requestAck(5 + step, false);
             });
-        site.runIteration(STEP_US);
+        fixture.runIteration(STEP_US);
         nowUs += STEP_US;
       }
-      site.list(101, false, List.of(server(1, Lifecycle.DRAINING), server(7, Lifecycle.REMOVED)));
-      site.runIteration(STEP_US);
+      fixture.deliverList(
+          101, false, List.of(server(1, Lifecycle.DRAINING), server(7, Lifecycle.REMOVED)));
+      fixture.runIteration(STEP_US);
       nowUs += STEP_US;
-      site.command(
+      fixture.command(
           commands -> {
-            commands.eject(site.server(1));
-            commands.setWeight(NORTH, site.server(1), 0);
-            commands.setWeight(SOUTH, site.server(3), 0);
+            commands.eject(fixture.server(1));
+            commands.setWeight(NORTH, fixture.server(1), 0);
+            commands.setWeight(SOUTH, fixture.server(3), 0);
             commands.setAdmission(SOUTH, LOOKUP_BIT, 0.875, 1);
-            // A retry policy that a start does not restore for this class.
+            // A start does not restore this retry policy for this class.
             commands.setAdmission(SOUTH, ORDER_BIT, 0.625, 2);
             commands.requestAck(29, false);
           });
-      site.join(4, NORTH, true);
-      site.runIteration(END_US - nowUs);
+      fixture.join(4, NORTH, true);
+      fixture.runIteration(END_US - nowUs);
     }
   }
 
-  /** Returns what a ledger reads from a store, a line for each value. */
+  /** Returns the values that a ledger reads from a store, one line per value. */
   static List<String> describeLedger(Path store) throws IOException {
     Ledger ledger =
         LedgerRecovery.recover(
@@ -216,7 +217,7 @@
                 RecoveryTrust.FULL,
                 SETTINGS_FINGERPRINT,
                 READ_US,
-                StoredDataSite.MAX_TRUSTED_AGE_US,
+                StoredDataFixture.MAX_TRUSTED_AGE_US,
                 false));
     List<String> values = new ArrayList<>();
     values.add(
@@ -247,8 +248,8 @@
               }
             });
     for (int proxy = 0; proxy < PROXIES; proxy++) {
-      String lacking = describe(ledger.onProxyJoined(proxy, false).orElse(null));
-      values.add("proxy " + proxy + " lacks " + lacking);
+      String catchUp = describe(ledger.onProxyJoined(proxy, false).orElse(null));
+      values.add("proxy " + proxy + " lacks " + catchUp);
     }
     return values;
   }
@@ -280,67 +281,70 @@
         : "level " + level.probabilityOrRate() + " retry " + level.retryMode();
   }
 
-  private static String describe(CatchUp lacking) {
-    if (lacking == null) {
+  private static String describe(CatchUp catchUp) {
+    if (catchUp == null) {
       return "the whole table";
     }
     List<String> levels = new ArrayList<>();
-    new TreeMap<>(lacking.admissionLevels())
+    new TreeMap<>(catchUp.admissionLevels())
         .forEach((requestClass, level) -> levels.add(requestClass + " " + describe(level)));
     return "of table "
-        + lacking.table()
+        + catchUp.table()
         + " lines "
-        + new TreeMap<>(lacking.weights())
+        + new TreeMap<>(catchUp.weights())
         + " levels "
         + levels
         + " ejections "
-        + new TreeMap<>(lacking.ejections())
+        + new TreeMap<>(catchUp.ejections())
         + " announced "
-        + new TreeMap<>(lacking.announced())
+        + new TreeMap<>(catchUp.announced())
         + " cost "
-        + lacking.cost();
+        + catchUp.cost();
   }
 
-  /** Returns what a start restores to the policy and sends to rejoining proxies, a line each. */
+  /**
+   * Returns the tables that a start restores to the policy and the updates sent to rejoining
+   * proxies, one line each.
+   */
   static List<String> start(Path store, Path work, long nowUs) throws Exception {
-    try (StoredDataSite site = new StoredDataSite(store, work, nowUs)) {
-      return rejoin(site);
+    try (StoredDataFixture fixture = new StoredDataFixture(store, work, nowUs)) {
+      return rejoin(fixture);
     }
   }
 
   /**
-   * Returns the same, and what proxies are sent after further commands: a reinstatement and a
-   * weight.
+   * Returns the lines of {@link #start}, and the updates sent after two further commands: a
+   * reinstatement and a weight.
    */
   static List<String> startAndCommand(Path store, Path work, long nowUs) throws Exception {
-    try (StoredDataSite site = new StoredDataSite(store, work, nowUs)) {
-      List<String> lines = new ArrayList<>(rejoin(site));
-      site.command(
+    try (StoredDataFixture fixture = new StoredDataFixture(store, work, nowUs)) {
+      List<String> lines = new ArrayList<>(rejoin(fixture));
+      fixture.command(
           commands -> {
-            commands.reinstate(site.server(2));
-            commands.setWeight(NORTH, site.server(0), 0.25);
+            commands.reinstate(fixture.server(2));
+            commands.setWeight(NORTH, fixture.server(0), 0.25);
             commands.requestAck(1000, false);
           });
-      site.runIteration(STEP_US);
-      lines.addAll(takeUpdates(site));
+      fixture.runIteration(STEP_US);
+      lines.addAll(drainUpdates(fixture));
       return lines;
     }
   }
 
-  private static List<String> rejoin(StoredDataSite site) throws Exception {
-    List<String> lines = new ArrayList<>(site.restoredTables());
+  private static List<String> rejoin(StoredDataFixture fixture) throws Exception {
+    List<String> lines = new ArrayList<>(fixture.restoredTables());
     for (int proxy = 0; proxy < PROXIES; proxy++) {
-      site.join(proxy, proxy % 2, false);
+      fixture.join(proxy, proxy % 2, false);
     }
-    site.runIteration(STEP_US);
-    lines.addAll(takeUpdates(site));
+    fixture.runIteration(STEP_US);
+    lines.addAll(drainUpdates(fixture));
     return lines;
   }
 
-  private static List<String> takeUpdates(StoredDataSite site) {
+  private static List<String> drainUpdates(StoredDataFixture fixture) {
     List<String> updates = new ArrayList<>();
     for (int proxy = 0; proxy < PROXIES; proxy++) {
-      updates.addAll(site.takeUpdates(proxy));
+      updates.addAll(fixture.drainUpdates(proxy));
     }
     return updates;
   }
--- a/src/test/java/pearusher/control/UpdateChecker.java
+++ b/src/test/java/pearusher/control/UpdateChecker.java
@@ -10,37 +10,37 @@
 import pearusher.server.AppliedUpdates;
 
 /**
- * Reads the updates that proxies receive over several lives of an assigner, and finds those that
- * must not be: sent again after the proxy had acknowledged them, incomplete, with an
- * acknowledgement number that does not rise, for a server that is draining, or with an unsafe retry
- * policy. It knows the protocol and nothing of the store. Callers on several threads synchronize on
- * it.
+ * Checks the updates that proxies receive from several successive processes of an assigner. It
+ * reports updates that cannot be applied, repeat acknowledged settings, have an acknowledgement
+ * number that does not increase, leave a draining server usable, or set an unsafe retry policy. The
+ * checker depends on the protocol, but not on the store. Callers on several threads must
+ * synchronize on it.
  */
 public final class UpdateChecker {
-  /** The highest retry policy, as it is on the wire, under which no request runs twice. */
+  /** The highest retry policy number of the protocol with which no request runs twice. */
   private static final int MAX_SAFE_RETRY_POLICY = 1;
 
-  /** What is known of one proxy. */
+  /** The state of one proxy. */
   private static final class CheckedProxy {
     private final AppliedUpdates applied;
 
-    /** Settings that the proxy has acknowledged, as in {@link ReceivedPart#settings}. */
+    /** Settings that the proxy has acknowledged, in the form of {@link ReceivedPart#settings}. */
     private final Map<String, String> acknowledged = new HashMap<>();
 
-    /** Settings that it has received since. */
+    /** Settings that the proxy has received since its last acknowledgement. */
     private final Map<String, String> unacknowledged = new HashMap<>();
 
     private long acknowledgedUs = Long.MAX_VALUE;
     private boolean hasReceivedCompleteTable;
     private int lastAckNumber;
 
-    /** Whether its stream has received no update yet. */
+    /** Whether the stream has not received an update yet. */
     private boolean isJoining;
 
-    /** Whether it had the weight of some server as its stream began. */
+    /** Whether the proxy had the weight of a server when its stream started. */
     private boolean hadWeightsAtJoin;
 
-    /** Parts of an update that is not complete. */
+    /** Received parts of an update whose last part has not arrived. */
     private final List<ReceivedPart> parts = new ArrayList<>();
 
     CheckedProxy(AppliedUpdates applied) {
@@ -63,7 +63,8 @@
   private int deltasAtJoin;
 
   /**
-   * @param slackUs how long an acknowledgement or a change of the list may be under way
+   * @param slackUs the maximum time in microseconds until an acknowledgement or a list change takes
+   *     effect
    */
   public UpdateChecker(List<String> classes, Set<String> nonIdempotentClasses, long slackUs) {
     this.classes = classes;
@@ -75,32 +76,30 @@
     return proxies.computeIfAbsent(number, n -> new CheckedProxy(new AppliedUpdates(classes)));
   }
 
-  // Events.
-
   /**
-   * A stream begins.
+   * Handles the start of a stream.
    *
-   * @param killedUs when the assigner to which the proxy was connected before was killed
+   * @param killedUs when the assigner of the proxy's previous stream was killed
    */
   public void onJoined(int number, boolean isFresh, long killedUs) {
     CheckedProxy proxy = proxy(number);
     proxy.isJoining = true;
     proxy.hadWeightsAtJoin = proxy.hasWeights();
     proxy.parts.clear();
-    // What is not acknowledged by now will not be acknowledged on a later stream.
+    // Settings not acknowledged on the previous stream will not be acknowledged on a later one.
     proxy.unacknowledged.clear();
     if (isFresh || proxy.acknowledgedUs > killedUs - slackUs) {
-      // What the assigner may not have stored may be sent again.
+      // The assigner may not have stored these acknowledgements, so it may repeat the settings.
       proxy.acknowledged.clear();
     }
   }
 
-  /** The stream ended, perhaps within an update: none of its parts counts. */
+  /** Handles the end of a stream; discards the parts of an incomplete update. */
   public void onStreamClosed(int number) {
     proxy(number).parts.clear();
   }
 
-  /** The endpoint list changed the lifecycle of a server. */
+  /** Handles a change of the lifecycle of a server in the endpoint list. */
   public void onListed(String server, boolean isDraining, long nowUs) {
     if (isDraining) {
       drainingSinceUs.putIfAbsent(server, nowUs);
@@ -109,7 +108,7 @@
     }
   }
 
-  /** The proxy acknowledged all that it has received. */
+  /** Handles the acknowledgement of all settings that the proxy has received. */
   public void onAcknowledged(int number, long nowUs) {
     CheckedProxy proxy = proxy(number);
     proxy.acknowledged.putAll(proxy.unacknowledged);
@@ -117,7 +116,7 @@
     proxy.acknowledgedUs = nowUs;
   }
 
-  /** The proxy received a part of an update, given as the strings of its message. */
+  /** Handles a part of an update that the proxy received, given as the strings of its message. */
   public void onPart(int number, List<String> strings, long nowUs) {
     CheckedProxy proxy = proxy(number);
     proxy.parts.add(ReceivedPart.of(strings, classes));
@@ -150,7 +149,7 @@
     checkDraining(number, nowUs);
   }
 
-  /** Checks the first update of a stream. */
+  /** Checks the first update of a stream for settings that the proxy had acknowledged. */
   private void onFirstUpdate(
       int number, CheckedProxy proxy, Map<String, String> settings, boolean isComplete) {
     if (!isComplete) {
@@ -161,9 +160,9 @@
     }
     if (isComplete) {
       completeTablesAtRejoin++;
-      // A proxy that joins while its table is empty is bound once the table has a server again,
-      // with
-      // the complete table, which repeats nothing. Others are sent what they lack.
+      // A proxy that joins while its table is empty is bound once the table has a server again. It
+      // is sent the complete table, which repeats no setting. Other proxies are sent only the
+      // entries that they are missing.
       if (proxy.hasReceivedCompleteTable && proxy.hadWeightsAtJoin) {
         add(Kind.UNNEEDED_COMPLETE_TABLE, number, "complete table though it had acknowledged it");
       }
@@ -195,7 +194,9 @@
     proxy.lastAckNumber = ackNumber;
   }
 
-  /** Checks that the proxy cannot send to a server that has been draining for long. */
+  /**
+   * Checks that the proxy cannot send requests to a server that has been draining beyond the slack.
+   */
   public void checkDraining(int number, long nowUs) {
     CheckedProxy proxy = proxy(number);
     if (!proxy.parts.isEmpty()) {
@@ -215,34 +216,32 @@
     faults.add(UpdateFault.ofProxy(kind, number, description));
   }
 
-  // Results.
-
-  /** Returns the faults so far. */
+  /** Returns the faults found so far; the list may be modified. */
   public List<UpdateFault> faults() {
     return faults;
   }
 
-  /** Returns what a proxy has applied. */
+  /** Returns the updates that a proxy has applied. */
   public AppliedUpdates applied(int number) {
     return proxy(number).applied;
   }
 
-  /** Returns the number of complete updates. */
+  /** Returns the number of updates of which all parts were received. */
   public synchronized int updates() {
     return updates;
   }
 
-  /** Returns how often a proxy that joined again was sent a complete table it had acknowledged. */
+  /** Returns how often a rejoining proxy with acknowledged settings was sent a complete table. */
   public int completeTablesAtRejoin() {
     return completeTablesAtRejoin;
   }
 
-  /** Returns how often the first update of a stream was less than a complete table. */
+  /** Returns how often the first update of a stream was not a complete table. */
   public int deltasAtJoin() {
     return deltasAtJoin;
   }
 
-  /** Whether a proxy has received something since its last acknowledgement. */
+  /** Returns whether a proxy has received settings since its last acknowledgement. */
   boolean hasUnacknowledged(int number) {
     return !proxy(number).unacknowledged.isEmpty();
   }
--- a/src/test/java/pearusher/publish/ClassSetTest.java
+++ b/src/test/java/pearusher/publish/ClassSetTest.java
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void aDifferenceKeepsWhatTheOtherSetDoesNotContain() {
+  void aDifferenceContainsOnlyElementsThatTheOtherSetDoesNot() {
     assertEquals(ClassSet.of(3), SECOND_AND_FOURTH.minus(ClassSet.of(1).union(ClassSet.of(2))));
     assertTrue(SECOND_AND_FOURTH.minus(SECOND_AND_FOURTH).isEmpty());
   }
--- a/src/test/java/pearusher/publish/PublishedTablesFixture.java
+++ b/src/test/java/pearusher/publish/PublishedTablesFixture.java
@@ -11,15 +11,17 @@
 import pearusher.policy.AdmissionLevel;
 import pearusher.server.AppliedUpdates;
 
-/** Published tables whose updates are applied to proxies at the end of each iteration. */
+/**
+ * Published tables, with simulated proxies that apply their updates at the end of each iteration.
+ */
 final class PublishedTablesFixture {
-  /** The time of every iteration. */
+  /** The time of every iteration, in microseconds. */
   static final long NOW_US = 1_000_000;
 
   private static final List<String> CLASSES = List.of("read", "write", "list");
 
-  /** Servers below this number are suspected to be ejected at unconfirmed proxies. */
-  private static final int SUSPECTED_SERVERS = 9;
+  /** Servers with a number below this are suspected at unconfirmed proxies. */
+  private static final int SUSPECTED_SERVER_COUNT = 9;
 
   final PublishedTables tables = new PublishedTables(CLASSES, number -> "s" + number);
   private final Map<Integer, AppliedUpdates> proxies = new TreeMap<>();
@@ -27,7 +29,8 @@
   private final Map<Integer, List<List<String>>> lastUpdates = new TreeMap<>();
 
   PublishedTablesFixture() {
-    LongStream.range(0, SUSPECTED_SERVERS).forEach(server -> tables.suspectEjection(server, false));
+    LongStream.range(0, SUSPECTED_SERVER_COUNT)
+        .forEach(server -> tables.suspectEjection(server, false));
   }
 
   AppliedUpdates join(int proxy) {
@@ -50,13 +53,14 @@
     tables.setAdmission(table, tables.classes(classBits), new AdmissionLevel(level, retry));
   }
 
-  /** Ends the iteration: each proxy applies its update, of which there may be one. */
+  /** Ends the iteration; each proxy applies its update and must not receive more than one. */
   void publish() {
     lastUpdates.clear();
     Map<Integer, byte[]> sent = new TreeMap<>();
     tables.publish(
         NOW_US,
-        (proxy, message) -> assertNull(sent.put(proxy, message), "two updates in an iteration"));
+        (proxy, message) ->
+            assertNull(sent.put(proxy, message), "proxy was sent two updates in one iteration"));
     for (Map.Entry<Integer, byte[]> entry : sent.entrySet()) {
       apply(entry.getKey(), entry.getValue());
     }
@@ -70,12 +74,12 @@
     assertEquals(List.of(), proxies.get(proxy).faults);
   }
 
-  /** Returns the parts that a proxy was sent in the last iteration, or null if it was sent none. */
+  /** Returns the parts that a proxy was sent in the last iteration, or null if none were sent. */
   List<List<String>> lastUpdate(int proxy) {
     return lastUpdates.get(proxy);
   }
 
-  /** Returns the number of updates by proxy, of those that were sent any. */
+  /** Returns the number of updates by proxy; proxies that were sent none are absent. */
   Map<Integer, Integer> updateCounts() {
     return updateCounts;
   }
