--- a/src/main/java/pearusher/control/StreamMembership.java
+++ b/src/main/java/pearusher/control/StreamMembership.java
@@ -48,10 +48,10 @@
   }
 
   /**
-   * Adds the stream of a joining proxy, or closes it if a newer stream of the proxy exists. Joins
-   * may be read in a different order than their connections were accepted: a proxy that is
-   * disconnected right after it joined reconnects, and both connections may become readable at
-   * once. The older stream must not replace the newer one.
+   * Adds the stream of a joining proxy, unless a newer stream of the proxy exists. Joins may be
+   * read in a different order than their connections were accepted: a proxy that is disconnected
+   * right after it joined reconnects, and both connections may become readable at once. The older
+   * stream must not replace the newer one.
    */
   void onProxyJoined(ProxyStream stream, Message.ProxyJoin join) {
     int proxy = join.proxy();
