--- a/src/main/java/pearusher/recovery/AdmissionEntry.java
+++ b/src/main/java/pearusher/recovery/AdmissionEntry.java
@@ -3,7 +3,7 @@
 import pearusher.policy.AdmissionLevel;
 
 /**
- * A table's admission level for one request class.
+ * The admission level of a table for one request class.
  *
  * @param iteration the event-loop iteration that set it
  */
--- a/src/main/java/pearusher/recovery/CatchUp.java
+++ b/src/main/java/pearusher/recovery/CatchUp.java
@@ -4,14 +4,15 @@
 import pearusher.policy.AdmissionLevel;
 
 /**
- * What a proxy that joins lacks of its table. It holds everything else as it was last ordered.
+ * The missing entries of a rejoining proxy's table. The proxy already has all other entries as they
+ * were last issued.
  *
- * @param table the table that the proxy follows
- * @param weights by server, 0: take the server out
- * @param admissionLevels by request class
- * @param ejections servers that the proxy must be notified of: ejected (true) or reinstated
- * @param announced servers that the proxy was notified of before, or may have been: ejected (true)
- *     or not
+ * @param table number of the table that the proxy follows
+ * @param weights missing weights by server; 0 removes the server
+ * @param admissionLevels missing admission levels by request class
+ * @param ejections missing ejection states by server: ejected (true) or reinstated (false)
+ * @param announced ejection states by server of which the proxy was, or may have been, notified
+ *     before: ejected (true) or not (false)
  */
 public record CatchUp(
     int table,
@@ -20,7 +21,7 @@
     Map<String, Boolean> ejections,
     Map<String, Boolean> announced) {
 
-  /** How many entries the update holds that carries it. */
+  /** Returns the number of entries in the update that transmits the missing entries. */
   public int cost() {
     return weights.size() + admissionLevels.size() + ejections.size();
   }
--- a/src/main/java/pearusher/recovery/CatchUpBuilder.java
+++ b/src/main/java/pearusher/recovery/CatchUpBuilder.java
@@ -7,8 +7,8 @@
 import pearusher.policy.AdmissionLevel;
 
 /**
- * Computes what a proxy lacks of its table since the iteration that it last acknowledged. An
- * instance serves one proxy once.
+ * Computes the entries of a proxy's table that were issued after the last iteration that the proxy
+ * acknowledged. An instance is used once.
  */
 final class CatchUpBuilder {
   private final LedgerState state;
@@ -24,18 +24,21 @@
     table = state.table(proxy.table());
   }
 
-  /** What the proxy lacks; empty where that is not known and it needs the complete table. */
+  /**
+   * Returns the missing entries of a proxy's table; empty if the stored history does not reach back
+   * far enough, so that the proxy needs the complete table.
+   */
   static Optional<CatchUp> build(LedgerState state, ProxyEntry proxy) {
     CatchUpBuilder builder = new CatchUpBuilder(state, proxy);
-    return builder.isHistoryKnown() ? Optional.of(builder.build()) : Optional.empty();
+    return builder.isHistoryAvailable() ? Optional.of(builder.build()) : Optional.empty();
   }
 
-  private boolean isHistoryKnown() {
+  private boolean isHistoryAvailable() {
     long acknowledged = proxy.acknowledgedIteration();
     return acknowledged >= proxy.completeIteration() && acknowledged >= table.historyStart;
   }
 
-  private boolean isMissing(long iteration) {
+  private boolean isUnacknowledged(long iteration) {
     return iteration > proxy.acknowledgedIteration();
   }
 
@@ -46,10 +49,10 @@
     return new CatchUp(proxy.table(), weights, missingAdmissionLevels(), ejections, announced);
   }
 
-  /** A weight entry is always sent together with the ejection state of its server. */
+  /** Adds a missing weight, and the ejection state of its server: an update contains both. */
   private void addWeight(String server, WeightEntry entry) {
     EjectionEntry ejection = state.ejections.get(server);
-    if (isMissing(entry.iteration())) {
+    if (isUnacknowledged(entry.iteration())) {
       weights.put(server, entry.weight());
       if (entry.isListed() && ejection != null) {
         ejections.put(server, ejection.isEjected());
@@ -63,7 +66,7 @@
     if (!table.weights.containsKey(server)) {
       return;
     }
-    if (isMissing(ejection.iteration())) {
+    if (isUnacknowledged(ejection.iteration())) {
       ejections.put(server, ejection.isEjected());
     } else if (ejection.isEjected()) {
       announced.put(server, true);
@@ -74,7 +77,7 @@
     Map<Integer, AdmissionLevel> levels = new TreeMap<>();
     table.admissions.forEach(
         (requestClass, entry) -> {
-          if (isMissing(entry.iteration())) {
+          if (isUnacknowledged(entry.iteration())) {
             levels.put(requestClass, entry.level());
           }
         });
--- a/src/main/java/pearusher/recovery/EjectionEntry.java
+++ b/src/main/java/pearusher/recovery/EjectionEntry.java
@@ -1,9 +1,10 @@
 package pearusher.recovery;
 
 /**
- * A server that was ejected, and perhaps reinstated since.
+ * The ejection state of a server.
  *
- * @param iteration the event-loop iteration that changed it
- * @param timeUs Unix time in microseconds of the change
+ * @param isEjected whether the server is ejected; false if it was reinstated
+ * @param iteration the event-loop iteration that changed the state
+ * @param timeUs Unix time of the change in microseconds
  */
 record EjectionEntry(boolean isEjected, long iteration, long timeUs) {}
--- a/src/main/java/pearusher/recovery/Ledger.java
+++ b/src/main/java/pearusher/recovery/Ledger.java
@@ -13,23 +13,28 @@
 import pearusher.policy.Lifecycle;
 
 /**
- * The commands that this assigner has issued and what proxies have acknowledged of them, in the
- * form that is made durable: weights and admission levels of each table, ejections, the table that
- * each proxy follows, and the endpoint list. Each entry carries the event-loop iteration that set
- * it, so what a proxy lacks since an iteration is known without keeping old tables.
+ * The durable record of the commands that this assigner has issued and of the acknowledgements of
+ * proxies: weights and admission levels of each table, ejections, the table that each proxy
+ * follows, and the endpoint list. Each entry contains the event-loop iteration that set it. The
+ * entries that a proxy is missing since an iteration can therefore be computed without storing old
+ * tables.
  *
- * <p>One thread calls it. The changes of an iteration become durable together or not at all. It
- * grows as {@link LedgerState} and {@link OutstandingAcks} do.
+ * <p>One thread calls it. The changes of an iteration become durable together or not at all. Memory
+ * grows with the tables and their entries, the servers, the proxies and their unacknowledged
+ * requests.
  */
 public final class Ledger {
   private final LedgerState state;
   private final OutstandingAcks outstandingAcks = new OutstandingAcks();
-  private final LedgerIteration current = new LedgerIteration();
+  private final LedgerIteration currentIteration = new LedgerIteration();
   private final RecoveryTrust trust;
-  private final String siteNames;
+  private final String configuredNames;
 
-  /** Whether a proxy that left may have followed another assigner, and hold its tables now. */
-  private final boolean isFleetShared;
+  /**
+   * Whether there are other assigners. A proxy that left may then have followed one of them, and
+   * now have its tables.
+   */
+  private final boolean hasOtherAssigners;
 
   private final long epoch;
   private long iteration;
@@ -37,82 +42,81 @@
   private int lastAckNumber;
 
   /**
-   * The ledger of a start.
+   * Creates the ledger of a new process.
    *
-   * @param stored the header of the last record of earlier processes
+   * @param stored the header of the last record that an earlier process wrote
    */
   Ledger(
       LedgerHeader stored, RecoveryTrust trust, LedgerState state, RecoveryConditions conditions) {
     this.trust = trust;
     this.state = state;
-    siteNames = conditions.siteNames();
-    isFleetShared = conditions.isFleetShared();
+    configuredNames = conditions.configuredNames();
+    hasOtherAssigners = conditions.hasOtherAssigners();
     epoch = stored.epoch() + 1;
     iteration = stored.iteration();
     timeUs = stored.timeUs();
     lastAckNumber = stored.lastAckNumber();
   }
 
-  /** Deletes stored values that this ledger has not taken over. */
-  void discard(Collection<LedgerKey> keys) {
-    keys.forEach(current::addChange);
+  /** Deletes stored values that were not loaded into this ledger, with its first record. */
+  void deleteStored(Collection<LedgerKey> keys) {
+    keys.forEach(currentIteration::addChange);
   }
 
-  // What was recovered.
-
+  /** Returns how far the stored values were trusted when the ledger was recovered. */
   public RecoveryTrust trust() {
     return trust;
   }
 
-  /** The number of this process: one more with each start. */
+  /** Returns the number of this process, which increases by one with each start. */
   public long epoch() {
     return epoch;
   }
 
-  /** The number of the last event-loop iteration that issued a command. */
+  /** Returns the number of the last event-loop iteration that issued a command. */
   public long iteration() {
     return iteration;
   }
 
   /**
-   * The number of the last acknowledgement that was requested, by an earlier process perhaps; later
-   * requests must have higher ones.
+   * Returns the number of the last acknowledgement that this or an earlier process requested. Later
+   * requests must have higher numbers.
    */
   public int lastAckNumber() {
     return lastAckNumber;
   }
 
-  /** The generation of the endpoint list. */
+  /** Returns the generation of the endpoint list. */
   public long generation() {
     return state.listGeneration;
   }
 
-  /** The servers of the endpoint list by name. */
+  /** Returns the servers of the endpoint list by name. */
   public Map<String, ListedServer> servers() {
     return Map.copyOf(state.servers);
   }
 
-  /** The numbers of all tables. */
+  /** Returns the numbers of all tables. */
   public Set<Integer> tables() {
     return Set.copyOf(state.tables.keySet());
   }
 
-  /** A table's weights by server, without servers that were taken out. */
+  /** Returns the weights of a table by server, without removed servers. */
   public Map<String, Double> weights(int table) {
     return state.table(table).listedWeights();
   }
 
   /**
-   * A table's admission levels by request class, with retries limited to what is safe for the
-   * class.
+   * Returns the admission levels of a table by request class, with retry modes limited to those
+   * that are safe for the class.
    *
-   * @param idempotencies by request class
+   * @param idempotencies idempotency of each request class
    */
   public Map<Integer, AdmissionLevel> admissionLevels(int table, List<Idempotency> idempotencies) {
-    return state.table(table).safeAdmissionLevels(idempotencies);
+    return state.table(table).admissionLevelsWithSafeRetries(idempotencies);
   }
 
-  /** The names of the servers that are ejected. */
+  /** Returns the names of the ejected servers. */
   public Set<String> ejectedServers() {
     Set<String> ejected = new HashSet<>();
     state.ejections.forEach(
@@ -124,34 +128,35 @@
     return ejected;
   }
 
-  // Events.
-
   /**
-   * A proxy has joined.
+   * Handles a proxy that has joined.
    *
-   * @param isFresh the proxy says that it holds no table
-   * @return what it lacks of the table that it holds; empty where it needs the complete table
+   * @param isFresh whether the proxy reports that it has no table
+   * @return the missing entries of the proxy's table; empty if it needs the complete table
    */
   public Optional<CatchUp> onProxyJoined(int proxy, boolean isFresh) {
-    outstandingAcks.forget(proxy);
+    outstandingAcks.removeProxy(proxy);
     ProxyEntry entry = state.proxies.get(proxy);
     if (entry == null) {
       return Optional.empty();
     }
-    if (isFresh || isFleetShared) {
+    if (isFresh || hasOtherAssigners) {
       state.proxies.remove(proxy);
-      current.addChange(LedgerKey.ofProxy(proxy));
+      currentIteration.addChange(LedgerKey.ofProxy(proxy));
       return Optional.empty();
     }
     return CatchUpBuilder.build(state, entry);
   }
 
-  /** A proxy has left: acknowledgements that it owes will not arrive. */
+  /** Handles a proxy that has left. Its outstanding acknowledgements will not arrive. */
   public void onProxyLeft(int proxy) {
-    outstandingAcks.forget(proxy);
+    outstandingAcks.removeProxy(proxy);
   }
 
-  /** A proxy has acknowledged a request and all before it; one that it was not sent is ignored. */
+  /**
+   * Handles the acknowledgement of a request and all earlier ones. The acknowledgement of a request
+   * that was not sent to the proxy is ignored.
+   */
   public void onAcknowledgement(int proxy, int number) {
     ProxyEntry entry = state.proxies.get(proxy);
     if (entry == null) {
@@ -162,13 +167,16 @@
       state.proxies.put(
           proxy,
           new ProxyEntry(entry.table(), entry.completeIteration(), acknowledged.getAsLong()));
-      current.addChange(LedgerKey.ofProxy(proxy));
+      currentIteration.addChange(LedgerKey.ofProxy(proxy));
     }
   }
 
   /**
-   * A start has merged its endpoint list. Servers that it does not name are taken out of all
-   * tables, and ready ones are reinstated, so that proxies which hold something else are notified.
+   * Handles the endpoint list that a start has merged. Servers that are not on the list are removed
+   * from all tables, and ready servers are reinstated. Proxies with a different state are thereby
+   * notified.
+   *
+   * @param nowUs Unix time in microseconds
    */
   public void onListRecovered(Iterable<ListedServer> servers, long nowUs) {
     Set<String> listed = new HashSet<>();
@@ -187,13 +195,13 @@
     unlisted.addAll(state.servers.keySet());
     unlisted.removeAll(listed);
     unlisted.forEach(this::forgetServer);
-    current.addCommand();
+    currentIteration.addCommand();
   }
 
   /**
-   * The endpoint list has changed.
+   * Handles a change of the endpoint list.
    *
-   * @param isComplete whether servers that are not named are removed
+   * @param isComplete whether the list is complete, so that all other servers are removed
    */
   public void onEndpointList(long generation, boolean isComplete, List<ListedServer> servers) {
     if (isComplete) {
@@ -201,11 +209,11 @@
     }
     if (generation != state.listGeneration) {
       state.listGeneration = generation;
-      current.addChange(LedgerKey.LIST_GENERATION);
+      currentIteration.addChange(LedgerKey.LIST_GENERATION);
     }
     for (ListedServer server : servers) {
       if (!server.equals(state.servers.put(server.name(), server))) {
-        current.addChange(LedgerKey.ofServer(server.name()));
+        currentIteration.addChange(LedgerKey.ofServer(server.name()));
       }
     }
   }
@@ -214,31 +222,29 @@
     Set<String> missing = new HashSet<>(state.servers.keySet());
     listed.forEach(server -> missing.remove(server.name()));
     state.servers.keySet().removeAll(missing);
-    missing.forEach(server -> current.addChange(LedgerKey.ofServer(server)));
+    missing.forEach(server -> currentIteration.addChange(LedgerKey.ofServer(server)));
   }
 
-  /** Forgets a server that was removed from the endpoint list. */
+  /** Deletes the endpoint and the ejection state of a server that left the endpoint list. */
   public void forgetServer(String server) {
     if (state.servers.remove(server) != null) {
-      current.addChange(LedgerKey.ofServer(server));
+      currentIteration.addChange(LedgerKey.ofServer(server));
     }
     if (state.ejections.remove(server) != null) {
-      current.addChange(LedgerKey.ofEjection(server));
+      currentIteration.addChange(LedgerKey.ofEjection(server));
     }
   }
 
-  // Commands.
-
-  /** Sets the weight of a server in a table; 0 takes it out. */
+  /** Sets the weight of a server in a table; 0 removes the server from the table. */
   public void setWeight(int table, String server, double weight) {
     Map<String, WeightEntry> weights = state.table(table).weights;
     if (weight > 0 || weights.containsKey(server)) {
       weights.put(server, new WeightEntry(Math.max(0, weight), iteration + 1));
-      current.addCommand(LedgerKey.ofWeight(table, server));
+      currentIteration.addCommand(LedgerKey.ofWeight(table, server));
     }
   }
 
-  /** Takes all servers and admission levels out of a table. */
+  /** Removes all servers and admission levels from a table. */
   public void clearTable(int number) {
     weights(number).keySet().forEach(server -> setWeight(number, server, 0));
     LedgerTable table = state.table(number);
@@ -246,102 +252,113 @@
         .admissions
         .keySet()
         .forEach(
-            requestClass -> current.addChange(LedgerKey.ofAdmissionLevel(number, requestClass)));
+            requestClass ->
+                currentIteration.addChange(LedgerKey.ofAdmissionLevel(number, requestClass)));
     table.admissions.clear();
-    // No update says that an admission level is gone: proxies need the complete table.
+    // Updates can't express the removal of an admission level, so proxies need the complete table.
     setHistoryStart(number, table, iteration + 1);
-    current.addCommand();
+    currentIteration.addCommand();
   }
 
   private void setHistoryStart(int number, LedgerTable table, long start) {
     table.historyStart = start;
-    current.addChange(LedgerKey.ofHistoryStart(number));
+    currentIteration.addChange(LedgerKey.ofHistoryStart(number));
   }
 
-  /** Ejects or reinstates a server; no change where it is in that state already. */
+  /**
+   * Ejects or reinstates a server, unless it is already in that state.
+   *
+   * @param nowUs Unix time in microseconds
+   */
   public void setEjected(String server, boolean isEjected, long nowUs) {
     EjectionEntry old = state.ejections.get(server);
     if (old != null && old.isEjected() == isEjected) {
       return;
     }
     state.ejections.put(server, new EjectionEntry(isEjected, iteration + 1, nowUs));
-    current.addCommand(LedgerKey.ofEjection(server));
+    currentIteration.addCommand(LedgerKey.ofEjection(server));
   }
 
   /**
    * Binds a proxy to one table for all request classes.
    *
-   * @param isSentComplete whether it is sent the complete table
+   * @param isCompleteTableSent whether the proxy is sent the complete table
    */
-  public void bindProxy(int proxy, int table, boolean isSentComplete) {
+  public void bindProxy(int proxy, int table, boolean isCompleteTableSent) {
     ProxyEntry old = state.proxies.get(proxy);
-    if (isSentComplete || old == null) {
+    if (isCompleteTableSent || old == null) {
       state.proxies.put(proxy, new ProxyEntry(table, iteration + 1, 0));
     }
-    current.addCommand(LedgerKey.ofProxy(proxy));
+    currentIteration.addCommand(LedgerKey.ofProxy(proxy));
   }
 
-  /** A proxy follows several tables, which the ledger does not track: it gets complete ones. */
+  /**
+   * Deletes the binding of a proxy that follows several tables. The ledger does not track several
+   * tables, so such a proxy needs complete tables when it rejoins.
+   */
   public void unbindProxy(int proxy) {
     state.proxies.remove(proxy);
-    current.addChange(LedgerKey.ofProxy(proxy));
+    currentIteration.addChange(LedgerKey.ofProxy(proxy));
   }
 
-  /** Sets a table's admission level for one request class. */
+  /** Sets the admission level of a table for one request class. */
   public void setAdmission(int table, int requestClass, AdmissionLevel level) {
     state.table(table).admissions.put(requestClass, new AdmissionEntry(level, iteration + 1));
-    current.addCommand(LedgerKey.ofAdmissionLevel(table, requestClass));
+    currentIteration.addCommand(LedgerKey.ofAdmissionLevel(table, requestClass));
   }
 
-  /** The messages of this iteration request an acknowledgement. */
+  /** Records that the messages of this iteration request an acknowledgement. */
   public void requestAck(int number) {
     lastAckNumber = number;
-    current.addAckRequest(number);
+    currentIteration.addAckRequest(number);
   }
 
-  // The end of an iteration.
-
-  /** A message of this iteration is sent to a proxy. */
+  /** Records that a message of this iteration is sent to a proxy. */
   public void onMessageSent(int proxy) {
-    current.addRecipient(proxy);
+    currentIteration.addRecipient(proxy);
   }
 
-  /** Makes this iteration store a record even if nothing changed, as proof of a running process. */
+  /**
+   * Makes this iteration store a record even if nothing changed. The time in the record shows that
+   * the process was still running.
+   */
   public void requestHeartbeat() {
-    current.requestHeartbeat();
+    currentIteration.requestHeartbeat();
   }
 
   /**
    * Ends the iteration.
    *
-   * @return what is to be made durable; empty for nothing
+   * @param nowUs Unix time in microseconds
+   * @return the changes to make durable; empty if there are none
    */
   public Optional<LedgerChanges> endIteration(long nowUs) {
-    if (current.hasCommands()) {
+    if (currentIteration.hasCommands()) {
       iteration++;
-      current.requestedAck().ifPresent(this::addOutstandingAcks);
+      currentIteration.requestedAck().ifPresent(this::addOutstandingAcks);
     }
-    if (!current.isRecordDue()) {
-      current.clear();
+    if (!currentIteration.isRecordDue()) {
+      currentIteration.clear();
       return Optional.empty();
     }
     pruneTables();
     timeUs = Math.max(timeUs, nowUs);
     LedgerChanges changes = collectChanges();
-    current.clear();
+    currentIteration.clear();
     return Optional.of(changes);
   }
 
   private void addOutstandingAcks(int number) {
-    current.recipients().forEach(proxy -> outstandingAcks.add(proxy, number, iteration));
+    currentIteration.recipients().forEach(proxy -> outstandingAcks.add(proxy, number, iteration));
   }
 
   private LedgerChanges collectChanges() {
     List<LedgerChanges.Change> changes = new ArrayList<>();
-    for (LedgerKey key : current.changedKeys()) {
+    for (LedgerKey key : currentIteration.changedKeys()) {
       changes.add(new LedgerChanges.Change(key.text(), state.encodedValue(key)));
     }
-    LedgerHeader header = new LedgerHeader(epoch, iteration, timeUs, lastAckNumber, siteNames);
+    LedgerHeader header =
+        new LedgerHeader(epoch, iteration, timeUs, lastAckNumber, configuredNames);
     changes.add(
         new LedgerChanges.Change(LedgerKey.HEADER.text(), Optional.of(LedgerCodec.encode(header))));
     return new LedgerChanges(changes);
@@ -357,9 +374,9 @@
   }
 
   /**
-   * Drops entries of servers that were taken out, once all proxies of the table have acknowledged
-   * that or the entries are too many. In the second case, proxies that lag behind will get the
-   * complete table.
+   * Drops the entries of removed servers that all proxies of the table have acknowledged, and the
+   * older half of them in any case. Proxies that have not acknowledged the entries of that half
+   * need the complete table when they rejoin.
    */
   private void prune(int number, LedgerTable table) {
     long acknowledgedByAll =
@@ -373,7 +390,7 @@
       setHistoryStart(number, table, Math.max(table.historyStart, limit));
     }
     for (String server : table.prune(limit)) {
-      current.addChange(LedgerKey.ofWeight(number, server));
+      currentIteration.addChange(LedgerKey.ofWeight(number, server));
     }
   }
 }
--- a/src/main/java/pearusher/recovery/LedgerChanges.java
+++ b/src/main/java/pearusher/recovery/LedgerChanges.java
@@ -8,18 +8,18 @@
 /**
  * The changes of one event-loop iteration, which become durable together or not at all.
  *
- * @param changes in the order in which the keys were first changed; the header is the last
+ * @param changes in the order in which their keys were first changed, with the header last
  */
 public record LedgerChanges(List<Change> changes) {
 
   /**
    * The new value of a key.
    *
-   * @param value empty: the key is deleted
+   * @param value the new value; empty if the key is deleted
    */
   public record Change(String key, Optional<byte[]> value) {}
 
-  /** Calls one of two methods for each change, in order. */
+  /** Calls {@code put} or {@code delete} for each change, in order. */
   public void forEach(BiConsumer<String, byte[]> put, Consumer<String> delete) {
     for (Change change : changes) {
       change
--- a/src/main/java/pearusher/recovery/LedgerCodec.java
+++ b/src/main/java/pearusher/recovery/LedgerCodec.java
@@ -21,7 +21,7 @@
     T readFrom(DataInputStream input) throws IOException;
   }
 
-  private static final int USUAL_VALUE_BYTES = 32;
+  private static final int TYPICAL_VALUE_BYTES = 32;
 
   private LedgerCodec() {}
 
@@ -34,14 +34,15 @@
     try (DataInputStream input = new DataInputStream(new ByteArrayInputStream(bytes))) {
       T value = reader.readFrom(input);
       if (input.available() > 0) {
-        throw new IOException(input.available() + " bytes too many");
+        throw new IOException(
+            "stored value is too long: " + input.available() + " bytes after the last field");
       }
       return value;
     }
   }
 
   private static byte[] encode(FieldWriter writer) {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_VALUE_BYTES);
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream(TYPICAL_VALUE_BYTES);
     try (DataOutputStream output = new DataOutputStream(bytes)) {
       writer.writeTo(output);
     } catch (IOException e) {
@@ -61,7 +62,7 @@
           output.writeLong(header.iteration());
           output.writeLong(header.timeUs());
           output.writeInt(header.lastAckNumber());
-          output.writeUTF(header.siteNames());
+          output.writeUTF(header.configuredNames());
         });
   }
 
@@ -122,7 +123,7 @@
     return new ProxyEntry(input.readInt(), input.readLong(), input.readLong());
   }
 
-  // The order of the lifecycle states is part of the stored format: new ones go to the end.
+  // The ordinals of the lifecycle states are part of the stored format: append new states only.
   @SuppressWarnings("EnumOrdinal")
   static byte[] encode(ListedServer server) {
     return encode(
@@ -156,12 +157,12 @@
         input.readLong());
   }
 
-  // As above: the order of the lifecycle states is part of the stored format.
+  // The ordinals of the lifecycle states are part of the stored format.
   @SuppressWarnings("EnumOrdinal")
   private static Lifecycle readLifecycle(DataInputStream input) throws IOException {
     int ordinal = input.readByte();
     if (ordinal < 0 || ordinal >= Lifecycle.values().length) {
-      throw new IOException("no state " + ordinal);
+      throw new IOException("unknown lifecycle state " + ordinal);
     }
     return Lifecycle.values()[ordinal];
   }
--- a/src/main/java/pearusher/recovery/LedgerIteration.java
+++ b/src/main/java/pearusher/recovery/LedgerIteration.java
@@ -6,12 +6,12 @@
 import java.util.Set;
 
 /**
- * What the current event-loop iteration has done so far: changed keys, commands, recipients of its
- * messages. Owned by the ledger's thread; cleared with each iteration. It grows with the changes of
- * an iteration.
+ * The changed keys, commands and message recipients of the current event-loop iteration. Owned by
+ * the ledger's thread and cleared after each iteration. Memory grows with the changes of an
+ * iteration.
  */
 final class LedgerIteration {
-  /** In the order of the first change. */
+  /** The changed keys in the order of their first changes. */
   private final Set<LedgerKey> changedKeys = new LinkedHashSet<>();
 
   private final Set<Integer> recipients = new HashSet<>();
@@ -23,13 +23,13 @@
     changedKeys.add(key);
   }
 
-  /** A command changed a value. */
+  /** Adds a command that changed the value of a key. */
   void addCommand(LedgerKey key) {
     changedKeys.add(key);
     hasCommands = true;
   }
 
-  /** A command was issued that changes no value but those of the header. */
+  /** Adds a command that changes only the header. */
   void addCommand() {
     hasCommands = true;
   }
@@ -51,12 +51,12 @@
     return changedKeys;
   }
 
-  /** The proxies that this iteration sends messages to. */
+  /** Returns the proxies to which this iteration sends messages. */
   Set<Integer> recipients() {
     return recipients;
   }
 
-  /** The acknowledgement that this iteration's messages request. */
+  /** Returns the number of the acknowledgement that the messages of this iteration request. */
   OptionalInt requestedAck() {
     return requestedAck;
   }
@@ -65,7 +65,7 @@
     return hasCommands;
   }
 
-  /** Whether something is to be stored. */
+  /** Returns whether the iteration must store a record. */
   boolean isRecordDue() {
     return !changedKeys.isEmpty() || hasCommands || isHeartbeatDue;
   }
--- a/src/main/java/pearusher/recovery/LedgerKey.java
+++ b/src/main/java/pearusher/recovery/LedgerKey.java
@@ -3,14 +3,15 @@
 /**
  * A key of the stored ledger, as docs/store.md specifies it.
  *
- * @param kind what the key names
- * @param table the table's number, of the kinds of a table; else 0
- * @param name what tells keys of a kind apart: a server's name, the number of a proxy or request
- *     class; of an unknown key its text, of an unknown key of a table what follows the number
+ * @param kind the kind of the entry that the key identifies
+ * @param table number of the table for the kinds that belong to a table, otherwise 0
+ * @param name identifies a key within its kind: the name of a server, or the number of a proxy or
+ *     request class; for an unknown key its complete text, and for an unknown key of a table the
+ *     text after the table's number
  */
 record LedgerKey(Kind kind, int table, String name) {
 
-  /** What a key names. */
+  /** The kind of the entry that a key identifies. */
   enum Kind {
     HEADER,
     LIST_GENERATION,
@@ -20,7 +21,7 @@
     WEIGHT,
     ADMISSION_LEVEL,
     HISTORY_START,
-    UNKNOWN_OF_TABLE,
+    UNKNOWN_TABLE_KEY,
     UNKNOWN
   }
 
@@ -62,10 +63,11 @@
   }
 
   /**
-   * Reads a stored key. A key that a later program may have added is of an unknown kind.
+   * Parses a stored key. A key that is not listed here, such as one that a later version has added,
+   * is of an unknown kind.
    *
-   * @throws NumberFormatException if the key of a table names no number
-   * @throws StringIndexOutOfBoundsException if the key of a table ends with its number
+   * @throws NumberFormatException if the key of a table contains no valid table number
+   * @throws StringIndexOutOfBoundsException if the key of a table has no separator after the number
    */
   static LedgerKey parse(String text) {
     if (text.equals(HEADER_TEXT)) {
@@ -75,7 +77,7 @@
       return LIST_GENERATION;
     }
     if (text.startsWith(TABLE_PREFIX)) {
-      return parseKeyOfTable(text);
+      return parseTableKey(text);
     }
     if (text.startsWith(EJECTION_PREFIX)) {
       return ofEjection(text.substring(EJECTION_PREFIX.length()));
@@ -89,8 +91,8 @@
     return new LedgerKey(Kind.UNKNOWN, 0, text);
   }
 
-  /** As {@link #parse}, but a key that can't be read is of an unknown kind. */
-  static LedgerKey parseLeniently(String text) {
+  /** Parses a stored key. An unknown or malformed key is of an unknown kind. */
+  static LedgerKey parseOrUnknown(String text) {
     try {
       return parse(text);
     } catch (NumberFormatException | StringIndexOutOfBoundsException e) {
@@ -98,7 +100,7 @@
     }
   }
 
-  private static LedgerKey parseKeyOfTable(String text) {
+  private static LedgerKey parseTableKey(String text) {
     int endOfNumber = text.indexOf('/', TABLE_PREFIX.length());
     int table = Integer.parseInt(text.substring(TABLE_PREFIX.length(), endOfNumber));
     String rest = text.substring(endOfNumber);
@@ -112,15 +114,15 @@
     if (rest.equals(HISTORY_START_SUFFIX)) {
       return ofHistoryStart(table);
     }
-    return new LedgerKey(Kind.UNKNOWN_OF_TABLE, table, rest);
+    return new LedgerKey(Kind.UNKNOWN_TABLE_KEY, table, rest);
   }
 
-  /** The number of the proxy or request class that the key names. */
+  /** Returns the number of the proxy or request class that the key identifies. */
   int number() {
     return Integer.parseInt(name);
   }
 
-  /** The key as it is stored. */
+  /** Returns the stored form of the key. */
   String text() {
     return switch (kind) {
       case HEADER -> HEADER_TEXT;
@@ -131,7 +133,7 @@
       case WEIGHT -> TABLE_PREFIX + table + WEIGHT_INFIX + name;
       case ADMISSION_LEVEL -> TABLE_PREFIX + table + ADMISSION_LEVEL_INFIX + name;
       case HISTORY_START -> TABLE_PREFIX + table + HISTORY_START_SUFFIX;
-      case UNKNOWN_OF_TABLE -> TABLE_PREFIX + table + name;
+      case UNKNOWN_TABLE_KEY -> TABLE_PREFIX + table + name;
       case UNKNOWN -> name;
     };
   }
--- a/src/main/java/pearusher/recovery/LedgerRecovery.java
+++ b/src/main/java/pearusher/recovery/LedgerRecovery.java
@@ -5,20 +5,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** Makes the ledger of a start from the stored values, as far as they are trusted. */
+/** Creates the ledger of a new process from the stored values, as far as they are trusted. */
 public final class LedgerRecovery {
   private LedgerRecovery() {}
 
   /**
-   * Makes a ledger from the values that a store holds. Values that are not trusted are deleted by
-   * the ledger's first iteration; the epoch, the iteration and the acknowledgement number go on
-   * from the stored ones all the same, since they must only rise.
+   * Creates a ledger from stored values. The first iteration of the ledger deletes untrusted
+   * values. The epoch, the iteration and the acknowledgement number always continue from the stored
+   * ones, because they must never decrease.
    *
-   * @param values by key as stored
+   * @param values the stored values by key
    */
   public static Ledger recover(Map<String, byte[]> values, RecoveryConditions conditions) {
     byte[] storedHeader = values.get(LedgerKey.HEADER.text());
-    LedgerHeader header = new LedgerHeader(0, 0, 0, 0, conditions.siteNames());
+    LedgerHeader header = new LedgerHeader(0, 0, 0, 0, conditions.configuredNames());
     if (storedHeader == null) {
       return new Ledger(header, RecoveryTrust.EMPTY, new LedgerState(), conditions);
     }
@@ -37,14 +37,14 @@
       return new Ledger(header, trust, state, conditions);
     }
     Ledger ledger = new Ledger(header, trust, new LedgerState(), conditions);
-    ledger.discard(keysWithoutHeader(values));
+    ledger.deleteStored(keysWithoutHeader(values));
     return ledger;
   }
 
   private static List<LedgerKey> keysWithoutHeader(Map<String, byte[]> values) {
     List<LedgerKey> keys = new ArrayList<>();
     for (String text : values.keySet()) {
-      LedgerKey key = LedgerKey.parseLeniently(text);
+      LedgerKey key = LedgerKey.parseOrUnknown(text);
       if (key.kind() != LedgerKey.Kind.HEADER) {
         keys.add(key);
       }
--- a/src/main/java/pearusher/recovery/LedgerState.java
+++ b/src/main/java/pearusher/recovery/LedgerState.java
@@ -9,21 +9,21 @@
 import java.util.function.Function;
 
 /**
- * The values of a ledger: tables, ejections, proxies and the endpoint list, each under its stored
- * key. Owned by the ledger's thread. It grows with the tables and their entries, the servers and
- * the proxies.
+ * The contents of a ledger: tables, ejections, proxies and the endpoint list. Each entry is stored
+ * under a {@link LedgerKey}. Owned by the ledger's thread. Memory grows with the tables and their
+ * entries, the servers and the proxies.
  */
 final class LedgerState {
   final Map<Integer, LedgerTable> tables = new TreeMap<>();
 
-  /** Servers that are ejected, or were and are reinstated, by name. */
+  /** The ejection states by server, of servers that are ejected or were reinstated. */
   final Map<String, EjectionEntry> ejections = new HashMap<>();
 
   final Map<Integer, ProxyEntry> proxies = new HashMap<>();
   final Map<String, ListedServer> servers = new HashMap<>();
   long listGeneration;
 
-  /** A table, which is created empty where there is none of that number. */
+  /** Returns a table, and creates it if there is none with this number. */
   LedgerTable table(int number) {
     return tables.computeIfAbsent(number, ignored -> new LedgerTable());
   }
@@ -37,9 +37,9 @@
   }
 
   /**
-   * Takes over a stored value; an unknown key and the header are ignored.
+   * Loads a stored value. The header and the values of unknown keys are ignored.
    *
-   * @throws IOException if the bytes are no value of the key's kind
+   * @throws IOException if the bytes are not a value of the key's kind
    */
   void load(LedgerKey key, byte[] value) throws IOException {
     switch (key.kind()) {
@@ -53,7 +53,7 @@
               .put(key.number(), LedgerCodec.decode(value, LedgerCodec::readAdmission));
       case HISTORY_START ->
           table(key.table()).historyStart = LedgerCodec.decode(value, DataInputStream::readLong);
-      case UNKNOWN_OF_TABLE -> table(key.table());
+      case UNKNOWN_TABLE_KEY -> table(key.table());
       case EJECTION ->
           ejections.put(key.name(), LedgerCodec.decode(value, LedgerCodec::readEjection));
       case PROXY -> proxies.put(key.number(), LedgerCodec.decode(value, LedgerCodec::readProxy));
@@ -66,13 +66,13 @@
     }
   }
 
-  /** The value to store under a key; empty where the key is to be deleted. */
+  /** Returns the value to store under a key; empty if the key must be deleted. */
   Optional<byte[]> encodedValue(LedgerKey key) {
     return switch (key.kind()) {
-      case WEIGHT, ADMISSION_LEVEL, HISTORY_START, UNKNOWN_OF_TABLE -> encodedTableValue(key);
-      case EJECTION -> encoded(ejections.get(key.name()), LedgerCodec::encode);
-      case PROXY -> encoded(proxies.get(key.number()), LedgerCodec::encode);
-      case SERVER -> encoded(servers.get(key.name()), LedgerCodec::encode);
+      case WEIGHT, ADMISSION_LEVEL, HISTORY_START, UNKNOWN_TABLE_KEY -> encodedTableValue(key);
+      case EJECTION -> encodeIfPresent(ejections.get(key.name()), LedgerCodec::encode);
+      case PROXY -> encodeIfPresent(proxies.get(key.number()), LedgerCodec::encode);
+      case SERVER -> encodeIfPresent(servers.get(key.name()), LedgerCodec::encode);
       case LIST_GENERATION ->
           listGeneration > 0 ? Optional.of(LedgerCodec.encode(listGeneration)) : Optional.empty();
       case HEADER, UNKNOWN -> Optional.empty();
@@ -85,14 +85,15 @@
       return Optional.empty();
     }
     return switch (key.kind()) {
-      case WEIGHT -> encoded(table.weights.get(key.name()), LedgerCodec::encode);
-      case ADMISSION_LEVEL -> encoded(table.admissions.get(key.number()), LedgerCodec::encode);
+      case WEIGHT -> encodeIfPresent(table.weights.get(key.name()), LedgerCodec::encode);
+      case ADMISSION_LEVEL ->
+          encodeIfPresent(table.admissions.get(key.number()), LedgerCodec::encode);
       case HISTORY_START -> Optional.of(LedgerCodec.encode(table.historyStart));
       default -> Optional.empty();
     };
   }
 
-  private static <T> Optional<byte[]> encoded(T value, Function<T, byte[]> encoder) {
+  private static <T> Optional<byte[]> encodeIfPresent(T value, Function<T, byte[]> encoder) {
     return Optional.ofNullable(value).map(encoder);
   }
 }
--- a/src/main/java/pearusher/recovery/LedgerTable.java
+++ b/src/main/java/pearusher/recovery/LedgerTable.java
@@ -9,27 +9,27 @@
 import pearusher.policy.Idempotency;
 
 /**
- * One table of the ledger: weight entries, also of servers that were taken out as long as proxies
- * may hold them, and admission levels. Owned by the ledger's thread. It grows with the servers that
- * the table lists, plus {@link #MAX_REMOVED_ENTRIES}.
+ * A table of the ledger: weight entries and admission levels. The entry of a removed server is kept
+ * while proxies may still have the server in their tables. Owned by the ledger's thread. Memory
+ * grows with the servers in the table, plus up to {@link #MAX_REMOVED_ENTRIES}.
  */
 final class LedgerTable {
-  /** Entries of servers that were taken out, above which a table is pruned. */
+  /** Number of entries of removed servers above which a table is pruned. */
   private static final int MAX_REMOVED_ENTRIES = 64;
 
   /**
-   * The highest retry mode that is safe for every request class: it retries only where the first
-   * attempt provably never ran.
+   * The highest retry mode that is safe for every request class: it retries only if the first
+   * attempt provably was not executed.
    */
   private static final int MAX_SAFE_RETRY = 1;
 
   final Map<String, WeightEntry> weights = new TreeMap<>();
   final Map<Integer, AdmissionEntry> admissions = new TreeMap<>();
 
-  /** The iteration since which changes of the table are known; older history was dropped. */
+  /** The iteration from which on changes of the table are recorded; older ones were dropped. */
   long historyStart;
 
-  /** The weights by server, without servers that were taken out. */
+  /** Returns the weights by server, without removed servers. */
   Map<String, Double> listedWeights() {
     Map<String, Double> listed = new TreeMap<>();
     weights.forEach(
@@ -42,19 +42,20 @@
   }
 
   /**
-   * The admission levels by request class, with retries limited to what is safe for the class.
+   * Returns the admission levels by request class, with retry modes limited to those that are safe
+   * for the class.
    *
-   * @param idempotencies by request class
+   * @param idempotencies idempotency of each request class
    */
-  Map<Integer, AdmissionLevel> safeAdmissionLevels(List<Idempotency> idempotencies) {
+  Map<Integer, AdmissionLevel> admissionLevelsWithSafeRetries(List<Idempotency> idempotencies) {
     Map<Integer, AdmissionLevel> levels = new TreeMap<>();
     admissions.forEach(
         (requestClass, entry) ->
-            levels.put(requestClass, safeLevel(entry.level(), idempotencies.get(requestClass))));
+            levels.put(requestClass, limitRetries(entry.level(), idempotencies.get(requestClass))));
     return levels;
   }
 
-  private static AdmissionLevel safeLevel(AdmissionLevel level, Idempotency idempotency) {
+  private static AdmissionLevel limitRetries(AdmissionLevel level, Idempotency idempotency) {
     if (idempotency != Idempotency.NOT_IDEMPOTENT) {
       return level;
     }
@@ -71,8 +72,9 @@
   }
 
   /**
-   * The iteration up to which removed entries are to be pruned: those that every proxy has
-   * acknowledged, and the older half in any case. There must be removed entries.
+   * Returns the iteration up to which the entries of removed servers are to be pruned: all entries
+   * that every proxy has acknowledged, and the older half in any case. The table must contain such
+   * entries.
    */
   long pruneLimit(long acknowledgedByAll) {
     long[] iterations = removedEntries().mapToLong(WeightEntry::iteration).sorted().toArray();
@@ -80,7 +82,7 @@
   }
 
   /**
-   * Drops the entries of servers that were taken out up to an iteration.
+   * Drops the entries of servers that were removed up to an iteration.
    *
    * @return the servers whose entries were dropped
    */
--- a/src/main/java/pearusher/recovery/ListedServer.java
+++ b/src/main/java/pearusher/recovery/ListedServer.java
@@ -4,10 +4,10 @@
 import pearusher.policy.Lifecycle;
 
 /**
- * The last entry of the endpoint list for a server; positions and times as in {@link
- * AssignmentPolicy.Entry}.
+ * The last entry of the endpoint list for a server. {@link AssignmentPolicy.Entry} defines the
+ * positions and times.
  *
- * @param hostPort null where the list gives no address
+ * @param hostPort address of the server, or null if the list contains none
  */
 public record ListedServer(
     String name,
--- a/src/main/java/pearusher/recovery/Outbox.java
+++ b/src/main/java/pearusher/recovery/Outbox.java
@@ -5,32 +5,32 @@
 import java.util.function.Consumer;
 
 /**
- * Holds messages back until the commands in them are durable, and sends them in the order in which
- * they were offered. Once the store is abandoned, since it failed or takes too long, everything is
- * sent at once: a server that drains must not wait for a disk, and a lost record only costs the
- * next start a complete table for each proxy.
+ * A queue that delays messages until their commands are durable, and then sends them in the order
+ * in which they were offered. After {@link #abandon}, when the store has failed or takes too long,
+ * all messages are sent immediately: a draining server must not wait for a disk, and the only cost
+ * of a lost record is that the next start sends each proxy a complete table.
  *
- * <p>Not thread-safe: callers guard it by a lock of theirs. It grows with the messages that wait.
+ * <p>Not thread-safe: callers must hold a lock. Memory grows with the pending messages.
  *
- * @param <M> a message
+ * @param <M> type of the messages
  */
 public final class Outbox<M> {
-  private record HeldMessages<M>(long commitNumber, long offeredUs, List<M> messages) {}
+  private record PendingMessages<M>(long commitNumber, long offeredUs, List<M> messages) {}
 
-  /** What {@link #offer} returns for messages that were sent at once. */
+  /** The result of {@link #offer} for messages that were sent immediately. */
   public static final long SENT = 0;
 
-  private final ArrayDeque<HeldMessages<M>> held = new ArrayDeque<>();
+  private final ArrayDeque<PendingMessages<M>> pending = new ArrayDeque<>();
   private final Consumer<M> sender;
   private final long maxDelayUs;
   private long lastCommitNumber;
   private boolean isAbandoned;
 
   /**
-   * An outbox that holds messages back.
+   * Creates an empty outbox.
    *
    * @param sender called with each message that may be sent
-   * @param maxDelayUs the longest time in microseconds that messages should be held back
+   * @param maxDelayUs the delay in microseconds after which messages are overdue
    */
   public Outbox(Consumer<M> sender, long maxDelayUs) {
     this.sender = sender;
@@ -38,9 +38,10 @@
   }
 
   /**
-   * Takes the messages of one event-loop iteration.
+   * Adds the messages of one event-loop iteration, or sends them if the outbox is abandoned.
    *
-   * @return the commit number to {@linkplain #release release} them by, or {@link #SENT}
+   * @param nowUs current time in microseconds
+   * @return the commit number for {@link #release}, or {@link #SENT}
    */
   public long offer(List<M> messages, long nowUs) {
     if (isAbandoned) {
@@ -48,28 +49,28 @@
       return SENT;
     }
     lastCommitNumber++;
-    held.add(new HeldMessages<>(lastCommitNumber, nowUs, List.copyOf(messages)));
+    pending.add(new PendingMessages<>(lastCommitNumber, nowUs, List.copyOf(messages)));
     return lastCommitNumber;
   }
 
-  /** Sends all messages up to a commit number, which are durable now. */
+  /** Sends all pending messages up to a commit number, because their commands are durable. */
   public void release(long commitNumber) {
-    while (!held.isEmpty() && held.peek().commitNumber() <= commitNumber) {
-      held.poll().messages().forEach(sender);
+    while (!pending.isEmpty() && pending.peek().commitNumber() <= commitNumber) {
+      pending.poll().messages().forEach(sender);
     }
   }
 
-  /** Whether messages were held back for longer than they should be. */
+  /** Returns whether the oldest pending messages are overdue. */
   public boolean isOverdue(long nowUs) {
-    return !held.isEmpty() && nowUs - held.peek().offeredUs() > maxDelayUs;
+    return !pending.isEmpty() && nowUs - pending.peek().offeredUs() > maxDelayUs;
   }
 
-  /** The number of iterations whose messages are held back. */
+  /** Returns the number of iterations with pending messages. */
   public int size() {
-    return held.size();
+    return pending.size();
   }
 
-  /** Sends what is held back, and from now on everything at once. */
+  /** Sends all pending messages, and makes {@link #offer} send all later ones immediately. */
   public void abandon() {
     isAbandoned = true;
     release(Long.MAX_VALUE);
--- a/src/main/java/pearusher/recovery/OutstandingAcks.java
+++ b/src/main/java/pearusher/recovery/OutstandingAcks.java
@@ -6,19 +6,19 @@
 import java.util.OptionalLong;
 
 /**
- * The acknowledgements that were requested from proxies and have not arrived, with the iterations
- * that requested them. Owned by the ledger's thread. It grows with the proxies that are joined and
- * the acknowledgements that each owes, up to {@link #MAX_PER_PROXY}.
+ * The requested acknowledgements that have not arrived, with the iterations that requested them.
+ * Owned by the ledger's thread. Memory grows with the joined proxies and the outstanding
+ * acknowledgements of each, up to {@link #MAX_PER_PROXY}.
  */
 final class OutstandingAcks {
-  /** Above it the oldest request of a proxy is dropped. */
+  /** Maximum number of outstanding requests per proxy; above it the oldest request is dropped. */
   private static final int MAX_PER_PROXY = 1000;
 
   private record AckRequest(int number, long iteration) {}
 
   private final Map<Integer, ArrayDeque<AckRequest>> requestsByProxy = new HashMap<>();
 
-  /** An iteration requested an acknowledgement from a proxy. */
+  /** Adds a request for an acknowledgement, which an iteration sent to a proxy. */
   void add(int proxy, int number, long iteration) {
     ArrayDeque<AckRequest> requests =
         requestsByProxy.computeIfAbsent(proxy, ignored -> new ArrayDeque<>());
@@ -29,9 +29,9 @@
   }
 
   /**
-   * A proxy has acknowledged a request, and with it all before it.
+   * Removes a request that a proxy has acknowledged, and all earlier requests to this proxy.
    *
-   * @return the iteration that requested it; empty where it was not requested from this proxy
+   * @return the iteration that sent the request; empty if this proxy has no such request
    */
   OptionalLong acknowledge(int proxy, int number) {
     ArrayDeque<AckRequest> requests = requestsByProxy.get(proxy);
@@ -45,7 +45,7 @@
     return OptionalLong.of(last.iteration());
   }
 
-  void forget(int proxy) {
+  void removeProxy(int proxy) {
     requestsByProxy.remove(proxy);
   }
 }
--- a/src/main/java/pearusher/recovery/RecoveredServerList.java
+++ b/src/main/java/pearusher/recovery/RecoveredServerList.java
@@ -7,18 +7,19 @@
 import pearusher.policy.Lifecycle;
 
 /**
- * The endpoint list that a start begins with, merged from the configured and the stored one.
+ * The initial endpoint list of a start, merged from the configured and the stored list.
  *
- * @param generation the one since which discovery is asked for changes; 0: it is asked for the
+ * @param generation the generation from which on discovery is asked for changes; 0 asks for the
  *     complete list
  */
 public record RecoveredServerList(long generation, List<ListedServer> servers) {
 
   /**
-   * Merges the newer of two lists with what the older one says of draining and removed servers.
-   * Where the older list calls the same incarnation of a server draining or removed, that stays: a
-   * list's generation may have begun anew, and missing a server for a moment is better than using
-   * one that is gone. Discovery is then asked for the complete list.
+   * Merges the configured and the stored list. The list with the higher generation is used, except
+   * for servers that the other list has as draining or removed in the same or a later incarnation:
+   * these remain draining or removed. The reason is that the generations of a list may have been
+   * reset, and that using a server that is gone is worse than not using a ready server for a short
+   * time. If there are such servers, discovery is asked for the complete list.
    */
   public static RecoveredServerList merge(RecoveredServerList configured, Ledger ledger) {
     if (!ledger.trust().trustsTables() || ledger.servers().isEmpty()) {
@@ -39,7 +40,7 @@
     boolean isConsistent = true;
     for (ListedServer server : newer.servers()) {
       ListedServer olderEntry = olderByName.get(server.name());
-      if (olderEntry != null && wouldRevive(server, olderEntry)) {
+      if (olderEntry != null && wouldReactivate(server, olderEntry)) {
         merged.add(server.withLifecycle(olderEntry.lifecycle()));
         isConsistent = false;
       } else {
@@ -49,8 +50,11 @@
     return new RecoveredServerList(isConsistent ? newer.generation() : 0, merged);
   }
 
-  /** Whether a server is ready by the newer list only, in an incarnation that the older knows. */
-  private static boolean wouldRevive(ListedServer newer, ListedServer older) {
+  /**
+   * Returns whether a server is ready only in the newer list, although it did not start after the
+   * incarnation in the older list.
+   */
+  private static boolean wouldReactivate(ListedServer newer, ListedServer older) {
     return newer.lifecycle() == Lifecycle.READY
         && older.lifecycle() != Lifecycle.READY
         && older.startedUs() >= newer.startedUs();
--- a/src/main/java/pearusher/recovery/RecoveryConditions.java
+++ b/src/main/java/pearusher/recovery/RecoveryConditions.java
@@ -1,28 +1,35 @@
 package pearusher.recovery;
 
 /**
- * What a start knows apart from the stored values, by which it decides how far to trust them.
+ * The conditions of a start that determine how far the stored values are trusted.
  *
- * @param storeTrust how far the store itself is trusted: {@link RecoveryTrust#FULL} where nothing
- *     speaks against it
- * @param siteNames names of the assigner, request classes and zones, which give stored positions
- *     their meaning
+ * @param storeTrust how far the store itself is trusted: {@link RecoveryTrust#FULL} unless there is
+ *     a reason for less
+ * @param configuredNames names of the assigner, request classes and zones, which define the meaning
+ *     of stored positions
  * @param nowUs Unix time in microseconds
- * @param maxAgeUs longest time in microseconds since the last record
- * @param isFleetShared whether there are other assigners that proxies may join
+ * @param maxAgeUs maximum age of the last record in microseconds
+ * @param hasOtherAssigners whether there are other assigners that proxies may join
  */
 public record RecoveryConditions(
-    RecoveryTrust storeTrust, String siteNames, long nowUs, long maxAgeUs, boolean isFleetShared) {
+    RecoveryTrust storeTrust,
+    String configuredNames,
+    long nowUs,
+    long maxAgeUs,
+    boolean hasOtherAssigners) {
 
-  /** The part of the longest age that a record may be ahead: clocks of one machine may differ. */
+  /**
+   * A record may be ahead of the clock by the maximum age divided by this, because clocks of one
+   * machine may differ.
+   */
   private static final int CLOCK_TOLERANCE_DIVISOR = 10;
 
-  /** How far a ledger with this header is trusted. */
+  /** Returns how far a ledger with this header is trusted. */
   RecoveryTrust assess(LedgerHeader header) {
     if (storeTrust != RecoveryTrust.FULL) {
       return storeTrust;
     }
-    if (!header.siteNames().equals(siteNames)) {
+    if (!header.configuredNames().equals(configuredNames)) {
       return RecoveryTrust.OTHER_SETTINGS;
     }
     if (header.timeUs() - nowUs > maxAgeUs / CLOCK_TOLERANCE_DIVISOR) {
@@ -31,6 +38,6 @@
     if (nowUs - header.timeUs() > maxAgeUs) {
       return RecoveryTrust.STALE;
     }
-    return isFleetShared ? RecoveryTrust.SHARED_FLEET : RecoveryTrust.FULL;
+    return hasOtherAssigners ? RecoveryTrust.SHARED_FLEET : RecoveryTrust.FULL;
   }
 }
--- a/src/main/java/pearusher/recovery/RecoveryTrust.java
+++ b/src/main/java/pearusher/recovery/RecoveryTrust.java
@@ -1,25 +1,29 @@
 package pearusher.recovery;
 
 /**
- * How far a start trusts the stored ledger, and why not further; the description is for the log.
+ * How far a start trusts the stored ledger, with the reason if it is not trusted completely. The
+ * log contains the description.
  */
 public enum RecoveryTrust {
   FULL("all of it is trusted"),
   /** The store was empty. */
   EMPTY("it is new"),
-  /** Commands issued after the copy was made may be in force. */
+  /** Proxies may follow commands that were issued after the copy was made. */
   RESTORED_COPY("it was restored from a copy"),
-  /** Commands may be in force that an earlier process issued after it abandoned the store. */
-  ABANDONED("an earlier process abandoned it"),
+  /** Proxies may follow commands that an earlier process issued after it abandoned the store. */
+  ABANDONED("an earlier process continued without it"),
   /** Another assigner may have issued commands since the last record. */
   STALE("its last record is too old"),
-  /** The last record is from the future: one of the clocks is wrong. */
-  CLOCK_SKEW("its last record is later than the clock"),
-  /** The names of the assigner, zones or request classes differ: positions mean something else. */
-  OTHER_SETTINGS("it was written under other settings"),
-  /** This program can't decode a value. */
-  UNREADABLE("a value in it can't be read"),
-  /** Proxies may have joined another assigner meanwhile and hold its tables. */
+  /** The time of the last record is in the future: one of the clocks is wrong. */
+  CLOCK_SKEW("the time of its last record is in the future"),
+  /**
+   * The names of the assigner, zones or request classes differ, so stored positions have a
+   * different meaning.
+   */
+  OTHER_SETTINGS("it was written with other names of assigner, zones or request classes"),
+  /** A stored key or value can't be decoded. */
+  UNREADABLE("a key or value in it can't be decoded"),
+  /** Proxies may have joined another assigner since the last record, and have its tables. */
   SHARED_FLEET("proxies may have followed another assigner");
 
   private final String description;
@@ -32,7 +36,7 @@
     return description;
   }
 
-  /** Whether tables, admission levels and the endpoint list may be taken over. */
+  /** Returns whether stored tables, admission levels and the endpoint list may be used. */
   public boolean trustsTables() {
     return this == FULL || this == SHARED_FLEET;
   }
--- a/src/main/java/pearusher/recovery/WeightEntry.java
+++ b/src/main/java/pearusher/recovery/WeightEntry.java
@@ -1,9 +1,9 @@
 package pearusher.recovery;
 
 /**
- * A server's entry in a table.
+ * The entry of a server in a table.
  *
- * @param weight 0: the server was taken out of the table
+ * @param weight weight of the server; 0 if it was removed from the table
  * @param iteration the event-loop iteration that set it
  */
 record WeightEntry(double weight, long iteration) {
--- a/src/main/java/pearusher/recovery/package-info.java
+++ b/src/main/java/pearusher/recovery/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Recovery after a restart: the ledger of commands that is made durable, the outbox that holds
- * messages back until it is, and what a start may take over from it. The package is free of I/O,
- * threads and clocks: times are arguments, and storing the changes is the caller's. It issues no
- * commands: the policy decides what to do with what was recovered, and where a proxy reports what
- * it holds, its report has precedence.
+ * Recovery after a restart: the durable ledger of issued commands, the outbox that delays messages
+ * until their commands are durable, and the rules for which stored data a start may use. The
+ * package has no I/O, threads or clocks: times are arguments, and the caller stores the changes. It
+ * issues no commands: the policy decides how to use the recovered data. If a proxy reports its own
+ * state, the report takes precedence over the stored data.
  */
 package pearusher.recovery;
--- a/src/main/java/pearusher/store/CheckpointReader.java
+++ b/src/main/java/pearusher/store/CheckpointReader.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads a checkpoint. */
+/** Reads checkpoints and checks that they are complete. */
 final class CheckpointReader {
   private static final int BUFFER_BYTES = 1 << 16;
 
@@ -16,8 +16,8 @@
   /**
    * Reads all keys and values into a map.
    *
-   * @return why the checkpoint can't be used, in which case the map holds a part of it; empty where
-   *     it is complete
+   * @return why the checkpoint can't be used, in which case the map contains only some of its
+   *     entries; empty if it is complete
    */
   static Optional<String> load(Disk disk, StoreFile checkpoint, Map<String, byte[]> state)
       throws IOException {
@@ -46,10 +46,17 @@
   }
 
   private static Optional<String> checkEnd(LogRecord end, long entries, long remaining) {
-    long statedEntries = ByteBuffer.wrap(end.payload()).getLong();
-    if (statedEntries == entries && remaining == 0) {
+    long declaredEntries = ByteBuffer.wrap(end.payload()).getLong();
+    if (declaredEntries == entries && remaining == 0) {
       return Optional.empty();
     }
-    return Optional.of("it ends after " + entries + " entries with " + remaining + " bytes left");
+    return Optional.of(
+        "expected "
+            + declaredEntries
+            + " entries and 0 bytes after them, found "
+            + entries
+            + " entries and "
+            + remaining
+            + " bytes");
   }
 }
--- a/src/main/java/pearusher/store/CheckpointWriter.java
+++ b/src/main/java/pearusher/store/CheckpointWriter.java
@@ -4,10 +4,10 @@
 import java.nio.ByteBuffer;
 import java.util.Map;
 
-/** Writes a checkpoint. */
+/** Writes checkpoints: all keys and values of a store at one sequence, in one file. */
 final class CheckpointWriter {
-  /** Size of keys and values in bytes at which a record ends. */
-  private static final int ENTRY_BYTES = 32 << 10;
+  /** Total size of keys and values in bytes at which a record ends and the next one starts. */
+  private static final int TARGET_ENTRY_BYTES = 32 << 10;
 
   private final Disk disk;
   private final long storeId;
@@ -18,23 +18,24 @@
   }
 
   /**
-   * Writes a checkpoint and makes it durable. The content is synced before the file gets its name,
-   * and the name after that: any other order can lose both the old and the new state.
+   * Writes a checkpoint and makes it durable. The content is synced before the file is renamed to
+   * its final name, and the directory is synced after that: any other order can lose both the old
+   * and the new state in a power failure.
    *
-   * @param sequence the last one that the state holds
+   * @param sequence sequence of the last batch that is included in the state
    * @return the length of the checkpoint in bytes
    */
   long write(long sequence, Map<String, byte[]> state) throws IOException {
-    String name = StoreFiles.checkpoint(sequence);
+    String name = StoreFiles.checkpointName(sequence);
     long bytes;
-    try (Disk.AppendFile output = disk.create(StoreFiles.unfinished(name))) {
+    try (Disk.AppendFile output = disk.create(StoreFiles.unfinishedName(name))) {
       FilePreamble preamble = FilePreamble.of(FilePreamble.Kind.CHECKPOINT, storeId, sequence);
       output.write(ByteBuffer.wrap(preamble.encode()));
       writeRecords(output, sequence, state);
       output.sync();
       bytes = output.size();
     }
-    disk.rename(StoreFiles.unfinished(name), name);
+    disk.rename(StoreFiles.unfinishedName(name), name);
     disk.syncDirectory();
     return bytes;
   }
@@ -47,7 +48,7 @@
     for (Map.Entry<String, byte[]> entry : state.entrySet()) {
       batch.put(entry.getKey(), entry.getValue());
       batchBytes += entry.getKey().length() + entry.getValue().length;
-      if (batchBytes >= ENTRY_BYTES) {
+      if (batchBytes >= TARGET_ENTRY_BYTES) {
         writeEntry(output, index, sequence, batch);
         index++;
         batch = new WriteBatch();
--- a/src/main/java/pearusher/store/Checksum.java
+++ b/src/main/java/pearusher/store/Checksum.java
@@ -2,7 +2,7 @@
 
 import java.util.zip.CRC32C;
 
-/** CRC32C of parts of arrays. */
+/** Computes CRC32C checksums of array ranges. */
 final class Checksum {
   private Checksum() {}
 
@@ -12,7 +12,7 @@
     return (int) crc.getValue();
   }
 
-  /** The checksum of a part of an array followed by all of another. */
+  /** Returns the checksum of a range of one array followed by the complete second array. */
   static int of(byte[] bytes, int from, int length, byte[] next) {
     CRC32C crc = new CRC32C();
     crc.update(bytes, from, length);
--- a/src/main/java/pearusher/store/Disk.java
+++ b/src/main/java/pearusher/store/Disk.java
@@ -7,56 +7,60 @@
 import java.util.List;
 
 /**
- * The file system below a store: one directory. After a power failure, written bytes are certain to
- * exist only if the file was synced since, and new, renamed and deleted names only if the directory
- * was. File names have no path.
+ * The directory in which a store keeps its files. After a power failure, written bytes are only
+ * guaranteed to exist if the file was synced after the write. The creation, renaming or deletion of
+ * a file is only guaranteed if the directory was synced after it. File names contain no path.
  */
 public interface Disk {
 
-  /** A file that bytes are appended to. */
+  /** A new file that is written by appending. */
   interface AppendFile extends Closeable {
-    /** Writes all remaining bytes at the end. */
+    /** Appends all remaining bytes of a buffer. */
     void write(ByteBuffer bytes) throws IOException;
 
-    /** Returns once everything that was written is durable. */
+    /** Returns once all written bytes are durable. */
     void sync() throws IOException;
 
-    /** Length in bytes. */
+    /** Returns the length in bytes. */
     long size();
   }
 
-  /** The names of all files, in no order. */
+  /** Returns the names of all files, in no particular order. */
   List<String> list() throws IOException;
 
-  /** Creates an empty file; one that exists is an error. */
+  /**
+   * Creates an empty file.
+   *
+   * @throws IOException if a file of this name exists
+   */
   AppendFile create(String name) throws IOException;
 
-  /** Makes durable what any process, perhaps killed since, wrote to a file. */
+  /** Makes the bytes of a file durable that any process wrote, also one that was killed since. */
   void sync(String name) throws IOException;
 
   /** Opens a file for reading. */
   InputStream open(String name) throws IOException;
 
-  /** Length in bytes. */
+  /** Returns the length of a file in bytes. */
   long size(String name) throws IOException;
 
-  /** Renames a file atomically; an old file of the new name is replaced. */
+  /** Renames a file atomically, and replaces an existing file of the new name. */
   void rename(String from, String to) throws IOException;
 
-  /** Deletes a file; one that does not exist is no error. */
+  /** Deletes a file if it exists. */
   void delete(String name) throws IOException;
 
-  /** Returns once all names are durable. */
+  /** Returns once all creations, renames and deletions of files are durable. */
   void syncDirectory() throws IOException;
 
   /**
    * Locks the directory for this process.
    *
-   * @return releases the lock when it is closed
-   * @throws StoreException {@link StoreException.Reason#LOCKED} if another holds it
+   * @return the lock, which is released by closing it
+   * @throws StoreException with {@link StoreException.Reason#LOCKED} if the directory is locked
    */
   Closeable lock() throws IOException;
 
-  /** The name of the directory, for messages. */
+  /** Returns the name of the directory, for messages. */
   String describe();
 }
--- a/src/main/java/pearusher/store/FileDisk.java
+++ b/src/main/java/pearusher/store/FileDisk.java
@@ -16,11 +16,11 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.stream.Stream;
 
-/** A directory of a file system. Any thread may use it. */
+/** A directory of the operating system's file system. Thread-safe. */
 public final class FileDisk implements Disk {
   private static final String LOCK_FILE = "LOCK";
 
-  /** Directories that stores of this process have locked. */
+  /** The directories that this process has locked. */
   private static final Set<Path> LOCKED_DIRECTORIES = ConcurrentHashMap.newKeySet();
 
   private final Path directory;
@@ -29,7 +29,7 @@
     this.directory = directory;
   }
 
-  /** Creates the directory where it is missing, and makes its name durable in its parent. */
+  /** Creates the directory if it does not exist, and syncs its parent. */
   public void createDirectory() throws IOException {
     if (!Files.isDirectory(directory)) {
       Files.createDirectories(directory);
@@ -104,7 +104,7 @@
     try {
       Files.move(directory.resolve(from), directory.resolve(to), StandardCopyOption.ATOMIC_MOVE);
     } catch (AtomicMoveNotSupportedException e) {
-      throw new IOException("this file system can't rename at once: " + directory, e);
+      throw new IOException("the file system of " + directory + " has no atomic renames", e);
     }
   }
 
@@ -127,8 +127,8 @@
   @Override
   public Closeable lock() throws IOException {
     Path realPath = directory.toRealPath();
-    // A file lock does not exclude other channels of the same process: closing a second one would
-    // even release it.
+    // A file lock does not exclude other channels of this process: closing a second channel of the
+    // file would even release the lock.
     if (!LOCKED_DIRECTORIES.add(realPath)) {
       throw inUseException();
     }
--- a/src/main/java/pearusher/store/FilePreamble.java
+++ b/src/main/java/pearusher/store/FilePreamble.java
@@ -4,15 +4,16 @@
 import java.util.Optional;
 
 /**
- * The first bytes of a log or checkpoint, as docs/store.md specifies them.
+ * The preamble of a log or checkpoint: the first bytes of the file, as docs/store.md specifies
+ * them.
  *
  * @param format version of the file format
- * @param kindCode {@link Kind#code} of a kind; other codes are not known to this program
- * @param storeId random number that the files of one store share
- * @param firstSequence the first sequence of a log, or the last one that a checkpoint holds
+ * @param kindCode {@link Kind#code} of a kind, or an unknown code
+ * @param storeId random number that all files of one store share
+ * @param firstSequence the first sequence of a log, or the last sequence of a checkpoint
  */
 record FilePreamble(int format, int kindCode, long storeId, long firstSequence) {
-  /** The version of the file format that this program writes. */
+  /** The version of the file format that this code writes. */
   static final int FORMAT = 1;
 
   /** Length in bytes. */
@@ -21,7 +22,7 @@
   private static final int CHECKSUM_OFFSET = LENGTH - Integer.BYTES;
   private static final long MAGIC = 0x5045415253544F52L;
 
-  /** What a file holds. */
+  /** The kind of a file. */
   enum Kind {
     LOG(1),
     CHECKPOINT(2);
@@ -33,12 +34,12 @@
     }
   }
 
-  /** A preamble of this program's format. */
+  /** Returns a preamble of the current format. */
   static FilePreamble of(Kind kind, long storeId, long firstSequence) {
     return new FilePreamble(FORMAT, kind.code, storeId, firstSequence);
   }
 
-  boolean isOf(Kind kind) {
+  boolean hasKind(Kind kind) {
     return kindCode == kind.code;
   }
 
@@ -48,7 +49,7 @@
     return output.putInt(Checksum.of(output.array(), 0, CHECKSUM_OFFSET)).array();
   }
 
-  /** Decodes a preamble; empty where the bytes are none. */
+  /** Decodes a preamble; empty if the bytes are too few, or their magic or checksum is wrong. */
   static Optional<FilePreamble> decode(byte[] bytes) {
     if (bytes.length < LENGTH) {
       return Optional.empty();
--- a/src/main/java/pearusher/store/GroupCommitter.java
+++ b/src/main/java/pearusher/store/GroupCommitter.java
@@ -8,31 +8,36 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Commits batches to a store on a thread of its own. Batches that arrive while a sync runs share
- * the next one. Compactions run on a second thread, one at a time. After the first failure no batch
- * is accepted any more, which is reported once. It grows with the batches that wait.
+ * Commits batches to a store on a dedicated thread. Batches that arrive while a sync runs share the
+ * next sync. Compactions run on a second thread, one at a time. After the first failure, which is
+ * reported once, the committer accepts no more batches. Memory grows with the batches in the queue.
  */
 public final class GroupCommitter implements AutoCloseable {
 
-  /** Receives what happens to the store, on the committer's threads. */
+  /** Receives the events of the store, on the committer's threads. */
   public interface Events {
-    /** A batch can't be committed, and none will be any more. */
+    /** A batch can't be committed. No later batch will be committed either. */
     void onFailed(IOException cause);
 
-    /** A compaction is done. */
-    void onCompacted(long tookMs, long logBytes);
+    /**
+     * A compaction is complete.
+     *
+     * @param durationMs duration of the compaction in milliseconds
+     * @param logBytes length in bytes of the logs after it
+     */
+    void onCompacted(long durationMs, long logBytes);
 
-    /** The store could not be marked as abandoned. */
+    /** Marking the store as abandoned failed. */
     void onMarkAbandonedFailed(IOException cause);
 
-    /** A compaction failed; commits go on. */
+    /** A compaction failed. Commits continue. */
     void onCompactionFailed(IOException cause);
   }
 
-  /** A batch with what to run once it is durable. */
+  /** A batch and the callback that runs once the batch is durable. */
   private record Commit(WriteBatch batch, Runnable onDurable) {}
 
-  private static final long POLL_MS = 100;
+  private static final long POLL_INTERVAL_MS = 100;
   private static final long CLOSE_TIMEOUT_MS = 5000;
 
   private final Store store;
@@ -43,7 +48,7 @@
   private final Thread thread = new Thread(this::run, "store");
   private volatile boolean isStopped;
 
-  /** A committer that is not started yet. */
+  /** Creates a committer that is not started yet. */
   public GroupCommitter(Store store, StoreOptions options, Events events) {
     this.store = store;
     this.options = options;
@@ -56,7 +61,10 @@
     thread.start();
   }
 
-  /** Submits the first batch to a store that was abandoned: it holds everything that counts. */
+  /**
+   * Submits the first batch to a store that was abandoned, and removes the store's mark once the
+   * batch is durable. The batch must contain the complete state.
+   */
   public void submitAndClearAbandoned(WriteBatch batch, Runnable onDurable) {
     submit(
         batch,
@@ -71,7 +79,8 @@
   }
 
   /**
-   * Submits a batch without waiting; from any thread.
+   * Submits a batch without waiting, from any thread. After a failure or {@link #close} the batch
+   * is ignored.
    *
    * @param onDurable runs on the committing thread once the batch is durable
    */
@@ -81,7 +90,7 @@
     }
   }
 
-  /** Marks the store as abandoned, on a thread of its own since the disk may hang. */
+  /** Marks the store as abandoned, on a separate thread because the disk may hang. */
   public void markAbandoned() {
     startDaemon(
         "store-mark",
@@ -94,7 +103,7 @@
         });
   }
 
-  /** Whether the committing thread is alive. */
+  /** Returns whether the committing thread is alive. */
   public boolean isRunning() {
     return thread.isAlive();
   }
@@ -102,7 +111,7 @@
   private void run() {
     try {
       while (!isStopped || !queue.isEmpty()) {
-        Commit first = queue.poll(POLL_MS, TimeUnit.MILLISECONDS);
+        Commit first = queue.poll(POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         if (first != null) {
           commit(collectGroup(first));
           startCompactionIfNeeded();
@@ -150,8 +159,8 @@
     long startNs = System.nanoTime();
     try {
       store.compact(sealed);
-      long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs);
-      events.onCompacted(tookMs, store.logBytes());
+      long durationMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs);
+      events.onCompacted(durationMs, store.logBytes());
     } catch (IOException e) {
       events.onCompactionFailed(e);
     } finally {
@@ -165,7 +174,10 @@
     daemon.start();
   }
 
-  /** Commits what was submitted and closes the store, unless the disk hangs. */
+  /**
+   * Commits all submitted batches and closes the store. If the committing thread does not end
+   * within {@link #CLOSE_TIMEOUT_MS}, because the disk hangs, the store stays open.
+   */
   @Override
   public void close() throws IOException {
     isStopped = true;
--- a/src/main/java/pearusher/store/Inspection.java
+++ b/src/main/java/pearusher/store/Inspection.java
@@ -5,20 +5,20 @@
 import java.util.Map;
 
 /**
- * What a directory holds, read without its lock and without a change.
+ * The contents of a store directory, read without locking or changing it.
  *
  * @param state all values by key
- * @param sequence the last batch that they hold
- * @param damage what was confirmed and can't be read, empty for nothing
- * @param fields figures and texts by name, in the order in which they are shown
+ * @param sequence sequence of the last batch that is included in the state
+ * @param damage description of the confirmed records that can't be read; empty if there are none
+ * @param fields the printed fields by name, in the order in which they are printed
  */
 public record Inspection(
     Map<String, byte[]> state, long sequence, String damage, Map<String, Object> fields) {
 
   /**
-   * Reads a directory as a start would.
+   * Reads a directory in the way that opening the store does.
    *
-   * @throws StoreException if there is no store, or one of a newer program
+   * @throws StoreException if the directory contains no store, or one in a newer format
    */
   public static Inspection of(Disk disk) throws IOException {
     StoreContents contents = StoreReader.readWhileOpen(disk);
--- a/src/main/java/pearusher/store/LogRecord.java
+++ b/src/main/java/pearusher/store/LogRecord.java
@@ -6,32 +6,32 @@
 import java.util.Optional;
 
 /**
- * One record of a log or checkpoint, as docs/store.md specifies it: a header and a payload, with a
+ * A record of a log or checkpoint, as docs/store.md specifies it: a header and a payload, with a
  * checksum over both.
  *
- * @param sequence number of a batch; in a checkpoint the index of the record
- * @param confirmed the highest sequence known to be synced when this record was written
+ * @param sequence sequence of a batch; in a checkpoint the index of the record
+ * @param confirmed the highest sequence that was known to be synced when this record was written
  */
 record LogRecord(Type type, long sequence, long confirmed, byte[] payload) {
   /** Length of the header in bytes. */
   static final int HEADER_LENGTH = 25;
 
-  /** Guards the memory against a damaged length; no batch of an iteration comes near it. */
+  /** Limits the memory that a damaged length can allocate. Real batches are far smaller. */
   private static final int MAX_PAYLOAD_BYTES = 64 << 20;
 
   private static final int CHECKSUM_OFFSET = HEADER_LENGTH - Integer.BYTES;
 
-  /** What a record holds. */
+  /** The type of a record. */
   enum Type {
-    /** A type that this program does not know. */
+    /** Any type code that is not listed here. */
     UNKNOWN(0),
-    /** Changes that were appended to a log together. */
+    /** A batch of changes in a log. */
     BATCH(1),
     /** Some of the keys and values of a checkpoint. */
     ENTRY(2),
     /** The end of a checkpoint. */
     END(3),
-    /** The orderly end of a log. */
+    /** The end of a log that was closed cleanly. */
     CLOSE(4);
 
     private final byte code;
@@ -50,7 +50,7 @@
     }
   }
 
-  /** Length in bytes. */
+  /** Returns the length of the encoded record in bytes. */
   int length() {
     return HEADER_LENGTH + payload.length;
   }
@@ -66,8 +66,8 @@
   /**
    * Reads the next record of a stream.
    *
-   * @param remaining bytes that are left in the stream
-   * @return empty where the next bytes are no record
+   * @param remaining number of bytes that the stream has left
+   * @return the record; empty if the next bytes are not a record
    */
   static Optional<LogRecord> read(InputStream input, long remaining) throws IOException {
     byte[] header = input.readNBytes(HEADER_LENGTH);
@@ -89,10 +89,10 @@
   }
 
   /**
-   * Decodes the record at an offset of some bytes.
+   * Decodes the record at an offset of an array.
    *
    * @param minSequence lowest sequence that the record may have
-   * @return empty where there is none
+   * @return the record; empty if the bytes at the offset are not a record
    */
   static Optional<LogRecord> decodeAt(byte[] bytes, int offset, long minSequence) {
     if (offset + HEADER_LENGTH > bytes.length) {
@@ -102,7 +102,7 @@
     int length = input.getInt();
     Type type = Type.of(input.get());
     long sequence = input.getLong();
-    // Cheap checks come first: what follows a damaged record is searched byte by byte.
+    // Cheap checks come first, because the bytes after a damaged record are searched one by one.
     if (length < 0
         || length > bytes.length - offset - HEADER_LENGTH
         || type == Type.UNKNOWN
--- a/src/main/java/pearusher/store/LogReplay.java
+++ b/src/main/java/pearusher/store/LogReplay.java
@@ -8,17 +8,18 @@
 import java.util.Optional;
 
 /**
- * Applies logs to the state of a checkpoint, and decides where the last consistent state ends.
+ * Applies logs to the state of a checkpoint, and determines the last consistent state.
  *
- * <p>A log counts up to the first sequence that any later log states: a start states by its new log
- * what it took over, and thereby voids all after it. In the last log, bytes that are no record are
- * the end, which any power failure may leave, unless a complete record after them says that they
- * had been confirmed: then they are damage. A gap between logs always is.
+ * <p>The records of a log are valid up to the first sequence in the preamble of any later log: the
+ * log of a new start begins after the last record that the start recovered, which invalidates all
+ * records from there on in earlier logs. In the last log, bytes that are not a record are the end
+ * of the log, because any power failure may leave such bytes. They are damage if a complete record
+ * after them states that they were confirmed. A gap between two logs is always damage.
  */
 final class LogReplay {
   private static final int BUFFER_BYTES = 1 << 16;
 
-  /** The limit of a log that no later one follows. */
+  /** The sequence limit of the last log. */
   private static final long NO_LIMIT = Long.MAX_VALUE;
 
   private final Disk disk;
@@ -32,10 +33,10 @@
   private long batches;
 
   /**
-   * A replay on top of a state.
+   * Creates a replay on top of a state.
    *
-   * @param state is brought up to date
-   * @param sequence the last one that the state holds
+   * @param state modified by {@link #apply(List)}
+   * @param sequence sequence of the last batch that is included in the state
    */
   LogReplay(Disk disk, Map<String, byte[]> state, long sequence, DamageReport damage) {
     this.disk = disk;
@@ -49,7 +50,7 @@
     return sequence;
   }
 
-  /** A sequence that was synced at least. */
+  /** Returns the highest sequence that is known to have been synced. */
   long confirmed() {
     return confirmed;
   }
@@ -62,17 +63,17 @@
     return truncatedRecords;
   }
 
-  /** Whether the last log ends in order. */
+  /** Returns whether the last log ends with the record of a clean close. */
   boolean isClosed() {
     return isClosed;
   }
 
-  /** The number of batches that were applied. */
+  /** Returns the number of batches that were applied. */
   long batches() {
     return batches;
   }
 
-  /** Applies the logs in their order, up to the first damage. */
+  /** Applies the logs in order, up to the first damage. */
   void apply(List<StoreFile> logs) throws IOException {
     for (int k = 0; k < logs.size(); k++) {
       StoreFile log = logs.get(k);
@@ -99,10 +100,10 @@
     damage.add(
         log.name(),
         FilePreamble.LENGTH,
-        "the records " + (sequence + 1) + " to " + last + " before it are missing");
+        "records " + (sequence + 1) + " to " + last + " before this log are missing");
   }
 
-  /** Applies a log's records below a limit; whether the next log may follow. */
+  /** Applies the records of a log below a limit, and returns whether the next log may follow. */
   private boolean apply(StoreFile log, long limit) throws IOException {
     long remaining = log.bytes() - FilePreamble.LENGTH;
     long next = log.sequence();
@@ -133,9 +134,9 @@
   }
 
   private static boolean isExpected(LogRecord record, long sequence) {
-    boolean isOfLog =
+    boolean isLogRecord =
         record.type() == LogRecord.Type.BATCH || record.type() == LogRecord.Type.CLOSE;
-    return isOfLog && record.sequence() == sequence;
+    return isLogRecord && record.sequence() == sequence;
   }
 
   private void applyBatch(LogRecord record) throws IOException {
@@ -146,28 +147,28 @@
     }
   }
 
-  /** A log ends before its limit: by damage, or where a power failure left it. */
+  /** Records the end of a log before its limit, either as damage or as an unconfirmed end. */
   private void reportEnd(StoreFile log, long offset, long next, long limit) throws IOException {
-    TrailingRecords rest = TrailingRecords.find(disk, log, offset, next);
+    TrailingRecords trailing = TrailingRecords.find(disk, log, offset, next);
     if (limit != NO_LIMIT) {
       damage.add(
           log.name(),
           offset,
-          "record " + next + " can't be read, and a later log goes on from " + limit);
-    } else if (rest.confirmed() >= next) {
+          "record " + next + " can't be read, and a later log continues from record " + limit);
+    } else if (trailing.confirmed() >= next) {
       damage.add(
           log.name(),
           offset,
           "record "
               + next
               + " can't be read, and it was confirmed; "
-              + rest.batches()
-              + " whole records in "
+              + trailing.batches()
+              + " complete records in "
               + (log.bytes() - offset)
               + " bytes follow");
     } else {
       truncatedBytes += log.bytes() - offset;
-      truncatedRecords += rest.batches();
+      truncatedRecords += trailing.batches();
     }
   }
 }
--- a/src/main/java/pearusher/store/LogWriter.java
+++ b/src/main/java/pearusher/store/LogWriter.java
@@ -5,15 +5,15 @@
 import java.nio.ByteBuffer;
 
 /**
- * Appends records to the logs of a store, each log in a file of its own. After the first write or
- * sync that failed nothing is written any more: what a failed sync left is not known, and a later
- * one that succeeds says nothing about it. Owned by the appending thread but for {@link #logBytes}.
- * It grows with the records that are not written yet.
+ * Appends records to the logs of a store. Each log is a separate file. After the first write or
+ * sync that fails, nothing more is written: it is unknown which bytes a failed sync made durable,
+ * and a later sync that succeeds gives no information about them. Owned by the appending thread,
+ * except for {@link #logBytes}. Memory grows with the records that are not yet written.
  */
 final class LogWriter implements Closeable {
   private static final int BUFFER_BYTES = 64 << 10;
 
-  /** A buffer that has grown beyond this is not reused. */
+  /** A larger buffer is released after its write, so that one large group does not keep memory. */
   private static final int MAX_REUSED_BUFFER_BYTES = 16 * BUFFER_BYTES;
 
   private final Disk disk;
@@ -30,12 +30,12 @@
   private volatile long logBytes;
 
   /**
-   * A writer without a log.
+   * Creates a writer that has no open log yet.
    *
-   * @param segmentBytes length at which a log ends
-   * @param nextSerial serial number of the first log to begin
-   * @param confirmed the last sequence of earlier logs, all of them synced
-   * @param logBytes length of earlier logs
+   * @param segmentBytes length in bytes at which a log ends and the next one starts
+   * @param nextSerial serial number of the first log to start
+   * @param confirmed the last sequence of the earlier logs, which are all synced
+   * @param logBytes length of the earlier logs in bytes
    */
   LogWriter(
       Disk disk, long segmentBytes, long storeId, long nextSerial, long confirmed, long logBytes) {
@@ -48,9 +48,9 @@
     nextSequence = confirmed + 1;
   }
 
-  /** Begins a log, whose name and preamble are durable before any record is written to it. */
-  void beginLog() throws IOException {
-    log = disk.create(StoreFiles.log(nextSerial));
+  /** Starts a log. Its name and preamble are durable before any record is written to it. */
+  void startLog() throws IOException {
+    log = disk.create(StoreFiles.logName(nextSerial));
     nextSerial++;
     FilePreamble preamble = FilePreamble.of(FilePreamble.Kind.LOG, storeId, nextSequence);
     log.write(ByteBuffer.wrap(preamble.encode()));
@@ -58,7 +58,7 @@
     disk.syncDirectory();
   }
 
-  /** Adds a batch to those that are not written yet, and returns its sequence. */
+  /** Adds a batch to the unwritten records, and returns its sequence. */
   long append(WriteBatch batch) throws IOException {
     checkUsable();
     addToBuffer(new LogRecord(LogRecord.Type.BATCH, nextSequence, confirmed, batch.encode()));
@@ -80,7 +80,10 @@
     if (failure != null) {
       throw new StoreException(
           StoreException.Reason.FAILED,
-          "store " + disk.describe() + " takes no more since: " + failure.getMessage(),
+          "store "
+              + disk.describe()
+              + " accepts no more batches after a failure: "
+              + failure.getMessage(),
           failure);
     }
   }
@@ -89,7 +92,7 @@
     return failure != null;
   }
 
-  /** Writes what was appended. */
+  /** Writes all appended records. */
   // Only the appending thread changes the length.
   @SuppressWarnings("NonAtomicVolatileUpdate")
   void write() throws IOException {
@@ -106,14 +109,14 @@
     }
   }
 
-  /** Writes and syncs what was appended, and returns the last sequence. */
+  /** Writes and syncs all appended records, and returns the last sequence. */
   long sync() throws IOException {
     write();
     try {
       log.sync();
       confirmed = nextSequence - 1;
       if (log.size() >= segmentBytes) {
-        endLogAndBeginNext();
+        rotateLog();
       }
     } catch (IOException e) {
       throw fail(e);
@@ -121,11 +124,11 @@
     return confirmed;
   }
 
-  /** Syncs what was appended and begins a new log; the earlier ones are written no more. */
+  /** Syncs all appended records and starts a new log; the earlier logs are no longer written. */
   Store.Sealed seal() throws IOException {
     sync();
     try {
-      endLogAndBeginNext();
+      rotateLog();
     } catch (IOException e) {
       throw fail(e);
     }
@@ -133,9 +136,9 @@
     return new Store.Sealed(nextSerial - 1, nextSequence - 1);
   }
 
-  private void endLogAndBeginNext() throws IOException {
+  private void rotateLog() throws IOException {
     log.close();
-    beginLog();
+    startLog();
   }
 
   private StoreException fail(IOException cause) {
@@ -146,12 +149,15 @@
         cause);
   }
 
-  /** Length in bytes of the logs that a start would read; for any thread. */
+  /** Returns the length in bytes of the logs that a start would read. Any thread may call it. */
   long logBytes() {
     return logBytes;
   }
 
-  /** Syncs what was appended and marks the end as orderly, unless the writer has failed. */
+  /**
+   * Syncs all appended records and then writes and syncs the record of a clean close, unless the
+   * writer has failed.
+   */
   void finish() throws IOException {
     if (failure == null && log != null) {
       sync();
--- a/src/main/java/pearusher/store/Store.java
+++ b/src/main/java/pearusher/store/Store.java
@@ -7,23 +7,23 @@
 import java.util.OptionalLong;
 
 /**
- * An open store: batches of changes to keyed values, appended to a log that is compacted into
- * checkpoints. Appends and syncs come from one thread; {@link #compact} may run on another, since
- * it works on files that are written no more. It grows as {@link LogWriter} does, and until {@link
- * #takeRecovered} with the values that it holds.
+ * An open store. Batches of changes to keyed values are appended to a log, which is compacted into
+ * checkpoints. One thread appends and syncs. {@link #compact} may run on another thread, because it
+ * only reads files that are no longer written. Memory grows with the records that are not yet
+ * written; until {@link #takeRecovered} is called, it also includes all recovered values.
  */
 public final class Store implements Closeable {
 
   /**
-   * What a start found.
+   * The state that was recovered when the store was opened.
    *
    * @param state all values by key
-   * @param sequence the last batch that they hold
-   * @param damage what was lost though confirmed, empty for nothing
-   * @param truncatedBytes bytes dropped at the end, none of them confirmed
-   * @param truncatedRecords complete records among them
-   * @param wasClosed whether the last process closed the store in order
-   * @param wasAbandoned whether an earlier process went on without the store
+   * @param sequence sequence of the last batch that is included in the state
+   * @param damage description of the confirmed records that were lost; empty if none were lost
+   * @param truncatedBytes unconfirmed bytes that were dropped at the end of the log
+   * @param truncatedRecords complete records in the dropped bytes
+   * @param wasClosed whether the last process closed the store cleanly
+   * @param wasAbandoned whether an earlier process continued without the store
    */
   public record Recovered(
       Map<String, byte[]> state,
@@ -34,7 +34,12 @@
       boolean wasClosed,
       boolean wasAbandoned) {}
 
-  /** Logs that are written no more: those below a serial number, which end with a sequence. */
+  /**
+   * The logs that a compaction may read, because they are no longer written.
+   *
+   * @param serial all logs with a lower serial number are sealed
+   * @param sequence sequence of the last batch in the sealed logs
+   */
   public record Sealed(long serial, long sequence) {}
 
   private final Disk disk;
@@ -60,9 +65,9 @@
   }
 
   /**
-   * Opens the store in a directory, or begins an empty one there.
+   * Opens the store in a directory, and creates an empty one if there is none.
    *
-   * @throws StoreException if the directory can't be used; nothing was changed then
+   * @throws StoreException if the directory can't be used; no file was changed in that case
    */
   public static Store open(Disk disk, StoreOptions options) throws IOException {
     Closeable lock = lock(disk);
@@ -75,7 +80,7 @@
                 + disk.describe()
                 + " is damaged: "
                 + contents.damage()
-                + "; restore a backup, or set 'damage stop' to go on from record "
+                + "; restore a backup, or set 'damage stop' to continue from record "
                 + contents.sequence());
       }
       return open(disk, options, lock, contents);
@@ -97,7 +102,7 @@
               + disk.describe()
               + " can't be opened: "
               + e
-              + "; make the directory, or give this user the right to write",
+              + "; create the directory, or give this user write permission",
           e);
     }
   }
@@ -105,7 +110,7 @@
   private static Store open(Disk disk, StoreOptions options, Closeable lock, StoreContents contents)
       throws IOException {
     removeUnusableFiles(disk, contents);
-    long storeId = contents.hasStore() ? contents.storeId() : newId();
+    long storeId = contents.hasStore() ? contents.storeId() : randomStoreId();
     LogWriter writer =
         new LogWriter(
             disk,
@@ -117,17 +122,18 @@
     long checkpointBytes =
         contents.checkpoints().isEmpty() ? 0 : contents.checkpoints().get(0).bytes();
     Recovered recovered = recovered(disk, contents);
-    // After a kill, what was read may be in the page cache only. The new log states that it exists,
-    // so it must be synced: else a power failure would look like damage to the next start.
+    // After a kill, the records that were read may exist in the page cache only. The preamble of
+    // the new log states that they exist. They must be synced first: otherwise the next start would
+    // report damage if a power failure lost them.
     for (StoreFile log : contents.logs()) {
       disk.sync(log.name());
     }
-    writer.beginLog();
+    writer.startLog();
     Compactor compactor = new Compactor(disk, storeId, checkpointBytes);
     return new Store(disk, options, lock, writer, compactor, recovered);
   }
 
-  /** Deletes unfinished files; damaged ones are renamed, for operators to look at. */
+  /** Deletes unfinished files, and renames damaged ones so that operators can examine them. */
   private static void removeUnusableFiles(Disk disk, StoreContents contents) throws IOException {
     for (String name : disk.list()) {
       if (StoreFiles.isUnfinished(name)) {
@@ -135,12 +141,13 @@
       }
     }
     for (String name : contents.damagedFiles()) {
-      disk.rename(name, StoreFiles.damaged(name));
+      disk.rename(name, StoreFiles.damagedName(name));
     }
   }
 
   /**
-   * The serial number of the next log, above those of all logs, whether they can be read or not.
+   * Returns the serial number of the next log, which is above those of all logs, including logs
+   * that can't be read.
    */
   private static long nextSerial(Disk disk) throws IOException {
     long next = 0;
@@ -164,29 +171,33 @@
         disk.list().contains(StoreFiles.ABANDONED));
   }
 
-  /** A random id for a new store. */
-  static long newId() {
+  /** Returns a random nonzero id for a new store. */
+  static long randomStoreId() {
     return new SecureRandom().nextLong() | 1;
   }
 
-  /** What the start found; the second call returns null, so that the memory can be freed. */
+  /**
+   * Returns the recovered state and releases it, so that its memory can be freed.
+   *
+   * @return null from the second call on
+   */
   public Recovered takeRecovered() {
-    Recovered taken = recovered;
+    Recovered result = recovered;
     recovered = null;
-    return taken;
+    return result;
   }
 
   /**
-   * Adds a batch to the current group; nothing is written yet.
+   * Adds a batch to the current group, without writing to the disk.
    *
-   * @return the batch's sequence
+   * @return the sequence of the batch
    * @throws StoreException if an earlier write or sync failed
    */
   public long append(WriteBatch batch) throws IOException {
     return writer.append(batch);
   }
 
-  /** Writes the current group: it survives a kill of the process, but no power failure. */
+  /** Writes the current group. It then survives a kill of the process, but not a power failure. */
   public void write() throws IOException {
     writer.write();
   }
@@ -200,34 +211,38 @@
     return writer.sync();
   }
 
-  /** Whether the logs have outgrown the last checkpoint. */
+  /**
+   * Returns whether the logs have reached the length, in bytes and as a multiple of the last
+   * checkpoint, at which the options ask for a compaction.
+   */
   public boolean needsCompaction() {
     long limit = (long) (options.compactTimes() * compactor.checkpointBytes());
     return !writer.hasFailed() && writer.logBytes() >= Math.max(options.compactBytes(), limit);
   }
 
   /**
-   * The first step of a compaction, on the appending thread: syncs what was appended and begins a
-   * new log. The earlier ones are written no more.
+   * Runs the first step of a compaction, on the appending thread: syncs all appended batches and
+   * starts a new log. The earlier logs are no longer written.
    *
-   * @return what {@link #compact} may read
+   * @return the logs that {@link #compact} may read
    */
   public Sealed seal() throws IOException {
     return writer.seal();
   }
 
   /**
-   * The second step of a compaction, on any thread: folds the old checkpoint and the sealed logs
-   * into a new checkpoint, and deletes them once it is durable. A failure leaves the store as it
-   * was and appends are not affected.
+   * Runs the second step of a compaction, on any thread: merges the old checkpoint and the sealed
+   * logs into a new checkpoint, and deletes them once the new one is durable. After a failure the
+   * store still has its old files, and appends are not affected.
    */
   public void compact(Sealed sealed) throws IOException {
     compactor.compact(sealed);
   }
 
   /**
-   * Marks that the caller goes on without the store, whose last state is then not the last there
-   * was; on any thread. The reserve is deleted first, since the disk may be full.
+   * Marks the store as abandoned, on any thread: the caller continues without it, so the stored
+   * state becomes older than the actual state. The reserve file is deleted first, because the disk
+   * may be full.
    */
   public void markAbandoned() throws IOException {
     disk.delete(StoreFiles.RESERVE);
@@ -237,18 +252,23 @@
     disk.syncDirectory();
   }
 
-  /** Removes that mark, once everything that the store holds was appended since the start. */
+  /**
+   * Removes the mark of {@link #markAbandoned}. The caller must have replaced the complete state by
+   * batches that were appended since the store was opened.
+   */
   public void clearAbandoned() throws IOException {
     disk.delete(StoreFiles.ABANDONED);
     disk.syncDirectory();
   }
 
-  /** Length in bytes of the logs that a start would read now; for any thread. */
+  /**
+   * Returns the length in bytes of the logs that a start would read now. Any thread may call it.
+   */
   public long logBytes() {
     return writer.logBytes();
   }
 
-  /** Syncs what was appended, marks the end as orderly and releases the directory. */
+  /** Syncs all appended batches, marks the log as cleanly closed and unlocks the directory. */
   @Override
   public void close() throws IOException {
     try (lock;
--- a/src/main/java/pearusher/store/StoreContents.java
+++ b/src/main/java/pearusher/store/StoreContents.java
@@ -4,19 +4,19 @@
 import java.util.Map;
 
 /**
- * What a directory holds: the last consistent state, and where it comes from.
+ * The last consistent state of a directory, and the files that it was read from.
  *
  * @param state all values by key
- * @param storeId {@link StoreDirectory#NO_STORE} where there are no files of a store
- * @param sequence the last one that the state holds
- * @param confirmed a sequence that was synced at least
- * @param damage what was confirmed and can't be read, empty for nothing
- * @param truncation what was ignored at the end, none of it confirmed
- * @param isClosed whether the last log ends in order
- * @param checkpoints the newest one first
+ * @param storeId {@link StoreDirectory#NO_STORE_ID} if there are no files of a store
+ * @param sequence sequence of the last batch that is included in the state
+ * @param confirmed the highest sequence that is known to have been synced
+ * @param damage description of the confirmed records that can't be read; empty if there are none
+ * @param truncation the unconfirmed end of the log, which was ignored
+ * @param isClosed whether the last log ends with the record of a clean close
+ * @param checkpoints newest first
  * @param logs in the order in which they were written
- * @param damagedFiles names of files that can't be used at all
- * @param batches how many batches were read from logs
+ * @param damagedFiles names of files that are unusable as a whole
+ * @param batches number of batches that were applied from logs
  */
 record StoreContents(
     Map<String, byte[]> state,
@@ -32,9 +32,10 @@
     long batches) {
 
   /**
-   * The unconfirmed end of a log, as any power failure may leave it.
+   * The unconfirmed end of a log, which any power failure may leave.
    *
-   * @param records complete records among the bytes
+   * @param bytes its length in bytes
+   * @param records number of complete records in these bytes
    */
   record Truncation(long bytes, long records) {}
 
@@ -43,7 +44,7 @@
   }
 
   boolean hasStore() {
-    return storeId != StoreDirectory.NO_STORE;
+    return storeId != StoreDirectory.NO_STORE_ID;
   }
 
   long logBytes() {
--- a/src/main/java/pearusher/store/StoreCopy.java
+++ b/src/main/java/pearusher/store/StoreCopy.java
@@ -4,24 +4,24 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** Backups: copies of a directory, and of a backup into a store's place. */
+/** Writes copies of a store, to make a backup and to restore one. */
 public final class StoreCopy {
   /**
-   * The key that marks a copy, so that a start can tell that later batches may be in force; its
-   * value is the last sequence of the copy.
+   * The key that marks a copy. It tells a start that batches may have been committed after the copy
+   * was made. Its value is the last sequence of the copy.
    */
   public static final String MARKER_KEY = "!copied";
 
   private StoreCopy() {}
 
   /**
-   * Writes a copy of what a directory holds, which may be open elsewhere: one checkpoint, marked as
-   * a copy.
+   * Writes a copy of a store to another directory, as one checkpoint that is marked as a copy. The
+   * store may be open in another process.
    *
    * @param target an empty directory
    * @return the last sequence of the copy
-   * @throws StoreException if there is no store to copy, or it is damaged, or the target holds
-   *     files
+   * @throws StoreException if there is no store to copy, the store is damaged, or the target is not
+   *     empty
    */
   public static long write(Disk source, Disk target) throws IOException {
     StoreContents contents = StoreReader.readWhileOpen(source);
@@ -36,7 +36,8 @@
     checkIsEmpty(target);
     byte[] marker = ByteBuffer.allocate(Long.BYTES).putLong(contents.sequence()).array();
     contents.state().put(MARKER_KEY, marker);
-    new CheckpointWriter(target, Store.newId()).write(contents.sequence(), contents.state());
+    new CheckpointWriter(target, Store.randomStoreId())
+        .write(contents.sequence(), contents.state());
     return contents.sequence();
   }
 
@@ -45,7 +46,7 @@
     if (!files.isEmpty()) {
       throw new StoreException(
           StoreException.Reason.ABSENT,
-          target.describe() + " is not empty (" + files.get(0) + "); name an empty directory");
+          target.describe() + " is not empty: found " + files.get(0) + "; use an empty directory");
     }
   }
 }
--- a/src/main/java/pearusher/store/StoreDirectory.java
+++ b/src/main/java/pearusher/store/StoreDirectory.java
@@ -8,15 +8,15 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** The logs and checkpoints of a directory, with what their preambles state. */
+/** The logs and checkpoints of a directory, with the contents of their preambles. */
 final class StoreDirectory {
-  /** The id of no store: the directory holds no file of one. */
-  static final long NO_STORE = 0;
+  /** The store id of a directory without store files. */
+  static final long NO_STORE_ID = 0;
 
   private final Disk disk;
   private final List<StoreFile> checkpoints = new ArrayList<>();
   private final List<StoreFile> logs = new ArrayList<>();
-  private long storeId = NO_STORE;
+  private long storeId = NO_STORE_ID;
 
   private StoreDirectory(Disk disk) {
     this.disk = disk;
@@ -25,9 +25,9 @@
   /**
    * Reads the names and preambles of a directory.
    *
-   * @param belowSerial logs with this serial or a higher one are ignored
-   * @throws StoreException if the directory can't be read, or holds files of a newer program or of
-   *     several stores
+   * @param belowSerial logs with this serial number or a higher one are ignored
+   * @throws StoreException if the directory can't be read, or contains files in a newer format or
+   *     files of several stores
    */
   static StoreDirectory scan(Disk disk, long belowSerial) throws IOException {
     StoreDirectory directory = new StoreDirectory(disk);
@@ -37,12 +37,12 @@
     return directory;
   }
 
-  /** The newest one first. */
+  /** Returns the checkpoints, newest first. */
   List<StoreFile> checkpoints() {
     return checkpoints;
   }
 
-  /** In the order in which they were written. */
+  /** Returns the logs in the order in which they were written. */
   List<StoreFile> logs() {
     return logs;
   }
@@ -83,14 +83,14 @@
     if (preamble.isPresent()) {
       checkFormat(name, preamble.get());
     }
-    if (preamble.isEmpty() || !preamble.get().isOf(kind)) {
+    if (preamble.isEmpty() || !preamble.get().hasKind(kind)) {
       return new StoreFile(name, number, OptionalLong.empty(), disk.size(name));
     }
     checkStoreId(name, preamble.get());
     storeId = preamble.get().storeId();
     long sequence = preamble.get().firstSequence();
-    OptionalLong valid = sequence < 0 ? OptionalLong.empty() : OptionalLong.of(sequence);
-    return new StoreFile(name, number, valid, disk.size(name));
+    OptionalLong validSequence = sequence < 0 ? OptionalLong.empty() : OptionalLong.of(sequence);
+    return new StoreFile(name, number, validSequence, disk.size(name));
   }
 
   private void checkFormat(String name, FilePreamble preamble) throws StoreException {
@@ -103,21 +103,21 @@
               + name
               + " has format "
               + preamble.format()
-              + ", this program knows up to "
+              + ", but this version reads formats up to "
               + FilePreamble.FORMAT
-              + "; start the newer program");
+              + "; use the newer version that wrote it");
     }
   }
 
   private void checkStoreId(String name, FilePreamble preamble) throws StoreException {
-    if (storeId != NO_STORE && storeId != preamble.storeId()) {
+    if (storeId != NO_STORE_ID && storeId != preamble.storeId()) {
       throw new StoreException(
           StoreException.Reason.DAMAGED,
           "store "
               + disk.describe()
               + ": "
               + name
-              + " belongs to another store than the files beside it; put the right files back");
+              + " belongs to another store than the other files; remove the files of one of them");
     }
   }
 }
--- a/src/main/java/pearusher/store/StoreException.java
+++ b/src/main/java/pearusher/store/StoreException.java
@@ -2,19 +2,25 @@
 
 import java.io.IOException;
 
-/** A store can't be used; the message names the place, the fault and a remedy. */
+/**
+ * Thrown if a store can't be used. The message names the directory and the fault, and a remedy
+ * where there is one.
+ */
 public final class StoreException extends IOException {
   private static final long serialVersionUID = 1L;
 
   /** Why a store can't be used. */
   public enum Reason {
-    /** Another process holds the directory. */
+    /** Another process has locked the directory. */
     LOCKED,
-    /** The files were written by a newer program. */
+    /** The files have a newer format than this version reads. */
     NEWER,
-    /** The directory is missing, unreadable or holds no store. */
+    /**
+     * The directory is missing, unreadable or contains no store, or a directory for a copy is not
+     * empty.
+     */
     ABSENT,
-    /** Confirmed records can't be read any more. */
+    /** Confirmed records can't be read, or the directory contains files of several stores. */
     DAMAGED,
     /** A write or sync failed; the store accepts no more batches. */
     FAILED
--- a/src/main/java/pearusher/store/StoreFile.java
+++ b/src/main/java/pearusher/store/StoreFile.java
@@ -3,18 +3,22 @@
 import java.util.OptionalLong;
 
 /**
- * A log or checkpoint.
+ * A log or checkpoint file.
  *
- * @param number a log's serial number, or the last sequence of a checkpoint, by its name
- * @param preambleSequence the sequence that its preamble states; empty where it has no preamble of
+ * @param number serial number of a log, or last sequence of a checkpoint, parsed from the file name
+ * @param preambleSequence the sequence in the preamble; empty if the file has no valid preamble of
  *     its kind
+ * @param bytes length of the file in bytes
  */
 record StoreFile(String name, long number, OptionalLong preambleSequence, long bytes) {
   boolean hasPreamble() {
     return preambleSequence.isPresent();
   }
 
-  /** A log's first sequence, or the last sequence of a checkpoint; there must be a preamble. */
+  /**
+   * Returns the first sequence of a log, or the last sequence of a checkpoint. The file must have a
+   * preamble.
+   */
   long sequence() {
     return preambleSequence.orElseThrow();
   }
--- a/src/main/java/pearusher/store/StoreOptions.java
+++ b/src/main/java/pearusher/store/StoreOptions.java
@@ -4,12 +4,13 @@
  * Settings of a store.
  *
  * @param policy when an appended batch counts as durable
- * @param intervalUs under {@link Policy#INTERVAL}: how long appends gather before they are synced
- *     together
- * @param segmentBytes length in bytes at which a log ends
- * @param compactBytes least length of all logs, in bytes, at which they are compacted
- * @param compactTimes and least multiple of the last checkpoint's length
- * @param onDamage what a start does about confirmed records that can't be read
+ * @param intervalUs delay in microseconds in which {@link Policy#INTERVAL} collects batches before
+ *     it syncs them together
+ * @param segmentBytes length in bytes at which a log ends and the next one starts
+ * @param compactBytes minimum total length of the logs for a compaction, in bytes
+ * @param compactTimes minimum total length of the logs for a compaction, as a multiple of the
+ *     length of the last checkpoint; both minimums must be reached
+ * @param onDamage how a start handles confirmed records that can't be read
  */
 public record StoreOptions(
     Policy policy,
@@ -19,21 +20,21 @@
     double compactTimes,
     Damage onDamage) {
 
-  /** When batches are synced. */
+  /** The policy for syncing batches. */
   public enum Policy {
-    /** As soon as the last sync is done, all that wait together. */
+    /** Syncs all waiting batches together as soon as the previous sync is complete. */
     EACH,
-    /** After an interval in which batches gather. */
+    /** Syncs the batches that arrive within an interval together. */
     INTERVAL,
-    /** Never: a power failure may lose batches, a kill of the process none. */
+    /** Commits without a sync: a power failure may lose batches, a kill of the process does not. */
     NONE
   }
 
-  /** What a start does about damage. */
+  /** The handling of damage when the store is opened. */
   public enum Damage {
-    /** It fails. */
+    /** Opening fails. */
     REFUSE,
-    /** It goes on from the last consistent state before the damage and reports what is lost. */
+    /** Continues from the last consistent state before the damage, and reports the loss. */
     STOP
   }
 
--- a/src/main/java/pearusher/store/StoreReader.java
+++ b/src/main/java/pearusher/store/StoreReader.java
@@ -9,11 +9,11 @@
 import java.util.Optional;
 
 /**
- * Reads the last consistent state of a directory: the newest complete checkpoint and the logs that
- * follow it. It never changes a file. An instance reads once.
+ * Reads the last consistent state of a directory from the newest complete checkpoint and the logs
+ * that follow it. It never changes a file. An instance reads once.
  */
 final class StoreReader {
-  private static final int MAX_ATTEMPTS = 20;
+  private static final int MAX_READ_ATTEMPTS = 20;
 
   private final Disk disk;
   private final StoreDirectory directory;
@@ -31,18 +31,18 @@
     return readBelow(disk, Long.MAX_VALUE);
   }
 
-  /** Reads the logs with a serial below a limit, and the checkpoints that they follow. */
+  /** Reads the newest complete checkpoint and the logs with a serial number below a limit. */
   static StoreContents readBelow(Disk disk, long belowSerial) throws IOException {
     return new StoreReader(disk, StoreDirectory.scan(disk, belowSerial)).read();
   }
 
-  /** Reads a directory whose files a compaction of another process may delete meanwhile. */
+  /** Reads a directory while a compaction of another process may delete files in it. */
   static StoreContents readWhileOpen(Disk disk) throws IOException {
     for (int attempt = 1; ; attempt++) {
       try {
         return read(disk);
       } catch (NoSuchFileException e) {
-        if (attempt == MAX_ATTEMPTS) {
+        if (attempt == MAX_READ_ATTEMPTS) {
           throw e;
         }
       }
@@ -50,7 +50,7 @@
   }
 
   private StoreContents read() throws IOException {
-    long unstartedBytes = removeLogsWithoutPreamble();
+    long emptyLogBytes = removeLogsWithoutPreamble();
     LogReplay replay = new LogReplay(disk, state, loadNewestCheckpoint(), damage);
     replay.apply(directory.logs());
     return new StoreContents(
@@ -60,7 +60,7 @@
         replay.confirmed(),
         damage.text(),
         new StoreContents.Truncation(
-            unstartedBytes + replay.truncatedBytes(), replay.truncatedRecords()),
+            emptyLogBytes + replay.truncatedBytes(), replay.truncatedRecords()),
         replay.isClosed(),
         directory.checkpoints(),
         directory.logs(),
@@ -69,14 +69,14 @@
   }
 
   /**
-   * Removes logs from the list whose preamble can't be read. Such a log may have been created and
-   * not synced at a power failure, and is empty then. Since a preamble is synced before the first
-   * record, records without one are damage.
+   * Removes logs with an unreadable preamble from the list. If a power failure hit a log between
+   * its creation and its first sync, it contains no records. Since the preamble is synced before
+   * the first record is written, records after an unreadable preamble are damage.
    *
-   * @return the length of the empty ones in bytes
+   * @return total length in bytes of the removed logs without records
    */
   private long removeLogsWithoutPreamble() throws IOException {
-    long unstartedBytes = 0;
+    long emptyLogBytes = 0;
     for (StoreFile log : List.copyOf(directory.logs())) {
       if (log.hasPreamble()) {
         continue;
@@ -85,14 +85,14 @@
         damage.add(log.name(), 0, "the preamble can't be read");
         damagedFiles.add(log.name());
       } else {
-        unstartedBytes += log.bytes();
+        emptyLogBytes += log.bytes();
       }
       directory.logs().remove(log);
     }
-    return unstartedBytes;
+    return emptyLogBytes;
   }
 
-  /** Loads the newest complete checkpoint; its sequence, or 0 where there is none. */
+  /** Loads the newest complete checkpoint, and returns its sequence, or 0 if there is none. */
   private long loadNewestCheckpoint() throws IOException {
     for (StoreFile checkpoint : directory.checkpoints()) {
       Optional<String> fault = CheckpointReader.load(disk, checkpoint, state);
--- a/src/main/java/pearusher/store/TrailingRecords.java
+++ b/src/main/java/pearusher/store/TrailingRecords.java
@@ -5,30 +5,31 @@
 import java.util.Optional;
 
 /**
- * Complete records after a place in a log that is no record.
+ * The complete records after bytes of a log that are not a record.
  *
- * @param batches how many batches there are
- * @param confirmed the highest sequence that they know to be synced, 0 for none
+ * @param batches number of batches among the records
+ * @param confirmed the highest sequence that they state as synced, 0 if there is none
  */
 record TrailingRecords(long batches, long confirmed) {
 
   /**
-   * Searches the rest of a log byte by byte.
+   * Searches a log byte by byte from an offset on.
    *
+   * @param offset where the search starts, in bytes
    * @param minSequence lowest sequence that a record may have
    */
   static TrailingRecords find(Disk disk, StoreFile log, long offset, long minSequence)
       throws IOException {
-    byte[] rest;
+    byte[] bytes;
     try (InputStream input = disk.open(log.name())) {
       input.skipNBytes(Math.min(offset, log.bytes()));
-      rest = input.readAllBytes();
+      bytes = input.readAllBytes();
     }
     long batches = 0;
     long confirmed = 0;
     int position = 0;
-    while (position < rest.length) {
-      Optional<LogRecord> found = LogRecord.decodeAt(rest, position, minSequence);
+    while (position < bytes.length) {
+      Optional<LogRecord> found = LogRecord.decodeAt(bytes, position, minSequence);
       if (found.isEmpty()) {
         position++;
         continue;
@@ -43,7 +44,10 @@
     return new TrailingRecords(batches, confirmed);
   }
 
-  /** An orderly end confirms everything before it. */
+  /**
+   * Returns the highest sequence that a record states as synced. The record of a clean close
+   * confirms all batches before it.
+   */
   private static long confirmedBy(LogRecord record) {
     return record.type() == LogRecord.Type.CLOSE ? record.sequence() - 1 : record.confirmed();
   }
--- a/src/main/java/pearusher/store/WriteBatch.java
+++ b/src/main/java/pearusher/store/WriteBatch.java
@@ -11,24 +11,24 @@
 import java.util.Optional;
 
 /**
- * Changes that take effect together, in the order in which their keys were first named. Not
+ * An atomic set of changes to keyed values, in the order in which their keys were first added. Not
  * thread-safe.
  */
 public final class WriteBatch {
-  /** The stored length of a value that stands for a deleted key. */
-  private static final int DELETED = -1;
+  /** The length that is stored in place of a value's length if the key is deleted. */
+  private static final int DELETED_LENGTH = -1;
 
-  private static final int USUAL_CHANGE_BYTES = 32;
+  private static final int TYPICAL_CHANGE_BYTES = 32;
 
   private final Map<String, Optional<byte[]>> changes = new LinkedHashMap<>();
 
-  /** Sets a key; the value is not copied. */
+  /** Sets the value of a key. The array is not copied, so the caller must not change it. */
   public WriteBatch put(String key, byte[] value) {
     changes.put(key, Optional.of(value));
     return this;
   }
 
-  /** Deletes a key. */
+  /** Deletes a key and its value. */
   public WriteBatch delete(String key) {
     changes.put(key, Optional.empty());
     return this;
@@ -38,7 +38,7 @@
     return changes.isEmpty();
   }
 
-  /** The new values by key; empty for a key that is deleted. */
+  /** Returns the new values by key; the value is empty for a deleted key. */
   public Map<String, Optional<byte[]>> changes() {
     return changes;
   }
@@ -52,7 +52,7 @@
 
   /** Encodes the changes as docs/store.md specifies them. */
   byte[] encode() {
-    int expectedBytes = USUAL_CHANGE_BYTES + USUAL_CHANGE_BYTES * changes.size();
+    int expectedBytes = TYPICAL_CHANGE_BYTES + TYPICAL_CHANGE_BYTES * changes.size();
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(expectedBytes);
     try (DataOutputStream output = new DataOutputStream(bytes)) {
       output.writeInt(changes.size());
@@ -69,7 +69,7 @@
   private static void writeValue(DataOutputStream output, Optional<byte[]> value)
       throws IOException {
     if (value.isEmpty()) {
-      output.writeInt(DELETED);
+      output.writeInt(DELETED_LENGTH);
       return;
     }
     output.writeInt(value.get().length);
@@ -77,9 +77,9 @@
   }
 
   /**
-   * Decodes what {@link #encode} wrote.
+   * Decodes the output of {@link #encode}.
    *
-   * @throws IOException if the bytes are too few or too many
+   * @throws IOException if the bytes are too few or too many, or a length is invalid
    */
   static WriteBatch decode(byte[] payload) throws IOException {
     WriteBatch batch = new WriteBatch();
@@ -89,7 +89,12 @@
         batch.changes.put(input.readUTF(), readValue(input));
       }
       if (input.available() > 0) {
-        throw new IOException(input.available() + " bytes after the last change");
+        throw new IOException(
+            "batch is too long: "
+                + input.available()
+                + " bytes after the last of "
+                + count
+                + " changes");
       }
     }
     return batch;
@@ -97,10 +102,10 @@
 
   private static Optional<byte[]> readValue(DataInputStream input) throws IOException {
     int length = input.readInt();
-    if (length > input.available() || length < DELETED) {
+    if (length > input.available() || length < DELETED_LENGTH) {
       throw new IOException(
-          "a value of " + length + " bytes where " + input.available() + " are left");
+          "value length " + length + " is invalid: " + input.available() + " bytes remain");
     }
-    return length == DELETED ? Optional.empty() : Optional.of(input.readNBytes(length));
+    return length == DELETED_LENGTH ? Optional.empty() : Optional.of(input.readNBytes(length));
   }
 }
--- a/src/main/java/pearusher/store/package-info.java
+++ b/src/main/java/pearusher/store/package-info.java
@@ -1,7 +1,7 @@
 /**
- * A small embedded store: keyed values, changed by atomic batches, kept in a write-ahead log and
- * checkpoints in one directory. The package owns that directory's files, their recovery and their
- * compaction. It does not know what the values mean, and reports nothing as durable before it is
- * synced as the policy says.
+ * An embedded key-value store: atomic batches of changes in a write-ahead log, and checkpoints, in
+ * one directory. The package owns the files of that directory, their recovery and their compaction.
+ * It does not interpret the values. It reports a batch as durable only after the sync that the
+ * policy requires.
  */
 package pearusher.store;
--- a/src/test/java/pearusher/recovery/LedgerTest.java
+++ b/src/test/java/pearusher/recovery/LedgerTest.java
@@ -16,7 +16,7 @@
 /** What a proxy that joins lacks, and what a start trusts. */
 class LedgerTest {
   private static final long HOUR_US = 3_600_000_000L;
-  private static final String SITE_NAMES = "n0 lookup,order north";
+  private static final String CONFIGURED_NAMES = "n0 lookup,order north";
   private static final int PROXY = 3;
   private static final int UNKNOWN_PROXY = 4;
   private static final int FIRST_ACK = 11;
@@ -25,14 +25,14 @@
   private long nowUs = 1_000_000_000_000_000L;
 
   private Ledger recover() {
-    return recover(RecoveryTrust.FULL, SITE_NAMES, nowUs, false);
+    return recover(RecoveryTrust.FULL, CONFIGURED_NAMES, nowUs, false);
   }
 
   private Ledger recover(
-      RecoveryTrust storeTrust, String siteNames, long startUs, boolean isFleetShared) {
+      RecoveryTrust storeTrust, String configuredNames, long startUs, boolean hasOtherAssigners) {
     return LedgerRecovery.recover(
         new HashMap<>(store),
-        new RecoveryConditions(storeTrust, siteNames, startUs, HOUR_US, isFleetShared));
+        new RecoveryConditions(storeTrust, configuredNames, startUs, HOUR_US, hasOtherAssigners));
   }
 
   private void endIteration(Ledger ledger) {
@@ -167,15 +167,15 @@
     Map<RecoveryTrust, Ledger> untrusted =
         Map.of(
             RecoveryTrust.RESTORED_COPY,
-            recover(RecoveryTrust.RESTORED_COPY, SITE_NAMES, nowUs, false),
+            recover(RecoveryTrust.RESTORED_COPY, CONFIGURED_NAMES, nowUs, false),
             RecoveryTrust.ABANDONED,
-            recover(RecoveryTrust.ABANDONED, SITE_NAMES, nowUs, false),
+            recover(RecoveryTrust.ABANDONED, CONFIGURED_NAMES, nowUs, false),
             RecoveryTrust.OTHER_SETTINGS,
             recover(RecoveryTrust.FULL, "n0 order,lookup north", nowUs, false),
             RecoveryTrust.STALE,
-            recover(RecoveryTrust.FULL, SITE_NAMES, nowUs + HOUR_US + 1, false),
+            recover(RecoveryTrust.FULL, CONFIGURED_NAMES, nowUs + HOUR_US + 1, false),
             RecoveryTrust.CLOCK_SKEW,
-            recover(RecoveryTrust.FULL, SITE_NAMES, nowUs - HOUR_US, false));
+            recover(RecoveryTrust.FULL, CONFIGURED_NAMES, nowUs - HOUR_US, false));
     untrusted.forEach(
         (trust, ledger) -> {
           assertEquals(trust, ledger.trust());
@@ -190,14 +190,14 @@
   @Test
   void emptyStoreIsNew() {
     RecoveryConditions conditions =
-        new RecoveryConditions(RecoveryTrust.FULL, SITE_NAMES, nowUs, HOUR_US, false);
+        new RecoveryConditions(RecoveryTrust.FULL, CONFIGURED_NAMES, nowUs, HOUR_US, false);
     assertEquals(RecoveryTrust.EMPTY, LedgerRecovery.recover(Map.of(), conditions).trust());
   }
 
   @Test
   void proxiesOfASharedFleetNeedCompleteTables() {
     ledgerWithAcknowledgedProxy();
-    Ledger shared = recover(RecoveryTrust.FULL, SITE_NAMES, nowUs, true);
+    Ledger shared = recover(RecoveryTrust.FULL, CONFIGURED_NAMES, nowUs, true);
     assertEquals(RecoveryTrust.SHARED_FLEET, shared.trust());
     assertNeedsCompleteTable(shared);
     assertEquals(Set.of("a", "b"), shared.weights(0).keySet());
--- a/src/test/java/pearusher/store/PowerCutTest.java
+++ b/src/test/java/pearusher/store/PowerCutTest.java
@@ -28,7 +28,7 @@
       disk.powerCutAtCall = round < rounds ? cutAtCall : -1;
       try {
         Store store = Store.open(disk, SMALL_SEGMENTS);
-        Optional<String> fault = workload.checkAndAdopt(store.takeRecovered());
+        Optional<String> fault = workload.checkAndContinueFrom(store.takeRecovered());
         if (fault.isPresent()) {
           return Optional.of("round " + round + ": " + fault.get());
         }
--- a/src/test/java/pearusher/store/StoreDamageTest.java
+++ b/src/test/java/pearusher/store/StoreDamageTest.java
@@ -100,7 +100,7 @@
     System.arraycopy(forged.array(), 0, bytes, offset, record.length());
     String fault;
     try (Store store = Store.open(disk.withFile(log, bytes), SMALL_SEGMENTS)) {
-      fault = workload.checkAndAdopt(store.takeRecovered()).orElse("none");
+      fault = workload.checkAndContinueFrom(store.takeRecovered()).orElse("none");
     } catch (IOException e) {
       fault = e.getMessage();
     }
@@ -127,7 +127,7 @@
       Store.Recovered recovered = store.takeRecovered();
       assertTrue(recovered.damage().contains("can't be read"), recovered.damage());
       assertTrue(recovered.sequence() < workload.lastSequence());
-      assertEquals(NO_FAULT, workload.checkAndAdopt(recovered));
+      assertEquals(NO_FAULT, workload.checkAndContinueFrom(recovered));
       workload.run(store, 4, true);
       last = workload.lastSequence();
     }
@@ -135,7 +135,7 @@
     try (Store store = Store.open(damaged, SMALL_SEGMENTS)) {
       Store.Recovered recovered = store.takeRecovered();
       assertEquals(last, recovered.sequence());
-      assertEquals(NO_FAULT, workload.checkAndAdopt(recovered));
+      assertEquals(NO_FAULT, workload.checkAndContinueFrom(recovered));
     }
   }
 }
--- a/src/test/java/pearusher/store/StoreTest.java
+++ b/src/test/java/pearusher/store/StoreTest.java
@@ -35,11 +35,11 @@
       Store.Recovered recovered = store.takeRecovered();
       assertTrue(recovered.wasClosed());
       assertEquals(workload.lastSequence(), recovered.sequence());
-      assertEquals(NO_FAULT, workload.checkAndAdopt(recovered));
+      assertEquals(NO_FAULT, workload.checkAndContinueFrom(recovered));
       workload.run(store, 3, false);
     }
     try (Store store = Store.open(disk, SMALL_SEGMENTS)) {
-      assertEquals(NO_FAULT, workload.checkAndAdopt(store.takeRecovered()));
+      assertEquals(NO_FAULT, workload.checkAndContinueFrom(store.takeRecovered()));
     }
   }
 
@@ -63,7 +63,7 @@
     assertEquals(before, disk.callCount, "a store that failed writes no more");
     disk.kill();
     try (Store reopened = Store.open(disk.afterPowerCut(new Random(1)), SMALL_SEGMENTS)) {
-      assertEquals(NO_FAULT, workload.checkAndAdopt(reopened.takeRecovered()));
+      assertEquals(NO_FAULT, workload.checkAndContinueFrom(reopened.takeRecovered()));
     }
   }
 
@@ -89,14 +89,14 @@
     // Space for the preambles of two new logs, and not one byte more.
     disk.capacityBytes = fullBytes + 2 * FilePreamble.LENGTH;
     Store reopened = Store.open(disk, SMALL_SEGMENTS);
-    assertEquals(NO_FAULT, workload.checkAndAdopt(reopened.takeRecovered()));
+    assertEquals(NO_FAULT, workload.checkAndContinueFrom(reopened.takeRecovered()));
     reopened.compact(reopened.seal());
     assertTrue(disk.size() < fullBytes, disk.size() + " of " + fullBytes);
     disk.capacityBytes = Long.MAX_VALUE;
     workload.run(reopened, 3, false);
     reopened.close();
     try (Store third = Store.open(disk, SMALL_SEGMENTS)) {
-      assertEquals(NO_FAULT, workload.checkAndAdopt(third.takeRecovered()));
+      assertEquals(NO_FAULT, workload.checkAndContinueFrom(third.takeRecovered()));
     }
   }
 
@@ -120,7 +120,8 @@
       workload.sync(store);
       disk.kill();
       try (Store reopened = Store.open(disk, SMALL_SEGMENTS)) {
-        assertEquals(NO_FAULT, workload.checkAndAdopt(reopened.takeRecovered()), "call " + call);
+        assertEquals(
+            NO_FAULT, workload.checkAndContinueFrom(reopened.takeRecovered()), "call " + call);
       }
     }
   }
@@ -148,11 +149,11 @@
 
   @Test
   void newerFormatMissingAndEmptyDirectory(@TempDir Path dir) throws IOException {
-    Files.write(dir.resolve(StoreFiles.log(7)), preambleOfNewerFormat().encode());
+    Files.write(dir.resolve(StoreFiles.logName(7)), preambleOfNewerFormat().encode());
     StoreException newer = openExpectingRefusal(new FileDisk(dir));
     assertEquals(StoreException.Reason.NEWER, newer.reason());
     assertTrue(
-        newer.getMessage().contains("has format 2, this program knows up to 1"),
+        newer.getMessage().contains("has format 2, but this version reads formats up to 1"),
         newer.getMessage());
     StoreException missing = openExpectingRefusal(new FileDisk(dir.resolve("none")));
     assertEquals(StoreException.Reason.ABSENT, missing.reason());
@@ -195,7 +196,7 @@
     try (Store store = Store.open(copy, SMALL_SEGMENTS)) {
       Store.Recovered recovered = store.takeRecovered();
       assertTrue(recovered.state().remove(StoreCopy.MARKER_KEY) != null);
-      assertEquals(NO_FAULT, workload.checkAndAdopt(recovered));
+      assertEquals(NO_FAULT, workload.checkAndContinueFrom(recovered));
     }
   }
 
@@ -239,7 +240,7 @@
       store.write();
       disk.kill();
       Store second = Store.open(disk, SMALL_SEGMENTS);
-      assertEquals(NO_FAULT, workload.checkAndAdopt(second.takeRecovered()));
+      assertEquals(NO_FAULT, workload.checkAndContinueFrom(second.takeRecovered()));
       boolean isGapFound = false;
       for (long seed = 0; seed < 20; seed++) {
         try (Store third = Store.open(disk.afterPowerCut(new Random(seed)), SMALL_SEGMENTS)) {
--- a/src/test/java/pearusher/store/Workload.java
+++ b/src/test/java/pearusher/store/Workload.java
@@ -94,7 +94,7 @@
   }
 
   /** Checks a recovered state; where it is correct, the workload goes on from it. */
-  Optional<String> checkAndAdopt(Store.Recovered recovered) {
+  Optional<String> checkAndContinueFrom(Store.Recovered recovered) {
     Optional<String> fault = findFault(recovered);
     if (fault.isEmpty()) {
       states.subList((int) recovered.sequence() + 1, states.size()).clear();
