--- a/src/main/java/pearusher/recovery/CatchUpBuilder.java
+++ b/src/main/java/pearusher/recovery/CatchUpBuilder.java
@@ -54,10 +54,10 @@
     EjectionEntry ejection = state.ejections.get(server);
     if (isUnacknowledged(entry.iteration())) {
       weights.put(server, entry.weight());
-      if (entry.isListed() && ejection != null) {
+      if (entry.isInTable() && ejection != null) {
         ejections.put(server, ejection.isEjected());
       }
-    } else if (entry.isListed()) {
+    } else if (entry.isInTable()) {
       announced.put(server, ejection != null && ejection.isEjected());
     }
   }
--- a/src/main/java/pearusher/recovery/Ledger.java
+++ b/src/main/java/pearusher/recovery/Ledger.java
@@ -103,7 +103,7 @@
 
   /** Returns the weights of a table by server, without removed servers. */
   public Map<String, Double> weights(int table) {
-    return state.table(table).listedWeights();
+    return state.table(table).currentWeights();
   }
 
   /**
@@ -219,10 +219,10 @@
   }
 
   private void removeServersExcept(List<ListedServer> listed) {
-    Set<String> missing = new HashSet<>(state.servers.keySet());
-    listed.forEach(server -> missing.remove(server.name()));
-    state.servers.keySet().removeAll(missing);
-    missing.forEach(server -> currentIteration.addChange(LedgerKey.ofServer(server)));
+    Set<String> removed = new HashSet<>(state.servers.keySet());
+    listed.forEach(server -> removed.remove(server.name()));
+    state.servers.keySet().removeAll(removed);
+    removed.forEach(server -> currentIteration.addChange(LedgerKey.ofServer(server)));
   }
 
   /** Deletes the endpoint and the ejection state of a server that left the endpoint list. */
--- a/src/main/java/pearusher/recovery/LedgerTable.java
+++ b/src/main/java/pearusher/recovery/LedgerTable.java
@@ -30,15 +30,15 @@
   long historyStart;
 
   /** Returns the weights by server, without removed servers. */
-  Map<String, Double> listedWeights() {
-    Map<String, Double> listed = new TreeMap<>();
+  Map<String, Double> currentWeights() {
+    Map<String, Double> current = new TreeMap<>();
     weights.forEach(
         (server, entry) -> {
-          if (entry.isListed()) {
-            listed.put(server, entry.weight());
+          if (entry.isInTable()) {
+            current.put(server, entry.weight());
           }
         });
-    return listed;
+    return current;
   }
 
   /**
@@ -64,7 +64,7 @@
   }
 
   private Stream<WeightEntry> removedEntries() {
-    return weights.values().stream().filter(entry -> !entry.isListed());
+    return weights.values().stream().filter(entry -> !entry.isInTable());
   }
 
   boolean needsPruning() {
@@ -90,7 +90,7 @@
     List<String> pruned = new ArrayList<>();
     weights.forEach(
         (server, entry) -> {
-          if (!entry.isListed() && entry.iteration() <= upToIteration) {
+          if (!entry.isInTable() && entry.iteration() <= upToIteration) {
             pruned.add(server);
           }
         });
--- a/src/main/java/pearusher/recovery/WeightEntry.java
+++ b/src/main/java/pearusher/recovery/WeightEntry.java
@@ -7,7 +7,7 @@
  * @param iteration the event-loop iteration that set it
  */
 record WeightEntry(double weight, long iteration) {
-  boolean isListed() {
+  boolean isInTable() {
     return weight > 0;
   }
 }
--- a/src/main/java/pearusher/store/GroupCommitter.java
+++ b/src/main/java/pearusher/store/GroupCommitter.java
@@ -175,8 +175,8 @@
   }
 
   /**
-   * Commits all submitted batches and closes the store. If the committing thread does not end
-   * within {@link #CLOSE_TIMEOUT_MS}, because the disk hangs, the store stays open.
+   * Commits all submitted batches and closes the store. If the committing thread does not end in
+   * time, because the disk hangs, the store stays open.
    */
   @Override
   public void close() throws IOException {
--- a/src/main/java/pearusher/store/LogReplay.java
+++ b/src/main/java/pearusher/store/LogReplay.java
@@ -106,28 +106,28 @@
   /** Applies the records of a log below a limit, and returns whether the next log may follow. */
   private boolean apply(StoreFile log, long limit) throws IOException {
     long remaining = log.bytes() - FilePreamble.LENGTH;
-    long next = log.sequence();
+    long nextSequence = log.sequence();
     isClosed = false;
     try (InputStream input = new BufferedInputStream(disk.open(log.name()), BUFFER_BYTES)) {
       input.skipNBytes(FilePreamble.LENGTH);
-      while (next < limit && remaining > 0) {
+      while (nextSequence < limit && remaining > 0) {
         Optional<LogRecord> read = LogRecord.read(input, remaining);
-        if (read.isEmpty() || !isExpected(read.get(), next)) {
-          reportEnd(log, log.bytes() - remaining, next, limit);
+        if (read.isEmpty() || !isExpected(read.get(), nextSequence)) {
+          reportEnd(log, log.bytes() - remaining, nextSequence, limit);
           return false;
         }
         LogRecord record = read.get();
         remaining -= record.length();
-        confirmed = Math.max(confirmed, Math.min(record.confirmed(), next));
+        confirmed = Math.max(confirmed, Math.min(record.confirmed(), nextSequence));
         isClosed = record.type() == LogRecord.Type.CLOSE;
         if (!isClosed) {
           applyBatch(record);
-          next++;
+          nextSequence++;
         }
       }
     }
-    if (next < limit && limit != NO_LIMIT) {
-      reportEnd(log, log.bytes(), next, limit);
+    if (nextSequence < limit && limit != NO_LIMIT) {
+      reportEnd(log, log.bytes(), nextSequence, limit);
       return false;
     }
     return true;
@@ -148,19 +148,23 @@
   }
 
   /** Records the end of a log before its limit, either as damage or as an unconfirmed end. */
-  private void reportEnd(StoreFile log, long offset, long next, long limit) throws IOException {
-    TrailingRecords trailing = TrailingRecords.find(disk, log, offset, next);
+  private void reportEnd(StoreFile log, long offset, long nextSequence, long limit)
+      throws IOException {
+    TrailingRecords trailing = TrailingRecords.find(disk, log, offset, nextSequence);
     if (limit != NO_LIMIT) {
       damage.add(
           log.name(),
           offset,
-          "record " + next + " can't be read, and a later log continues from record " + limit);
-    } else if (trailing.confirmed() >= next) {
+          "record "
+              + nextSequence
+              + " can't be read, and a later log continues from record "
+              + limit);
+    } else if (trailing.confirmed() >= nextSequence) {
       damage.add(
           log.name(),
           offset,
           "record "
-              + next
+              + nextSequence
               + " can't be read, and it was confirmed; "
               + trailing.batches()
               + " complete records in "
--- a/src/test/java/pearusher/recovery/CatchUpPropertyTest.java
+++ b/src/test/java/pearusher/recovery/CatchUpPropertyTest.java
@@ -16,24 +16,27 @@
 import pearusher.policy.AdmissionLevel;
 import pearusher.policy.Idempotency;
 
-/** A proxy that applies what it lacks holds exactly what was ordered, after any crash. */
+/**
+ * A rejoining proxy that applies its catch-up must have exactly the issued state, also after
+ * crashes. Otherwise it would route requests by stale weights, admission levels or ejections.
+ */
 class CatchUpPropertyTest {
   private static final int STEPS = 60;
 
   /**
-   * Commands, acknowledgements, disconnects and crashes drawn from a seed. A crash cuts off the
-   * messages that are under way.
+   * Runs commands, acknowledgements, disconnects and crashes drawn from a seed. A crash drops the
+   * messages that are not yet delivered.
    */
   @Property(seed = "9", tries = 400)
-  void proxyThatCatchesUpHoldsWhatWasOrdered(@ForAll long seed) {
+  void rejoiningProxyHasTheIssuedStateAfterCatchUp(@ForAll long seed) {
     Scenario scenario = new Scenario(seed);
     for (int step = 0; step < STEPS; step++) {
-      scenario.play(step);
+      scenario.runStep(step);
     }
     assertNotNull(scenario.ledger);
   }
 
-  /** A message to the proxy: what it changes there. */
+  /** The changes that a message to the proxy contains. */
   private record Update(
       Map<String, Double> weights,
       Map<Integer, AdmissionLevel> admissionLevels,
@@ -43,7 +46,7 @@
     }
   }
 
-  /** The proxy's end of the stream. */
+  /** The state of the proxy. */
   private static final class Proxy {
     final Map<String, Double> weights = new TreeMap<>();
     final Map<Integer, AdmissionLevel> admissionLevels = new TreeMap<>();
@@ -87,7 +90,7 @@
     }
   }
 
-  /** A ledger, its store and one proxy. */
+  /** A ledger with its store and one proxy. */
   private static final class Scenario {
     private static final int PROXY = 1;
     private static final int TABLE = 0;
@@ -122,14 +125,14 @@
       ledger.endIteration(nowUs).ifPresent(changes -> changes.forEach(store::put, store::remove));
     }
 
-    void play(int step) {
+    void runStep(int step) {
       if (!isJoined) {
         join();
       }
-      issueCommands();
+      issueRandomCommands();
       boolean isCrash = random.nextInt(8) == 0;
-      boolean haveAllArrived = deliverMessages(isCrash);
-      if (haveAllArrived && random.nextInt(3) > 0) {
+      boolean isEveryMessageDelivered = deliverMessages(isCrash);
+      if (isEveryMessageDelivered && random.nextInt(3) > 0) {
         ledger.onAcknowledgement(PROXY, lastAckNumber);
         if (random.nextBoolean()) {
           endIteration();
@@ -137,14 +140,14 @@
       }
       disconnect(isCrash);
       if (isJoined) {
-        assertProxyHoldsWhatWasOrdered(step);
+        assertProxyHasTheIssuedState(step);
       }
     }
 
     private void join() {
       CatchUp catchUp = ledger.onProxyJoined(PROXY, proxy.isFresh).orElse(null);
       ledger.bindProxy(PROXY, TABLE, catchUp == null);
-      messages.add(catchUp == null ? completeTable() : missingPart(catchUp));
+      messages.add(catchUp == null ? completeTable() : catchUpUpdate(catchUp));
       isJoined = true;
     }
 
@@ -156,14 +159,14 @@
       return () -> proxy.applyCompleteTable(table);
     }
 
-    private Runnable missingPart(CatchUp catchUp) {
-      Update part = new Update(catchUp.weights(), catchUp.admissionLevels(), catchUp.ejections());
-      return () -> proxy.apply(part);
+    private Runnable catchUpUpdate(CatchUp catchUp) {
+      Update update = new Update(catchUp.weights(), catchUp.admissionLevels(), catchUp.ejections());
+      return () -> proxy.apply(update);
     }
 
-    private void issueCommands() {
+    private void issueRandomCommands() {
       Update update = new Update();
-      for (int left = random.nextInt(3); left > 0; left--) {
+      for (int remaining = random.nextInt(3); remaining > 0; remaining--) {
         issueCommand("s" + random.nextInt(6), update);
       }
       lastAckNumber++;
@@ -192,13 +195,17 @@
       }
     }
 
-    /** Delivers all messages, or those that arrive before a crash; whether these are all. */
+    /**
+     * Delivers all messages, or those before a crash.
+     *
+     * @return whether all messages were delivered
+     */
     private boolean deliverMessages(boolean isCrash) {
-      int arrived = isCrash ? random.nextInt(messages.size() + 1) : messages.size();
-      boolean haveAllArrived = arrived == messages.size();
-      messages.subList(0, arrived).forEach(Runnable::run);
+      int deliveredCount = isCrash ? random.nextInt(messages.size() + 1) : messages.size();
+      boolean isEveryMessageDelivered = deliveredCount == messages.size();
+      messages.subList(0, deliveredCount).forEach(Runnable::run);
       messages.clear();
-      return haveAllArrived;
+      return isEveryMessageDelivered;
     }
 
     private void disconnect(boolean isCrash) {
@@ -211,7 +218,7 @@
       }
     }
 
-    private void assertProxyHoldsWhatWasOrdered(int step) {
+    private void assertProxyHasTheIssuedState(int step) {
       Map<String, Double> usable = ledger.weights(TABLE);
       usable.keySet().removeIf(server -> ejections.getOrDefault(server, false));
       assertEquals(usable, proxy.usableWeights(), "seed " + seed + " step " + step);
--- a/src/test/java/pearusher/recovery/LedgerTest.java
+++ b/src/test/java/pearusher/recovery/LedgerTest.java
@@ -13,7 +13,7 @@
 import pearusher.policy.Idempotency;
 import pearusher.policy.Lifecycle;
 
-/** What a proxy that joins lacks, and what a start trusts. */
+/** The missing entries of a rejoining proxy, and the stored data that a start trusts. */
 class LedgerTest {
   private static final long HOUR_US = 3_600_000_000L;
   private static final String CONFIGURED_NAMES = "n0 lookup,order north";
@@ -44,7 +44,7 @@
     return new ListedServer(name, "127.0.0.1:1", 0, 0, 0, lifecycle, 1, 0);
   }
 
-  /** A table of two servers, with the proxy bound to it. */
+  /** Returns a ledger with a table of two servers, which the proxy is bound to. */
   private Ledger ledgerWithBoundProxy() {
     Ledger ledger = recover();
     ledger.onEndpointList(
@@ -60,7 +60,7 @@
     return ledger;
   }
 
-  /** The same after the proxy has acknowledged its table. */
+  /** Returns a ledger with a table of two servers, which the proxy has acknowledged. */
   private Ledger ledgerWithAcknowledgedProxy() {
     Ledger ledger = ledgerWithBoundProxy();
     ledger.onAcknowledgement(PROXY, FIRST_ACK);
@@ -72,12 +72,12 @@
     return ledger.onProxyJoined(PROXY, false).orElseThrow();
   }
 
-  private static void assertNeedsCompleteTable(Ledger ledger) {
+  private static void assertProxyNeedsCompleteTable(Ledger ledger) {
     assertEquals(Optional.empty(), ledger.onProxyJoined(PROXY, false));
   }
 
   @Test
-  void proxyThatAcknowledgedItsTableLacksNothing() {
+  void proxyThatAcknowledgedItsTableHasNoMissingEntries() {
     ledgerWithAcknowledgedProxy();
     CatchUp catchUp = catchUp(recover());
     assertEquals(0, catchUp.cost());
@@ -87,23 +87,23 @@
   @Test
   void proxyThatHasNotAcknowledgedNeedsTheCompleteTable() {
     ledgerWithBoundProxy();
-    assertNeedsCompleteTable(recover());
+    assertProxyNeedsCompleteTable(recover());
     assertEquals(
         Optional.empty(), recover().onProxyJoined(UNKNOWN_PROXY, false), "it was never bound");
   }
 
-  /** A proxy's own report has precedence over the store. */
+  /** The report of a proxy that it has no table takes precedence over the stored data. */
   @Test
-  void freshProxyHoldsNothingWhateverIsStored() {
+  void freshProxyNeedsTheCompleteTableDespiteAStoredAcknowledgement() {
     ledgerWithAcknowledgedProxy();
     Ledger restarted = recover();
     assertEquals(Optional.empty(), restarted.onProxyJoined(PROXY, true));
     endIteration(restarted);
-    assertNeedsCompleteTable(recover());
+    assertProxyNeedsCompleteTable(recover());
   }
 
   @Test
-  void proxyLacksWhatChangedSinceItAcknowledged() {
+  void catchUpContainsTheChangesSinceTheAcknowledgement() {
     Ledger ledger = ledgerWithAcknowledgedProxy();
     ledger.setWeight(0, "b", 0.7);
     ledger.setEjected("a", true, nowUs);
@@ -123,19 +123,22 @@
     assertEquals(Map.of("a", true, "b", false), catchUp.announced());
   }
 
-  /** Requests of an earlier process, or on another stream, do not count. */
+  /**
+   * Acknowledgements of requests of an earlier process or on another stream must be ignored: they
+   * don't show which entries the proxy has.
+   */
   @Test
-  void acknowledgementCountsOnTheStreamOfItsRequestOnly() {
+  void acknowledgementIsAcceptedOnTheStreamOfItsRequestOnly() {
     Ledger ledger = ledgerWithBoundProxy();
-    assertNeedsCompleteTable(ledger);
+    assertProxyNeedsCompleteTable(ledger);
     ledger.onAcknowledgement(PROXY, FIRST_ACK);
     endIteration(ledger);
-    assertNeedsCompleteTable(recover());
+    assertProxyNeedsCompleteTable(recover());
     assertEquals(FIRST_ACK, recover().lastAckNumber(), "the next request has another number");
   }
 
   @Test
-  void startTakesOutServersThatTheListDoesNotName() {
+  void startRemovesServersThatAreNotOnTheList() {
     ledgerWithAcknowledgedProxy();
     Ledger restarted = recover();
     restarted.setEjected("b", true, nowUs);
@@ -149,9 +152,9 @@
     assertEquals(Set.of("b"), restarted.weights(0).keySet());
   }
 
-  /** The next start must not list a server that a complete list left out. */
+  /** The next start must not recover a server that is not on a complete list. */
   @Test
-  void completeListForgetsServersThatItDoesNotName() {
+  void completeListRemovesAllOtherServers() {
     Ledger ledger = ledgerWithAcknowledgedProxy();
     ledger.onEndpointList(8, true, List.of(server("b", Lifecycle.READY)));
     endIteration(ledger);
@@ -159,9 +162,9 @@
     assertEquals(8, recover().generation());
   }
 
-  /** The epoch, the iteration and the acknowledgement number rise however little is trusted. */
+  /** The epoch, the iteration and the acknowledgement number must not decrease in any case. */
   @Test
-  void startTakesOverNoTableThatItDoesNotTrust() {
+  void untrustedTablesAreNotLoaded() {
     ledgerWithAcknowledgedProxy();
     assertEquals(RecoveryTrust.FULL, recover().trust());
     Map<RecoveryTrust, Ledger> untrusted =
@@ -183,28 +186,28 @@
           assertEquals(FIRST_ACK, ledger.lastAckNumber());
           assertTrue(ledger.iteration() > 0);
           assertEquals(Set.of(), ledger.tables());
-          assertNeedsCompleteTable(ledger);
+          assertProxyNeedsCompleteTable(ledger);
         });
   }
 
   @Test
-  void emptyStoreIsNew() {
+  void ledgerOfAnEmptyStoreHasTrustEmpty() {
     RecoveryConditions conditions =
         new RecoveryConditions(RecoveryTrust.FULL, CONFIGURED_NAMES, nowUs, HOUR_US, false);
     assertEquals(RecoveryTrust.EMPTY, LedgerRecovery.recover(Map.of(), conditions).trust());
   }
 
   @Test
-  void proxiesOfASharedFleetNeedCompleteTables() {
+  void proxiesNeedCompleteTablesIfThereAreOtherAssigners() {
     ledgerWithAcknowledgedProxy();
     Ledger shared = recover(RecoveryTrust.FULL, CONFIGURED_NAMES, nowUs, true);
     assertEquals(RecoveryTrust.SHARED_FLEET, shared.trust());
-    assertNeedsCompleteTable(shared);
+    assertProxyNeedsCompleteTable(shared);
     assertEquals(Set.of("a", "b"), shared.weights(0).keySet());
   }
 
   @Test
-  void unreadableStoreIsDeletedButForItsHeader() {
+  void unreadableStoreIsDeletedExceptForItsHeader() {
     ledgerWithAcknowledgedProxy();
     store.put("t/0/l/c", new byte[] {1});
     assertEquals(RecoveryTrust.UNREADABLE, recover().trust());
@@ -214,7 +217,7 @@
   }
 
   @Test
-  void unsafeRetriesAreNotTakenOver() {
+  void unsafeRetryModesAreLimited() {
     Ledger ledger = recover();
     ledger.setAdmission(0, 0, new AdmissionLevel(1, 3));
     ledger.setAdmission(0, 1, new AdmissionLevel(1, 3));
@@ -225,7 +228,7 @@
   }
 
   @Test
-  void removedServersArePrunedAndAProxyThatWasAwayNeedsTheCompleteTable() {
+  void removedServersArePrunedAndADisconnectedProxyNeedsTheCompleteTable() {
     Ledger ledger = ledgerWithAcknowledgedProxy();
     for (int k = 0; k < 5000; k++) {
       ledger.onEndpointList(8 + k, false, List.of(server("s" + k, Lifecycle.READY)));
@@ -238,6 +241,6 @@
     }
     endIteration(ledger);
     assertTrue(store.size() < 150, store.size() + " keys");
-    assertNeedsCompleteTable(recover());
+    assertProxyNeedsCompleteTable(recover());
   }
 }
--- a/src/test/java/pearusher/recovery/OutboxTest.java
+++ b/src/test/java/pearusher/recovery/OutboxTest.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Messages are held back until they are durable, in order, and not forever. */
+/** Delays messages until they are durable, sends them in order, and limits the delay. */
 class OutboxTest {
   private final List<String> sent = new ArrayList<>();
   private final Outbox<String> outbox = new Outbox<>(sent::add, 1000);
 
   @Test
-  void messagesAreSentOnceTheyAreDurable() {
+  void messagesAreSentInOrderOnceTheyAreDurable() {
     long first = outbox.offer(List.of("a", "b"), 0);
     long second = outbox.offer(List.of("c"), 10);
     assertEquals(List.of(), sent);
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void abandonedOutboxSendsOverdueMessagesAndAllLaterOnesAtOnce() {
+  void abandonedOutboxSendsPendingAndLaterMessagesImmediately() {
     outbox.offer(List.of("a"), 0);
     outbox.offer(List.of("b"), 900);
     assertFalse(outbox.isOverdue(1000));
--- a/src/test/java/pearusher/recovery/RecoveredServerListTest.java
+++ b/src/test/java/pearusher/recovery/RecoveredServerListTest.java
@@ -8,7 +8,10 @@
 import org.junit.jupiter.api.Test;
 import pearusher.policy.Lifecycle;
 
-/** The endpoint list that a start begins with. */
+/**
+ * The initial endpoint list of a start. A list with a higher generation may contain outdated states
+ * if the generations were reset, so it must not make draining or removed servers ready.
+ */
 class RecoveredServerListTest {
   private static ListedServer server(Lifecycle lifecycle, long startedUs) {
     return new ListedServer("a", null, 0, 0, 0, lifecycle, 1, startedUs);
@@ -19,11 +22,11 @@
         store, new RecoveryConditions(RecoveryTrust.FULL, "n", nowUs, 1000, false));
   }
 
-  private static Ledger ledgerWith(long generation, ListedServer server) {
+  private static Ledger ledgerWithServer(long generation, ListedServer server) {
     Map<String, byte[]> store = new HashMap<>();
-    Ledger first = recover(store, 5);
-    first.onEndpointList(generation, false, List.of(server));
-    first.endIteration(5).orElseThrow().forEach(store::put, store::remove);
+    Ledger ledger = recover(store, 5);
+    ledger.onEndpointList(generation, false, List.of(server));
+    ledger.endIteration(5).orElseThrow().forEach(store::put, store::remove);
     return recover(store, 6);
   }
 
@@ -34,11 +37,11 @@
       ListedServer stored) {
     return RecoveredServerList.merge(
         new RecoveredServerList(configuredGeneration, List.of(configured)),
-        ledgerWith(storedGeneration, stored));
+        ledgerWithServer(storedGeneration, stored));
   }
 
   @Test
-  void newerListCountsButRevivesNoServerThatDrainsOrIsRemoved() {
+  void newerListReactivatesNoDrainingOrRemovedServer() {
     ListedServer ready = server(Lifecycle.READY, 0);
     ListedServer draining = server(Lifecycle.DRAINING, 0);
     ListedServer removed = server(Lifecycle.REMOVED, 0);
--- a/src/test/java/pearusher/store/PowerCutTest.java
+++ b/src/test/java/pearusher/store/PowerCutTest.java
@@ -12,12 +12,19 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** Power failures before each disk call; any subset of what was not synced survives. */
+/**
+ * Recovery after a power failure before any disk call. A random subset of the unsynced sectors and
+ * file names survives, so a missing or misplaced sync loses confirmed batches or makes the files
+ * inconsistent.
+ */
 class PowerCutTest {
   private static final StoreOptions SMALL_SEGMENTS =
       new StoreOptions(StoreOptions.Policy.EACH, 0, 200, 1, 2, StoreOptions.Damage.REFUSE);
 
-  /** Runs a workload with power cuts between restarts; what was wrong, empty for nothing. */
+  /**
+   * Runs a workload with power cuts between restarts, and returns the first fault; empty if there
+   * is none.
+   */
   private static Optional<String> faultAfterPowerCuts(
       long seed, int cutAtCall, long survivorSeed, int rounds, SimDisk.SkippedSync... skippedSyncs)
       throws IOException {
@@ -68,8 +75,8 @@
     assertEquals(Optional.empty(), faultAfterPowerCuts(seed, cutAtCall, survivorSeed, 3));
   }
 
-  /** Whether some power cut shows a fault where the disk skips a kind of sync. */
-  private static boolean isDetectedWithout(SimDisk.SkippedSync skippedSync) throws IOException {
+  /** Returns whether any power cut causes a fault if the disk skips a kind of sync. */
+  private static boolean findsFaultWithout(SimDisk.SkippedSync skippedSync) throws IOException {
     for (int cutAtCall = 0; cutAtCall < 120; cutAtCall++) {
       for (long survivorSeed = 0; survivorSeed < 12; survivorSeed++) {
         if (faultAfterPowerCuts(cutAtCall % 5, cutAtCall, survivorSeed, 1, skippedSync)
@@ -83,17 +90,17 @@
 
   @Test
   void skippedFileSyncIsDetected() throws IOException {
-    assertTrue(isDetectedWithout(SimDisk.SkippedSync.FILE));
+    assertTrue(findsFaultWithout(SimDisk.SkippedSync.FILE));
   }
 
   @Test
   void skippedDirectorySyncIsDetected() throws IOException {
-    assertTrue(isDetectedWithout(SimDisk.SkippedSync.DIRECTORY));
+    assertTrue(findsFaultWithout(SimDisk.SkippedSync.DIRECTORY));
   }
 
-  /** Without it, a checkpoint may get its name before its content is durable. */
+  /** Without this sync, a checkpoint may get its final name before its content is durable. */
   @Test
   void skippedSyncBeforeRenameIsDetected() throws IOException {
-    assertTrue(isDetectedWithout(SimDisk.SkippedSync.UNFINISHED_FILE));
+    assertTrue(findsFaultWithout(SimDisk.SkippedSync.UNFINISHED_FILE));
   }
 }
--- a/src/test/java/pearusher/store/SimDisk.java
+++ b/src/test/java/pearusher/store/SimDisk.java
@@ -17,23 +17,22 @@
 import java.util.function.BiConsumer;
 
 /**
- * A simulated directory that forgets what was not synced. Names and contents become durable
- * separately; at a power cut a random subset of the sectors and names that were not synced
- * survives.
+ * A simulated directory that loses unsynced data at a power cut. Names and contents become durable
+ * separately. At a power cut, a random subset of the unsynced sectors and name changes survives.
  */
 public final class SimDisk implements Disk {
   private static final int SECTOR_BYTES = 16;
 
-  /** A power failure; an error, so that no code handles it as a failure of the disk. */
+  /** A simulated power failure. It is an error so that no code handles it as a disk failure. */
   public static final class PowerCut extends Error {
     private static final long serialVersionUID = 1L;
 
     PowerCut() {
-      super("the power went", null, false, false);
+      super("simulated power failure", null, false, false);
     }
   }
 
-  /** Kinds of syncs that a test disables: the call returns and does nothing. */
+  /** The kinds of syncs that a test can disable, so that the call returns without an effect. */
   public enum SkippedSync {
     FILE,
     DIRECTORY,
@@ -55,22 +54,22 @@
   private final Set<SkippedSync> skippedSyncs = EnumSet.noneOf(SkippedSync.class);
   private boolean isLocked;
 
-  /** Calls so far that change anything. */
+  /** Number of modifying calls so far. */
   public volatile int callCount;
 
   /** Whether the power cut has happened. */
   public volatile boolean isPowerOff;
 
-  /** The call at which the power is cut; -1: never. */
+  /** Index of the modifying call at which the power is cut; -1 for never. */
   public volatile int powerCutAtCall = -1;
 
-  /** The call that fails, once; -1: none. */
+  /** Index of the modifying call that fails; -1 for none. */
   public volatile int failAtCall = -1;
 
-  /** Space for all files together. */
+  /** Maximum total length of all files in bytes. */
   long capacityBytes = Long.MAX_VALUE;
 
-  /** Notified with the operation and file name before each call that changes anything. */
+  /** Called with the operation and the file name before each modifying call. */
   public volatile BiConsumer<String, String> callListener = (operation, name) -> {};
 
   public SimDisk(SkippedSync... skippedSyncs) {
@@ -94,7 +93,7 @@
     }
   }
 
-  /** The disk as a start after a power cut finds it. */
+  /** Returns a disk with the files that survive a power cut. */
   public synchronized SimDisk afterPowerCut(Random random) {
     for (Runnable change : pendingNameChanges) {
       if (random.nextBoolean()) {
@@ -122,7 +121,7 @@
     return survivor;
   }
 
-  /** The process is killed; the page cache stays. */
+  /** Simulates a kill of the process. Unsynced data remains readable, as in a page cache. */
   public void kill() {
     isLocked = false;
     powerCutAtCall = -1;
@@ -138,7 +137,7 @@
     return files.get(name).visible.clone();
   }
 
-  /** The same files with one replaced, all durable. */
+  /** Returns a copy of the disk in which one file is replaced and all files are durable. */
   SimDisk withFile(String name, byte[] bytes) {
     Map<String, FileContent> copies = new TreeMap<>();
     files.forEach(
@@ -164,7 +163,7 @@
   public synchronized AppendFile create(String name) throws IOException {
     onCall("create", name);
     if (files.containsKey(name)) {
-      throw new IOException(name + " is there already");
+      throw new IOException("file " + name + " already exists");
     }
     FileContent content = new FileContent();
     files.put(name, content);
--- a/src/test/java/pearusher/store/StoreDamageTest.java
+++ b/src/test/java/pearusher/store/StoreDamageTest.java
@@ -15,11 +15,14 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** Damaged and truncated files: no confirmed batch is lost silently. */
+/** Damaged and truncated files. The store must not lose a confirmed batch without reporting it. */
 class StoreDamageTest {
-  /** Each file cut at each byte: the store opens in an earlier state, or names the file. */
+  /**
+   * Truncates each file to each length. The store must open in an earlier state, or name the file
+   * in its refusal.
+   */
   @Test
-  void truncatedFileGivesAnEarlierStateOrIsRefused() throws IOException {
+  void truncatedFileIsRecoveredToAnEarlierStateOrRefused() throws IOException {
     for (boolean isClosed : new boolean[] {false, true}) {
       Workload workload = new Workload(2);
       SimDisk disk = sampleStore(workload, isClosed);
@@ -49,7 +52,10 @@
     }
   }
 
-  /** One byte flipped at each place: nothing that was confirmed is lost silently. */
+  /**
+   * Flips a bit in each byte of each file. The store must open in the last state, or refuse to
+   * open.
+   */
   @Test
   void flippedByteIsDetected() throws IOException {
     Workload workload = new Workload(3);
@@ -80,9 +86,12 @@
     }
   }
 
-  /** With a forged checksum the store accepts the record; the check of values must find it. */
+  /**
+   * Changes a value and its checksum, so that the store accepts the record. The workload must
+   * detect the changed value: otherwise the other tests would not detect wrong values either.
+   */
   @Test
-  void flippedByteWithAForgedChecksumIsFoundByTheWorkload() throws IOException {
+  void changedValueWithAValidChecksumIsDetectedByTheWorkload() throws IOException {
     Workload workload = new Workload(3);
     SimDisk disk = sampleStore(workload, true);
     String log = logs(disk).get(logs(disk).size() - 1);
@@ -104,12 +113,12 @@
     } catch (IOException e) {
       fault = e.getMessage();
     }
-    assertTrue(fault.contains("it holds"), "the workload found: " + fault);
+    assertTrue(fault.contains("unexpected state"), "the workload found: " + fault);
   }
 
-  /** The store goes on from the last state before the damage and reports what is lost. */
+  /** The store must continue from the last state before the damage, and report the loss. */
   @Test
-  void damageStopsAtTheLastConsistentStateIfConfigured() throws IOException {
+  void stopOptionContinuesFromTheLastStateBeforeTheDamage() throws IOException {
     Workload workload = new Workload(4);
     SimDisk disk = sampleStore(workload, true);
     String log = logs(disk).get(0);
@@ -131,7 +140,7 @@
       workload.run(store, 4, true);
       last = workload.lastSequence();
     }
-    // The next start finds an undamaged store, without the records after the damage.
+    // At the next start the store is undamaged and lacks the records after the damage.
     try (Store store = Store.open(damaged, SMALL_SEGMENTS)) {
       Store.Recovered recovered = store.takeRecovered();
       assertEquals(last, recovered.sequence());
--- a/src/test/java/pearusher/store/StoreFixture.java
+++ b/src/test/java/pearusher/store/StoreFixture.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Stores and options that several tests use. */
+/** Stores and options for several tests. */
 final class StoreFixture {
-  /** What {@link Workload#findFault} returns for a correct state. */
+  /** The result of {@link Workload#findFault} for a correct state. */
   static final Optional<String> NO_FAULT = Optional.empty();
 
   static final StoreOptions SMALL_SEGMENTS =
@@ -24,7 +24,11 @@
     return assertThrows(StoreException.class, () -> Store.open(disk, SMALL_SEGMENTS).close());
   }
 
-  /** A directory with a checkpoint and several logs, with an orderly end or not. */
+  /**
+   * Returns a directory with a checkpoint and several logs.
+   *
+   * @param isClosed whether the store is closed cleanly
+   */
   static SimDisk sampleStore(Workload workload, boolean isClosed) throws IOException {
     SimDisk disk = new SimDisk();
     Store store = Store.open(disk, SAMPLE_OPTIONS);
@@ -37,12 +41,12 @@
     return disk;
   }
 
-  /** The files that hold data: all but the reserve. */
+  /** Returns the names of all files except the reserve, which contains no data. */
   static List<String> logsAndCheckpoints(SimDisk disk) {
     return disk.list().stream().filter(name -> !name.equals(StoreFiles.RESERVE)).toList();
   }
 
-  /** The logs in the order of their names. */
+  /** Returns the names of the logs in alphabetical order. */
   static List<String> logs(SimDisk disk) {
     return disk.list().stream().filter(name -> name.startsWith("log-")).toList();
   }
--- a/src/test/java/pearusher/store/StoreTest.java
+++ b/src/test/java/pearusher/store/StoreTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The store without damage or power failures. */
+/** Opening, appending, compaction, copies, disk failures and kills, without damaged files. */
 class StoreTest {
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
@@ -44,14 +44,14 @@
   }
 
   @Test
-  void failedSyncIsFinal() throws IOException {
+  void noBatchIsAcceptedAfterAFailedSync() throws IOException {
     SimDisk disk = new SimDisk();
     Store store = Store.open(disk, SMALL_SEGMENTS);
     Workload workload = new Workload(5);
     workload.append(store);
     workload.sync(store);
     workload.append(store);
-    // The write comes first, then the sync, which fails once.
+    // The next call is the write. The call after it is the sync, which fails once.
     disk.failAtCall = disk.callCount + 1;
     StoreException first = assertThrows(StoreException.class, store::sync);
     assertEquals(StoreException.Reason.FAILED, first.reason());
@@ -67,7 +67,7 @@
     }
   }
 
-  /** Appends fail on a full disk; a compaction uses the reserve. */
+  /** On a full disk appends fail, but a compaction must succeed by using the reserve. */
   @Test
   void fullDiskCanBeCompacted() throws IOException {
     SimDisk disk = new SimDisk();
@@ -86,7 +86,7 @@
         });
     store.close();
     long fullBytes = disk.size();
-    // Space for the preambles of two new logs, and not one byte more.
+    // Exactly the space for the preambles of two new logs.
     disk.capacityBytes = fullBytes + 2 * FilePreamble.LENGTH;
     Store reopened = Store.open(disk, SMALL_SEGMENTS);
     assertEquals(NO_FAULT, workload.checkAndContinueFrom(reopened.takeRecovered()));
@@ -100,7 +100,7 @@
     }
   }
 
-  /** A compaction fails at each of its disk calls in turn. */
+  /** A compaction fails at each of its disk calls in turn. No batch may be lost. */
   @Test
   void failedCompactionLeavesTheStoreUsable() throws IOException {
     for (int call = 0; call < 14; call++) {
@@ -127,7 +127,7 @@
   }
 
   @Test
-  void directoryIsLocked(@TempDir Path dir) throws IOException {
+  void directoryInUseIsRefused(@TempDir Path dir) throws IOException {
     FileDisk disk = new FileDisk(dir);
     try (Store store = Store.open(disk, SMALL_SEGMENTS)) {
       store.append(new WriteBatch().put("a", bytes("1")));
@@ -148,7 +148,8 @@
   }
 
   @Test
-  void newerFormatMissingAndEmptyDirectory(@TempDir Path dir) throws IOException {
+  void newerFormatAndMissingDirectoryAreRefusedAndANewDirectoryIsEmpty(@TempDir Path dir)
+      throws IOException {
     Files.write(dir.resolve(StoreFiles.logName(7)), preambleOfNewerFormat().encode());
     StoreException newer = openExpectingRefusal(new FileDisk(dir));
     assertEquals(StoreException.Reason.NEWER, newer.reason());
@@ -200,9 +201,11 @@
     }
   }
 
-  /** Deleted keys leave nothing behind after a compaction. */
+  /**
+   * Deleted keys must not occupy space after a compaction, or the store would grow without bound.
+   */
   @Test
-  void compactedStoreReturnsToItsFirstSize() throws IOException {
+  void compactionReclaimsTheSpaceOfDeletedKeys() throws IOException {
     SimDisk disk = new SimDisk();
     Store store =
         Store.open(
@@ -227,9 +230,12 @@
     store.close();
   }
 
-  /** A start takes over what a killed process wrote without a sync, and must sync it. */
+  /**
+   * A start recovers records that a killed process wrote without a sync. Unless the start syncs
+   * them, a power cut can lose them, and the log of that start then follows a gap.
+   */
   @Test
-  void killFollowedByAPowerCutLeavesNoGap() throws IOException {
+  void powerCutAfterAKillLeavesNoGap() throws IOException {
     for (boolean isSynced : new boolean[] {true, false}) {
       SimDisk disk = isSynced ? new SimDisk() : new SimDisk(SimDisk.SkippedSync.RECOVERED_FILE);
       Workload workload = new Workload(10);
@@ -254,7 +260,7 @@
   }
 
   @Test
-  void truncatedBatchIsRefused() throws IOException {
+  void truncatedOrOverlongBatchIsRefused() throws IOException {
     byte[] encoded = new WriteBatch().put("a", bytes("b")).delete("c").encode();
     assertEquals(List.of("a", "c"), List.copyOf(WriteBatch.decode(encoded).changes().keySet()));
     for (int length = 0; length < encoded.length; length++) {
--- a/src/test/java/pearusher/store/Workload.java
+++ b/src/test/java/pearusher/store/Workload.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-/** Random batches from a seed, and the states that a correct store may hold after each. */
+/** Random batches drawn from a seed, and the correct state of the store after each batch. */
 final class Workload {
   /** The state after each batch, by its sequence. */
   private final List<Map<String, String>> states = new ArrayList<>(List.of(new TreeMap<>()));
@@ -54,7 +54,7 @@
     return value.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Appends a batch and remembers the state that it results in. */
+  /** Appends a random batch, and records the resulting state. */
   void append(Store store) throws IOException {
     WriteBatch batch = randomBatch();
     Map<String, String> state = new TreeMap<>(states.get(states.size() - 1));
@@ -85,7 +85,7 @@
       if (isCompacting && k % 9 == 8) {
         Store.Sealed sealed = store.seal();
         confirmed = states.size() - 1L;
-        // Appends go on while the rest of the compaction runs.
+        // Appends continue between the two steps of the compaction.
         append(store);
         store.write();
         store.compact(sealed);
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Checks a recovered state; where it is correct, the workload goes on from it. */
+  /** Returns the fault of a recovered state. If it is correct, the workload continues from it. */
   Optional<String> checkAndContinueFrom(Store.Recovered recovered) {
     Optional<String> fault = findFault(recovered);
     if (fault.isEmpty()) {
@@ -103,24 +103,24 @@
     return fault;
   }
 
-  /** What is wrong with a recovered state; empty for nothing. */
+  /** Returns the fault of a recovered state; empty if the state is correct. */
   Optional<String> findFault(Store.Recovered recovered) {
     int sequence = (int) recovered.sequence();
     if (sequence >= states.size()) {
       return Optional.of(
-          "sequence " + sequence + " was never appended, the last is " + lastSequence());
+          "found sequence " + sequence + ", but the last appended one is " + lastSequence());
     }
     if (!states.get(sequence).equals(asText(recovered.state()))) {
       return Optional.of(
-          "at "
+          "unexpected state at sequence "
               + sequence
-              + " it holds "
+              + ": found "
               + asText(recovered.state())
-              + ", not "
+              + ", expected "
               + states.get(sequence));
     }
     if (sequence < confirmed) {
-      return Optional.of("confirmed up to " + confirmed + ", found " + sequence);
+      return Optional.of("confirmed up to sequence " + confirmed + ", found up to " + sequence);
     }
     return Optional.empty();
   }
