--- a/src/main/java/pearusher/store/Store.java
+++ b/src/main/java/pearusher/store/Store.java
@@ -216,8 +216,9 @@
    * checkpoint, at which the options ask for a compaction.
    */
   public boolean needsCompaction() {
-    long limit = (long) (options.compactTimes() * compactor.checkpointBytes());
-    return !writer.hasFailed() && writer.logBytes() >= Math.max(options.compactBytes(), limit);
+    long limit = (long) (options.minCompactionFactor() * compactor.checkpointBytes());
+    return !writer.hasFailed()
+        && writer.logBytes() >= Math.max(options.minCompactionBytes(), limit);
   }
 
   /**
--- a/src/main/java/pearusher/store/StoreOptions.java
+++ b/src/main/java/pearusher/store/StoreOptions.java
@@ -7,17 +7,17 @@
  * @param intervalUs delay in microseconds in which {@link Policy#INTERVAL} collects batches before
  *     it syncs them together
  * @param segmentBytes length in bytes at which a log ends and the next one starts
- * @param compactBytes minimum total length of the logs for a compaction, in bytes
- * @param compactTimes minimum total length of the logs for a compaction, as a multiple of the
- *     length of the last checkpoint; both minimums must be reached
+ * @param minCompactionBytes minimum total length of the logs for a compaction, in bytes
+ * @param minCompactionFactor minimum total length of the logs for a compaction, as a multiple of
+ *     the length of the last checkpoint; both minimums must be reached
  * @param onDamage how a start handles confirmed records that can't be read
  */
 public record StoreOptions(
     Policy policy,
     long intervalUs,
     long segmentBytes,
-    long compactBytes,
-    double compactTimes,
+    long minCompactionBytes,
+    double minCompactionFactor,
     Damage onDamage) {
 
   /** The policy for syncing batches. */
