--- a/src/test/java/pearusher/store/StoreTest.java
+++ b/src/test/java/pearusher/store/StoreTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The store without damage or power failures. */
+/** Opening, appending, compaction, copies, disk failures and kills, without damaged files. */
 class StoreTest {
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
@@ -35,23 +35,23 @@
       Store.Recovered recovered = store.takeRecovered();
       assertTrue(recovered.wasClosed());
       assertEquals(workload.lastSequence(), recovered.sequence());
-      assertEquals(NO_FAULT, workload.checkAndAdopt(recovered));
+      assertEquals(NO_FAULT, workload.checkAndContinueFrom(recovered));
       workload.run(store, 3, false);
     }
     try (Store store = Store.open(disk, SMALL_SEGMENTS)) {
-      assertEquals(NO_FAULT, workload.checkAndAdopt(store.takeRecovered()));
+      assertEquals(NO_FAULT, workload.checkAndContinueFrom(store.takeRecovered()));
     }
   }
 
   @Test
-  void failedSyncIsFinal() throws IOException {
+  void noBatchIsAcceptedAfterAFailedSync() throws IOException {
     SimDisk disk = new SimDisk();
     Store store = Store.open(disk, SMALL_SEGMENTS);
     Workload workload = new Workload(5);
     workload.append(store);
     workload.sync(store);
     workload.append(store);
-    // The write comes first, then the sync, which fails once.
+    // The next call is the write. The call after it is the sync, which fails once.
     disk.failAtCall = disk.callCount + 1;
     StoreException first = assertThrows(StoreException.class, store::sync);
     assertEquals(StoreException.Reason.FAILED, first.reason());
@@ -63,11 +63,11 @@
     assertEquals(before, disk.callCount, "a store that failed writes no more");
     disk.kill();
     try (Store reopened = Store.open(disk.afterPowerCut(new Random(1)), SMALL_SEGMENTS)) {
-      assertEquals(NO_FAULT, workload.checkAndAdopt(reopened.takeRecovered()));
+      assertEquals(NO_FAULT, workload.checkAndContinueFrom(reopened.takeRecovered()));
     }
   }
 
-  /** Appends fail on a full disk; a compaction uses the reserve. */
+  /** On a full disk appends fail, but a compaction must succeed by using the reserve. */
   @Test
   void fullDiskCanBeCompacted() throws IOException {
     SimDisk disk = new SimDisk();
@@ -86,21 +86,21 @@
         });
     store.close();
     long fullBytes = disk.size();
-    // Space for the preambles of two new logs, and not one byte more.
+    // Exactly the space for the preambles of two new logs.
     disk.capacityBytes = fullBytes + 2 * FilePreamble.LENGTH;
     Store reopened = Store.open(disk, SMALL_SEGMENTS);
-    assertEquals(NO_FAULT, workload.checkAndAdopt(reopened.takeRecovered()));
+    assertEquals(NO_FAULT, workload.checkAndContinueFrom(reopened.takeRecovered()));
     reopened.compact(reopened.seal());
     assertTrue(disk.size() < fullBytes, disk.size() + " of " + fullBytes);
     disk.capacityBytes = Long.MAX_VALUE;
     workload.run(reopened, 3, false);
     reopened.close();
     try (Store third = Store.open(disk, SMALL_SEGMENTS)) {
-      assertEquals(NO_FAULT, workload.checkAndAdopt(third.takeRecovered()));
+      assertEquals(NO_FAULT, workload.checkAndContinueFrom(third.takeRecovered()));
     }
   }
 
-  /** A compaction fails at each of its disk calls in turn. */
+  /** A compaction fails at each of its disk calls in turn. No batch may be lost. */
   @Test
   void failedCompactionLeavesTheStoreUsable() throws IOException {
     for (int call = 0; call < 14; call++) {
@@ -120,13 +120,14 @@
       workload.sync(store);
       disk.kill();
       try (Store reopened = Store.open(disk, SMALL_SEGMENTS)) {
-        assertEquals(NO_FAULT, workload.checkAndAdopt(reopened.takeRecovered()), "call " + call);
+        assertEquals(
+            NO_FAULT, workload.checkAndContinueFrom(reopened.takeRecovered()), "call " + call);
       }
     }
   }
 
   @Test
-  void directoryIsLocked(@TempDir Path dir) throws IOException {
+  void directoryInUseIsRefused(@TempDir Path dir) throws IOException {
     FileDisk disk = new FileDisk(dir);
     try (Store store = Store.open(disk, SMALL_SEGMENTS)) {
       store.append(new WriteBatch().put("a", bytes("1")));
@@ -147,12 +148,13 @@
   }
 
   @Test
-  void newerFormatMissingAndEmptyDirectory(@TempDir Path dir) throws IOException {
-    Files.write(dir.resolve(StoreFiles.log(7)), preambleOfNewerFormat().encode());
+  void newerFormatAndMissingDirectoryAreRefusedAndANewDirectoryIsEmpty(@TempDir Path dir)
+      throws IOException {
+    Files.write(dir.resolve(StoreFiles.logName(7)), preambleOfNewerFormat().encode());
     StoreException newer = openExpectingRefusal(new FileDisk(dir));
     assertEquals(StoreException.Reason.NEWER, newer.reason());
     assertTrue(
-        newer.getMessage().contains("has format 2, this program knows up to 1"),
+        newer.getMessage().contains("has format 2, but this version reads formats up to 1"),
         newer.getMessage());
     StoreException missing = openExpectingRefusal(new FileDisk(dir.resolve("none")));
     assertEquals(StoreException.Reason.ABSENT, missing.reason());
@@ -195,13 +197,15 @@
     try (Store store = Store.open(copy, SMALL_SEGMENTS)) {
       Store.Recovered recovered = store.takeRecovered();
       assertTrue(recovered.state().remove(StoreCopy.MARKER_KEY) != null);
-      assertEquals(NO_FAULT, workload.checkAndAdopt(recovered));
+      assertEquals(NO_FAULT, workload.checkAndContinueFrom(recovered));
     }
   }
 
-  /** Deleted keys leave nothing behind after a compaction. */
+  /**
+   * Deleted keys must not occupy space after a compaction, or the store would grow without bound.
+   */
   @Test
-  void compactedStoreReturnsToItsFirstSize() throws IOException {
+  void compactionReclaimsTheSpaceOfDeletedKeys() throws IOException {
     SimDisk disk = new SimDisk();
     Store store =
         Store.open(
@@ -226,9 +230,12 @@
     store.close();
   }
 
-  /** A start takes over what a killed process wrote without a sync, and must sync it. */
+  /**
+   * A start recovers records that a killed process wrote without a sync. Unless the start syncs
+   * them, a power cut can lose them, and the log of that start then follows a gap.
+   */
   @Test
-  void killFollowedByAPowerCutLeavesNoGap() throws IOException {
+  void powerCutAfterAKillLeavesNoGap() throws IOException {
     for (boolean isSynced : new boolean[] {true, false}) {
       SimDisk disk = isSynced ? new SimDisk() : new SimDisk(SimDisk.SkippedSync.RECOVERED_FILE);
       Workload workload = new Workload(10);
@@ -239,7 +246,7 @@
       store.write();
       disk.kill();
       Store second = Store.open(disk, SMALL_SEGMENTS);
-      assertEquals(NO_FAULT, workload.checkAndAdopt(second.takeRecovered()));
+      assertEquals(NO_FAULT, workload.checkAndContinueFrom(second.takeRecovered()));
       boolean isGapFound = false;
       for (long seed = 0; seed < 20; seed++) {
         try (Store third = Store.open(disk.afterPowerCut(new Random(seed)), SMALL_SEGMENTS)) {
@@ -253,7 +260,7 @@
   }
 
   @Test
-  void truncatedBatchIsRefused() throws IOException {
+  void truncatedOrOverlongBatchIsRefused() throws IOException {
     byte[] encoded = new WriteBatch().put("a", bytes("b")).delete("c").encode();
     assertEquals(List.of("a", "c"), List.copyOf(WriteBatch.decode(encoded).changes().keySet()));
     for (int length = 0; length < encoded.length; length++) {
