--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
-# Thin over Maven; each target is one line of the README.
+# Shortcuts for Maven commands.
 
-# What `make run` tells the assigner: the example on loopback. Set others to run it elsewhere.
+# Environment of the assigner that `make run` starts. The defaults run the example configuration on loopback.
 EDGE_NAME ?= n0
 EDGE_LISTEN ?= 127.0.0.1:8080
 EDGE_DISCOVERY ?= 127.0.0.1:8500
@@ -24,7 +24,8 @@
 run: build
 	exec java -jar target/pearusher.jar serve
 
-# Measurements, `name value unit` a line; QUICK=1 takes under 40 s. The figures kept are in docs/bench/.
+# Benchmarks. Each prints lines of the form `name value unit`; with QUICK=1 a run takes under 40 s. Recorded results are in
+# docs/bench/.
 .PHONY: bench-classes bench-store bench-start bench-mixed bench-intake
 bench-classes:
 	mvn -q -B -DskipTests package dependency:build-classpath -Dmdep.outputFile=target/bench.cp
@@ -33,26 +34,28 @@
 	java -Xmx2g -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.store.StoreBench $(QUICK)
 	java -Xmx1g -Dtinylog.level=off -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.server.CrashRecoveryBench $(QUICK)
 
-# OLD: the jar of an earlier version beside its lib/, to which the time to the first pong is compared.
+# OLD: the jar of an earlier version, with its lib/ in the same directory. The time to the first pong is compared with it.
 bench-start: bench-classes
 	java -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.server.StartBench $(OLD)
 
-# OLD: the jar of an earlier version beside its lib/, of which an assigner runs beside one of this build; under 3 minutes.
+# OLD: the jar of an earlier version, with its lib/ in the same directory. One assigner of that version runs alongside one
+# of this build. A run takes under 3 minutes.
 bench-mixed: bench-classes
 	java -Xmx1g -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.scale.MixedBench $(OLD)
 
 bench-intake: bench-classes
 	java -Xmx1g -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.intake.IntakeBench $(QUICK)
 
-# Assigners, real and simulated, at a size, on loopback; ARGS are its options: --help tells them. QUICK=1 takes under two
-# minutes, the whole mix under fifteen; ROOT is the build that is measured.
+# Scale benchmark of real and simulated assigners on loopback. ARGS: its options, which --help lists. ROOT: the build to
+# measure. A run takes under 2 minutes with QUICK=1 and under 15 minutes otherwise.
 .PHONY: scale
 ROOT ?= .
 scale: bench-classes
 	java -Xmx2g -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.scale.ScaleCommand --root $(ROOT) \
 		--json target/scale.json --charts target/scale $(if $(QUICK),--quick) $(ARGS)
 
-# What docs/CAPACITY.md stands on: the model of the fleet (ARGS="--requests-skew 1.2"), picks by a table, idle processes.
+# Sources of the figures in docs/CAPACITY.md: the fleet model (for example ARGS="--requests-skew 1.2"), the rate of picks
+# from a table, and the footprint of idle processes.
 .PHONY: capacity capacity-pick capacity-floor
 capacity: bench-classes
 	java -cp target/classes:target/test-classes:$$(cat target/bench.cp) pearusher.capacity.CapacityModel $(ARGS)
--- a/config/checkstyle-suppressions.sh
+++ b/config/checkstyle-suppressions.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Compares config/checkstyle-suppressions.xml to the present violations of config/checkstyle.xml.
+# Compares config/checkstyle-suppressions.xml with the current violations of config/checkstyle.xml.
 #
-#   config/checkstyle-suppressions.sh check   prints entries that are no longer needed; exit status 1 where there are any
-#   config/checkstyle-suppressions.sh write   writes the file anew: one entry for each file and rule, sorted
+#   config/checkstyle-suppressions.sh check   prints entries that are no longer needed; exit status 1 if there are any
+#   config/checkstyle-suppressions.sh write   regenerates the file: one entry for each file and rule, sorted
 #
-# The file only shrinks: `write` is for after an entry was fixed, or after files were moved or reformatted.
+# The file may lose entries but not gain any: run `write` after fixing a violation, or after moving or reformatting files.
 set -euo pipefail
 shopt -s inherit_errexit
 cd "$(dirname "$0")/.."
@@ -12,7 +12,7 @@
 readonly SUPPRESSIONS=config/checkstyle-suppressions.xml
 readonly REPORT=target/checkstyle-result.xml
 
-# Prints a file of suppressions with the entries on standard input.
+# Prints a suppressions file with the entries read from standard input.
 print_suppressions() {
     cat << 'HEAD'
 <?xml version="1.0"?>
@@ -25,24 +25,24 @@
     echo '</suppressions>'
 }
 
-# Writes Maven's report on all sources, with no violation suppressed.
+# Writes the Checkstyle report of all sources with suppressions disabled.
 write_report() {
     local directory
     directory=$(mktemp -d)
     print_suppressions < /dev/null > "$directory/none.xml"
     rm -f "$REPORT"
-    # Maven fails where there are violations; whether Checkstyle ran to its end is seen by the report's last line.
+    # Maven exits with an error if there are violations, so the last line of the report tells whether Checkstyle finished.
     mvn -q -B validate "-Dcheckstyle.suppressions=$directory/none.xml" "-Dcheckstyle.cache.file=$directory/cache" \
         > "$directory/log" 2>&1 || true
     if ! tail -n 1 "$REPORT" 2> /dev/null | grep -qx '</checkstyle>'; then
         cat "$directory/log" >&2
-        echo "Checkstyle did not run to its end" >&2
+        echo "Checkstyle did not finish: no complete report in $REPORT" >&2
         exit 1
     fi
     rm -r "$directory"
 }
 
-# Prints an entry for each file and rule of the report, sorted. `\b` keeps ParameterName from matching LambdaParameterName.
+# Prints a sorted entry for each file and rule of the report. `\b` prevents ParameterName from matching LambdaParameterName.
 print_needed() {
     awk -F '"' -v root="$PWD/" '
         /^<file / {
@@ -68,7 +68,7 @@
     local unneeded
     unneeded=$(LC_ALL=C comm -23 <(print_listed) <(print_needed))
     [ -n "$unneeded" ] || return 0
-    echo "$SUPPRESSIONS: no longer needed:" >&2
+    echo "$SUPPRESSIONS: entries no longer needed:" >&2
     echo "$unneeded" >&2
     exit 1
 }
@@ -79,7 +79,7 @@
     print_needed | print_suppressions > "$SUPPRESSIONS.new"
     mv "$SUPPRESSIONS.new" "$SUPPRESSIONS"
     after=$(print_listed | wc -l)
-    echo "$SUPPRESSIONS: $after entries, formerly $before"
+    echo "$SUPPRESSIONS: $after entries, previously $before"
 }
 
 case ${1:-} in
