--- a/src/bench/java/pearusher/capacity/IdleProcessBench.java
+++ b/src/bench/java/pearusher/capacity/IdleProcessBench.java
@@ -138,10 +138,14 @@
       Figures.print(name + ".core", usedSeconds / idleSeconds, "of_a_core");
       for (String field : List.of("VmRSS", "RssAnon", "RssFile")) {
         Figures.print(
-            name + "." + field, 1.0 * ProcessFigures.status(process.pid(), field) / KIB, "MiB");
+            name + "." + field,
+            1.0 * ProcessFigures.statusField(process.pid(), field) / KIB,
+            "MiB");
       }
       Figures.print(
-          name + ".threads", (double) ProcessFigures.status(process.pid(), "Threads"), "threads");
+          name + ".threads",
+          (double) ProcessFigures.statusField(process.pid(), "Threads"),
+          "threads");
       Figures.print(name + ".live_heap", liveHeapBytes(process.pid()) / KIB / KIB, "MiB");
     } finally {
       process.destroy();
--- a/src/bench/java/pearusher/scale/AssignerConfigWriter.java
+++ b/src/bench/java/pearusher/scale/AssignerConfigWriter.java
@@ -11,10 +11,10 @@
 import java.util.stream.IntStream;
 
 /**
- * Writes the configuration of one assigner: the documented example, changed to the size of the run.
+ * Writes the configuration of an assigner: the documented example, adapted to the size of the run.
  */
 final class AssignerConfigWriter {
-  /** The addresses of an assigner and of its discovery. */
+  /** The addresses of an assigner and of its discovery service. */
   record Endpoints(int number, InetSocketAddress listen, InetSocketAddress discovery) {
     String name() {
       return "n" + number;
@@ -24,7 +24,7 @@
   private final RunDescription run;
   private final Path example;
 
-  /** By their numbers, the addresses at which assigners receive each other's datagrams. */
+  /** The UDP addresses of the assigners, indexed by their numbers; empty without peers. */
   private final List<InetSocketAddress> peers;
 
   AssignerConfigWriter(RunDescription run, Path example) {
@@ -34,7 +34,8 @@
   /**
    * Creates a writer.
    *
-   * @param peers by the assigners' numbers, their addresses for datagrams; empty: they send none
+   * @param peers the UDP addresses of the assigners, indexed by their numbers; empty to disable
+   *     datagrams between them
    */
   AssignerConfigWriter(RunDescription run, Path example, List<InetSocketAddress> peers) {
     this.run = run;
@@ -100,7 +101,7 @@
     return Math.max(RunDescription.MIN_PROXY_COUNT, run.proxies());
   }
 
-  /** Repeats the request classes of the example under generated names. */
+  /** Sets the request classes, which repeat those of the example under generated names. */
   private void setClasses(JsonTree json) {
     List<Object> grades = new ArrayList<>();
     List<Object> writes = new ArrayList<>();
--- a/src/bench/java/pearusher/scale/AssignerProcess.java
+++ b/src/bench/java/pearusher/scale/AssignerProcess.java
@@ -19,8 +19,8 @@
 import java.util.regex.Pattern;
 
 /**
- * The process of a real assigner, started by the command of the deployment, with its log in a
- * directory of its own.
+ * The process of a real assigner, which is started by the command of the deployment. Its log is in
+ * a separate directory.
  */
 final class AssignerProcess implements AutoCloseable {
   private static final byte[] PING = RespWriter.encode("ping");
@@ -41,7 +41,10 @@
   private long readyResidentKb = -1;
   private boolean wasStopped;
 
-  /** Running processes; they are stopped even if the runner itself is stopped by a signal. */
+  /**
+   * Running processes. A shutdown hook kills them, so that none is left running if a signal ends
+   * the runner.
+   */
   private static final Set<Process> RUNNING = ConcurrentHashMap.newKeySet();
 
   static {
@@ -65,7 +68,7 @@
         new ProcessBuilder("/bin/sh", "-c", runCommand.command())
             .directory(runCommand.root().toFile())
             .redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.appendTo(log(directory)));
+            .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile(directory)));
     builder.environment().putAll(environment);
     Process process = builder.start();
     RUNNING.add(process);
@@ -73,18 +76,18 @@
     return new AssignerProcess(directory, listen, process);
   }
 
-  private static java.io.File log(Path directory) {
+  private static java.io.File logFile(Path directory) {
     return directory.resolve("log").toFile();
   }
 
-  /** A loopback address with a free port. */
+  /** Returns a loopback address with a free port. */
   static InetSocketAddress freeAddress() throws IOException {
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return new InetSocketAddress(free.getInetAddress(), free.getLocalPort());
     }
   }
 
-  /** Waits for the first pong; returns false if the process died or did not answer in time. */
+  /** Waits for the first pong. Returns false if the process ends or does not answer in time. */
   boolean awaitPong(double timeoutSeconds) throws InterruptedException {
     long endNs = System.nanoTime() + (long) (timeoutSeconds * 1e9);
     while (isAlive() && System.nanoTime() < endNs) {
@@ -138,32 +141,38 @@
     return readyResidentKb;
   }
 
-  private List<String> log() throws IOException {
+  private List<String> readLog() throws IOException {
     return Files.readAllLines(directory.resolve("log"), StandardCharsets.UTF_8);
   }
 
-  /** The last line of the log, which gives the cause if the process has died. */
+  /**
+   * Returns the last line of the log, which contains the cause if the process has ended
+   * unexpectedly.
+   */
   String lastLogLine() throws IOException {
-    List<String> lines = log();
+    List<String> lines = readLog();
     return lines.isEmpty() ? "(the log is empty)" : lines.get(lines.size() - 1);
   }
 
-  /** The last warning or error in the log; empty if there is none. */
+  /** Returns the last warning or error in the log, or an empty string if there is none. */
   String lastWarning() throws IOException {
-    return log().stream()
+    return readLog().stream()
         .filter(line -> line.contains(" WARN ") || line.contains(" ERROR "))
         .reduce("", (earlier, later) -> later);
   }
 
-  /** All lines of the log that tell of something dropped or rejected. */
+  /** Returns all lines of the log about dropped or rejected input. */
   List<String> dropLines() throws IOException {
-    return log().stream().filter(line -> DROP_LINE.matcher(line).find()).toList();
+    return readLog().stream().filter(line -> DROP_LINE.matcher(line).find()).toList();
   }
 
-  /** The number of dropped reports according to the log; empty while reports are still dropped. */
+  /**
+   * Returns the number of dropped reports according to the log, or empty while reports are still
+   * dropped.
+   */
   OptionalLong reportsDropped() throws IOException {
     OptionalLong dropped = OptionalLong.of(0);
-    for (String line : log()) {
+    for (String line : readLog()) {
       Matcher matcher = DROP_TOTAL.matcher(line);
       if (matcher.find()) {
         dropped = OptionalLong.of(Long.parseLong(matcher.group(1)));
@@ -174,20 +183,22 @@
     return dropped;
   }
 
-  /** Whether the process has dropped reports, according to its log. */
+  /** Returns whether the process has dropped reports according to its log. */
   boolean hasDroppedReports() throws IOException {
     return !reportsDropped().equals(OptionalLong.of(0));
   }
 
-  /** Kills the process without notice, as a machine failure would. */
+  /** Kills the process without a shutdown, to simulate a machine failure. */
   void kill() throws InterruptedException {
     wasStopped = true;
     process.destroyForcibly();
     process.waitFor(TERMINATION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Whether the process ended without being stopped. */
-  boolean hasDied() {
+  /**
+   * Returns whether the process has ended without being stopped by {@link #kill} or {@link #close}.
+   */
+  boolean hasEndedUnexpectedly() {
     return !wasStopped && !process.isAlive();
   }
 
--- a/src/bench/java/pearusher/scale/AssignerTally.java
+++ b/src/bench/java/pearusher/scale/AssignerTally.java
@@ -1,8 +1,8 @@
 package pearusher.scale;
 
 /**
- * What simulated proxies received from one assigner. Owned by the event loop of the proxies; of
- * constant size.
+ * Counts of the messages that simulated proxies received from one assigner. Owned by the event loop
+ * of the proxies. Of constant size.
  */
 final class AssignerTally {
   private long joins;
@@ -18,7 +18,7 @@
     joins++;
   }
 
-  /** Records that the assigner ended a stream, which it has no reason to do. */
+  /** Records that the assigner ended a stream, which is unexpected. */
   void recordStreamEnd() {
     streamsEnded++;
   }
@@ -29,15 +29,15 @@
 
   void recordUndecodable(String cause) {
     undecodable++;
-    noteFault("undecodable: " + cause);
+    recordFirstFault("undecodable: " + cause);
   }
 
   void recordUnexpected(String cause) {
     unexpected++;
-    noteFault("unexpected: " + cause);
+    recordFirstFault("unexpected: " + cause);
   }
 
-  private void noteFault(String fault) {
+  private void recordFirstFault(String fault) {
     firstFault = firstFault == null ? fault : firstFault;
   }
 
@@ -46,7 +46,7 @@
     unneededTables += isNeeded ? 0 : 1;
   }
 
-  /** Adds the figures of the tally so far under a prefix. */
+  /** Adds the current counts to a report, with a prefix before their names. */
   void addTo(Report report, String prefix) {
     report.add(prefix + "joins", (double) joins, "1");
     report.add(prefix + "streams_ended_by_assigner", (double) streamsEnded, "1");
--- a/src/bench/java/pearusher/scale/ChangeFeed.java
+++ b/src/bench/java/pearusher/scale/ChangeFeed.java
@@ -6,15 +6,18 @@
 import java.util.SplittableRandom;
 
 /**
- * Changes the endpoint list: servers start to drain, and a drained server is replaced by a new one
- * in its zone. Runs on the event loop of discovery, which owns the catalog, and notifies the
- * listener before a change is published.
+ * Generates changes of the endpoint list: servers start to drain, and each drained server is
+ * replaced by a new server in its zone. Runs on the event loop of the simulated discovery service,
+ * which owns the catalog. Notifies the listener before a change is published.
  */
 final class ChangeFeed {
-  /** Not a multiple of usual intervals between changes, so that runs make the same changes. */
+  /**
+   * Not a multiple of common change intervals, so that timing jitter does not decide between a
+   * drain and a replacement and all runs make the same changes.
+   */
   private static final long DRAIN_DURATION_NS = 3_770_000_000L;
 
-  /** Is notified of changes before they are published. */
+  /** Receives changes before they are published. */
   interface Listener {
     void onServerDraining(int server);
 
@@ -47,7 +50,7 @@
     serving = new ArrayList<>(catalog.inService());
   }
 
-  /** Starts to make changes at a rate, the first after half an interval. */
+  /** Starts to publish changes at a fixed rate, the first after half an interval. */
   void start(double changesPerSecond) {
     if (changesPerSecond > 0) {
       long intervalNs = (long) (1e9 / changesPerSecond);
@@ -102,21 +105,22 @@
 
   /** Terminates all servers of a zone in one change and returns them, for {@link #restoreZone}. */
   List<Integer> removeZone(int zone) {
-    List<Integer> lost = serving.stream().filter(server -> catalog.zone(server) == zone).toList();
-    serving.removeAll(lost);
-    for (int server : lost) {
+    List<Integer> removedServers =
+        serving.stream().filter(server -> catalog.zone(server) == zone).toList();
+    serving.removeAll(removedServers);
+    for (int server : removedServers) {
       catalog.setLifecycle(server, ServerCatalog.Lifecycle.TERMINATED);
       listener.onServerDraining(server);
     }
-    publish(lost);
-    return lost;
+    publish(removedServers);
+    return removedServers;
   }
 
-  void restoreZone(List<Integer> lost) {
-    replace(lost);
+  void restoreZone(List<Integer> removedServers) {
+    replace(removedServers);
   }
 
-  // Only the thread of the loop writes the count.
+  // Only the event loop's thread writes the count.
   @SuppressWarnings("NonAtomicVolatileUpdate")
   private void publish(List<Integer> changed) {
     changeCount = changeCount + 1;
@@ -125,7 +129,7 @@
     discovery.publishChange(changed);
   }
 
-  /** The number of changes published so far. */
+  /** Returns the number of changes published so far. */
   long changeCount() {
     return changeCount;
   }
--- a/src/bench/java/pearusher/scale/ChangeTimestamps.java
+++ b/src/bench/java/pearusher/scale/ChangeTimestamps.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * When each generation of the endpoint list was published, to measure how long a change takes to
- * arrive. Thread-safe; grows with the changes of a run.
+ * The publication times of the generations of the endpoint list, to measure how long a change takes
+ * to arrive. Thread-safe. Grows with the changes of a run.
  */
 final class ChangeTimestamps {
   private final Map<Long, Long> publishedNs = new ConcurrentHashMap<>();
@@ -16,7 +16,8 @@
   }
 
   /**
-   * The time since a generation was published; empty if it is older than the run's first change.
+   * Returns the time since a generation was published, or empty if the generation precedes the
+   * run's first change.
    */
   OptionalLong sinceNs(long generation, long nowNs) {
     Long publicationNs = publishedNs.get(generation);
--- a/src/bench/java/pearusher/scale/CollectorWorkload.java
+++ b/src/bench/java/pearusher/scale/CollectorWorkload.java
@@ -1,11 +1,11 @@
 package pearusher.scale;
 
 /**
- * What collectors report.
+ * The load reports that simulated collectors send.
  *
- * @param reportsPerSecond reports to each assigner
+ * @param reportsPerSecond reports per second to each assigner
  * @param noise standard deviation of the logarithm of a mean response time
- * @param requestsPerSecond requests through each assigner
+ * @param requestsPerSecond requests per second of the proxies of each assigner
  */
 record CollectorWorkload(
     int zones,
--- a/src/bench/java/pearusher/scale/Comparison.java
+++ b/src/bench/java/pearusher/scale/Comparison.java
@@ -4,13 +4,14 @@
 import java.util.Locale;
 
 /**
- * Compares simulated assigners with real ones: the same fleet runs once all real and once with one
- * real assigner only. Reports for each role the bytes and messages per second of both runs and
- * their ratio. The rates of updates and changed weights that simulated assigners send are taken
- * from the real run, since they make no decisions; the sizes and forms are their own.
+ * Compares simulated assigners with real ones. The fleet runs once with real assigners only and
+ * once with a single real assigner. Reports the bytes and messages per second of both runs for each
+ * role, and their ratios. Simulated assigners make no decisions, so their rates of updates and
+ * weight changes are taken from the real run. The sizes and encodings of their messages are their
+ * own.
  */
 final class Comparison {
-  /** The largest deviation of a ratio from 1. */
+  /** The largest accepted deviation of a ratio from 1. */
   static final double TOLERANCE = 0.05;
 
   /** Senders and the kinds of messages that they send. */
@@ -23,7 +24,7 @@
     PROXIES(TrafficCounter.Kind.USAGE_REPORT, TrafficCounter.Kind.ACKNOWLEDGEMENT),
     ASSIGNERS(TrafficCounter.Kind.UPDATE);
 
-    // Never modified.
+    // The array is never modified.
     @SuppressWarnings("ImmutableEnumChecker")
     private final TrafficCounter.Kind[] kinds;
 
@@ -67,10 +68,10 @@
     compare("bind_bytes", real.report().value(bind), simulated.report().value(bind), "B");
     report.add("within_5_percent", isWithinTolerance ? 1 : 0, "yes");
     return new RunOutcome(
-        report, isWithinTolerance ? null : "a ratio is off by more than 5 percent");
+        report, isWithinTolerance ? null : "a ratio deviates from 1 by more than 5 percent");
   }
 
-  /** The same run with the rates of updates and weight changes of the real assigners. */
+  /** Returns the run with the rates of updates and weight changes that the real assigners had. */
   private RunDescription withRatesOf(RunDescription allReal, Report real)
       throws RunDescriptionException {
     double periodsPerProxySecond = run.periodMs() / 1000.0 / run.proxies();
@@ -95,11 +96,11 @@
     return total;
   }
 
-  /** Over all assigners of a run, real and simulated. */
+  /** Returns the sum of a figure over all real and simulated assigners of a run. */
   private double sum(Report report, TrafficCounter.Kind kind, String suffix) {
     String name = kind.figureName() + suffix;
     return report.figures().stream()
-        .filter(one -> one.name().matches("[ah]\\d+\\." + name))
+        .filter(figure -> figure.name().matches("[ah]\\d+\\." + name))
         .mapToDouble(Report.Figure::value)
         .sum();
   }
--- a/src/bench/java/pearusher/scale/Connection.java
+++ b/src/bench/java/pearusher/scale/Connection.java
@@ -11,16 +11,16 @@
 final class Connection {
   /** Receives the events of a connection, on the loop's thread. */
   interface Handler {
-    /** The connection is established. */
+    /** Called when the connection is established. */
     default void onOpened(Connection connection) {}
 
-    /** Bytes arrived; bytes left in the buffer are lost. */
+    /** Called when bytes arrive. Bytes left in the buffer are discarded. */
     void onReceived(Connection connection, ByteBuffer bytes);
 
     /**
-     * The connection ended by itself; not called after a close on this side.
+     * Called when the connection fails or the peer closes it, but not after a local close.
      *
-     * @param cause the failure, or null if the other side closed the connection
+     * @param cause the failure, or null if the peer closed the connection
      */
     default void onEnded(Connection connection, IOException cause) {}
   }
@@ -30,7 +30,7 @@
   private SelectionKey key;
   private Handler handler;
   private boolean isClosed;
-  private boolean isSilent;
+  private boolean isSuspended;
 
   Connection(SocketChannel channel) {
     this.channel = channel;
@@ -52,12 +52,12 @@
     return !isClosed;
   }
 
-  /** Whether there are bytes that the other side has not accepted yet. */
+  /** Returns whether there are unsent bytes, because the peer has not accepted them yet. */
   boolean isBacklogged() {
     return !pendingWrites.isEmpty();
   }
 
-  /** Limits the kernel's receive buffer. */
+  /** Limits the size of the kernel's receive buffer. */
   void setReceiveBufferBytes(int bytes) {
     try {
       channel.setOption(StandardSocketOptions.SO_RCVBUF, bytes);
@@ -81,13 +81,13 @@
     handler.onOpened(this);
   }
 
-  /** Sends bytes; connections may share them if each has a duplicate buffer of its own. */
+  /** Sends bytes. Connections may share the bytes if each passes its own duplicate buffer. */
   void send(ByteBuffer bytes) {
     if (isClosed) {
       return;
     }
     pendingWrites.add(bytes);
-    if (pendingWrites.size() == 1 && !isSilent) {
+    if (pendingWrites.size() == 1 && !isSuspended) {
       flush();
     }
   }
@@ -115,7 +115,7 @@
   private void updateInterest() {
     if (!isClosed) {
       int write = pendingWrites.isEmpty() ? 0 : SelectionKey.OP_WRITE;
-      key.interestOps(isSilent ? 0 : SelectionKey.OP_READ | write);
+      key.interestOps(isSuspended ? 0 : SelectionKey.OP_READ | write);
     }
   }
 
@@ -133,9 +133,9 @@
     }
   }
 
-  /** While silent the connection neither reads nor writes, as in a network partition. */
-  void setSilent(boolean silent) {
-    isSilent = silent;
+  /** Suspends or resumes reads and writes, to simulate a network partition. */
+  void setSuspended(boolean suspended) {
+    isSuspended = suspended;
     updateInterest();
   }
 
--- a/src/bench/java/pearusher/scale/DefaultRunMix.java
+++ b/src/bench/java/pearusher/scale/DefaultRunMix.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * The default run: a mix of sizes, failures, watchers, the comparison and a slope, within a time
- * budget.
+ * The default mix of runs: several sizes, failures, watchers, the comparison of real and simulated
+ * assigners, and a sweep with a time limit.
  */
 final class DefaultRunMix {
   private static final List<String> SLOPE_FIGURES =
@@ -21,7 +21,10 @@
           "bind_bytes_p50",
           "in_force_everywhere_p50");
 
-  /** Long enough that the scatter of real assigners' updates is below the tolerance. */
+  /**
+   * The window is long enough that the variation of real assigners' updates stays below {@link
+   * Comparison#TOLERANCE}.
+   */
   private static final String COMPARISON_OPTIONS =
       "servers 120 assigners 3 proxies 60 seconds 30 settle 10 heap 0";
 
--- a/src/bench/java/pearusher/scale/DrainTimer.java
+++ b/src/bench/java/pearusher/scale/DrainTimer.java
@@ -8,20 +8,20 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures how long a draining server is still held by proxies: the time until each proxy releases
- * it and the time until the last one does. Owned by the event loop of the proxies; grows with the
- * unfinished drains.
+ * Measures how long a draining server stays in the tables of proxies: the time until each proxy has
+ * removed it, and the time until the last proxy has. Owned by the event loop of the proxies. Grows
+ * with the unfinished drains.
  */
 final class DrainTimer {
   private static final int SIGNIFICANT_DIGITS = 3;
 
   private static final class PendingDrain {
     private final long startNs;
-    private final BitSet holders;
+    private final BitSet proxies;
 
-    PendingDrain(long startNs, BitSet holders) {
+    PendingDrain(long startNs, BitSet proxies) {
       this.startNs = startNs;
-      this.holders = holders;
+      this.proxies = proxies;
     }
   }
 
@@ -29,9 +29,9 @@
   private final Histogram perProxyUs = new Histogram(SIGNIFICANT_DIGITS);
   private final Histogram everywhereUs = new Histogram(SIGNIFICANT_DIGITS);
 
-  void start(int server, BitSet holders, long nowNs) {
-    if (!holders.isEmpty()) {
-      pending.put(server, new PendingDrain(nowNs, holders));
+  void start(int server, BitSet proxies, long nowNs) {
+    if (!proxies.isEmpty()) {
+      pending.put(server, new PendingDrain(nowNs, proxies));
     }
   }
 
@@ -39,29 +39,29 @@
     return pending.isEmpty();
   }
 
-  /** The number of draining servers that some proxy still holds. */
+  /** Returns the number of draining servers that are still in the tables of a proxy. */
   int unfinishedCount() {
     return pending.size();
   }
 
-  /** Records that a proxy has released a server. */
-  void recordRelease(int server, int proxy, long nowNs) {
+  /** Records that a proxy has removed a server from its tables. */
+  void recordRemoval(int server, int proxy, long nowNs) {
     PendingDrain drain = pending.get(server);
-    if (drain != null && drain.holders.get(proxy)) {
+    if (drain != null && drain.proxies.get(proxy)) {
       perProxyUs.recordValue((nowNs - drain.startNs) / 1000);
-      drain.holders.clear(proxy);
-      if (drain.holders.isEmpty()) {
+      drain.proxies.clear(proxy);
+      if (drain.proxies.isEmpty()) {
         everywhereUs.recordValue((nowNs - drain.startNs) / 1000);
         pending.remove(server);
       }
     }
   }
 
-  /** Records the release of all servers that a proxy's new table does not contain. */
-  void recheckTable(int proxy, IntPredicate holds, long nowNs) {
+  /** Records the removal of all draining servers that a proxy's new tables do not contain. */
+  void recheckTable(int proxy, IntPredicate contains, long nowNs) {
     for (int server : List.copyOf(pending.keySet())) {
-      if (!holds.test(server)) {
-        recordRelease(server, proxy, nowNs);
+      if (!contains.test(server)) {
+        recordRemoval(server, proxy, nowNs);
       }
     }
   }
@@ -72,8 +72,8 @@
         .values()
         .removeIf(
             drain -> {
-              drain.holders.clear(proxy);
-              return drain.holders.isEmpty();
+              drain.proxies.clear(proxy);
+              return drain.proxies.isEmpty();
             });
   }
 
--- a/src/bench/java/pearusher/scale/DropProbe.java
+++ b/src/bench/java/pearusher/scale/DropProbe.java
@@ -8,31 +8,33 @@
 import java.net.Socket;
 
 /**
- * Sends an assigner what it must drop: a datagram of a stranger, a malformed message of a proxy and
- * bytes that are no message. Shows that the drops of a build can be seen in its log, so that no
- * drop is more than silence. Used by one thread; of constant size.
+ * Sends an assigner three inputs that it must drop: a datagram of an unknown sender, a malformed
+ * message of a proxy, and bytes that are not a message. Their log lines show that the build logs
+ * drops, so that the absence of such lines elsewhere means that nothing was dropped.
+ * Single-threaded, of constant size.
  */
 final class DropProbe {
-  /** The lines that a log gets by one probe. */
+  /** The number of log lines that one probe causes. */
   static final int LINES = 3;
 
   private static final int CONNECT_TIMEOUT_MS = 2_000;
+  private static final long LOG_WAIT_MS = 500;
 
   private DropProbe() {}
 
-  /** Sends all three and leaves the assigner a moment to log them. */
+  /** Sends all three inputs and waits for the assigner to log them. */
   static void send(InetSocketAddress listen, InetSocketAddress peerListen, int unusedProxy)
       throws IOException, InterruptedException {
     byte[] bytes = {'?', '\r', '\n'};
-    try (DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-      stranger.send(new DatagramPacket(bytes, bytes.length, peerListen));
+    try (DatagramSocket unknownSender = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+      unknownSender.send(new DatagramPacket(bytes, bytes.length, peerListen));
     }
-    try (Socket stranger = connect(listen);
+    try (Socket unidentified = connect(listen);
         Socket proxy = connect(listen)) {
-      stranger.getOutputStream().write(bytes);
+      unidentified.getOutputStream().write(bytes);
       proxy.getOutputStream().write(ProxyMessages.joined(unusedProxy, 0, 1, true));
       proxy.getOutputStream().write(RespWriter.encode("applied", "proxy", "no-number"));
-      Thread.sleep(500);
+      Thread.sleep(LOG_WAIT_MS);
     }
   }
 
--- a/src/bench/java/pearusher/scale/EventLoop.java
+++ b/src/bench/java/pearusher/scale/EventLoop.java
@@ -19,18 +19,21 @@
 import java.util.function.Supplier;
 
 /**
- * One thread with one selector: non-blocking connections, tasks from other threads and timers. All
- * handlers of a loop run on its thread, so state owned by one loop needs no locks. The thread
- * blocks in the selector only.
+ * A thread with a selector, which runs non-blocking connections, timers and tasks from other
+ * threads. All handlers of a loop run on its thread, so state owned by one loop needs no locks. The
+ * thread blocks in the selector only.
  */
 final class EventLoop implements AutoCloseable {
   private static final int READ_BUFFER_BYTES = 256 << 10;
 
-  /** Bounds the kernel's copies of the endpoint list when thousands of watchers read it. */
+  /**
+   * Limits the memory of the kernel's copies of the endpoint list when thousands of watchers read
+   * it.
+   */
   private static final int SEND_BUFFER_BYTES = 256 << 10;
 
   private static final int ACCEPT_BACKLOG = 4096;
-  private static final long JOIN_MS = 5_000;
+  private static final long JOIN_TIMEOUT_MS = 5_000;
 
   private record Timer(long dueNs, long sequence, Runnable task) {}
 
@@ -57,10 +60,10 @@
 
   @Override
   public String toString() {
-    return "the loop " + thread.getName();
+    return "event loop " + thread.getName();
   }
 
-  /** The failure that ended the loop's thread; null while it runs. */
+  /** Returns the failure that ended the loop's thread; null while it runs. */
   Throwable failure() {
     return failure;
   }
@@ -70,7 +73,11 @@
     selector.wakeup();
   }
 
-  /** Runs a task on the loop's thread and waits for its end. */
+  /**
+   * Runs a task on the loop's thread and waits for its end.
+   *
+   * @throws IllegalStateException if the loop's thread has ended
+   */
   void executeAndWait(Runnable task) throws InterruptedException {
     CountDownLatch done = new CountDownLatch(1);
     execute(
@@ -83,7 +90,7 @@
         });
     while (!done.await(100, TimeUnit.MILLISECONDS)) {
       if (!thread.isAlive()) {
-        throw new IllegalStateException("the loop " + thread.getName() + " has ended", failure);
+        throw new IllegalStateException("event loop " + thread.getName() + " has ended", failure);
       }
     }
   }
@@ -99,7 +106,7 @@
     return result.get();
   }
 
-  /** Whether the loop is being closed, so that no more connections should be opened. */
+  /** Returns whether the loop is being closed, so that no more connections should be opened. */
   boolean isStopped() {
     return isStopped;
   }
@@ -109,7 +116,7 @@
     timers.add(new Timer(System.nanoTime() + Math.max(0, delayNs), timerSequence++, task));
   }
 
-  /** Runs a task every {@code periodNs}; may be called from any thread. */
+  /** Runs a task every {@code periodNs}. May be called from any thread. */
   void scheduleAtFixedRate(long periodNs, Runnable task) {
     execute(() -> scheduleRepeat(System.nanoTime() + periodNs, periodNs, task));
   }
@@ -126,7 +133,7 @@
             }));
   }
 
-  /** Listens on a free port of the loopback interface. */
+  /** Listens on a free port of the loopback interface and returns the address. */
   InetSocketAddress listen(Function<Connection, Connection.Handler> handlers) throws IOException {
     ServerSocketChannel server = ServerSocketChannel.open();
     server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), ACCEPT_BACKLOG);
@@ -256,7 +263,7 @@
     isStopped = true;
     selector.wakeup();
     try {
-      thread.join(JOIN_MS);
+      thread.join(JOIN_TIMEOUT_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/bench/java/pearusher/scale/FailureInjector.java
+++ b/src/bench/java/pearusher/scale/FailureInjector.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Runs the measured window and injects the failures of the description. */
+/** Runs the measured window and injects the failures that the run description schedules. */
 final class FailureInjector {
   private static final long POLL_MS = 20;
 
@@ -13,7 +13,7 @@
     void run() throws LimitReachedException, IOException;
   }
 
-  /** A failure or its end. */
+  /** The start or the end of a failure. */
   private interface Step {
     void run() throws IOException, InterruptedException, LimitReachedException;
   }
@@ -23,7 +23,7 @@
   private final TestFleet fleet;
   private final Report report;
   private final List<ScheduledStep> pendingSteps = new ArrayList<>();
-  private List<Integer> lostServers = List.of();
+  private List<Integer> removedServers = List.of();
 
   /** The number of watches before the partition. */
   private int watchCountBefore;
@@ -48,7 +48,7 @@
     }
   }
 
-  /** Runs until the time is over and all failures have ended. */
+  /** Runs until the window has elapsed and all failures have ended. */
   void runWindow(double seconds, Check check)
       throws IOException, InterruptedException, LimitReachedException {
     long startNs = System.nanoTime();
@@ -64,29 +64,31 @@
   }
 
   /**
-   * Kills the last assigner and restarts it: at once if it is the only one, otherwise after the
-   * others have bound its proxies, so that the time of the takeover does not include the restart.
+   * Kills the last assigner and restarts it. An only assigner is restarted at once. Otherwise the
+   * restart follows after the other assigners have bound its proxies, so that the measured failover
+   * time does not include the restart.
    */
   private void killAssigner() throws IOException, InterruptedException, LimitReachedException {
     if (fleet.realAssigners().isEmpty()) {
-      throw new LimitReachedException("kill-at: there is no real assigner", "the run ended there");
+      throw new LimitReachedException("kill-at: no real assigner to kill", "run aborted");
     }
     long startNs = System.nanoTime();
     RealAssigner assigner = fleet.realAssigners().get(fleet.realAssigners().size() - 1);
     long bindsBefore = fleet.proxies().figures().bindUs().getTotalCount();
-    int lostProxies = fleet.proxies().boundCountAt(assigner.number());
+    int failedOverProxies = fleet.proxies().boundCountAt(assigner.number());
     assigner.process().kill();
     boolean isOnlyAssigner = fleet.run().assigners() == 1;
     if (!isOnlyAssigner) {
-      awaitBound("kill_to_all_bound", startNs, bindsBefore + lostProxies);
+      awaitBound("kill_to_all_bound", startNs, bindsBefore + failedOverProxies);
     }
     if (!fleet.start(assigner)) {
       throw new LimitReachedException(
-          "process: assigner " + assigner.number() + " gave no pong again", "the run ended there");
+          "process: assigner " + assigner.number() + " did not answer a ping after its restart",
+          "run aborted");
     }
     report.add("restart_to_pong", assigner.process().readyMs(), "ms");
     if (isOnlyAssigner) {
-      awaitBound("kill_to_all_bound", startNs, bindsBefore + lostProxies);
+      awaitBound("kill_to_all_bound", startNs, bindsBefore + failedOverProxies);
     }
   }
 
@@ -95,18 +97,18 @@
     fleet
         .discovery()
         .loop()
-        .executeAndWait(() -> lostServers = fleet.changeFeed().removeZone(zone));
-    report.add("zone_lost_servers", lostServers.size(), "1");
+        .executeAndWait(() -> removedServers = fleet.changeFeed().removeZone(zone));
+    report.add("zone_lost_servers", removedServers.size(), "1");
   }
 
   private void restoreZone(int zone) throws InterruptedException, LimitReachedException {
     long startNs = System.nanoTime();
-    fleet.discovery().loop().executeAndWait(() -> fleet.changeFeed().restoreZone(lostServers));
+    fleet.discovery().loop().executeAndWait(() -> fleet.changeFeed().restoreZone(removedServers));
     fleet.proxies().restoreZone(zone);
     awaitBound("zone_back_to_all_bound", startNs, 0);
   }
 
-  /** Starts or ends a network partition; connections across it are replaced at its end. */
+  /** Starts or ends a network partition. Connections across it are replaced at its end. */
   private void setPartitioned(boolean partitioned)
       throws InterruptedException, LimitReachedException {
     long startNs = System.nanoTime();
@@ -130,7 +132,8 @@
     while (watchCount < watchCountBefore) {
       if (System.nanoTime() - startNs > fleet.run().get(RunOption.READY_WAIT) * 1e9) {
         throw new LimitReachedException(
-            "watchers: not all watch again", watchCount + " of " + watchCountBefore + " watchers");
+            "watchers: not all reconnected after the partition",
+            watchCount + " of " + watchCountBefore + " watchers");
       }
       Thread.sleep(POLL_MS);
       watchCount = fleet.discovery().watchCount();
@@ -138,7 +141,10 @@
     report.add("cut_back_to_all_watching", (System.nanoTime() - startNs) / 1e6, "ms");
   }
 
-  /** Waits until all proxies are bound and at least this many binds were made in the run. */
+  /**
+   * Waits until all proxies are bound and the run has counted at least {@code minBinds} binds. Adds
+   * the elapsed time as a figure.
+   */
   private void awaitBound(String name, long startNs, long minBinds)
       throws InterruptedException, LimitReachedException {
     double timeoutSeconds = fleet.run().get(RunOption.BIND_WAIT);
@@ -147,7 +153,7 @@
     while (figures.bound() < expectedProxies || figures.bindUs().getTotalCount() < minBinds) {
       if (System.nanoTime() - startNs > timeoutSeconds * 1e9) {
         throw new LimitReachedException(
-            "binds: not all proxies bound again in " + Report.format(timeoutSeconds) + " s",
+            "binds: not all proxies bound again within " + Report.format(timeoutSeconds) + " s",
             figures.bound() + " of " + expectedProxies + " proxies");
       }
       Thread.sleep(POLL_MS);
--- a/src/bench/java/pearusher/scale/JsonTree.java
+++ b/src/bench/java/pearusher/scale/JsonTree.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A mutable JSON document of maps, lists and values, to adapt an example. */
+/** A mutable JSON document of maps, lists and values, used to adapt an example configuration. */
 final class JsonTree {
   /** Encoded JSON that is written verbatim. */
   record Raw(String json) {}
@@ -92,7 +92,7 @@
     if (parent.get(key) instanceof Map<?, ?> map) {
       return (Map<String, Object>) map;
     }
-    throw new IllegalArgumentException("no object under the key " + key);
+    throw new IllegalArgumentException("expected an object at the key " + key);
   }
 
   @Override
--- a/src/bench/java/pearusher/scale/LeastSquares.java
+++ b/src/bench/java/pearusher/scale/LeastSquares.java
@@ -5,7 +5,7 @@
 /**
  * A straight line fitted to points by least squares.
  *
- * @param residual the root mean square error as a share of the mean figure
+ * @param residual the root mean square error divided by the mean figure
  * @param explained the coefficient of determination
  */
 record LeastSquares(double intercept, double slope, double residual, double explained) {
@@ -17,7 +17,7 @@
 
   static LeastSquares fit(List<Point> points) {
     if (points.stream().mapToDouble(Point::size).distinct().count() < 2) {
-      throw new IllegalArgumentException("a line needs two sizes");
+      throw new IllegalArgumentException("cannot fit a line to fewer than two different sizes");
     }
     int count = points.size();
     double meanSize = points.stream().mapToDouble(Point::size).average().orElseThrow();
--- a/src/bench/java/pearusher/scale/LimitReachedException.java
+++ b/src/bench/java/pearusher/scale/LimitReachedException.java
@@ -1,6 +1,9 @@
 package pearusher.scale;
 
-/** A run could not reach its size; the message names the limit and the size that was reached. */
+/**
+ * Thrown when a run cannot reach its size. The message names the limit and the size that was
+ * reached.
+ */
 final class LimitReachedException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/bench/java/pearusher/scale/MeasurementWindow.java
+++ b/src/bench/java/pearusher/scale/MeasurementWindow.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * The measured part of a run: the CPU time and the traffic of each assigner from the creation of
- * the window to its end.
+ * The measured window of a run, which measures the CPU time and the traffic of each assigner from
+ * its creation to its end.
  */
 final class MeasurementWindow {
   private record Baseline(
@@ -16,12 +16,10 @@
       long cpuTicks,
       Map<TrafficCounter.Kind, TrafficCounter.Count> traffic) {}
 
-  /** With more unread bytes the CPU time does not cover the reports that were sent. */
+  /** With more unread bytes, the CPU time does not cover all reports that were sent. */
   private static final long MAX_UNREAD_BYTES = 64 << 10;
 
-  /**
-   * All decisions run on one thread: when a core is nearly busy, reports wait within the process.
-   */
+  /** All decisions run on one thread. Above this CPU use, reports may queue within the process. */
   private static final double MAX_CORE_PERCENT = 90;
 
   private final List<Baseline> baselines = new ArrayList<>();
@@ -32,13 +30,13 @@
 
   MeasurementWindow(TestFleet fleet) throws IOException {
     this.fleet = fleet;
-    for (RealAssigner member : fleet.realAssigners()) {
+    for (RealAssigner assigner : fleet.realAssigners()) {
       baselines.add(
           new Baseline(
-              member,
-              member.process(),
-              ProcessFigures.cpuTicks(member.process().pid()),
-              member.traffic().snapshot()));
+              assigner,
+              assigner.process(),
+              ProcessFigures.cpuTicks(assigner.process().pid()),
+              assigner.traffic().snapshot()));
     }
     fleet
         .simulatedAssigners()
@@ -69,7 +67,7 @@
     Map<TrafficCounter.Kind, TrafficCounter.Count> traffic =
         TrafficCounter.difference(baseline.assigner().traffic().snapshot(), baseline.traffic());
     reportTraffic(report, prefix, traffic, seconds);
-    // A process that was stopped or restarted within the window has no CPU time for it.
+    // A process that was stopped or restarted has no CPU time for the complete window.
     if (baseline.process() == baseline.assigner().process() && baseline.process().isAlive()) {
       reportCpu(report, prefix, baseline, traffic, seconds);
     }
@@ -89,9 +87,12 @@
     double corePercent = ticks * ProcessFigures.TICK_MS / seconds / 10;
     report.add(prefix + "core", corePercent, "percent_of_a_core");
     if (corePercent > MAX_CORE_PERCENT) {
-      report.remark(prefix + "cpu_per_heard", "not given: a core is full, so lines may wait");
+      report.remark(
+          prefix + "cpu_per_heard",
+          "not measured: the core is saturated, so reports may be queued");
     } else if (unreadBytes > MAX_UNREAD_BYTES || process.hasDroppedReports()) {
-      report.remark(prefix + "cpu_per_heard", "not given: lines were not read, or were dropped");
+      report.remark(
+          prefix + "cpu_per_heard", "not measured: reports were not read, or were dropped");
     } else {
       reportCpuPerMessage(report, prefix, ticks * ProcessFigures.TICK_MS, traffic);
     }
--- a/src/bench/java/pearusher/scale/MixedBench.java
+++ b/src/bench/java/pearusher/scale/MixedBench.java
@@ -7,12 +7,13 @@
 import java.util.List;
 
 /**
- * Runs an assigner of an earlier build beside one of this build, then two of the earlier build, and
- * compares: simulated proxies move between the two while servers are drained and replaced. Prints
- * {@code name value unit} lines. The first argument is the earlier jar, beside its lib/; a second
- * one replaces the jar of this build. Fails if a message was dropped, undecodable or unexpected in
- * either run, if drops of a build can't be seen in its log, or if complete tables that no proxy
- * needed were sent in the mixed run alone. Used by one thread; of constant size.
+ * Tests the compatibility of this build with an earlier one. The mixed run has one assigner of each
+ * build, the unmixed run two assigners of the earlier build. In each run, simulated proxies move
+ * between the assigners while servers are drained and replaced. Prints {@code name value unit}
+ * lines. The first argument is the jar of the earlier build, with its lib/ in the same directory. A
+ * second argument replaces the jar of this build. Fails if a message was dropped, undecodable or
+ * unexpected in either run, if a build does not log its drops, or if unneeded complete tables were
+ * sent in the mixed run only. Single-threaded, of constant size.
  */
 public final class MixedBench {
   private static final int EXIT_FAILED = 1;
@@ -29,7 +30,7 @@
   public static void main(String[] args) throws Exception {
     if (args.length == 0 || !Files.isRegularFile(Path.of(args[0]))) {
       System.err.println(
-          "mixed: the first argument is the jar of an earlier build, beside its lib/");
+          "mixed: expected the jar of an earlier build, with its lib/ in the same directory");
       System.exit(EXIT_USAGE);
     }
     RunCommand oldBuild = build(Path.of(args[0]));
@@ -60,14 +61,16 @@
     prefixed.print(System.out);
   }
 
-  /** What speaks against the builds working beside each other. */
+  /** Returns the faults that show the builds to be incompatible. */
   static List<String> faults(Report mixed, Report unmixed) {
     List<String> faults = new ArrayList<>();
     addFaults(faults, "mixed.", mixed, List.of(OLD, NEW));
     addFaults(faults, "unmixed.", unmixed, List.of(OLD, OLD_BESIDE));
     double unneeded = sum(mixed, List.of(OLD, NEW), MixedRun.UNNEEDED);
     if (unneeded > 0 && sum(unmixed, List.of(OLD, OLD_BESIDE), MixedRun.UNNEEDED) == 0) {
-      faults.add(Report.format(unneeded) + " unneeded complete tables, unmixed none");
+      faults.add(
+          Report.format(unneeded)
+              + " unneeded complete tables in the mixed run, none in the unmixed run");
     }
     return faults;
   }
@@ -84,7 +87,7 @@
       }
       double probeLines = report.value(build + "." + MixedRun.PROBE_LINES);
       if (probeLines != DropProbe.LINES) {
-        faults.add(prefix + build + ": " + probeLines + " lines of 3 drops in its log");
+        faults.add(prefix + build + ": " + probeLines + " log lines for 3 drops");
       }
     }
   }
--- a/src/bench/java/pearusher/scale/MixedFleet.java
+++ b/src/bench/java/pearusher/scale/MixedFleet.java
@@ -12,9 +12,9 @@
 import java.util.stream.Stream;
 
 /**
- * Two assigners of given builds as peers of each other, at one simulated discovery, with simulated
- * collectors and moving proxies. Used by one thread; grows with the size of the run. Closing it
- * stops everything that it started and removes its directory.
+ * Assigners of given builds that are each other's peers, with a simulated discovery service,
+ * simulated collectors and moving proxies. Used by one thread. Grows with the size of the run.
+ * {@link #close} stops all processes and event loops and removes the directory of the fleet.
  */
 final class MixedFleet implements AutoCloseable {
   private final RunDescription run;
@@ -29,7 +29,7 @@
   private MovingProxies proxies;
   private ChangeFeed changeFeed;
 
-  /** Creates a fleet of as many assigners as there are builds, and starts none. */
+  /** Creates a fleet with one assigner for each build, without starting them. */
   MixedFleet(RunDescription run, List<RunCommand> builds) throws IOException {
     this.run = run;
     this.builds = builds;
@@ -37,7 +37,7 @@
     discovery = new SimulatedDiscovery(catalog);
   }
 
-  /** Starts the assigners one by one, and creates the simulated parts. */
+  /** Starts the assigners one after another and creates the simulated processes. */
   void start() throws IOException, InterruptedException, LimitReachedException {
     for (int number = 0; number < builds.size(); number++) {
       peers.add(freeDatagramAddress());
@@ -48,13 +48,13 @@
       tallies.add(new AssignerTally());
       if (!assigner.start(builds.get(number), run.get(RunOption.READY_WAIT))) {
         throw new LimitReachedException(
-            "process: assigner " + number + " gave no pong", number + " assigners");
+            "process: assigner " + number + " did not answer a ping", number + " assigners");
       }
     }
-    createSimulatedParts();
+    createSimulatedProcesses();
   }
 
-  /** A loopback address with a free port for datagrams. */
+  /** Returns a loopback address with a free UDP port. */
   private static InetSocketAddress freeDatagramAddress() throws IOException {
     try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
       return new InetSocketAddress(free.getLocalAddress(), free.getLocalPort());
@@ -66,13 +66,14 @@
     AssignerConfigWriter.Endpoints endpoints =
         new AssignerConfigWriter.Endpoints(
             number, AssignerProcess.freeAddress(), discovery.listen(traffic));
-    Path own = Files.createDirectory(directory.resolve(endpoints.name()));
+    Path assignerDirectory = Files.createDirectory(directory.resolve(endpoints.name()));
     Path example = builds.get(number).root().resolve("docs").resolve("example.json");
     AssignerConfigWriter config = new AssignerConfigWriter(run, example, peers);
-    return new RealAssigner(endpoints, traffic, own, config.write(own, endpoints, catalog));
+    return new RealAssigner(
+        endpoints, traffic, assignerDirectory, config.write(assignerDirectory, endpoints, catalog));
   }
 
-  private void createSimulatedParts() throws IOException {
+  private void createSimulatedProcesses() throws IOException {
     List<AssignerAddress> addresses =
         assigners.stream()
             .map(assigner -> new AssignerAddress(assigner.listenAddress(), assigner.traffic()))
@@ -115,7 +116,7 @@
         catalog.inService().stream().mapToInt(Integer::intValue).toArray());
   }
 
-  /** Has collectors report on the servers in service. */
+  /** Makes the collectors report on the servers in service. */
   private final class CollectorUpdate implements ChangeFeed.Listener {
     @Override
     public void onServerDraining(int server) {}
@@ -127,25 +128,26 @@
   }
 
   /**
-   * Checks that all parts run.
+   * Checks that all assigners and event loops run.
    *
-   * @throws LimitReachedException if an assigner has ended, or a loop of simulated parts
+   * @throws LimitReachedException if an assigner or the event loop of a simulated process has ended
    */
   void checkAlive() throws IOException, LimitReachedException {
     for (RealAssigner assigner : assigners) {
       if (!assigner.process().isAlive()) {
         throw new LimitReachedException(
-            "process: assigner " + assigner.number() + " died", assigner.process().lastLogLine());
+            "process: assigner " + assigner.number() + " ended unexpectedly",
+            assigner.process().lastLogLine());
       }
     }
     for (EventLoop loop : List.of(discovery.loop(), proxies.loop(), collectors.loop())) {
       if (loop.failure() != null) {
-        throw new LimitReachedException(loop + ": " + loop.failure(), "the run ended there");
+        throw new LimitReachedException(loop + ": " + loop.failure(), "run aborted");
       }
     }
   }
 
-  /** Sends each assigner what it must drop. */
+  /** Sends each assigner the input of {@link DropProbe}, which it must drop. */
   void probeDrops() throws IOException, InterruptedException {
     for (int number = 0; number < assigners.size(); number++) {
       DropProbe.send(assigners.get(number).listenAddress(), peers.get(number), run.proxies());
@@ -156,7 +158,10 @@
     return assigners;
   }
 
-  /** What proxies received from an assigner; to be read once the proxies are closed. */
+  /**
+   * Returns the counts of messages that proxies received from an assigner. Must be called after the
+   * proxies are closed.
+   */
   AssignerTally tally(int number) {
     return tallies.get(number);
   }
--- a/src/bench/java/pearusher/scale/MixedRun.java
+++ b/src/bench/java/pearusher/scale/MixedRun.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * One run of two builds beside each other, from the start of the processes to the last figure:
- * proxies join, then move between the assigners round by round while servers are drained and
- * replaced. Used by one thread; of constant size.
+ * One run of a fleet with assigners of two builds, from the start of the processes to the last
+ * figure. Proxies join, then move between the assigners in rounds while servers are drained and
+ * replaced. Single-threaded, of constant size.
  */
 final class MixedRun {
   static final String UNDECODABLE = "undecodable";
@@ -36,7 +36,7 @@
     this.names = names;
   }
 
-  /** Runs it and returns the figures. */
+  /** Executes the run and returns its figures. */
   Report execute() throws IOException, InterruptedException, LimitReachedException {
     try (MixedFleet fleet = new MixedFleet(run, builds)) {
       fleet.start();
@@ -71,7 +71,8 @@
     long bound = fleet.proxies().boundCount();
     while (bound < run.proxies()) {
       if (System.nanoTime() > endNs) {
-        throw new LimitReachedException("binds: not all proxies bound", bound + " proxies");
+        throw new LimitReachedException(
+            "binds: not all proxies bound", bound + " of " + run.proxies() + " proxies");
       }
       pause(fleet, POLL_MS);
       bound = fleet.proxies().boundCount();
--- a/src/bench/java/pearusher/scale/MovingProxies.java
+++ b/src/bench/java/pearusher/scale/MovingProxies.java
@@ -8,7 +8,7 @@
  * All moving proxies of a run, on one event loop, which owns their state. Grows with the proxies.
  */
 final class MovingProxies implements AutoCloseable {
-  /** Usage reports are spread evenly over this many parts of a period. */
+  /** The number of slices of a period over which usage reports are spread evenly. */
   private static final int SLICES_PER_PERIOD = 20;
 
   private final EventLoop loop = new EventLoop("moving proxies");
@@ -36,7 +36,10 @@
     }
   }
 
-  /** Moves every other pair of proxies, of both assigners, in turn with the rounds. */
+  /**
+   * Moves every other pair of proxies, which includes proxies of both assigners. The pairs
+   * alternate between rounds.
+   */
   void move(int round) {
     loop.execute(
         () ->
@@ -45,7 +48,7 @@
                 .forEach(MovingProxy::move));
   }
 
-  /** The number of proxies that have a complete table for each class. */
+  /** Returns the number of proxies that have a complete table for each class. */
   long boundCount() throws InterruptedException {
     return loop.call(() -> proxies.stream().filter(MovingProxy::isBound).count());
   }
--- a/src/bench/java/pearusher/scale/MovingProxy.java
+++ b/src/bench/java/pearusher/scale/MovingProxy.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * One simulated proxy that moves between assigners and decodes strictly: it closes its stream and
- * joins another assigner as a proxy that holds its tables. Acknowledges updates and reports usage
- * as {@link SimulatedProxy} does. Owned by the event loop of the proxies; of constant size.
+ * A simulated proxy that moves between assigners and decodes updates strictly. To move, it closes
+ * its stream and joins the next assigner with the tables that it has. It acknowledges updates and
+ * sends usage reports. Owned by the event loop of the proxies. Of constant size.
  */
 final class MovingProxy implements Connection.Handler {
   private static final long RECONNECT_DELAY_NS = 200_000_000L;
 
-  /** An assigner that proxies may join, and what they received from it. */
+  /** An assigner that proxies may join, and the counts of messages that they received from it. */
   record Target(AssignerAddress address, AssignerTally tally) {}
 
   private final int number;
@@ -40,12 +40,15 @@
     return number;
   }
 
-  /** Whether it has a complete table for each class from the assigner that it joined last. */
+  /**
+   * Returns whether the assigner that the proxy joined last has sent a complete table for each
+   * class.
+   */
   boolean isBound() {
     return tables.isBound();
   }
 
-  /** Joins its current assigner. */
+  /** Joins the current assigner. */
   void join() {
     if (loop.isStopped()) {
       return;
@@ -55,11 +58,12 @@
     try {
       connection = loop.connect(targets.get(target).address().address(), this);
     } catch (IOException e) {
-      throw new IllegalStateException("proxy " + number + " can't connect", e);
+      throw new IllegalStateException(
+          "proxy " + number + " cannot connect to " + targets.get(target).address().address(), e);
     }
   }
 
-  /** Closes its stream and joins the next assigner, with the tables that it holds. */
+  /** Closes the stream and joins the next assigner with the current tables. */
   void move() {
     connection.close();
     target = (target + 1) % targets.size();
@@ -80,7 +84,7 @@
     try {
       scanner.feed(bytes, this::handleMessage);
     } catch (IllegalStateException e) {
-      // What follows bytes that are no message can't be read either.
+      // After malformed bytes the start of the next message is unknown.
       tally().recordUndecodable(e.getMessage());
       connection.close();
       loop.schedule(RECONNECT_DELAY_NS, this::join);
@@ -102,7 +106,7 @@
       tally().recordCompleteTable(tables.recordCompleteTable(update.classes()));
       isFresh = false;
     } else if (update.hasWeights() && !tables.expectsWeights(update.classes())) {
-      tally().recordUnexpected("weights before the complete table");
+      tally().recordUnexpected("weights before a complete table");
     }
     update.mark().ifPresent(this::scheduleAcknowledgement);
   }
@@ -120,7 +124,7 @@
         });
   }
 
-  /** Reports the requests of one period for each class, if the proxy is bound. */
+  /** Reports the requests of one period for each class if the proxy is bound. */
   void sendUsage() {
     if (connection == null || !connection.isOpen() || !isBound()) {
       return;
@@ -133,7 +137,7 @@
     }
   }
 
-  /** Joins the same assigner again after a delay. */
+  /** Rejoins the current assigner after a delay. */
   @Override
   public void onEnded(Connection ended, IOException cause) {
     if (ended == connection) {
--- a/src/bench/java/pearusher/scale/ProxyFigures.java
+++ b/src/bench/java/pearusher/scale/ProxyFigures.java
@@ -3,11 +3,11 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The measurements of all simulated proxies at one time.
+ * A snapshot of the measurements of all simulated proxies.
  *
  * @param bound proxies that have a complete table
  * @param streamsEnded streams that the assigners ended
- * @param drainsUnfinished draining servers that some proxy still holds
+ * @param drainsUnfinished draining servers that are still in the tables of a proxy
  * @param connectFailure the last failure to open a connection; null if there was none
  */
 record ProxyFigures(
--- a/src/bench/java/pearusher/scale/ProxyMessages.java
+++ b/src/bench/java/pearusher/scale/ProxyMessages.java
@@ -2,7 +2,10 @@
 
 /** Encodes the messages that a simulated proxy sends to its assigner. */
 final class ProxyMessages {
-  /** The part of its delay that a proxy reports as the time it took to apply an update. */
+  /**
+   * The share of the delay before an acknowledgement that a proxy reports as the time to apply the
+   * update.
+   */
   private static final double REPORTED_DELAY_SHARE = 0.9;
 
   private static final double NS_PER_MS = 1e6;
@@ -27,7 +30,7 @@
         isFresh ? "1" : "0");
   }
 
-  /** Encodes the acknowledgement of the update that carried the mark. */
+  /** Encodes the acknowledgement of the update with a mark. */
   static byte[] applied(int proxy, String mark, long applyDelayNs) {
     return RespWriter.encode(
         "applied",
--- a/src/bench/java/pearusher/scale/ProxyStatistics.java
+++ b/src/bench/java/pearusher/scale/ProxyStatistics.java
@@ -2,7 +2,10 @@
 
 import org.HdrHistogram.Histogram;
 
-/** Counts and times what happens to simulated proxies. Owned by the event loop of the proxies. */
+/**
+ * Counts and durations of binds, ended streams and drains of simulated proxies. Owned by the event
+ * loop of the proxies.
+ */
 final class ProxyStatistics {
   private static final int SIGNIFICANT_DIGITS = 3;
 
--- a/src/bench/java/pearusher/scale/ProxyWorkload.java
+++ b/src/bench/java/pearusher/scale/ProxyWorkload.java
@@ -1,9 +1,9 @@
 package pearusher.scale;
 
 /**
- * The number of simulated proxies and what each of them does.
+ * The number of simulated proxies and the load of each.
  *
- * @param requestsPerSecond requests of each proxy and class
+ * @param requestsPerSecond requests per second of each proxy and class
  * @param applyDelayNs time from an update to its acknowledgement
  * @param periodNs time between usage reports
  */
--- a/src/bench/java/pearusher/scale/RealAssigner.java
+++ b/src/bench/java/pearusher/scale/RealAssigner.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** A real assigner: its endpoints, its files, its current process and the traffic with it. */
+/** A real assigner: its endpoints, files, current process and traffic counter. */
 final class RealAssigner {
   private final AssignerConfigWriter.Endpoints endpoints;
   private final TrafficCounter traffic;
@@ -36,12 +36,15 @@
     return traffic;
   }
 
-  /** The process that was started last; null before the first start. */
+  /** Returns the process that was started last; null before the first start. */
   AssignerProcess process() {
     return process;
   }
 
-  /** Starts a process and waits until it answers a ping; returns false if it does not in time. */
+  /**
+   * Starts a process and waits until it answers a ping. Returns false if it ends or does not answer
+   * in time.
+   */
   boolean start(RunCommand runCommand, double timeoutSeconds)
       throws IOException, InterruptedException {
     process = AssignerProcess.start(runCommand, directory, endpoints.listen(), environment);
--- a/src/bench/java/pearusher/scale/Report.java
+++ b/src/bench/java/pearusher/scale/Report.java
@@ -19,7 +19,7 @@
   /** One figure. */
   record Figure(String name, double value, String unit) {}
 
-  /** A textual result, such as the limit that was met or the cause of a failure. */
+  /** A textual result, such as the limit that was reached or the cause of a failure. */
   record Remark(String name, String text) {}
 
   private final List<Figure> figures = new ArrayList<>();
@@ -33,13 +33,16 @@
     remarks.add(new Remark(name, text));
   }
 
-  /** Adds the count and, unless it is 0, the median, the 99th percentile and the maximum. */
-  void addPercentiles(String name, Histogram histogram, double unitsPerFigure, String unit) {
+  /**
+   * Adds the count and, unless it is 0, the median, the 99th percentile and the maximum, each
+   * divided by the divisor.
+   */
+  void addPercentiles(String name, Histogram histogram, double divisor, String unit) {
     add(name + "_count", (double) histogram.getTotalCount(), "1");
     if (histogram.getTotalCount() > 0) {
-      add(name + "_p50", histogram.getValueAtPercentile(50) / unitsPerFigure, unit);
-      add(name + "_p99", histogram.getValueAtPercentile(99) / unitsPerFigure, unit);
-      add(name + "_max", histogram.getMaxValue() / unitsPerFigure, unit);
+      add(name + "_p50", histogram.getValueAtPercentile(50) / divisor, unit);
+      add(name + "_p99", histogram.getValueAtPercentile(99) / divisor, unit);
+      add(name + "_max", histogram.getMaxValue() / divisor, unit);
     }
   }
 
@@ -60,7 +63,7 @@
         .orElse(Double.NaN);
   }
 
-  /** Adds all of another report under a prefix. */
+  /** Adds all figures and remarks of another report, with a prefix before their names. */
   void addAll(String prefix, Report other) {
     other.figures.forEach(figure -> add(prefix + figure.name(), figure.value(), figure.unit()));
     other.remarks.forEach(remark -> remark(prefix + remark.name(), remark.text()));
@@ -75,7 +78,7 @@
     }
   }
 
-  /** Formats integers without decimals and other numbers with at least four digits. */
+  /** Formats integers without decimals and other numbers with at least four significant digits. */
   static String format(double value) {
     if (value == Math.rint(value) && Math.abs(value) < 1e15) {
       return Long.toString((long) value);
--- a/src/bench/java/pearusher/scale/RespScanner.java
+++ b/src/bench/java/pearusher/scale/RespScanner.java
@@ -7,17 +7,17 @@
 import java.util.function.Consumer;
 
 /**
- * Splits a connection's bytes into RESP2 arrays of bulk strings without creating strings: a message
- * is a view of the bytes and valid only while its consumer runs. The bytes of an incomplete message
- * are kept until the rest arrives.
+ * Parses the bytes of a connection as RESP2 arrays of bulk strings without creating strings. A
+ * message is a view of the bytes, which is valid only while its consumer runs. The bytes of an
+ * incomplete message are buffered until the rest arrives.
  */
 final class RespScanner {
   private static final int MAX_FIELDS = 64;
 
-  /** A longer buffer is released once it is empty. */
+  /** A larger buffer is released once it is empty. */
   private static final int RETAINED_BUFFER_BYTES = 4 << 10;
 
-  /** One message: its fields within a byte array. */
+  /** A view of one message, whose fields are ranges of a byte array. */
   static final class View {
     private byte[] bytes;
     private final int[] starts = new int[MAX_FIELDS];
@@ -25,7 +25,7 @@
     private int fieldCount;
     private int sizeBytes;
 
-    /** The size of the message, including all headers. */
+    /** Returns the size of the message, including all headers. */
     int sizeBytes() {
       return sizeBytes;
     }
@@ -56,7 +56,10 @@
               bytes, starts[field], starts[field] + lengths[field], text, 0, text.length);
     }
 
-    /** The position of the value that follows a field's name; empty if there is no such field. */
+    /**
+     * Returns the index of the value that follows a field's name, or empty if there is no such
+     * field.
+     */
     OptionalInt find(byte[] name) {
       for (int field = 1; field + 1 < fieldCount; field += 2) {
         if (fieldEquals(field, name)) {
@@ -72,7 +75,7 @@
   private int partialBytes;
   private int headerEnd;
 
-  /** Consumes all bytes of the buffer and passes on each complete message. */
+  /** Consumes all bytes of the buffer and passes each complete message to the consumer. */
   void feed(ByteBuffer buffer, Consumer<View> consumer) {
     if (partialBytes == 0) {
       int consumedBytes =
@@ -119,7 +122,8 @@
       return false;
     }
     if (fieldCount > MAX_FIELDS) {
-      throw new IllegalStateException("a message of " + fieldCount + " fields");
+      throw new IllegalStateException(
+          "expected at most " + MAX_FIELDS + " fields in a message, got " + fieldCount);
     }
     view.bytes = bytes;
     view.fieldCount = fieldCount;
@@ -137,15 +141,16 @@
   }
 
   /**
-   * Returns the number of a header and stores its end in {@link #headerEnd}; -1 while the header is
-   * incomplete.
+   * Returns the number in a header and stores the position after the header in {@link #headerEnd}.
+   * Returns -1 if the header is incomplete.
    */
   private int parseHeader(byte[] bytes, int from, int end, char kind) {
     if (from >= end) {
       return -1;
     }
     if (bytes[from] != kind) {
-      throw new IllegalStateException("not RESP: '" + kind + "' expected");
+      throw new IllegalStateException(
+          "malformed RESP: expected '" + kind + "', got byte " + bytes[from]);
     }
     int number = 0;
     for (int position = from + 1; position + 1 < end; position++) {
--- a/src/bench/java/pearusher/scale/RespWriter.java
+++ b/src/bench/java/pearusher/scale/RespWriter.java
@@ -14,12 +14,12 @@
     return out.toString().getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  /** Encodes a message whose fields are separated by blanks. */
+  /** Encodes a message whose fields are separated by spaces. */
   static byte[] encodeWords(String text) {
     return encode(text.split(" "));
   }
 
-  /** Formats a number with one decimal, without the cost of a formatter. */
+  /** Formats a number with one decimal place, without the cost of a formatter. */
   static String formatTenths(double value) {
     long rounded = Math.round(10 * value);
     return rounded / 10 + "." + rounded % 10;
--- a/src/bench/java/pearusher/scale/RunCommand.java
+++ b/src/bench/java/pearusher/scale/RunCommand.java
@@ -15,19 +15,20 @@
   /**
    * Reads the command of a build.
    *
-   * @param jar replaces the jar of the build, unless null
-   * @param flags are added last and so override the flags of the build
+   * @param jar replaces the jar of the build; null to use the jar of the build
+   * @param flags JVM flags that are added last and so override the flags of the build
    */
   static RunCommand fromBuild(Path root, Path jar, String flags) throws IOException {
     String text = Files.readString(root.resolve("deploy").resolve("balancer.toml"));
     Matcher matcher = RUN_LINE.matcher(text);
     if (!matcher.find()) {
-      throw new IOException("deploy/balancer.toml has no run line");
+      throw new IOException("no run line in " + root.resolve("deploy").resolve("balancer.toml"));
     }
     String command = matcher.group(1);
     int jarOptionStart = command.indexOf(JAR_OPTION);
     if (jarOptionStart < 0) {
-      throw new IOException("the run line starts no jar: " + command);
+      throw new IOException(
+          "expected '-jar' in the run line of deploy/balancer.toml, got: " + command);
     }
     if (!flags.isBlank()) {
       command =
--- a/src/bench/java/pearusher/scale/RunDescription.java
+++ b/src/bench/java/pearusher/scale/RunDescription.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The checked options of a scale run. Immutable. */
+/** The validated options of a scale run. Immutable. */
 final class RunDescription {
-  /** The smallest number of proxies that settings allow. */
+  /** The smallest proxy count that the settings of an assigner allow. */
   static final int MIN_PROXY_COUNT = 64;
 
   private final Map<RunOption, Double> values;
@@ -26,13 +26,16 @@
     return new RunDescription(values);
   }
 
-  /** Reads lines of {@code key value}; a # starts a comment. */
+  /**
+   * Returns this description with the options of a file, which has one {@code key value} per line.
+   * A # starts a comment.
+   */
   RunDescription withFile(Path file) throws RunDescriptionException {
     List<String> lines;
     try {
       lines = Files.readAllLines(file);
     } catch (IOException e) {
-      throw new RunDescriptionException("the run description " + file + " can't be read");
+      throw new RunDescriptionException("cannot read the run description " + file + ": " + e);
     }
     RunDescription description = this;
     for (int number = 1; number <= lines.size(); number++) {
@@ -41,7 +44,8 @@
         String[] fields = line.split("\\s+");
         String position = file + " line " + number + ": ";
         if (fields.length != 2) {
-          throw new RunDescriptionException(position + "the key " + fields[0] + " wants one value");
+          throw new RunDescriptionException(
+              position + "the key " + fields[0] + " expects one value");
         }
         description = description.with(position, fields[0], fields[1]);
       }
@@ -74,7 +78,10 @@
     return new RunDescription(next);
   }
 
-  /** Replaces options that are given as alternating keys and values in one text. */
+  /**
+   * Returns this description with options that are given as alternating keys and values, separated
+   * by spaces.
+   */
   RunDescription withOptions(String text) throws RunDescriptionException {
     String[] fields = text.split(" ");
     RunDescription description = this;
@@ -124,7 +131,7 @@
     return getInt(RunOption.SIMULATED_ASSIGNERS);
   }
 
-  /** All assigners that proxies join, real and simulated. */
+  /** Returns the number of real and simulated assigners that proxies join. */
   int assigners() {
     return realAssigners() + simulatedAssigners();
   }
--- a/src/bench/java/pearusher/scale/RunDescriptionException.java
+++ b/src/bench/java/pearusher/scale/RunDescriptionException.java
@@ -1,6 +1,6 @@
 package pearusher.scale;
 
-/** A run description is invalid; the message names the key. */
+/** Thrown when a run description is invalid. The message names the invalid option or file. */
 final class RunDescriptionException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/bench/java/pearusher/scale/RunFigures.java
+++ b/src/bench/java/pearusher/scale/RunFigures.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.OptionalLong;
 
-/** Adds the figures at the end of a run to its report. */
+/** Adds the figures that are collected at the end of a run to its report. */
 final class RunFigures {
   private static final double US_PER_MS = 1000;
   private static final double KIB_PER_MIB = 1024;
@@ -24,8 +24,8 @@
       addWatchers(fleet.watchers().figures());
     }
     for (RealAssigner assigner : fleet.realAssigners()) {
-      // The death of an assigner is reported with the limit.
-      if (!assigner.process().hasDied()) {
+      // The unexpected end of an assigner is reported with the limit.
+      if (!assigner.process().hasEndedUnexpectedly()) {
         addAssigner(assigner);
       }
     }
@@ -83,7 +83,7 @@
     if (dropped.isPresent()) {
       report.add(prefix + "reports_dropped", (double) dropped.getAsLong(), "1");
     } else {
-      report.remark(prefix + "reports_dropped", "some, and dropping goes on: not counted");
+      report.remark(prefix + "reports_dropped", "not counted: reports are still being dropped");
     }
   }
 
@@ -93,14 +93,14 @@
     if (liveBytes.isPresent()) {
       report.add(prefix + "live_heap", liveBytes.getAsLong() / BYTES_PER_MIB, "MiB");
     } else {
-      report.remark(prefix + "live_heap", "the process could not be asked");
+      report.remark(prefix + "live_heap", "not measured: the process did not answer jcmd");
     }
   }
 
-  /** Reports the assigners that ended by themselves, with the last line of their logs. */
-  void addDeaths(TestFleet fleet) throws IOException {
+  /** Reports the assigners that ended unexpectedly, with the last line of their logs. */
+  void addUnexpectedEnds(TestFleet fleet) throws IOException {
     for (RealAssigner assigner : fleet.realAssigners()) {
-      if (assigner.process() != null && assigner.process().hasDied()) {
+      if (assigner.process() != null && assigner.process().hasEndedUnexpectedly()) {
         report.add("a" + assigner.number() + ".died", 1, "1");
         report.remark("a" + assigner.number() + ".cause", assigner.process().lastLogLine());
       }
--- a/src/bench/java/pearusher/scale/RunLimits.java
+++ b/src/bench/java/pearusher/scale/RunLimits.java
@@ -4,14 +4,14 @@
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 
-/** Checks that a run can reach its size, still runs and did what it was asked to do. */
+/** Checks that a run can reach its size, is still running, and has reached its size. */
 final class RunLimits {
   private static final int MAX_PROCESSES = 298;
   private static final int SPARE_DESCRIPTORS = 200;
   private static final double MIN_REPORT_SHARE = 0.95;
 
-  /** Reports that may fall outside a window because of its edges. */
-  private static final double EDGE_REPORTS = 4;
+  /** The number of reports that may fall outside a window at its edges. */
+  private static final double MAX_EDGE_REPORTS = 4;
 
   private final RunDescription run;
 
@@ -22,13 +22,15 @@
   /** Checks before the start that the run needs no more processes and descriptors than allowed. */
   void checkSize() throws LimitReachedException {
     if (run.realAssigners() > MAX_PROCESSES) {
-      throw new LimitReachedException("processes: " + MAX_PROCESSES, "none started");
+      throw new LimitReachedException(
+          "processes: " + run.realAssigners() + " needed, " + MAX_PROCESSES + " allowed",
+          "none started");
     }
     long needed = neededDescriptors();
     long allowed = allowedDescriptors();
     if (needed > allowed) {
       throw new LimitReachedException(
-          "descriptors: " + needed + " needed, " + allowed + " allowed to the runner",
+          "file descriptors: " + needed + " needed, " + allowed + " allowed for the runner",
           "none started");
     }
   }
@@ -47,28 +49,30 @@
         : Long.MAX_VALUE;
   }
 
-  /** Checks that no assigner and no event loop has ended by itself. */
+  /** Checks that no assigner and no event loop has ended unexpectedly. */
   static void checkAlive(TestFleet fleet) throws LimitReachedException, IOException {
     for (RealAssigner assigner : fleet.realAssigners()) {
-      if (assigner.process().hasDied()) {
+      if (assigner.process().hasEndedUnexpectedly()) {
         throw new LimitReachedException(
-            "process: assigner " + assigner.number() + " died: " + assigner.process().lastLogLine(),
-            "the run ended there");
+            "process: assigner "
+                + assigner.number()
+                + " ended unexpectedly: "
+                + assigner.process().lastLogLine(),
+            "run aborted");
       }
     }
     if (fleet.loopFailure().isPresent()) {
-      throw new LimitReachedException(
-          "runner: " + fleet.loopFailure().get(), "the run ended there");
+      throw new LimitReachedException("runner: " + fleet.loopFailure().get(), "run aborted");
     }
   }
 
-  /** Checks after the window that all proxies and reports were there until its end. */
+  /** Checks after the window that all proxies are bound and that all reports were accepted. */
   void checkReached(TestFleet fleet, Report report) throws IOException, LimitReachedException {
     checkAlive(fleet);
     int bound = (int) report.value("proxies_bound");
     if (bound < run.proxies()) {
       throw new LimitReachedException(
-          "binds: proxies were lost in the run",
+          "binds: not all proxies bound at the end of the window",
           bound + " of " + run.proxies() + " proxies" + warnings(fleet));
     }
     for (RealAssigner assigner : fleet.realAssigners()) {
@@ -81,29 +85,34 @@
     boolean hasFailures = run.get(RunOption.KILL_AT) >= 0 || run.get(RunOption.CUT_AT) >= 0;
     double perSecond = report.value("a" + assigner.number() + ".in.heard_messages");
     double windowSeconds = report.value("window");
-    double minReports = MIN_REPORT_SHARE * run.reportsPerSecond() * windowSeconds - EDGE_REPORTS;
+    double minReports =
+        MIN_REPORT_SHARE * run.reportsPerSecond() * windowSeconds - MAX_EDGE_REPORTS;
     if (!hasFailures && perSecond * windowSeconds < minReports) {
       throw new LimitReachedException(
-          "reports: assigner " + assigner.number() + " takes no more",
+          "reports: assigner " + assigner.number() + " did not accept all reports",
           Report.format(perSecond)
               + " of "
               + Report.format(run.reportsPerSecond())
-              + " lines a second");
+              + " reports per second");
     }
     if (assigner.process().hasDroppedReports()) {
       throw new LimitReachedException(
-          "reports: assigner " + assigner.number() + " dropped some",
-          "fewer than " + Report.format(perSecond) + " lines a second");
+          "reports: assigner " + assigner.number() + " dropped reports",
+          "fewer than " + Report.format(perSecond) + " reports per second");
     }
   }
 
-  /** The last warning in the log of each assigner, as the end of a message. */
+  /** Returns the last warning in the log of each assigner, as a suffix for a message. */
   static String warnings(TestFleet fleet) throws IOException {
     StringBuilder warnings = new StringBuilder();
     for (RealAssigner assigner : fleet.realAssigners()) {
       String warning = assigner.process().lastWarning();
       if (!warning.isEmpty()) {
-        warnings.append("; assigner ").append(assigner.number()).append(" says: ").append(warning);
+        warnings
+            .append("; last warning of assigner ")
+            .append(assigner.number())
+            .append(": ")
+            .append(warning);
       }
     }
     return warnings.toString();
--- a/src/bench/java/pearusher/scale/RunOutcome.java
+++ b/src/bench/java/pearusher/scale/RunOutcome.java
@@ -1,9 +1,9 @@
 package pearusher.scale;
 
 /**
- * The figures of a run.
+ * The result of a run.
  *
- * @param limit the limit that the run met; null if it is complete
+ * @param limit the limit that the run reached; null if the run is complete
  */
 record RunOutcome(Report report, String limit) {
   boolean isComplete() {
--- a/src/bench/java/pearusher/scale/ScaleCommand.java
+++ b/src/bench/java/pearusher/scale/ScaleCommand.java
@@ -19,9 +19,9 @@
     mixinStandardHelpOptions = true,
     sortOptions = false,
     description = {
-      "Run assigners, real and simulated, at a size, on loopback, and measure them.",
-      "Without a size it does a mix of them. Exit status: 0 done, 1 a limit was met, 2 used"
-          + " wrongly."
+      "Run real and simulated assigners of a given size on loopback and measure them.",
+      "Without a size, run a mix of sizes. Exit status: 0 success, 1 a limit was reached,"
+          + " 2 usage error."
     })
 final class ScaleCommand implements Callable<Integer> {
   static final int EXIT_FAILED = 1;
@@ -35,37 +35,42 @@
       names = "--run",
       paramLabel = "FILE",
       description =
-          "A run description, `key value` a line; " + "options of the command line win over it.")
+          "Run description with one `key value` per line; command-line options override it.")
   private Path file;
 
-  @Option(names = "--root", defaultValue = ".", description = "The build that is measured.")
+  @Option(names = "--root", defaultValue = ".", description = "Directory of the build to measure.")
   private Path root;
 
-  @Option(names = "--jar", description = "Its jar, in place of the run line's.")
+  @Option(names = "--jar", description = "Jar to measure instead of the one in the run line.")
   private Path jar;
 
   @Option(
       names = "--flags",
       defaultValue = "",
-      description = "Flags of the virtual machine, which win over the run line's.")
+      description = "JVM flags, which override those of the run line.")
   private String flags;
 
-  @Option(names = "--json", description = "File for the figures as JSON.")
+  @Option(names = "--json", description = "File to which the figures are written as JSON.")
   private Path json;
 
-  @Option(names = "--quick", description = "The mix in under two minutes.")
+  @Option(names = "--quick", description = "Run the mix in under two minutes.")
   private boolean quick;
 
-  @Option(names = "--compare", description = "The same fleet all real and mostly simulated.")
+  @Option(
+      names = "--compare",
+      description = "Compare a fleet of real assigners with a mostly simulated one.")
   private boolean compare;
 
-  @Option(names = "--sweep", paramLabel = "KEY", description = "Slopes over sizes of this key.")
+  @Option(
+      names = "--sweep",
+      paramLabel = "KEY",
+      description = "Fit lines to figures over sizes of this key.")
   private String sweep;
 
   @Option(
       names = "--sizes",
       split = ",",
-      description = "The sizes of a sweep, five at least, from small to large.")
+      description = "Sizes of the sweep in ascending order, at least five.")
   private List<Double> sizes = new ArrayList<>();
 
   @Option(names = "--runs", defaultValue = "3", description = "Runs at each size.")
@@ -78,10 +83,13 @@
       description = "Figures of a sweep.")
   private List<String> figures;
 
-  @Option(names = "--budget", defaultValue = "840", description = "Most seconds of a sweep.")
+  @Option(
+      names = "--budget",
+      defaultValue = "840",
+      description = "Time limit of the sweep, in seconds.")
   private double budgetSeconds;
 
-  @Option(names = "--charts", description = "Directory for the charts of slopes.")
+  @Option(names = "--charts", description = "Directory for the charts of the fitted lines.")
   private Path charts;
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -157,9 +165,13 @@
         RunOption.find(sweep)
             .orElseThrow(
                 () -> new RunDescriptionException("--sweep: the key " + sweep + " is not known"));
-    if (sizes.stream().distinct().count() < Sweep.MIN_SIZES) {
+    long distinctSizes = sizes.stream().distinct().count();
+    if (distinctSizes < Sweep.MIN_SIZES) {
       throw new RunDescriptionException(
-          "--sizes: a slope needs " + Sweep.MIN_SIZES + " sizes at least");
+          "--sizes: expected at least "
+              + Sweep.MIN_SIZES
+              + " different sizes, got "
+              + distinctSizes);
     }
     for (double size : sizes) {
       RunDescription.defaults().with(key, size);
@@ -167,7 +179,7 @@
     return new Sweep.Plan(key, sizes, runs, figures, budgetSeconds, charts);
   }
 
-  /** Whether a size is given, which selects a single run in place of the mix. */
+  /** Returns whether a size is given, which selects a single run instead of the mix. */
   private boolean hasSize() {
     return file != null || givenOptions().stream().anyMatch(key -> key != RunOption.SEED);
   }
--- a/src/bench/java/pearusher/scale/ScaleRun.java
+++ b/src/bench/java/pearusher/scale/ScaleRun.java
@@ -3,9 +3,8 @@
 import java.io.IOException;
 
 /**
- * One run from the start of its processes to the last figure: starts the fleet, waits until all
- * proxies are bound, measures a window and collects the figures. A size that is not reached is
- * reported as a limit, without figures for it.
+ * Executes one run: starts the fleet, waits until all proxies are bound, measures a window and
+ * collects the figures. If the size is not reached, reports the limit and no figures for the size.
  */
 final class ScaleRun {
   private static final long POLL_MS = 20;
@@ -39,7 +38,7 @@
       } catch (LimitReachedException e) {
         limit = e.getMessage();
         report.remark("limit", limit);
-        figures.addDeaths(fleet);
+        figures.addUnexpectedEnds(fleet);
       }
     }
     return new RunOutcome(report, limit);
@@ -48,7 +47,7 @@
   private void measure(TestFleet fleet)
       throws IOException, InterruptedException, LimitReachedException {
     fleet.startAssigners();
-    fleet.createSimulatedParts();
+    fleet.createSimulatedProcesses();
     startWatchers(fleet);
     bindProxies(fleet);
     fleet.collectors().setReporting(true);
@@ -77,7 +76,8 @@
       SimulatedWatchers.Figures reached = watchers.figures();
       String failure = reached.connectFailure();
       throw new LimitReachedException(
-          "watchers: " + (failure == null ? "not all lists in 60 s" : failure),
+          "watchers: "
+              + (failure == null ? "not all received the endpoint list within 60 s" : failure),
           reached.listedCount() + " of " + expected + " watchers");
     }
   }
@@ -108,7 +108,9 @@
     }
   }
 
-  /** Starts all windows at the same place between heartbeats, so that they have equally many. */
+  /**
+   * Waits until midway between two heartbeats, so that all windows contain equally many heartbeats.
+   */
   private static void alignToHeartbeat(TestFleet fleet)
       throws InterruptedException, LimitReachedException, IOException {
     long intervalNs = SimulatedDiscovery.HEARTBEAT_INTERVAL_NS;
--- a/src/bench/java/pearusher/scale/ServerCatalog.java
+++ b/src/bench/java/pearusher/scale/ServerCatalog.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * The servers known to the simulated discovery, spread evenly over zones, and their list as text. A
- * server's name ends in its number, so that names needn't be looked up; a replaced server comes
- * back under a new number.
+ * The servers of the simulated discovery service, spread evenly over zones, and the encoder of
+ * their endpoint list. A server's name contains its number, so that a parsed name needs no lookup.
+ * The replacement of a server has a new number.
  */
 final class ServerCatalog {
   private static final int FIRST_GENERATION = 41;
   private static final String[] MACHINE_TYPES = {"small", "large"};
 
-  /** The lifecycle of a server as listed. */
+  /** Lifecycle states in the endpoint list. */
   enum Lifecycle {
     IN_SERVICE("in_service"),
     TERMINATING("terminating"),
@@ -52,7 +52,9 @@
     return "s-" + String.format("%08x", server);
   }
 
-  /** The number in a name's bytes, which begin with the two characters of the prefix. */
+  /**
+   * Parses the server number in the bytes of a name, which start with a prefix of two characters.
+   */
   static int parseServerName(byte[] bytes, int start) {
     int server = 0;
     for (int position = start + 2; position < start + 10; position++) {
@@ -65,7 +67,7 @@
     return "z" + zone;
   }
 
-  /** The number of all servers, including terminated ones. */
+  /** Returns the number of all servers, including terminated ones. */
   int size() {
     return entries.size();
   }
@@ -109,7 +111,7 @@
     generation++;
   }
 
-  /** Encodes the complete list, without terminated servers. */
+  /** Encodes the complete list, which omits terminated servers. */
   byte[] encodeFullList() {
     List<Integer> listed = new ArrayList<>();
     for (int server = 0; server < entries.size(); server++) {
--- a/src/bench/java/pearusher/scale/SimulatedAssignerWorkload.java
+++ b/src/bench/java/pearusher/scale/SimulatedAssignerWorkload.java
@@ -1,5 +1,10 @@
 package pearusher.scale;
 
-/** How many there are, and what they write. */
+/**
+ * The number of simulated assigners and the updates that they send.
+ *
+ * @param updatesPerPeriod updates to each proxy per period
+ * @param entriesPerUpdate weight entries in each update
+ */
 record SimulatedAssignerWorkload(
     int count, double updatesPerPeriod, double entriesPerUpdate, long periodNs, long seed) {}
--- a/src/bench/java/pearusher/scale/SimulatedAssigners.java
+++ b/src/bench/java/pearusher/scale/SimulatedAssigners.java
@@ -10,38 +10,39 @@
 import java.util.SplittableRandom;
 
 /**
- * Simulated assigners as seen by proxies and collectors: they answer pings, send a table of all
- * servers to each proxy that joins, changed weights at a fixed rate, and ejections. They make no
- * decisions and discard reports. Each watches discovery like a real one. All run on one event loop.
+ * Simulated assigners for proxies and collectors. They answer pings, send a table of all servers to
+ * each joining proxy, and send weight changes at a fixed rate and ejections. They make no decisions
+ * and discard reports. Each watches the endpoint list, as real assigners do. All run on one event
+ * loop.
  */
 final class SimulatedAssigners implements AutoCloseable {
   private static final byte[] PING = UpdateFieldReader.ascii("ping");
   private static final byte[] JOINED = UpdateFieldReader.ascii("joined");
   private static final byte[] PONG = RespWriter.encode("pong");
   private static final double WEIGHT_SPREAD = 1;
-  private static final int SLICES = 20;
+  private static final int SLICES_PER_PERIOD = 20;
   private static final int MARK_LIMIT = 65_535;
 
   private final EventLoop loop = new EventLoop("simulated-assigners");
   private final SimulatedAssignerWorkload workload;
   private final List<AssignerAddress> addresses = new ArrayList<>();
   private final List<SimulatedWatchers> watchers = new ArrayList<>();
-  private final Set<Peer> proxies = new LinkedHashSet<>();
+  private final Set<Client> proxies = new LinkedHashSet<>();
   private final SplittableRandom random;
   private final int[] servers;
   private int lastMark;
   private int joinCount;
   private int slice;
 
-  /** The fraction of a weight entry that is carried over to the next update. */
+  /** Weight entries that are due, including the fraction carried over to the next update. */
   private double entriesDue;
 
-  /** One connection: the stream of a proxy, a collector or an unidentified client. */
-  private final class Peer implements Connection.Handler {
+  /** A connection of a proxy, a collector or an unidentified client. */
+  private final class Client implements Connection.Handler {
     private final RespScanner scanner = new RespScanner();
     private Connection connection;
 
-    /** The part of a period in which the proxy is sent updates, the same in each period. */
+    /** The slice of each period in which the proxy receives updates. */
     private int slice;
 
     @Override
@@ -54,9 +55,9 @@
       if (view.fieldEquals(0, PING)) {
         connection.send(PONG);
       } else if (view.fieldEquals(0, JOINED)) {
-        slice = joinCount++ % SLICES;
+        slice = joinCount++ % SLICES_PER_PERIOD;
         proxies.add(this);
-        connection.send(encodeBinding());
+        connection.send(encodeCompleteTable());
       }
     }
 
@@ -74,7 +75,7 @@
     random = new SplittableRandom(workload.seed());
     for (int k = 0; k < workload.count(); k++) {
       TrafficCounter traffic = new TrafficCounter();
-      addresses.add(new AssignerAddress(loop.listen(connection -> new Peer()), traffic));
+      addresses.add(new AssignerAddress(loop.listen(connection -> new Client()), traffic));
       SimulatedWatchers watcher =
           new SimulatedWatchers(1, discovery.listen(traffic), new ChangeTimestamps());
       watchers.add(watcher);
@@ -82,7 +83,7 @@
     }
     if (workload.updatesPerPeriod() > 0) {
       loop.scheduleAtFixedRate(
-          (long) (workload.periodNs() / workload.updatesPerPeriod() / SLICES),
+          (long) (workload.periodNs() / workload.updatesPerPeriod() / SLICES_PER_PERIOD),
           this::sendWeightChanges);
     }
   }
@@ -96,7 +97,7 @@
     return lastMark;
   }
 
-  private byte[] encodeBinding() {
+  private byte[] encodeCompleteTable() {
     return RespWriter.encode(
         "update",
         "whole",
@@ -108,8 +109,8 @@
   }
 
   private void sendWeightChanges() {
-    slice = (slice + 1) % SLICES;
-    for (Peer proxy : List.copyOf(proxies)) {
+    slice = (slice + 1) % SLICES_PER_PERIOD;
+    for (Client proxy : List.copyOf(proxies)) {
       entriesDue += proxy.slice == slice ? workload.entriesPerUpdate() : 0;
       int count = (int) entriesDue;
       if (proxy.slice == slice && count > 0) {
@@ -126,7 +127,8 @@
   }
 
   /**
-   * Formats consecutive servers with weights, which real assigners start equal and spread later.
+   * Formats consecutive servers with weights. The weights of real assigners start equal and diverge
+   * later.
    */
   private String formatTable(int count, double spread) {
     StringBuilder table = new StringBuilder(22 * count);
@@ -141,7 +143,7 @@
     return table.toString();
   }
 
-  /** Formats a weight as real assigners do: a float without an exponent. */
+  /** Formats a weight as a float without an exponent, as real assigners do. */
   private String formatWeight(double spread) {
     float weight = (float) ((1 + spread * (random.nextDouble() - 0.5)) / servers.length);
     return new BigDecimal(Float.toString(weight)).toPlainString();
@@ -158,7 +160,7 @@
                   ServerCatalog.serverName(server),
                   "ticket",
                   Integer.toString(nextMark()));
-          for (Peer proxy : List.copyOf(proxies)) {
+          for (Client proxy : List.copyOf(proxies)) {
             proxy.connection.send(message);
           }
         });
--- a/src/bench/java/pearusher/scale/SimulatedCollectors.java
+++ b/src/bench/java/pearusher/scale/SimulatedCollectors.java
@@ -8,10 +8,10 @@
 import java.util.SplittableRandom;
 
 /**
- * Collectors of the zones that have proxies, a connection for each zone and assigner, all on one
- * loop. They report on all servers one after the other, at a fixed rate to each assigner; mean
- * response times have seeded noise. A report that its connection cannot accept is counted and not
- * sent.
+ * Simulated collectors of all zones that have proxies, with one connection per zone and assigner,
+ * on one event loop. They report on all servers in turn, at a fixed rate to each assigner. Mean
+ * response times have seeded noise. A report is counted and not sent while its connection is
+ * closed, partitioned or backlogged.
  */
 final class SimulatedCollectors implements AutoCloseable {
   private static final String LOAD = "inflight:7,util:0.61";
@@ -20,7 +20,7 @@
   private static final double MIN_MEAN_MS = 20;
   private static final double MEAN_SPREAD_MS = 40;
 
-  /** The longest time that a report may cover. */
+  /** The longest time span that a report may cover, in periods. */
   private static final int MAX_REPORT_PERIODS = 90;
 
   private final EventLoop loop = new EventLoop("collectors");
@@ -48,7 +48,7 @@
 
     void tick() {
       long nowNs = System.nanoTime();
-      // By the clock, not by ticks: a stall of the loop must not reduce the number of reports.
+      // Counts elapsed time instead of ticks: a stall of the loop must not reduce the reports.
       reportsDue += workload.reportsPerSecond() * (nowNs - lastTickNs) / 1e9;
       lastTickNs = nowNs;
       for (; reportsDue >= 1; reportsDue--) {
@@ -57,7 +57,8 @@
     }
 
     /**
-     * Reports on the next pair of zone and server; as many reports as pairs cover each pair once.
+     * Reports on the next pair of zone and server. As many reports as there are pairs cover each
+     * pair once.
      */
     private void sendNextReport() {
       int count = servers.length;
@@ -106,7 +107,7 @@
       loop.schedule(RECONNECT_DELAY_NS, this::connect);
     }
 
-    // Only the thread of the loop writes the count.
+    // Only the event loop's thread writes the count.
     @SuppressWarnings("NonAtomicVolatileUpdate")
     void sendReport(int server, double cycleSeconds) {
       if (!isConnected || isPartitioned || connection.isBacklogged()) {
@@ -151,7 +152,7 @@
     }
   }
 
-  /** The mean response time of a server, given by its number, with the noise of one report. */
+  /** Returns the mean response time of a server with the noise of one report, in milliseconds. */
   private double meanMs(int server) {
     double share = new SplittableRandom(workload.seed() + server).nextDouble();
     double serverMeanMs = MIN_MEAN_MS + MEAN_SPREAD_MS * share;
@@ -181,12 +182,15 @@
         });
   }
 
-  /** Replaces the servers that have traffic; may be called from any thread. */
+  /** Replaces the servers on which collectors report. May be called from any thread. */
   void setServers(int[] inService) {
     servers = inService.clone();
   }
 
-  /** Collectors send nothing during a partition; their connections are reset at its end. */
+  /**
+   * Starts or ends a network partition. Collectors send nothing during it, and their connections
+   * are reset at its end.
+   */
   void setPartitioned(boolean partitioned) {
     loop.execute(
         () -> {
@@ -206,12 +210,12 @@
         });
   }
 
-  /** Reports that were due and not sent because an assigner did not accept them. */
+  /** Returns the number of reports that were due and could not be sent. */
   long reportsNotSent() {
     return reportsNotSent;
   }
 
-  String fault() {
+  String connectFailure() {
     return connectFailure;
   }
 
--- a/src/bench/java/pearusher/scale/SimulatedDiscovery.java
+++ b/src/bench/java/pearusher/scale/SimulatedDiscovery.java
@@ -10,9 +10,9 @@
 import java.util.Set;
 
 /**
- * A simulated discovery service: the endpoint list, watches with changes and heartbeats. Each list
- * and each change is encoded once and shared by all watchers. Runs on one event loop, which owns
- * the catalog; grows with the watches and the changes of a run.
+ * A simulated discovery service, which serves the endpoint list and watches with changes and
+ * heartbeats. Each list and each change is encoded once and shared by all watches. Runs on one
+ * event loop, which owns the catalog. Grows with the watches and the changes of a run.
  */
 final class SimulatedDiscovery implements AutoCloseable {
   static final long HEARTBEAT_INTERVAL_NS = 2_000_000_000L;
@@ -36,7 +36,7 @@
   private volatile long lastHeartbeatNs = System.nanoTime();
   private boolean isPartitioned;
 
-  /** One connection, which becomes a watch if it requests one. */
+  /** A connection, which becomes a watch when it requests one. */
   private final class Watch implements Connection.Handler {
     private final StringBuilder request = new StringBuilder();
     private final TrafficCounter traffic;
@@ -51,7 +51,7 @@
       connection = opened;
       openConnections.add(opened);
       if (isPartitioned) {
-        opened.setSilent(true);
+        opened.setSuspended(true);
       }
     }
 
@@ -111,7 +111,7 @@
     loop.scheduleAtFixedRate(HEARTBEAT_INTERVAL_NS, this::sendHeartbeat);
   }
 
-  /** Opens another address, whose traffic is counted by itself. */
+  /** Listens on another address, whose traffic is counted separately. */
   InetSocketAddress listen(TrafficCounter traffic) throws IOException {
     return loop.listen(connection -> new Watch(traffic));
   }
@@ -120,12 +120,12 @@
     return loop;
   }
 
-  /** The number of open watches; may be called from any thread. */
+  /** Returns the number of open watches. May be called from any thread. */
   int watchCount() throws InterruptedException {
     return loop.call(watches::size);
   }
 
-  /** When the last heartbeat was sent. */
+  /** Returns the value of {@link System#nanoTime} when the last heartbeat was sent. */
   long lastHeartbeatNs() {
     return lastHeartbeatNs;
   }
@@ -137,12 +137,15 @@
     broadcast(chunk(catalog.encodeChanges(servers)), TrafficCounter.Kind.LIST_CHANGE);
   }
 
-  /** Silences all connections, or resets them at the end of the partition. */
+  /**
+   * Starts a network partition by suspending all connections, or ends it by resetting them. Must be
+   * called on the loop's thread.
+   */
   void setPartitioned(boolean partitioned) {
     isPartitioned = partitioned;
     for (Connection connection : List.copyOf(openConnections)) {
       if (partitioned) {
-        connection.setSilent(true);
+        connection.setSuspended(true);
       } else {
         connection.reset();
       }
@@ -158,7 +161,7 @@
     broadcast(HEARTBEAT_CHUNK, TrafficCounter.Kind.LIST_HEARTBEAT);
   }
 
-  /** During a partition nothing is sent, so nothing is counted. */
+  /** Sends a chunk to all watches. During a partition nothing is sent or counted. */
   private void broadcast(byte[] chunk, TrafficCounter.Kind kind) {
     if (!isPartitioned) {
       for (Watch watch : List.copyOf(watches)) {
--- a/src/bench/java/pearusher/scale/SimulatedProxies.java
+++ b/src/bench/java/pearusher/scale/SimulatedProxies.java
@@ -6,11 +6,12 @@
 import java.util.List;
 
 /**
- * All simulated proxies of a run, on one event loop, which owns their state. Of a table a proxy
- * keeps a bit for each server and class, enough to tell when a draining server is released.
+ * All simulated proxies of a run, on one event loop, which owns their state. A proxy stores one bit
+ * per server and class of its tables, which suffices to detect when a draining server is removed
+ * from them.
  */
 final class SimulatedProxies implements AutoCloseable {
-  /** Usage reports are spread evenly over this many parts of a period. */
+  /** The number of slices of a period over which usage reports are spread evenly. */
   private static final int SLICES_PER_PERIOD = 20;
 
   private final EventLoop loop = new EventLoop("proxies");
@@ -45,21 +46,21 @@
   }
 
   /**
-   * Starts to time how long a server that is about to drain is still held by proxies. Must be
-   * called before the change is published.
+   * Starts to measure how long a server that is about to drain stays in the tables of proxies. Must
+   * be called before the change is published.
    */
   void trackDrain(int server) {
     loop.execute(
         () -> {
-          BitSet holders = new BitSet();
+          BitSet proxiesWithServer = new BitSet();
           for (SimulatedProxy proxy : proxies) {
-            holders.set(proxy.number(), proxy.isBound() && proxy.holds(server));
+            proxiesWithServer.set(proxy.number(), proxy.isBound() && proxy.hasServer(server));
           }
-          statistics.drains().start(server, holders, System.nanoTime());
+          statistics.drains().start(server, proxiesWithServer, System.nanoTime());
         });
   }
 
-  /** The number of proxies that are bound to an assigner, given by its index. */
+  /** Returns the number of proxies that are bound to an assigner, given by its index. */
   int boundCountAt(int assigner) throws InterruptedException {
     return loop.call(
         () ->
@@ -69,14 +70,14 @@
                     .count());
   }
 
-  /** Removes all proxies of a zone without notice. */
+  /** Resets the streams of all proxies of a zone, which then stay disconnected. */
   void removeZone(int zone) {
     loop.execute(
         () ->
             proxies.stream().filter(proxy -> proxy.zone() == zone).forEach(SimulatedProxy::remove));
   }
 
-  /** Returns the removed proxies of a zone to service. */
+  /** Reconnects the removed proxies of a zone. */
   void restoreZone(int zone) {
     loop.execute(
         () ->
@@ -85,16 +86,19 @@
                 .forEach(SimulatedProxy::restore));
   }
 
-  /** Silences all proxies, or resets their streams and connects them again. */
+  /**
+   * Starts a network partition by suspending all proxies, or ends it by resetting and reconnecting
+   * their streams.
+   */
   void setPartitioned(boolean partitioned) {
     loop.execute(
         () -> {
           isPartitioned = partitioned;
-          proxies.forEach(partitioned ? SimulatedProxy::silence : SimulatedProxy::reconnect);
+          proxies.forEach(partitioned ? SimulatedProxy::suspend : SimulatedProxy::reconnect);
         });
   }
 
-  /** The measurements so far. */
+  /** Returns a snapshot of the measurements. */
   ProxyFigures figures() throws InterruptedException {
     return loop.call(statistics::snapshot);
   }
--- a/src/bench/java/pearusher/scale/SimulatedProxy.java
+++ b/src/bench/java/pearusher/scale/SimulatedProxy.java
@@ -6,8 +6,8 @@
 import java.util.OptionalInt;
 
 /**
- * One simulated proxy and its stream: joins an assigner, applies and acknowledges updates and sends
- * usage reports. When its stream ends it moves on to the next assigner. Owned by the event loop of
+ * A simulated proxy and its stream. It joins an assigner, applies and acknowledges updates and
+ * sends usage reports. When its stream ends, it joins the next assigner. Owned by the event loop of
  * the proxies.
  */
 final class SimulatedProxy implements Connection.Handler {
@@ -28,12 +28,12 @@
   private final List<AssignerAddress> assigners;
   private final EventLoop loop;
   private final ProxyStatistics statistics;
-  private final ServerHoldings holdings;
+  private final TableContents tableContents;
   private int assigner;
   private boolean isFresh = true;
   private boolean isRemoved;
   private boolean isBound;
-  private boolean hasUnfinishedTable;
+  private boolean hasIncompleteTable;
   private int boundClasses;
   private Connection connection;
   private RespScanner scanner;
@@ -54,7 +54,7 @@
     assigner = number % assigners.size();
     zone = number / assigners.size() % workload.zones();
     allClasses = (1 << workload.classes()) - 1;
-    holdings = new ServerHoldings(workload.classes());
+    tableContents = new TableContents(workload.classes());
   }
 
   int number() {
@@ -73,13 +73,13 @@
     return isRemoved;
   }
 
-  /** The index of the assigner that the proxy joins or has joined. */
+  /** Returns the index of the assigner that the proxy joins or has joined. */
   int assigner() {
     return assigner;
   }
 
-  boolean holds(int server) {
-    return holdings.holds(server);
+  boolean hasServer(int server) {
+    return tableContents.contains(server);
   }
 
   /** Connects to the current assigner. */
@@ -112,7 +112,7 @@
     scanner.feed(bytes, this::handleMessage);
   }
 
-  /** Moves on to the next assigner after a delay. */
+  /** Connects to the next assigner after a delay. */
   @Override
   public void onEnded(Connection ended, IOException cause) {
     if (ended == connection && scanner != null) {
@@ -160,24 +160,28 @@
     }
   }
 
-  /** Servers missing from the new table are detected once the update is complete. */
+  /**
+   * Starts complete tables of these classes. Servers missing from them are detected when the update
+   * is complete.
+   */
   private void startTable(int classes) {
     boundClasses |= classes;
     isFresh = false;
-    hasUnfinishedTable = true;
-    holdings.clear(classes);
+    hasIncompleteTable = true;
+    tableContents.clear(classes);
   }
 
   private void applyWeights(RespScanner.View update, int field, int classes) {
     int count =
         UpdateFieldReader.readWeights(
-            update, field, (server, isZero) -> setHeld(server, !isZero, classes));
+            update, field, (server, isZero) -> setPresent(server, !isZero, classes));
     traffic().add(TrafficCounter.Kind.WEIGHT_ENTRY, count, update.length(field));
   }
 
   private void applyEjections(RespScanner.View update, int field) {
     int count =
-        UpdateFieldReader.readServers(update, field, server -> setHeld(server, false, allClasses));
+        UpdateFieldReader.readServers(
+            update, field, server -> setPresent(server, false, allClasses));
     traffic().add(TrafficCounter.Kind.EJECTION, count, update.length(field));
   }
 
@@ -186,10 +190,10 @@
     traffic().add(TrafficCounter.Kind.REINSTATEMENT, count, update.length(field));
   }
 
-  private void setHeld(int server, boolean isHeld, int classes) {
-    holdings.set(server, isHeld, classes);
-    if (!isHeld && !statistics.drains().isIdle() && !holds(server)) {
-      statistics.drains().recordRelease(server, number, System.nanoTime());
+  private void setPresent(int server, boolean isPresent, int classes) {
+    tableContents.set(server, isPresent, classes);
+    if (!isPresent && !statistics.drains().isIdle() && !hasServer(server)) {
+      statistics.drains().recordRemoval(server, number, System.nanoTime());
     }
   }
 
@@ -207,9 +211,9 @@
   }
 
   private void finishUpdate() {
-    if (hasUnfinishedTable) {
-      hasUnfinishedTable = false;
-      statistics.drains().recheckTable(number, holdings::holds, System.nanoTime());
+    if (hasIncompleteTable) {
+      hasIncompleteTable = false;
+      statistics.drains().recheckTable(number, tableContents::contains, System.nanoTime());
     }
     if (boundClasses == allClasses && !isBound) {
       isBound = true;
@@ -217,7 +221,7 @@
     }
   }
 
-  /** Reports the requests of one period for each class, if the proxy is bound. */
+  /** Reports the requests of one period for each class if the proxy is bound. */
   void sendUsage() {
     if (!isConnected() || !isBound) {
       return;
@@ -230,14 +234,14 @@
     }
   }
 
-  /** Stops reading and writing, as in a network partition. */
-  void silence() {
+  /** Suspends reads and writes, to simulate a network partition. */
+  void suspend() {
     if (isConnected()) {
-      connection.setSilent(true);
+      connection.setSuspended(true);
     }
   }
 
-  /** Resets an open stream and connects again at once. */
+  /** Resets an open stream and reconnects at once. */
   void reconnect() {
     if (isConnected()) {
       connection.reset();
@@ -246,7 +250,7 @@
     }
   }
 
-  /** Resets the stream for good. */
+  /** Resets the stream without reconnecting. */
   void remove() {
     isRemoved = true;
     if (connection != null) {
@@ -255,7 +259,7 @@
     unbind();
   }
 
-  /** Returns a removed proxy to service, without a table. */
+  /** Reconnects a removed proxy, which then has no table. */
   void restore() {
     isRemoved = false;
     isFresh = true;
--- a/src/bench/java/pearusher/scale/SimulatedWatchers.java
+++ b/src/bench/java/pearusher/scale/SimulatedWatchers.java
@@ -9,16 +9,16 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Simulated assigners as seen by discovery: each watches the endpoint list, reads all events and
- * remembers its generation. Measures how long a complete list and a change take to arrive. All
- * watchers run on one event loop; grows with their number.
+ * Simulated assigners that only watch the endpoint list. Each reads all list events and stores the
+ * generation of the last one. Measures how long a complete list and a change take to arrive. All
+ * watchers run on one event loop. Grows with the number of watchers.
  */
 final class SimulatedWatchers implements AutoCloseable {
   private static final int SIGNIFICANT_DIGITS = 3;
   private static final int RECEIVE_BUFFER_BYTES = 128 << 10;
   private static final long RECONNECT_DELAY_NS = 500_000_000L;
 
-  /** The generation is found within this prefix of a list event. */
+  /** The length of the prefix of a list event that contains the generation. */
   private static final int PREFIX_BYTES = 48;
 
   private static final String GENERATION = "\"generation\":";
@@ -35,7 +35,7 @@
   private int disconnectCount;
   private String connectFailure;
 
-  /** One watch, read chunk by chunk; a chunk is one list event. */
+  /** One watch of the endpoint list. Each HTTP chunk is one list event. */
   private final class Watcher implements Connection.Handler {
     private long generation;
     private long connectStartNs;
@@ -158,7 +158,7 @@
     loop.execute(() -> watchers.forEach(Watcher::connect));
   }
 
-  /** The measurements so far. */
+  /** A snapshot of the measurements. */
   record Figures(
       int listedCount,
       int disconnectCount,
--- a/src/bench/java/pearusher/scale/SlopeChart.java
+++ b/src/bench/java/pearusher/scale/SlopeChart.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Draws points and the line fitted to them as an SVG chart. */
+/** An SVG chart of points and the line fitted to them. */
 final class SlopeChart {
   private static final int WIDTH = 480;
   private static final int HEIGHT = 320;
   private static final int MARGIN = 56;
-  private static final double HEADROOM = 1.05;
+  private static final double HEADROOM_FACTOR = 1.05;
 
   private final String title;
   private final String xName;
@@ -25,7 +25,7 @@
     this.line = line;
     maxX = points.stream().mapToDouble(LeastSquares.Point::size).max().orElse(1);
     double highest = points.stream().mapToDouble(LeastSquares.Point::figure).max().orElse(1);
-    maxY = Math.max(highest, line.valueAt(maxX)) * HEADROOM;
+    maxY = Math.max(highest, line.valueAt(maxX)) * HEADROOM_FACTOR;
     minY = Math.min(0, points.stream().mapToDouble(LeastSquares.Point::figure).min().orElse(0));
   }
 
@@ -46,7 +46,11 @@
     appendText(svg, xPixel(0), HEIGHT - MARGIN + 16.0, "middle", "0");
     appendText(svg, xPixel(maxX), HEIGHT - MARGIN + 16.0, "middle", Report.format(maxX));
     appendText(
-        svg, xPixel(0) - 4, yPixel(maxY / HEADROOM) + 4, "end", Report.format(maxY / HEADROOM));
+        svg,
+        xPixel(0) - 4,
+        yPixel(maxY / HEADROOM_FACTOR) + 4,
+        "end",
+        Report.format(maxY / HEADROOM_FACTOR));
     appendText(svg, xPixel(0) - 4, yPixel(minY) + 4, "end", Report.format(minY));
     appendSegment(
         svg,
--- a/src/bench/java/pearusher/scale/StreamTables.java
+++ b/src/bench/java/pearusher/scale/StreamTables.java
@@ -1,12 +1,12 @@
 package pearusher.scale;
 
 /**
- * Which tables a proxy was sent on one stream, and which of them it needed. An assigner without a
- * store does not know what another one sent, and of a shared fleet a store knows no more: a proxy
- * that joins needs one complete table for each class, at once or after the restart hold. From then
- * on changes suffice, so any further complete table on the stream is not needed. Of a join surge,
- * which binds twice, the channel of the run is too wide. Owned by the event loop of the proxies; of
- * constant size.
+ * The complete tables that a proxy received on one stream, and which of them it needed. An assigner
+ * has no record of the tables that another assigner sent, neither without a store nor, in a shared
+ * fleet, with one. A joining proxy therefore needs one complete table for each class, at once or
+ * after the restart hold. Afterwards changes suffice, so a further complete table on the stream is
+ * unneeded. A join surge would bind a proxy twice, but the channel of these runs is too wide for a
+ * join surge. Owned by the event loop of the proxies. Of constant size.
  */
 final class StreamTables {
   private final int allClasses;
@@ -23,12 +23,15 @@
     return isNeeded;
   }
 
-  /** Whether changes of weights are due: a complete table for each of these classes came before. */
+  /**
+   * Returns whether weight changes are valid: a complete table was received before for each of
+   * these classes.
+   */
   boolean expectsWeights(int classes) {
     return (classes & ~completeClasses) == 0;
   }
 
-  /** Whether a complete table came for all classes. */
+  /** Returns whether a complete table was received for each class. */
   boolean isBound() {
     return completeClasses == allClasses;
   }
--- a/src/bench/java/pearusher/scale/Sweep.java
+++ b/src/bench/java/pearusher/scale/Sweep.java
@@ -12,10 +12,10 @@
 
 /**
  * Repeats runs over sizes of one option and fits a line to each figure. Stops at the first size
- * that is not reached and at the end of its time budget, and reports which sizes have no figures.
+ * that is not reached or when its time limit expires, and reports which sizes have no figures.
  */
 final class Sweep {
-  /** The fewest sizes of a slope. */
+  /** The smallest number of sizes to which a line is fitted. */
   static final int MIN_SIZES = 5;
 
   /** The option, its sizes and the figures of a sweep. */
@@ -27,7 +27,7 @@
       double budgetSeconds,
       Path charts) {}
 
-  /** Executes one run; replaced in tests. */
+  /** Executes one run. Tests replace it by a stub. */
   interface Runner {
     RunOutcome run(RunDescription description) throws IOException, InterruptedException;
   }
@@ -104,7 +104,8 @@
     measured.forEach(point -> sizes.add(point.size()));
     String name = figure + "/" + plan.key().key();
     if (sizes.size() < MIN_SIZES) {
-      report.remark(name, "no line: " + sizes.size() + " sizes of at least " + MIN_SIZES);
+      report.remark(
+          name, "no line fitted: got " + sizes.size() + " sizes, expected at least " + MIN_SIZES);
       return;
     }
     LeastSquares line = LeastSquares.fit(measured);
--- a/src/bench/java/pearusher/scale/ServerHoldings.java
+++ b/src/bench/java/pearusher/scale/TableContents.java
@@ -3,13 +3,13 @@
 import java.util.BitSet;
 
 /**
- * The servers in the tables of one simulated proxy, a bit for each server and request class. Owned
- * by the event loop of the proxies; grows with the servers times the classes.
+ * The servers in the tables of one simulated proxy, as one bit per server and request class. Owned
+ * by the event loop of the proxies. Grows with the servers times the classes.
  */
-final class ServerHoldings {
+final class TableContents {
   private final BitSet[] serversByClass;
 
-  ServerHoldings(int classes) {
+  TableContents(int classes) {
     serversByClass = new BitSet[classes];
     for (int k = 0; k < classes; k++) {
       serversByClass[k] = new BitSet();
@@ -25,17 +25,17 @@
     }
   }
 
-  /** Adds a server to the tables of these classes, or removes it from them. */
-  void set(int server, boolean isHeld, int classBits) {
+  /** Adds a server to the tables of these classes, or removes it. */
+  void set(int server, boolean isPresent, int classBits) {
     for (int k = 0; k < serversByClass.length; k++) {
       if (hasClass(classBits, k)) {
-        serversByClass[k].set(server, isHeld);
+        serversByClass[k].set(server, isPresent);
       }
     }
   }
 
-  /** Whether the table of any class holds the server. */
-  boolean holds(int server) {
+  /** Returns whether the table of any class contains the server. */
+  boolean contains(int server) {
     for (BitSet servers : serversByClass) {
       if (servers.get(server)) {
         return true;
--- a/src/bench/java/pearusher/scale/TestFleet.java
+++ b/src/bench/java/pearusher/scale/TestFleet.java
@@ -9,8 +9,8 @@
 import java.util.stream.Stream;
 
 /**
- * All processes of one run, real and simulated. Closing it stops everything that it started and
- * removes its directory.
+ * The real and simulated processes of one run. {@link #close} stops all processes and event loops
+ * and removes the directory of the fleet.
  */
 final class TestFleet implements AutoCloseable {
   private static final long MAX_MEMORY_KB = 12L << 20;
@@ -38,7 +38,9 @@
     discovery = new SimulatedDiscovery(catalog);
   }
 
-  /** Starts the real assigners one by one, each after the previous one has answered a ping. */
+  /**
+   * Starts the real assigners one after another, each after the previous one has answered a ping.
+   */
   void startAssigners() throws IOException, InterruptedException, LimitReachedException {
     AssignerConfigWriter config =
         new AssignerConfigWriter(run, runCommand.root().resolve("docs").resolve("example.json"));
@@ -58,13 +60,13 @@
       realAssigners.add(assigner);
       if (!start(assigner)) {
         throw new LimitReachedException(
-            "process: assigner " + number + " gave no pong",
+            "process: assigner " + number + " did not answer a ping",
             number + " of " + run.realAssigners() + " assigners");
       }
     }
   }
 
-  /** Starts or restarts an assigner; returns false if it does not answer a ping in time. */
+  /** Starts or restarts an assigner. Returns false if it does not answer a ping in time. */
   boolean start(RealAssigner assigner) throws IOException, InterruptedException {
     return assigner.start(runCommand, run.get(RunOption.READY_WAIT));
   }
@@ -79,15 +81,15 @@
     String reached = started + " of " + run.realAssigners() + " assigners";
     if (usedKb > MAX_MEMORY_KB) {
       throw new LimitReachedException(
-          "memory: " + usedKb / 1024 + " MB in use of the 12288 MB of a run", reached);
+          "memory: " + usedKb / 1024 + " MB in use, 12288 MB allowed for a run", reached);
     }
     if (ProcessFigures.availableKb() < MIN_AVAILABLE_MEMORY_KB) {
-      throw new LimitReachedException("memory: the machine has less than 512 MB left", reached);
+      throw new LimitReachedException("memory: less than 512 MB available on the machine", reached);
     }
   }
 
   /** Creates the simulated processes without starting them. */
-  void createSimulatedParts() throws IOException {
+  void createSimulatedProcesses() throws IOException {
     watchers =
         new SimulatedWatchers(
             run.getInt(RunOption.WATCHERS), discovery.listen(watcherTraffic), timestamps);
@@ -195,7 +197,7 @@
     return changeFeed;
   }
 
-  /** The failure of an event loop that has ended; empty while all of them run. */
+  /** Returns the failure of an event loop that has ended; empty while all event loops run. */
   Optional<String> loopFailure() {
     for (EventLoop loop :
         List.of(
@@ -228,13 +230,14 @@
     }
   }
 
-  private static void closeQuietly(AutoCloseable part) {
+  private static void closeQuietly(AutoCloseable resource) {
     try {
-      if (part != null) {
-        part.close();
+      if (resource != null) {
+        resource.close();
       }
     } catch (Exception e) {
-      System.err.println("scale: not closed: " + e.getMessage());
+      System.err.println(
+          "scale: cannot close " + resource.getClass().getSimpleName() + ": " + e.getMessage());
     }
   }
 }
--- a/src/bench/java/pearusher/scale/TrafficCounter.java
+++ b/src/bench/java/pearusher/scale/TrafficCounter.java
@@ -9,7 +9,7 @@
  * Thread-safe.
  */
 final class TrafficCounter {
-  /** The kinds of messages; inbound ones go to the assigner. */
+  /** The kind of a message. Inbound messages are sent to the assigner. */
   enum Kind {
     FULL_LIST("list_whole", true),
     LIST_CHANGE("list_change", true),
@@ -31,7 +31,7 @@
       this.isInbound = isInbound;
     }
 
-    /** The name of the kind in figures, with the direction before it. */
+    /** Returns the name of the kind in figures, prefixed with the direction. */
     String figureName() {
       return (isInbound ? "in." : "out.") + figureName;
     }
@@ -41,7 +41,7 @@
     }
   }
 
-  /** The messages and bytes of one kind. */
+  /** The number of messages of one kind and of their bytes. */
   record Count(long messages, long bytes) {
     Count minus(Count earlier) {
       return new Count(messages - earlier.messages, bytes - earlier.bytes);
--- a/src/bench/java/pearusher/scale/UpdateFieldReader.java
+++ b/src/bench/java/pearusher/scale/UpdateFieldReader.java
@@ -3,9 +3,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.IntConsumer;
 
-/** Reads the fields of updates from a message's bytes, without creating strings. */
+/** Reads the fields of updates from the bytes of a message without creating strings. */
 final class UpdateFieldReader {
-  /** A server's name is two characters and eight digits. */
+  /** The length of a server name: two characters and eight hexadecimal digits. */
   private static final int NAME_BYTES = 10;
 
   /** Receives the weight entries of a table. */
@@ -23,7 +23,7 @@
     return "c" + number;
   }
 
-  /** The request classes that a field names, as bits. */
+  /** Returns the request classes that a field names, as bits. */
   static int readClasses(RespScanner.View view, int field) {
     int classBits = 0;
     int number = -1;
--- a/src/bench/java/pearusher/scale/UpdateMessage.java
+++ b/src/bench/java/pearusher/scale/UpdateMessage.java
@@ -9,14 +9,13 @@
 import java.util.regex.Pattern;
 
 /**
- * A part of an update as a proxy decodes it that accepts nothing but the protocol. Immutable;
- * belongs to the thread that decodes it and does not grow.
+ * One part of an update, decoded strictly: each deviation from the protocol is rejected. Immutable.
  *
- * @param classes the request classes that it concerns, as bits
- * @param isCompleteTable whether it replaces the tables of the classes
- * @param hasWeights whether it carries weights
+ * @param classes the request classes of the part, as bits
+ * @param isCompleteTable whether the part replaces the tables of the classes
+ * @param hasWeights whether the part contains weights
  * @param mark the mark to be acknowledged
- * @param isLast whether it is the last part of its update
+ * @param isLast whether the part is the last of its update
  */
 record UpdateMessage(
     int classes,
@@ -25,7 +24,7 @@
     Optional<String> mark,
     boolean isLast) {
 
-  /** A message that a proxy cannot decode; the message names the cause. */
+  /** Thrown when a message cannot be decoded. The exception's message names the cause. */
   static final class UndecodableException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -44,7 +43,7 @@
   private static final Pattern DECIMAL = Pattern.compile(DECIMAL_PATTERN);
   private static final Pattern INTEGER = Pattern.compile("\\d{1,9}");
 
-  /** Decodes a message for a proxy that knows so many request classes. */
+  /** Decodes a message for a proxy with this number of request classes. */
   static UpdateMessage decode(RespScanner.View message, int classCount)
       throws UndecodableException {
     Map<String, String> fields = readFields(message);
@@ -52,7 +51,8 @@
       checkField(field.getKey(), field.getValue());
     }
     if (fields.containsKey("level") != fields.containsKey("retry")) {
-      throw new UndecodableException("a level or a retry mode without the other");
+      throw new UndecodableException(
+          "expected the fields level and retry together, got only one of them");
     }
     return new UpdateMessage(
         readClasses(fields.get("classes"), classCount),
@@ -66,12 +66,15 @@
       throws UndecodableException {
     if (message.fieldCount() % 2 == 0 || !message.text(0).equals("update")) {
       throw new UndecodableException(
-          "a message of " + message.fieldCount() + " fields that begins with " + message.text(0));
+          "expected an update with pairs of names and values, got "
+              + message.fieldCount()
+              + " fields starting with "
+              + message.text(0));
     }
     Map<String, String> fields = new LinkedHashMap<>();
     for (int field = 1; field < message.fieldCount(); field += 2) {
       if (fields.put(message.text(field), message.text(field + 1)) != null) {
-        throw new UndecodableException("the field " + message.text(field) + " twice");
+        throw new UndecodableException("duplicate field " + message.text(field));
       }
     }
     return fields;
@@ -88,11 +91,11 @@
       case "out", "back" -> checkList(name, SERVER, split(value, ","));
       case "level" -> checkList(name, DECIMAL, List.of(value));
       case "retry", "ticket" -> checkList(name, INTEGER, List.of(value));
-      default -> throw new UndecodableException("the unknown field " + name);
+      default -> throw new UndecodableException("unknown field " + name);
     }
   }
 
-  /** Splits a list and keeps empty elements, so that they are noticed. */
+  /** Splits a list and keeps empty elements, so that they are rejected. */
   private static List<String> split(String list, String separator) {
     return Arrays.asList(list.split(separator, -1));
   }
@@ -101,7 +104,7 @@
       throws UndecodableException {
     for (String value : values) {
       if (!pattern.matcher(value).matches()) {
-        throw new UndecodableException("the field " + name + " holds " + value);
+        throw new UndecodableException("invalid value of the field " + name + ": " + value);
       }
     }
   }
@@ -114,7 +117,7 @@
     for (String name : split(names, "\\+")) {
       int number = Integer.parseInt(name.substring(1));
       if (number >= classCount) {
-        throw new UndecodableException("the class " + name + " is not known");
+        throw new UndecodableException("unknown class " + name);
       }
       classes |= 1 << number;
     }
--- a/src/test/java/pearusher/scale/CountingTest.java
+++ b/src/test/java/pearusher/scale/CountingTest.java
@@ -27,7 +27,7 @@
           "ticket",
           "905");
 
-  /** A message is parsed once and completely wherever its bytes are split. */
+  /** Each message is parsed exactly once, at whichever byte the input is split. */
   @Test
   void parsesMessagesSplitAnywhere() {
     byte[] ping = RespWriter.encode("ping");
@@ -75,13 +75,13 @@
   }
 
   @Test
-  void drainIsInForceOnceTheLastHolderReleased() {
+  void drainEndsWhenTheLastProxyRemovesTheServer() {
     DrainTimer timer = new DrainTimer();
-    BitSet holders = new BitSet();
-    holders.set(0, 3);
-    timer.start(7, holders, 0);
-    timer.recordRelease(7, 1, 1_000_000);
-    timer.recordRelease(7, 1, 9_000_000);
+    BitSet proxies = new BitSet();
+    proxies.set(0, 3);
+    timer.start(7, proxies, 0);
+    timer.recordRemoval(7, 1, 1_000_000);
+    timer.recordRemoval(7, 1, 9_000_000);
     timer.removeProxy(0);
     assertFalse(timer.isIdle());
     timer.recheckTable(2, server -> false, 4_000_000);
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void liveHeapIsTheTotalOfTheHistogram() {
+  void liveHeapIsTheTotalOfTheClassHistogram() {
     assertEquals(
         OptionalLong.of(5637968),
         ProcessFigures.totalBytes(
--- a/src/test/java/pearusher/scale/MixedFleetTest.java
+++ b/src/test/java/pearusher/scale/MixedFleetTest.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** What counts as a fault when two builds run beside each other. */
+/** Strict decoding of updates and the faults that a run of two builds reports. */
 class MixedFleetTest {
   private static final int CLASSES = 2;
 
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void refusesWhatTheProtocolDoesNotHold() {
+  void rejectsUpdatesThatDeviateFromTheProtocol() {
     for (String words :
         List.of(
             "pong",
@@ -66,7 +66,7 @@
     }
   }
 
-  /** A stream needs one complete table for each class, and no weights before it. */
+  /** A stream needs one complete table for each class. Weight changes are valid only after it. */
   @Test
   void countsTheSecondCompleteTableAsUnneeded() {
     StreamTables tables = new StreamTables(CLASSES);
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void findsFaultsOfEitherRun() {
+  void reportsFaultsOfMixedAndUnmixedRun() {
     Report clean = report("old_beside", 0, 0, DropProbe.LINES);
     assertEquals(List.of(), MixedBench.faults(report("new", 0, 0, DropProbe.LINES), clean));
     assertEquals(1, MixedBench.faults(report("new", 1, 0, DropProbe.LINES), clean).size());
--- a/src/test/java/pearusher/scale/SmallRunTest.java
+++ b/src/test/java/pearusher/scale/SmallRunTest.java
@@ -74,9 +74,9 @@
     assertTrue(report.value("watcher_change_count") >= 100);
   }
 
-  /** An assigner that died has no figures but its death and the cause. */
+  /** For an assigner that ended unexpectedly, the run reports only its end and the cause. */
   @Test
-  void reportsDeathOfAnAssignerWithItsCause() throws Exception {
+  void reportsUnexpectedEndOfAssignerWithItsCause() throws Exception {
     RunOutcome outcome = run(SMALL, "-Xmx2m");
     assertTrue(outcome.limit().startsWith("limit process: assigner 0 "), outcome.limit());
     assertEquals(1, outcome.report().value("a0.died"));
@@ -86,8 +86,8 @@
   }
 
   /**
-   * An assigner with too few descriptors binds some proxies; the run reports how many and the
-   * limit.
+   * An assigner with too few file descriptors binds some of the proxies. The run reports their
+   * number and the limit.
    */
   @Test
   void reportsSizeThatIsNotReached() throws Exception {
