--- a/src/bench/java/pearusher/capacity/Apportionment.java
+++ b/src/bench/java/pearusher/capacity/Apportionment.java
@@ -3,16 +3,21 @@
 import java.util.stream.DoubleStream;
 import java.util.stream.IntStream;
 
-/** Splits integers by weights so that the parts add up (largest remainder method). */
+/** Splits an integer by weights into parts that add up to it (largest remainder method). */
 final class Apportionment {
   private Apportionment() {}
 
-  /** Each part gets the minimum; the rest is split by weight. */
+  /**
+   * Returns the parts of a total. Each part has at least the minimum; the remainder is split by
+   * weight.
+   *
+   * @throws IllegalArgumentException if the total is too small for the minimum of each part
+   */
   static int[] split(int total, double[] weights, int minimum) {
     int free = total - minimum * weights.length;
     if (free < 0) {
       throw new IllegalArgumentException(
-          total + " are too few for " + weights.length + " times " + minimum);
+          "cannot split " + total + " into " + weights.length + " parts of at least " + minimum);
     }
     double sum = DoubleStream.of(weights).sum();
     int[] parts = new int[weights.length];
@@ -37,7 +42,7 @@
     return parts;
   }
 
-  /** The weights of Zipf's law for ranks from 1. */
+  /** Returns the weights of Zipf's law for ranks from 1. */
   static double[] zipf(int ranks, double exponent) {
     return IntStream.rangeClosed(1, ranks).mapToDouble(rank -> Math.pow(rank, -exponent)).toArray();
   }
--- a/src/bench/java/pearusher/capacity/AssignerLoad.java
+++ b/src/bench/java/pearusher/capacity/AssignerLoad.java
@@ -4,8 +4,8 @@
 import pearusher.server.MessageSizes;
 
 /**
- * Upper bounds of the load of one assigner of a tier: attempts are assumed to spread evenly over
- * servers and zones, which makes the most load reports.
+ * Upper bounds of the load of one assigner of a tier. The model spreads attempts evenly over
+ * servers and zones, which results in the largest number of load reports.
  */
 record AssignerLoad(
     double servers,
@@ -30,16 +30,16 @@
   static final double PERIOD_SECONDS = 1;
   static final int CLASSES = 2;
 
-  /** Heartbeats of the watch: empty chunks. */
+  /** The traffic of watch heartbeats, which are empty HTTP chunks. */
   private static final double HEARTBEAT_BYTES_PER_SECOND = "2\r\n\n\r\n".length() / 2.0;
 
-  /** List entries of the restart of a task: terminating, terminated, in service. */
+  /** List entries per restart of a task: terminating, terminated, in service. */
   static final int ENTRIES_PER_RESTART = 3;
 
-  /** List entries of the failure of a task: terminated, in service. */
+  /** List entries per failure of a task: terminated, in service. */
   static final int ENTRIES_PER_FAILURE = 2;
 
-  /** List entries per second of the fleet on an ordinary day. */
+  /** Returns the list entries per second of the fleet on an ordinary day. */
   static double fleetListEntriesPerSecond() {
     double taskShare =
         1.0 * CapacityTarget.TASKS / (CapacityTarget.TASKS + CapacityTarget.ASSIGNERS);
@@ -85,17 +85,17 @@
         entries);
   }
 
-  /** The expected number of zones of randomly drawn proxies of the tier; at least one. */
+  /** Returns the expected number of zones of randomly drawn proxies of the tier, at least one. */
   static double expectedZones(int[] proxiesByZone, double proxies) {
     double all = Arrays.stream(proxiesByZone).sum();
-    double met =
+    double zones =
         Arrays.stream(proxiesByZone).mapToDouble(p -> 1 - Math.pow(1 - p / all, proxies)).sum();
-    return Math.max(1, met);
+    return Math.max(1, zones);
   }
 
   /**
-   * The expected pairs of server and zone with an attempt, per second; never more than the
-   * attempts.
+   * Returns the expected number of pairs of server and zone with an attempt, per second. It never
+   * exceeds the number of attempts.
    */
   static double reportsPerSecond(double attemptsPerSecond, double pairs) {
     return pairs / PERIOD_SECONDS * -Math.expm1(-attemptsPerSecond * PERIOD_SECONDS / pairs);
--- a/src/bench/java/pearusher/capacity/CapacityModel.java
+++ b/src/bench/java/pearusher/capacity/CapacityModel.java
@@ -14,26 +14,32 @@
 @Command(
     name = "capacity",
     mixinStandardHelpOptions = true,
-    description = "Derives what each role is asked at the target's size.")
+    description = "Derives the load of each role at the target's size.")
 final class CapacityModel implements Callable<Integer> {
-  @Option(names = "--seed", description = "of the fleet (${DEFAULT-VALUE})")
+  @Option(names = "--seed", description = "seed of the fleet (${DEFAULT-VALUE})")
   private long seed = FleetModel.Skew.ASSUMED.seed();
 
   @Option(
       names = "--tasks-skew",
-      description = "Zipf's exponent of tasks a service (${DEFAULT-VALUE})")
+      description = "Zipf exponent of tasks per service (${DEFAULT-VALUE})")
   private double tasksSkew = FleetModel.Skew.ASSUMED.tasks();
 
-  @Option(names = "--requests-skew", description = "of requests a service (${DEFAULT-VALUE})")
+  @Option(
+      names = "--requests-skew",
+      description = "Zipf exponent of requests per service (${DEFAULT-VALUE})")
   private double requestsSkew = FleetModel.Skew.ASSUMED.requests();
 
-  @Option(names = "--regions-skew", description = "of regions (${DEFAULT-VALUE})")
+  @Option(names = "--regions-skew", description = "Zipf exponent of regions (${DEFAULT-VALUE})")
   private double regionsSkew = FleetModel.Skew.ASSUMED.regions();
 
-  @Option(names = "--requests-per-proxy", description = "requests/s, at most (${DEFAULT-VALUE})")
+  @Option(
+      names = "--requests-per-proxy",
+      description = "maximum requests per second of a proxy (${DEFAULT-VALUE})")
   private double requestsPerProxy = FleetModel.Skew.ASSUMED.requestsPerProxy();
 
-  @Option(names = "--map", description = "only these (${COMPLETION-CANDIDATES}; all)")
+  @Option(
+      names = "--map",
+      description = "tier maps to print (${COMPLETION-CANDIDATES}; default: all)")
   private List<TierMap> maps = List.of(TierMap.values());
 
   public static void main(String[] args) {
--- a/src/bench/java/pearusher/capacity/CapacityTarget.java
+++ b/src/bench/java/pearusher/capacity/CapacityTarget.java
@@ -12,10 +12,18 @@
   static final int FAILURES_PER_DAY = 49;
   static final int RESTARTS_PER_DAY = 1_200;
   static final int CONTROL_MACHINES = 24;
-  static final double IN_FORCE_SECONDS = 16;
-  static final double CORE_SHARE = 0.018;
-  static final double STATE_BYTES = 32 * 1024 * 1024;
-  static final double BYTES_PER_SECOND = 26 * 1024;
+
+  /** The longest time until a change is in force. */
+  static final double MAX_CHANGE_DELAY_SECONDS = 16;
+
+  /** The share of a core that an assigner may use. */
+  static final double MAX_CORE_SHARE = 0.018;
+
+  /** The memory for the state of an assigner. */
+  static final double MAX_STATE_BYTES = 32 * 1024 * 1024;
+
+  /** The network traffic of an assigner in both directions. */
+  static final double MAX_BYTES_PER_SECOND = 26 * 1024;
 
   static final int SECONDS_PER_DAY = 86_400;
 
--- a/src/bench/java/pearusher/capacity/EmptyMain.java
+++ b/src/bench/java/pearusher/capacity/EmptyMain.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Does nothing until its standard input ends, to measure the virtual machine itself. */
+/** A program that only waits for the end of its standard input, to measure the JVM itself. */
 final class EmptyMain {
   private EmptyMain() {}
 
--- a/src/bench/java/pearusher/capacity/FleetModel.java
+++ b/src/bench/java/pearusher/capacity/FleetModel.java
@@ -8,20 +8,23 @@
 import java.util.stream.IntStream;
 
 /**
- * A model of a fleet of the target's size with skewed tasks and requests per service, regions and
- * zones. Deterministic for a seed.
+ * A model of a fleet of the target's size, in which tasks and requests are distributed unevenly
+ * over services, regions and zones. Deterministic for a seed.
  */
 final class FleetModel {
-  /** One task may restart while another serves. */
+  /** Two tasks, so that one can restart while the other serves. */
   static final int MIN_TASKS_PER_SERVICE = 2;
 
-  /** The tasks of a service for each region that it uses. */
+  /** The number of tasks of a service per region that it uses. */
   private static final double TASKS_PER_REGION = 8;
 
   /** The relative weights of a region's zones. */
   private static final double[] ZONE_WEIGHTS = {1, 0.85, 0.7, 0.55};
 
-  /** Assumptions where the target gives no figure: Zipf exponents and the load of a proxy. */
+  /**
+   * Parameters for which the target specifies no figure: Zipf exponents and the requests per second
+   * of a proxy.
+   */
   record Skew(double tasks, double requests, double regions, double requestsPerProxy, long seed) {
     static final Skew ASSUMED = new Skew(0.9, 1.0, 0.7, 21.5, 1);
   }
@@ -67,7 +70,10 @@
     return services;
   }
 
-  /** 98 zones in 25 regions: four each, three in the two smallest. */
+  /**
+   * Creates 98 zones in 25 regions: three in each of the two smallest regions, four in each other
+   * region.
+   */
   private void createZones() {
     double[] regionWeights = Apportionment.zipf(CapacityTarget.REGIONS, skew.regions());
     int regionsWithThreeZones = CapacityTarget.REGIONS * ZONE_WEIGHTS.length - CapacityTarget.ZONES;
@@ -82,8 +88,8 @@
   }
 
   /**
-   * Zipf, times a factor between a half and two: the service with most tasks need not be the
-   * busiest.
+   * Returns the requests per second of each service: Zipf's law, times a random factor between a
+   * half and two, so that the service with the most tasks need not be the busiest.
    */
   private double[] requestsByService(SplittableRandom random) {
     double[] requests = Apportionment.zipf(CapacityTarget.SERVICES, skew.requests());
@@ -118,7 +124,7 @@
     return new Service(rank, tasks, tasksByZone, requestsByZone, proxiesByZone);
   }
 
-  /** Drawn by weight without replacement (the keys of Efraimidis and Spirakis). */
+  /** Draws regions by weight without replacement (the keys of Efraimidis and Spirakis). */
   private boolean[] drawRegions(int tasks, SplittableRandom random) {
     int count =
         (int) Math.max(1, Math.min(CapacityTarget.REGIONS, Math.round(tasks / TASKS_PER_REGION)));
--- a/src/bench/java/pearusher/capacity/FleetReport.java
+++ b/src/bench/java/pearusher/capacity/FleetReport.java
@@ -3,7 +3,10 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Prints the size of a {@link FleetModel} and how unequal its parts are. */
+/**
+ * Prints the size of a {@link FleetModel} and the distributions over its services, zones and
+ * regions.
+ */
 final class FleetReport {
   private final FleetModel fleet;
   private final List<FleetModel.Service> services;
--- a/src/bench/java/pearusher/capacity/IdleProcessBench.java
+++ b/src/bench/java/pearusher/capacity/IdleProcessBench.java
@@ -18,17 +18,20 @@
 import picocli.CommandLine.Option;
 
 /**
- * Measures the CPU time and memory of idle processes: an empty program and an assigner (with
- * docs/example.json and no discovery), both with the flags of deploy/balancer.toml, and the
- * assigner with flags that may reduce them. Stops what it started. Must be run from the project's
- * root after {@code make build}.
+ * Measures the CPU time and memory of idle processes: an empty program and an assigner, both with
+ * the JVM flags of deploy/balancer.toml, and the assigner with flags that may reduce them. The
+ * assigner runs with docs/example.json and without discovery. Stops all started processes. Must be
+ * run from the project's root after {@code make build}.
  */
-@Command(name = "floor", mixinStandardHelpOptions = true, description = "Memory of idle processes.")
+@Command(
+    name = "floor",
+    mixinStandardHelpOptions = true,
+    description = "Measures the CPU time and memory of idle processes.")
 final class IdleProcessBench implements Callable<Integer> {
   private static final int KIB = 1024;
   private static final byte[] PING = "*1\r\n$4\r\nping\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
-  @Option(names = "--idle", description = "seconds that each is watched (${DEFAULT-VALUE})")
+  @Option(names = "--idle", description = "seconds to measure each process (${DEFAULT-VALUE})")
   private int idleSeconds = 20;
 
   public static void main(String[] args) {
@@ -41,25 +44,25 @@
     Path directory = Files.createTempDirectory("floor");
     Path archive = directory.resolve("classes.jsa");
     try {
-      observe("empty", emptyMainCommand(flags), directory, false);
-      observe("assigner", assignerCommand(flags), directory, true);
-      observe(
+      measure("empty", emptyMainCommand(flags), directory, false);
+      measure("assigner", assignerCommand(flags), directory, true);
+      measure(
           "assigner_small_heap",
           assignerCommand(replace(flags, "-Xms40m", "-Xms8m")),
           directory,
           true);
-      observe("assigner_interpreted", assignerCommand(append(flags, "-Xint")), directory, true);
-      observe(
+      measure("assigner_interpreted", assignerCommand(append(flags, "-Xint")), directory, true);
+      measure(
           "archive_run",
           assignerCommand(append(flags, "-XX:ArchiveClassesAtExit=" + archive)),
           directory,
           true);
-      observe(
+      measure(
           "assigner_archive",
           assignerCommand(append(flags, "-XX:SharedArchiveFile=" + archive)),
           directory,
           true);
-      observe(
+      measure(
           "assigner_archive_small_heap",
           assignerCommand(
               append(replace(flags, "-Xms40m", "-Xms8m"), "-XX:SharedArchiveFile=" + archive)),
@@ -74,16 +77,15 @@
     return 0;
   }
 
-  /** The JVM flags of the command that starts a deployed assigner. */
+  /** Returns the JVM flags of the command that starts a deployed assigner. */
   private static List<String> deployedFlags() throws IOException {
     String run =
         Files.readAllLines(Path.of("deploy", "balancer.toml")).stream()
             .filter(line -> line.startsWith("run = "))
             .findFirst()
             .orElseThrow();
-    String between =
-        run.substring(run.indexOf(" java ") + " java ".length(), run.indexOf(" -jar "));
-    return List.of(between.split(" "));
+    String flags = run.substring(run.indexOf(" java ") + " java ".length(), run.indexOf(" -jar "));
+    return List.of(flags.split(" "));
   }
 
   private static List<String> append(List<String> flags, String flag) {
@@ -94,7 +96,8 @@
 
   private static List<String> replace(List<String> flags, String old, String replacement) {
     if (!flags.contains(old)) {
-      throw new IllegalStateException("the run line has no " + old);
+      throw new IllegalStateException(
+          "expected the flag " + old + " in the run line of deploy/balancer.toml");
     }
     return flags.stream().map(flag -> flag.equals(old) ? replacement : flag).toList();
   }
@@ -114,7 +117,7 @@
     return command;
   }
 
-  private void observe(String name, List<String> command, Path directory, boolean isAssigner)
+  private void measure(String name, List<String> command, Path directory, boolean isAssigner)
       throws Exception {
     int[] ports = freePorts(3);
     ProcessBuilder builder =
@@ -201,7 +204,7 @@
         TimeUnit.MILLISECONDS.sleep(5);
       }
     }
-    throw new IOException("the assigner ended before it answered");
+    throw new IOException("the assigner ended before it answered a ping");
   }
 
   private static double cpuSeconds(long pid) throws IOException {
@@ -210,6 +213,6 @@
 
   private static double liveHeapBytes(long pid) throws IOException, InterruptedException {
     return ProcessFigures.liveHeapBytes(pid)
-        .orElseThrow(() -> new IOException("jcmd gave no histogram of process " + pid));
+        .orElseThrow(() -> new IOException("no class histogram of process " + pid + " from jcmd"));
   }
 }
--- a/src/bench/java/pearusher/capacity/PickBench.java
+++ b/src/bench/java/pearusher/capacity/PickBench.java
@@ -10,15 +10,15 @@
 import picocli.CommandLine.Option;
 
 /**
- * Measures the time to pick a server from a proxy's table and to apply an update to it. One thread
- * makes one call after the other (closed loop), so no call waits for another and there is no
- * coordinated omission to correct. Each time includes the reading of the clock, which the row
- * {@code nothing} shows.
+ * Measures the time to pick a server from a proxy's table and the time to apply an update to the
+ * table. One thread makes one call after another (closed loop). No call waits for another, so there
+ * is no coordinated omission to correct. Each time includes the cost of reading the clock, which
+ * the row {@code nothing} shows.
  */
 @Command(
     name = "pick",
     mixinStandardHelpOptions = true,
-    description = "Times picks and updates of a table.")
+    description = "Measures picks and updates of a table.")
 final class PickBench implements Callable<Integer> {
   private static final int MIN_UPDATES = 3_000;
   private static final int MAX_UPDATES = 100_000;
@@ -27,18 +27,18 @@
   @Option(names = "--lines", split = ",", description = "sizes of tables (${DEFAULT-VALUE})")
   private List<Integer> sizes = List.of(30, 300, 2_000, 9_100);
 
-  @Option(names = "--picks", description = "calls timed of each pick (${DEFAULT-VALUE})")
+  @Option(names = "--picks", description = "timed calls of each pick method (${DEFAULT-VALUE})")
   private int picks = 2_000_000;
 
   @Option(
       names = "--updates",
-      description = "lines of updates applied in each timing (${DEFAULT-VALUE})")
-  private int updatedLines = 30_000_000;
+      description = "weight entries applied in each measurement of updates (${DEFAULT-VALUE})")
+  private int updatedEntries = 30_000_000;
 
-  @Option(names = "--seed", description = "of weights and picks (${DEFAULT-VALUE})")
+  @Option(names = "--seed", description = "seed of weights and picks (${DEFAULT-VALUE})")
   private long seed = 1;
 
-  /** Keeps the picks from being optimised away. */
+  /** Prevents the JIT compiler from eliminating the picks. */
   private long checksum;
 
   public static void main(String[] args) {
@@ -61,7 +61,7 @@
     for (int k = 0; k < size; k++) {
       entries[k] = randomEntry(k, random);
     }
-    int updates = Math.max(MIN_UPDATES, Math.min(MAX_UPDATES, updatedLines / size));
+    int updates = Math.max(MIN_UPDATES, Math.min(MAX_UPDATES, updatedEntries / size));
     String table = String.join(",", entries);
     String[] changes = new String[updates];
     for (int k = 0; k < updates; k++) {
@@ -97,7 +97,7 @@
     return "s-" + Integer.toHexString(0x5be2a07c + 7919 * server) + ":" + weight;
   }
 
-  /** Runs all calls untimed to warm up the compiler, then timed. */
+  /** Runs all calls untimed to warm up the JIT compiler, then measures each call. */
   private static void time(String name, int calls, IntConsumer operation) {
     for (int k = 0; k < calls; k++) {
       operation.accept(k);
--- a/src/bench/java/pearusher/capacity/ProxyTable.java
+++ b/src/bench/java/pearusher/capacity/ProxyTable.java
@@ -6,9 +6,9 @@
 import java.util.SplittableRandom;
 
 /**
- * A simulated proxy's table of weighted servers, with three ways to pick a server. Tables are
- * parsed from the form of an update, {@code server:weight,server:weight}. Grows with the entries of
- * one table.
+ * A simulated proxy's table of weighted servers, with three methods to pick a server. Tables are
+ * parsed from the encoding of an update, {@code server:weight,server:weight}. Grows with the
+ * entries of one table.
  */
 final class ProxyTable {
   private final Map<String, Integer> indexByServer = new HashMap<>();
@@ -18,14 +18,15 @@
   private double[] cumulativeWeights = new double[0];
 
   /**
-   * Vose's alias table: the probability of each entry itself, and the entry that is picked else.
+   * Vose's alias table: the probability that a drawn entry itself is picked. Otherwise its alias is
+   * picked.
    */
   private double[] stayProbabilities = new double[0];
 
   private int[] aliases = new int[0];
   private int[] inFlight = new int[0];
 
-  /** Replaces the table by the entries of an update. */
+  /** Replaces the table with the entries of an update. */
   void replace(String table) {
     String[] entries = table.split(",");
     indexByServer.clear();
@@ -40,7 +41,7 @@
     updateSums(0);
   }
 
-  /** Changes the weight of a server in the table and updates the sums behind it. */
+  /** Changes the weight of a server in the table and updates the cumulative weights from it on. */
   void change(String entry) {
     int colon = entry.lastIndexOf(':');
     int index = indexByServer.get(entry.substring(0, colon));
@@ -83,7 +84,7 @@
         stack[smallCount++] = more;
       }
     }
-    // Entries left over by rounding errors.
+    // Rounding errors may leave entries without an alias.
     while (smallCount > 0) {
       stayProbabilities[stack[--smallCount]] = 1;
     }
@@ -100,7 +101,7 @@
     return random.nextDouble() < stayProbabilities[index] ? index : aliases[index];
   }
 
-  /** Picks two servers by weight and takes the one with fewer requests in flight. */
+  /** Picks two servers by weight and returns the one with fewer requests in flight. */
   int pickOfTwo(SplittableRandom random) {
     int first = pickBySums(random);
     int second = pickBySums(random);
@@ -109,7 +110,7 @@
     return best;
   }
 
-  /** The share of an entry in the sum of all weights. */
+  /** Returns the share of an entry in the sum of all weights. */
   double share(int index) {
     return weights[index] / cumulativeWeights[cumulativeWeights.length - 1];
   }
--- a/src/bench/java/pearusher/capacity/Scenarios.java
+++ b/src/bench/java/pearusher/capacity/Scenarios.java
@@ -9,8 +9,9 @@
 import pearusher.server.MessageSizes;
 
 /**
- * Derives the load of ordinary days, configuration changes and outages from the model of the fleet
- * under one {@link TierMap}. All of it is arithmetic on the constants below.
+ * Derives the load of ordinary days, configuration changes and outages from the fleet model under
+ * one {@link TierMap}. All figures are computed from the constants of this class, of {@link
+ * AssignerLoad} and of {@link CapacityTarget}.
  */
 final class Scenarios {
   /** Live heap for each pair of server and zone (issue 34). */
@@ -25,13 +26,13 @@
   /** The longest time from SIGTERM to the end of the process in a planned restart. */
   private static final double TERMINATION_SECONDS = 0.7;
 
-  /** The assumed share of a day's changes in the busiest hour. */
+  /** The share of a day's changes in the busiest hour. */
   private static final double PEAK_HOUR_SHARE = 0.2;
 
-  /** Assumed. */
+  /** The machines that a rack outage affects. */
   private static final int MACHINES_PER_RACK = 40;
 
-  /** The assumed network bandwidth of a control machine. */
+  /** The network bandwidth of a control machine. */
   private static final double CONTROL_BYTES_PER_SECOND = 125e6;
 
   private final String name;
@@ -55,9 +56,9 @@
     double zone = taskShare(z -> z == largestZone());
     double region = taskShare(z -> fleet.zones().get(z).region() == 0);
     printOutage("rack", rack, rack);
-    // The proxies of the zone fail with it; others whose assigner was there join again.
+    // The proxies of the zone fail with it. Others whose assigner was in the zone rejoin.
     printOutage("zone", zone, zone * (1 - (tiersCrossRegions ? zone : zone / region)));
-    // A partition: proxies on either side lose their assigners on the other.
+    // In a partition, proxies on either side lose their assigners on the other side.
     printOutage("region", region, tiersCrossRegions ? 2 * region * (1 - region) : 0);
     printOutage("all", 1, 1);
   }
@@ -66,7 +67,7 @@
     Figures.print(name + figure, value, unit);
   }
 
-  /** The share of all tasks in these zones. */
+  /** Returns the share of all tasks in these zones. */
   private double taskShare(IntPredicate zone) {
     return fleet.services().stream()
             .mapToInt(
@@ -87,7 +88,10 @@
         .orElseThrow();
   }
 
-  /** List entries go to each watcher, complete lists to each assigner that starts. */
+  /**
+   * Prints the load of an ordinary day. List entries are sent to each watcher, complete lists to
+   * each assigner that starts.
+   */
   private void printOrdinaryDay() {
     double assignerShare =
         1.0 * CapacityTarget.ASSIGNERS / (CapacityTarget.TASKS + CapacityTarget.ASSIGNERS);
@@ -110,7 +114,7 @@
     print("day.rejoining_proxies", starts * proxyCount() / CapacityTarget.ASSIGNERS, "/day");
   }
 
-  /** The average number of assigners that list one task. */
+  /** Returns the mean number of assigners that list one task. */
   private double watchersPerTask() {
     return tiers.stream().mapToDouble(t -> 1.0 * t.assigners() * t.listedServers()).sum()
         / CapacityTarget.TASKS;
@@ -127,7 +131,7 @@
     return tiers.stream().mapToInt(TierMap.Tier::proxies).sum();
   }
 
-  /** A change of settings needs a restart of each assigner of the tier. */
+  /** Prints the load of configuration changes. A change restarts each assigner of the tier. */
   private void printConfigurationChanges() {
     double meanTier = 1.0 * CapacityTarget.ASSIGNERS / tiers.size();
     double restarts = CapacityTarget.CHANGES_PER_DAY * meanTier;
@@ -140,12 +144,14 @@
     print("change.one_by_one_largest", largest * (TERMINATION_SECONDS + READY_SECONDS), "s");
     print(
         "change.one_by_one_largest_ratio",
-        largest * (TERMINATION_SECONDS + READY_SECONDS) / CapacityTarget.IN_FORCE_SECONDS,
+        largest * (TERMINATION_SECONDS + READY_SECONDS) / CapacityTarget.MAX_CHANGE_DELAY_SECONDS,
         "of_limit");
     print(
         "change.at_once_largest",
         Math.ceil(
-            largest * (TERMINATION_SECONDS + READY_SECONDS) / CapacityTarget.IN_FORCE_SECONDS),
+            largest
+                * (TERMINATION_SECONDS + READY_SECONDS)
+                / CapacityTarget.MAX_CHANGE_DELAY_SECONDS),
         "assigners");
     print("change.as_list_entry_bytes", meanTier * sizes.listEntry(), "bytes");
     double peakRate = CapacityTarget.CHANGES_PER_DAY * PEAK_HOUR_SHARE / 3600;
@@ -155,21 +161,22 @@
 
   /**
    * Prints the load when a share of all tasks, assigners and proxies fails and recovers at once,
-   * and another share of the proxies joins again.
+   * and another share of the proxies rejoins.
    */
-  private void printOutage(String name, double lostShare, double rejoiningShare) {
+  private void printOutage(String name, double failedShare, double rejoiningShare) {
     String prefix = name + ".";
-    double assigners = lostShare * CapacityTarget.ASSIGNERS;
-    double proxies = lostShare * proxyCount();
-    print(prefix + "tasks", lostShare * CapacityTarget.TASKS, "tasks");
+    double assigners = failedShare * CapacityTarget.ASSIGNERS;
+    double proxies = failedShare * proxyCount();
+    print(prefix + "tasks", failedShare * CapacityTarget.TASKS, "tasks");
     print(prefix + "assigners", assigners, "assigners");
     print(prefix + "proxies", proxies, "proxies");
     print(prefix + "rejoining", rejoiningShare * proxyCount(), "proxies");
-    print(prefix + "entries_told", lostShare * CapacityTarget.TASKS * watchersPerTask(), "entries");
-    print(prefix + "change_bytes_an_assigner_most", lostShare * maxListBytes(), "bytes");
+    print(
+        prefix + "entries_told", failedShare * CapacityTarget.TASKS * watchersPerTask(), "entries");
+    print(prefix + "change_bytes_an_assigner_most", failedShare * maxListBytes(), "bytes");
     print(
         prefix + "change_time_an_assigner_most",
-        lostShare * maxListBytes() / CapacityTarget.BYTES_PER_SECOND,
+        failedShare * maxListBytes() / CapacityTarget.MAX_BYTES_PER_SECOND,
         "s");
     double listBytes = assigners * meanListBytes();
     print(prefix + "whole_lists", assigners, "lists");
@@ -183,22 +190,32 @@
         listBytes / CapacityTarget.CONTROL_MACHINES / CONTROL_BYTES_PER_SECOND,
         "s");
     print(
-        prefix + "assigner_list_time_mean", meanListBytes() / CapacityTarget.BYTES_PER_SECOND, "s");
+        prefix + "assigner_list_time_mean",
+        meanListBytes() / CapacityTarget.MAX_BYTES_PER_SECOND,
+        "s");
     print(
-        prefix + "assigner_list_time_most", maxListBytes() / CapacityTarget.BYTES_PER_SECOND, "s");
+        prefix + "assigner_list_time_most",
+        maxListBytes() / CapacityTarget.MAX_BYTES_PER_SECOND,
+        "s");
     print(
-        prefix + "assigner_bind_time_mean", meanBindBytes() / CapacityTarget.BYTES_PER_SECOND, "s");
+        prefix + "assigner_bind_time_mean",
+        meanBindBytes() / CapacityTarget.MAX_BYTES_PER_SECOND,
+        "s");
     print(
-        prefix + "assigner_bind_time_most", maxBindBytes() / CapacityTarget.BYTES_PER_SECOND, "s");
+        prefix + "assigner_bind_time_most",
+        maxBindBytes() / CapacityTarget.MAX_BYTES_PER_SECOND,
+        "s");
     print(
         prefix + "list_and_bind_ratio_mean",
         (meanListBytes() + meanBindBytes())
-            / CapacityTarget.BYTES_PER_SECOND
-            / CapacityTarget.IN_FORCE_SECONDS,
+            / CapacityTarget.MAX_BYTES_PER_SECOND
+            / CapacityTarget.MAX_CHANGE_DELAY_SECONDS,
         "of_limit");
     print(
         prefix + "list_and_bind_ratio_most",
-        maxListAndBindBytes() / CapacityTarget.BYTES_PER_SECOND / CapacityTarget.IN_FORCE_SECONDS,
+        maxListAndBindBytes()
+            / CapacityTarget.MAX_BYTES_PER_SECOND
+            / CapacityTarget.MAX_CHANGE_DELAY_SECONDS,
         "of_limit");
   }
 
--- a/src/bench/java/pearusher/capacity/TierMap.java
+++ b/src/bench/java/pearusher/capacity/TierMap.java
@@ -6,17 +6,17 @@
 import java.util.function.IntPredicate;
 import java.util.stream.IntStream;
 
-/** The ways to split 3,100 assigners into tiers, each with an endpoint list of its own. */
+/** A way to split 3,100 assigners into tiers, each of which has its own endpoint list. */
 enum TierMap {
-  /** A tier of eight or nine for each service, whatever its load. */
+  /** A tier of eight or nine assigners for each service, regardless of its load. */
   SERVICE_EVEN {
     @Override
     List<Tier> tiers(FleetModel fleet) {
-      double[] alike = fleet.services().stream().mapToDouble(s -> 1).toArray();
-      return tiersByService(fleet, Apportionment.split(CapacityTarget.ASSIGNERS, alike, 1));
+      double[] equalWeights = fleet.services().stream().mapToDouble(s -> 1).toArray();
+      return tiersByService(fleet, Apportionment.split(CapacityTarget.ASSIGNERS, equalWeights, 1));
     }
   },
-  /** A tier for each service, two assigners at least and the others by requests. */
+  /** A tier for each service, with at least two assigners. The others are split by requests. */
   SERVICE_BY_LOAD {
     @Override
     List<Tier> tiers(FleetModel fleet) {
@@ -25,7 +25,7 @@
           fleet, Apportionment.split(CapacityTarget.ASSIGNERS, load, MIN_ASSIGNERS_PER_TIER));
     }
   },
-  /** One tier: every assigner lists every task, and proxies join any assigner. */
+  /** One tier. Every assigner lists every task, and proxies join any assigner. */
   ONE_TIER {
     @Override
     List<Tier> tiers(FleetModel fleet) {
@@ -34,14 +34,14 @@
               .withAssigners(CapacityTarget.ASSIGNERS));
     }
   },
-  /** A tier for each region's proxies, whose list holds all tasks of the fleet. */
+  /** A tier for each region's proxies, whose endpoint list contains all tasks of the fleet. */
   REGION_ALL_TASKS {
     @Override
     List<Tier> tiers(FleetModel fleet) {
       return tiersByRegion(fleet, true);
     }
   },
-  /** A tier for each region's proxies, whose list holds the region's tasks alone. */
+  /** A tier for each region's proxies, whose endpoint list contains the region's tasks only. */
   REGION_OWN_TASKS {
     @Override
     List<Tier> tiers(FleetModel fleet) {
@@ -56,8 +56,8 @@
       for (FleetModel.Service service : fleet.services()) {
         for (int r = 0; r < CapacityTarget.REGIONS; r++) {
           int region = r;
-          IntPredicate here = z -> fleet.zones().get(z).region() == region;
-          Tier tier = Tier.of(fleet, List.of(service), here, -1, -1);
+          IntPredicate inRegion = z -> fleet.zones().get(z).region() == region;
+          Tier tier = Tier.of(fleet, List.of(service), inRegion, -1, -1);
           if (tier.requests() > 0) {
             out.add(tier);
           }
@@ -67,21 +67,25 @@
     }
   };
 
-  /** One assigner may restart while the other serves. */
+  /** Two assigners, so that one can restart while the other serves. */
   private static final int MIN_ASSIGNERS_PER_TIER = 2;
 
   /**
-   * A tier.
+   * A tier of assigners.
    *
-   * @param listedServers servers in its endpoint list
-   * @param zonesKnown zones in its settings; an assigner keeps state for each server in each of
-   *     them
-   * @param proxiesByZone proxies that join its assigners
+   * @param listedServers servers in the endpoint list of the tier
+   * @param zonesKnown zones in the settings of the tier; an assigner has state for each server in
+   *     each of them
+   * @param requests requests per second of the proxies of the tier
+   * @param proxiesByZone proxies that join assigners of the tier
    */
   record Tier(
       int assigners, int listedServers, int zonesKnown, double requests, int[] proxiesByZone) {
 
-    /** The part of services in some zones; tasks and zones below 0 are counted. */
+    /**
+     * Returns the tier of some services in some zones, without assigners. If {@code tasks} or
+     * {@code zones} is negative, the tier has the numbers counted in those zones.
+     */
     static Tier of(
         FleetModel fleet,
         List<FleetModel.Service> services,
@@ -120,7 +124,7 @@
 
   abstract List<Tier> tiers(FleetModel fleet);
 
-  /** Proxies may join an assigner of another region. */
+  /** Returns whether proxies may join an assigner of another region. */
   boolean crossesRegions() {
     return this == SERVICE_EVEN || this == SERVICE_BY_LOAD || this == ONE_TIER;
   }
@@ -149,10 +153,12 @@
     return assignByLoad(out, MIN_ASSIGNERS_PER_TIER);
   }
 
-  private static List<Tier> assignByLoad(List<Tier> tiers, int least) {
+  private static List<Tier> assignByLoad(List<Tier> tiers, int minAssigners) {
     int[] assigners =
         Apportionment.split(
-            CapacityTarget.ASSIGNERS, tiers.stream().mapToDouble(Tier::requests).toArray(), least);
+            CapacityTarget.ASSIGNERS,
+            tiers.stream().mapToDouble(Tier::requests).toArray(),
+            minAssigners);
     return IntStream.range(0, assigners.length)
         .mapToObj(k -> tiers.get(k).withAssigners(assigners[k]))
         .toList();
--- a/src/bench/java/pearusher/capacity/TierReport.java
+++ b/src/bench/java/pearusher/capacity/TierReport.java
@@ -6,7 +6,10 @@
 import java.util.function.ToDoubleFunction;
 import pearusher.server.MessageSizes;
 
-/** Prints the load of the assigners under one {@link TierMap}, each assigner of a tier counting. */
+/**
+ * Prints the load of the assigners under one {@link TierMap}. Means and percentiles are over
+ * assigners, not over tiers.
+ */
 final class TierReport {
   private static final int SECONDS_PER_HOUR = 3600;
 
@@ -49,13 +52,18 @@
     printSpread(
         "core_ratio",
         load ->
-            load.reportsPerSecond() * Scenarios.CPU_SECONDS_PER_REPORT / CapacityTarget.CORE_SHARE,
+            load.reportsPerSecond()
+                * Scenarios.CPU_SECONDS_PER_REPORT
+                / CapacityTarget.MAX_CORE_SHARE,
         "of_limit");
-    printSpread("state_ratio", load -> stateBytes(load) / CapacityTarget.STATE_BYTES, "of_limit");
+    printSpread(
+        "state_ratio", load -> stateBytes(load) / CapacityTarget.MAX_STATE_BYTES, "of_limit");
     printSpread(
         "state_in_scope_ratio",
         load ->
-            load.pairsInScope() * Scenarios.BYTES_PER_SERVER_ZONE_PAIR / CapacityTarget.STATE_BYTES,
+            load.pairsInScope()
+                * Scenarios.BYTES_PER_SERVER_ZONE_PAIR
+                / CapacityTarget.MAX_STATE_BYTES,
         "of_limit");
   }
 
@@ -63,12 +71,14 @@
     printSpread("bytes_in", AssignerLoad::bytesInPerSecond, "bytes/s");
     printSpread("bytes_out", AssignerLoad::bytesOutPerSecond, "bytes/s");
     printSpread(
-        "bytes_ratio", load -> bytesPerSecond(load) / CapacityTarget.BYTES_PER_SECOND, "of_limit");
+        "bytes_ratio",
+        load -> bytesPerSecond(load) / CapacityTarget.MAX_BYTES_PER_SECOND,
+        "of_limit");
   }
 
   private void printLists() {
     printSpread("list", AssignerLoad::listBytes, "bytes");
-    printSpread("list_time", load -> load.listBytes() / CapacityTarget.BYTES_PER_SECOND, "s");
+    printSpread("list_time", load -> load.listBytes() / CapacityTarget.MAX_BYTES_PER_SECOND, "s");
     printSpread("bind", AssignerLoad::bindBytes, "bytes");
     printSpread("list_entries", load -> SECONDS_PER_HOUR * load.listEntriesPerSecond(), "/h");
     printSpread("pairs_known", AssignerLoad::pairsKnown, "pairs");
@@ -78,11 +88,11 @@
   private void printOverloaded() {
     Figures.print(
         prefix + "assigners_over_bytes",
-        countAssigners(load -> bytesPerSecond(load) > CapacityTarget.BYTES_PER_SECOND),
+        countAssigners(load -> bytesPerSecond(load) > CapacityTarget.MAX_BYTES_PER_SECOND),
         "assigners");
     Figures.print(
         prefix + "assigners_over_state",
-        countAssigners(load -> stateBytes(load) > CapacityTarget.STATE_BYTES),
+        countAssigners(load -> stateBytes(load) > CapacityTarget.MAX_STATE_BYTES),
         "assigners");
   }
 
--- a/src/bench/java/pearusher/capacity/package-info.java
+++ b/src/bench/java/pearusher/capacity/package-info.java
@@ -1,6 +1,5 @@
 /**
- * The model of the fleet that docs/CAPACITY.md plans for, and the measurements behind that page.
- * Nothing here runs in service; the model is free of I/O and gives the same figures for the same
- * seed.
+ * The fleet model and the benchmarks behind docs/CAPACITY.md. They are not part of the assigner.
+ * The model performs no I/O and is deterministic for a seed.
  */
 package pearusher.capacity;
--- a/src/test/java/pearusher/capacity/FleetModelTest.java
+++ b/src/test/java/pearusher/capacity/FleetModelTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import pearusher.server.MessageSizes;
 
-/** The model of the fleet, its tiers and the picks from a table. */
+/** The fleet model, its tiers and picks from a table. */
 class FleetModelTest {
   private final FleetModel fleet = new FleetModel(FleetModel.Skew.ASSUMED);
 
@@ -61,7 +61,7 @@
 
   @ParameterizedTest
   @EnumSource(TierMap.class)
-  void everyMapUsesAllAssignersAndServesAllRequests(TierMap map) {
+  void everyTierMapUsesAllAssignersAndServesAllRequests(TierMap map) {
     List<TierMap.Tier> tiers = map.tiers(fleet);
     assertEquals(CapacityTarget.ASSIGNERS, tiers.stream().mapToInt(TierMap.Tier::assigners).sum());
     assertEquals(
