--- a/src/bench/java/pearusher/intake/IntakeVariant.java
+++ b/src/bench/java/pearusher/intake/IntakeVariant.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 
-/** The project's own {@link Intake}. */
+/** The project's {@link Intake}. */
 final class IntakeVariant implements ReportBuffer {
   private final Intake intake =
       new Intake(
--- a/src/bench/java/pearusher/intake/MapVariant.java
+++ b/src/bench/java/pearusher/intake/MapVariant.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A map that merges the reports of a subject: the baseline of merging. */
+/** A map that merges the reports about a subject, as the baseline for merging. */
 final class MapVariant implements ReportBuffer {
   private final Map<QueuedReport.Subject, ReportTotals> totalsBySubject = new HashMap<>();
   private long deliveredAttempts;
--- a/src/bench/java/pearusher/intake/QueueVariant.java
+++ b/src/bench/java/pearusher/intake/QueueVariant.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** A plain queue: the baseline of delivering each report by itself. */
+/** A plain queue, as the baseline for delivering each report separately. */
 final class QueueVariant implements ReportBuffer {
   private final ArrayDeque<QueuedReport> queue = new ArrayDeque<>();
   private long deliveredAttempts;
--- a/src/bench/java/pearusher/intake/ReportBuffer.java
+++ b/src/bench/java/pearusher/intake/ReportBuffer.java
@@ -1,8 +1,8 @@
 package pearusher.intake;
 
-/** A buffer between the arrival of reports and their delivery, under measurement. */
+/** A measured buffer between the arrival of reports and their delivery. */
 interface ReportBuffer {
-  /** The name of the variant in figures. */
+  /** Returns the name of the variant in figures. */
   String name();
 
   void offer(QueuedReport report);
@@ -10,6 +10,9 @@
   /** Delivers the buffered reports. */
   void drain(long nowUs);
 
-  /** The attempts of all reports delivered so far; keeps the delivery from being optimised away. */
+  /**
+   * Returns the attempts of all reports delivered so far. Prevents the JIT compiler from
+   * eliminating the delivery.
+   */
   long deliveredAttempts();
 }
--- a/src/bench/java/pearusher/server/CrashRecoveryBench.java
+++ b/src/bench/java/pearusher/server/CrashRecoveryBench.java
@@ -18,10 +18,11 @@
 import pearusher.protocol.Message;
 
 /**
- * Measures the cost of a killed assigner at 400 proxies and 120 servers, with and without the
- * store, and the delay that the store adds to an update. The policy, the controller and the store
- * are the real ones on a real disk; the clock, the proxies and the {@link SimulatedChannel} between
- * them are simulated. Prints {@code name value unit} lines; any argument selects the short run.
+ * Measures the cost of an assigner crash with 400 proxies and 120 servers, with and without the
+ * store, and the delay that the store adds to an update. The policy, the controller and the store,
+ * on a real disk, are the production code. The clock, the proxies and the {@link SimulatedChannel}
+ * between assigner and proxies are simulated. Prints {@code name value unit} lines; any argument
+ * selects the short run.
  */
 public final class CrashRecoveryBench {
   private static final int PROXIES = 400;
@@ -44,7 +45,7 @@
   private final Map<Integer, AppliedUpdates> appliedUpdates = new HashMap<>();
   private final Histogram iterationsNs = new Histogram(MAX_RECORDED_NS, 3);
 
-  /** When each proxy first had the correct table after the kill. */
+  /** The time at which each proxy first had the correct tables after the crash. */
   private final Map<Integer, Long> convergedAtUs = new HashMap<>();
 
   private long linesUntilConverged;
@@ -146,7 +147,7 @@
     controller.start();
   }
 
-  /** Neither discovery nor health checks take part. */
+  /** Discards outbound calls: the benchmark has neither a discovery service nor health checks. */
   private static final class NoOutboundCalls implements OutboundCalls {
     @Override
     public void watchEndpoints(boolean on, long since) {}
@@ -172,7 +173,7 @@
     controller.onProxyJoined(stream, new Message.ProxyJoin(proxy, proxy % ZONES, 2.5, isFresh));
   }
 
-  /** Ends all streams; updates in the channel still arrive. */
+  /** Simulates the crash, which ends all streams. Updates in the channel still arrive. */
   private void kill() {
     streams.clear();
     durable.ifPresent(DurablePublisher::closeQuietly);
@@ -180,7 +181,10 @@
     clockUs.addAndGet(DOWNTIME_US);
   }
 
-  /** All proxies join within half a second; one more of each zone joins without a table. */
+  /**
+   * Rejoins all proxies within half a second. One additional proxy of each zone joins without
+   * tables, as the reference for the correct tables.
+   */
   private void rejoinProxies() throws InterruptedException {
     for (int zone = 0; zone < ZONES; zone++) {
       join(PROXIES + zone, true);
@@ -196,7 +200,7 @@
 
   private void runPeriod() throws InterruptedException {
     for (int k = 0; k < SERVERS; k++) {
-      // Response times of the servers differ by four to one and are constant.
+      // Constant mean response times, of which the longest is about four times the shortest.
       long meanUs = 50_000 + 1_250L * k;
       for (int zone = 0; zone < ZONES; zone++) {
         controller.onLoadReport(
@@ -214,7 +218,7 @@
     }
   }
 
-  /** Advances the clock by a part of a period, delivers updates and runs an iteration. */
+  /** Advances the clock by one tick, delivers updates and runs an iteration. */
   private void runTick() throws InterruptedException {
     clockUs.addAndGet(config.settings().controlPeriodUs() / TICKS_PER_PERIOD);
     channel.deliverDue(this::applyAndAcknowledge);
@@ -226,11 +230,11 @@
     AppliedUpdates applied = appliedUpdates.get(stream.proxy());
     delivery.parts().forEach(applied::apply);
     if (streams.get(stream.proxy()) == stream && !applied.ackNumbers.isEmpty()) {
-      int lastTicket = applied.ackNumbers.get(applied.ackNumbers.size() - 1);
+      int lastAckNumber = applied.ackNumbers.get(applied.ackNumbers.size() - 1);
       controller.onAcknowledgement(
           stream,
           new Message.Acknowledgement(
-              stream.proxy(), lastTicket, clockUs.get() - delivery.sentUs()));
+              stream.proxy(), lastAckNumber, clockUs.get() - delivery.sentUs()));
     }
     applied.ackNumbers.clear();
   }
@@ -248,7 +252,9 @@
     }
   }
 
-  /** A proxy has converged once it has the tables of the proxy that joined without one. */
+  /**
+   * Records the proxies whose tables have converged to those of the reference proxy of their zone.
+   */
   private void recordConvergedProxies() {
     for (int proxy = 0; proxy < PROXIES; proxy++) {
       AppliedUpdates reference = appliedUpdates.get(PROXIES + proxy % ZONES);
--- a/src/bench/java/pearusher/server/MessageSizes.java
+++ b/src/bench/java/pearusher/server/MessageSizes.java
@@ -21,11 +21,12 @@
 import pearusher.sitesettings.SettingsException;
 
 /**
- * The sizes of real messages in bytes: encoded by the program, or as specified by PROTOCOL where
- * others send them, and decoded by the program, so that a malformed message has no size.
+ * The sizes of real messages in bytes. Messages that the assigner sends are encoded by its code.
+ * Messages that others send are written as PROTOCOL specifies and decoded by the assigner's code,
+ * so that a malformed message is rejected.
  *
- * @param weightEntry one more weight entry in an update; {@code updateOverhead} is the size before
- *     the first
+ * @param weightEntry the size of each weight entry in an update
+ * @param updateOverhead the size of an update without weight entries
  */
 public record MessageSizes(
     double loadReport,
@@ -38,7 +39,10 @@
     double updateOverhead,
     double healthCheckRequest,
     double healthCheckResponse) {
-  /** The entries of the largest table and list; the size of one entry is a mean over them. */
+  /**
+   * The number of entries in the largest table and list. The size of one entry is the mean over
+   * them.
+   */
   private static final int SERVERS = 9_100;
 
   private static final String ENTRY =
@@ -46,7 +50,11 @@
           + "\"zone\":\"north\",\"machineType\":\"small\",\"cell\":3,\"lifecycle\":\"in_service\","
           + "\"weight\":1.0,\"startedAtMs\":1764636000000}";
 
-  /** Measures with the names of docs/example.json; must be run from the project's root. */
+  /**
+   * Measures messages with the names of docs/example.json. Must be run from the project's root.
+   *
+   * @throws IllegalStateException if the assigner's code rejects a message or the list
+   */
   public static MessageSizes measure() throws IOException, SettingsException {
     Path directory = Files.createTempDirectory("sizes");
     try {
@@ -87,7 +95,7 @@
     try {
       new MessageDecoder(config.names(), config.settings()).decode(fields);
     } catch (MalformedMessageException e) {
-      throw new IllegalStateException("the program cannot decode the message: " + message, e);
+      throw new IllegalStateException("cannot decode the message: " + message, e);
     }
     return RespWriter.encode(fields).length;
   }
@@ -100,7 +108,8 @@
     byte[] text = json.append("]}").toString().getBytes(StandardCharsets.UTF_8);
     int read = readEntries(config, text);
     if (read != servers) {
-      throw new IllegalStateException("of " + servers + " entries " + read + " were read");
+      throw new IllegalStateException(
+          "expected " + servers + " entries in the endpoint list, read " + read);
     }
     return text.length;
   }
@@ -110,12 +119,16 @@
     try {
       reader.feed(ByteBuffer.wrap(text));
     } catch (EndpointListTooLongException e) {
-      throw new IllegalStateException("the program rejects the list as too long", e);
+      throw new IllegalStateException(
+          "endpoint list of " + text.length + " bytes exceeds the limits of the configuration", e);
     }
     return reader.endOfBody().endpoints().size();
   }
 
-  /** The size of a complete table whose weights have as many digits as real ones. */
+  /**
+   * Returns the size of an update with a complete table, whose weights have as many digits as real
+   * weights.
+   */
   private static int updateBytes(int entries) {
     Map<String, Double> table = new LinkedHashMap<>();
     for (int k = 0; k < entries; k++) {
--- a/src/bench/java/pearusher/server/PersistenceVariant.java
+++ b/src/bench/java/pearusher/server/PersistenceVariant.java
@@ -10,7 +10,7 @@
 import pearusher.store.Store;
 import pearusher.store.StoreOptions;
 
-/** Whether an assigner under measurement stores its iterations, and when they become durable. */
+/** The persistence of a measured assigner: no store, or a store with a durability policy. */
 enum PersistenceVariant {
   WITHOUT("without") {
     @Override
@@ -39,12 +39,14 @@
     this.figureName = figureName;
   }
 
-  /** The name of the variant in figures. */
+  /** Returns the name of the variant in figures. */
   String figureName() {
     return figureName;
   }
 
-  /** Opens the store in a directory, recovering what it holds; empty without persistence. */
+  /**
+   * Opens the store in a directory and recovers its contents. Returns empty without persistence.
+   */
   abstract Optional<DurablePublisher> open(
       AssignerConfig config, Path directory, LongSupplier clockUs) throws Exception;
 
--- a/src/bench/java/pearusher/server/SimulatedChannel.java
+++ b/src/bench/java/pearusher/server/SimulatedChannel.java
@@ -12,15 +12,14 @@
 import pearusher.protocol.RespReader;
 
 /**
- * The channel between an assigner and its proxies: delivers updates in order at the rate of the
- * settings. Thread-safe, since updates may be sent by the thread of the store. Grows with the
- * backlog.
+ * A simulated channel between an assigner and its proxies, which delivers updates in order at a
+ * limited rate. Thread-safe, because the store's thread may send updates. Grows with the backlog.
  */
 final class SimulatedChannel {
   private static final long MAX_RECORDED_NS = 60_000_000_000L;
   private static final int SIGNIFICANT_DIGITS = 3;
 
-  /** An update on its way to a proxy. */
+  /** An update in transit to a proxy. */
   record Delivery(long arrivalUs, long sentUs, Stream stream, List<List<String>> parts) {}
 
   /** The stream of one proxy. */
@@ -59,7 +58,7 @@
   /**
    * Creates an empty channel.
    *
-   * @param overheadLines cost of a message besides its weight entries, in lines
+   * @param overheadLines cost of a message in addition to its entries, in lines
    * @param linesPerSecond the rate limit
    */
   SimulatedChannel(double overheadLines, double linesPerSecond, LongSupplier clockUs) {
@@ -82,7 +81,7 @@
 
   private synchronized void transmit(Stream stream, byte[] message) {
     long nowNs = System.nanoTime();
-    // An update sent within the iteration itself was not delayed.
+    // An update that is sent during the iteration has no delay.
     sendDelaysNs.recordValue(iterationEndNs == 0 ? 0 : Math.max(0, nowNs - iterationEndNs));
     List<List<String>> parts = decode(message);
     double lines = overheadLines;
@@ -122,7 +121,7 @@
     return lines;
   }
 
-  /** Passes on all updates that have arrived by now. */
+  /** Delivers all updates whose arrival time has been reached. */
   synchronized void deliverDue(Consumer<Delivery> receiver) {
     while (!backlog.isEmpty() && backlog.peek().arrivalUs() <= clockUs.getAsLong()) {
       receiver.accept(backlog.poll());
@@ -142,7 +141,9 @@
     return lineCount;
   }
 
-  /** The percentile of the time from the end of an iteration to the sending of its updates. */
+  /**
+   * Returns a percentile of the time from the end of an iteration to the sending of its updates.
+   */
   synchronized long sendDelayNs(double percentile) {
     return sendDelaysNs.getValueAtPercentile(percentile);
   }
--- a/src/bench/java/pearusher/server/StartBench.java
+++ b/src/bench/java/pearusher/server/StartBench.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures the time from the start of {@code serve} to the first pong, alternating between this
+ * Measures the time from the start of {@code serve} to the first pong. Alternates between this
  * build and an earlier one, whose jar is the argument.
  */
 public final class StartBench {
@@ -26,7 +26,7 @@
     Path newJar = Path.of("target/pearusher.jar");
     double[] oldMs = new double[ROUNDS];
     double[] newMs = new double[ROUNDS];
-    // One more round fills the caches of the system.
+    // An unmeasured round fills the caches of the system.
     millisToFirstPong(oldJar);
     millisToFirstPong(newJar);
     for (int round = 0; round < ROUNDS; round++) {
--- a/src/bench/java/pearusher/store/AppendBench.java
+++ b/src/bench/java/pearusher/store/AppendBench.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /**
- * Measures the append rate of each engine beside a plain file. Each run of an engine follows a run
- * of the plain file, since the speed of a device changes from second to second; figures are
+ * Compares the append rate of each engine with that of a plain file. Each run of an engine follows
+ * a run of the plain file, because the speed of a device changes from second to second. Figures are
  * medians.
  */
 final class AppendBench {
-  /** When appended batches are made durable. */
+  /** The policy by which appended batches become durable. */
   private enum SyncPolicy {
     EACH("each", 1, true),
     INTERVAL("interval", 20, true),
@@ -48,7 +48,7 @@
 
   void run() throws IOException {
     for (SyncPolicy policy : SyncPolicy.values()) {
-      // The first run warms up the device and the compiler.
+      // The first run warms up the device and the JIT compiler.
       appendsPerSecond(PlainFileEngine::new, policy);
       for (NamedEngine engine : ENGINES) {
         compareWithPlainFile(engine, policy);
--- a/src/bench/java/pearusher/store/BenchDirectory.java
+++ b/src/bench/java/pearusher/store/BenchDirectory.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A temporary directory that is removed with its content when it is closed. */
+/** A temporary directory that is deleted with its contents when it is closed. */
 final class BenchDirectory implements AutoCloseable {
   private final Path path;
 
--- a/src/bench/java/pearusher/store/BenchWorkload.java
+++ b/src/bench/java/pearusher/store/BenchWorkload.java
@@ -2,7 +2,10 @@
 
 import java.nio.ByteBuffer;
 
-/** Generates the batches of the measurements: event-loop iterations that change weights. */
+/**
+ * Generates the batches of the benchmarks, each of which contains the weight changes of one
+ * iteration of the event loop.
+ */
 final class BenchWorkload {
   private static final int CHANGED_WEIGHTS = 24;
   private static final int SERVERS = 120;
@@ -13,7 +16,8 @@
   private BenchWorkload() {}
 
   /**
-   * The batch of one iteration: changed weights of one of two tables, and the ledger's metadata.
+   * Returns the batch of one iteration: changed weights of one of two tables, and the metadata of
+   * the ledger.
    */
   static WriteBatch batch(int iteration) {
     WriteBatch batch = new WriteBatch();
--- a/src/bench/java/pearusher/store/CompactionBench.java
+++ b/src/bench/java/pearusher/store/CompactionBench.java
@@ -6,8 +6,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures the latency of an append with its sync, one every millisecond, without compactions and
- * while compactions run one after the other.
+ * Measures the latency of an append and its sync, one every millisecond, without compactions and
+ * during continuous compactions.
  */
 final class CompactionBench {
   private static final int KEYS = 100_000;
--- a/src/bench/java/pearusher/store/CorruptionBench.java
+++ b/src/bench/java/pearusher/store/CorruptionBench.java
@@ -12,22 +12,25 @@
 import org.h2.mvstore.MVMap;
 import org.h2.mvstore.MVStore;
 
-/** Counts what MVStore makes of a file with one changed byte and of a truncated file. */
+/**
+ * Counts the outcomes of opening an MVStore file with one changed byte and a truncated MVStore
+ * file.
+ */
 final class CorruptionBench {
-  /** What is found in a damaged file. */
+  /** The outcome of opening a damaged file. */
   private enum Outcome {
-    /** The last state. */
+    /** The last state is read. */
     SAME,
     /** The file is rejected. */
     REFUSED,
-    /** The state after an earlier iteration, without an error. */
+    /** The state after an earlier iteration is read, without an error. */
     EARLIER_SILENTLY,
-    /** A state that never existed, without an error. */
+    /** A state that never existed is read, without an error. */
     WRONG_SILENTLY
   }
 
   private static final int ITERATIONS = 60;
-  private static final int FLIPPED_BIT = 0x10;
+  private static final int FLIPPED_BIT_MASK = 0x10;
 
   private final Path root;
   private final int stepBytes;
@@ -46,7 +49,7 @@
       Map<Outcome, Integer> truncations = new EnumMap<>(Outcome.class);
       for (int position = 0; position < intact.length; position += stepBytes) {
         byte[] flipped = intact.clone();
-        flipped[position] ^= FLIPPED_BIT;
+        flipped[position] ^= FLIPPED_BIT_MASK;
         Files.write(file, flipped);
         flips.merge(open(file, lastState), 1, Integer::sum);
         Files.write(file, Arrays.copyOf(intact, position));
@@ -105,7 +108,7 @@
     return entries;
   }
 
-  /** Whether the entries are the empty state or the state after one of the iterations. */
+  /** Returns whether the entries are the empty state or the state after one of the iterations. */
   private static boolean isEarlierState(Map<String, byte[]> found) {
     Map<String, byte[]> state = new HashMap<>();
     if (isSame(found, state)) {
--- a/src/bench/java/pearusher/store/IndexedLogEngine.java
+++ b/src/bench/java/pearusher/store/IndexedLogEngine.java
@@ -4,8 +4,8 @@
 import java.nio.file.Path;
 
 /**
- * The project's own log with MVStore as its index. The index is committed as often as a checkpoint
- * would be written.
+ * The project's {@link Store} with an MVStore as its index. The index is committed as often as a
+ * checkpoint would be written.
  */
 final class IndexedLogEngine implements StorageEngine {
   private static final int APPENDS_PER_COMMIT = 1000;
--- a/src/bench/java/pearusher/store/LogEngine.java
+++ b/src/bench/java/pearusher/store/LogEngine.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** The project's own {@link Store}. */
+/** The project's {@link Store}. */
 final class LogEngine implements StorageEngine {
   private final Store store;
 
--- a/src/bench/java/pearusher/store/MvStoreEngine.java
+++ b/src/bench/java/pearusher/store/MvStoreEngine.java
@@ -4,12 +4,12 @@
 import org.h2.mvstore.MVMap;
 import org.h2.mvstore.MVStore;
 
-/** H2's MVStore as a complete engine. */
+/** H2's MVStore as an engine without another log. */
 final class MvStoreEngine implements StorageEngine {
   /** The name of the file within the engine's directory. */
   static final String FILE_NAME = "mv";
 
-  /** The name of the map that holds all entries. */
+  /** The name of the map that contains all entries. */
   static final String MAP_NAME = "all";
 
   private final MVStore store;
--- a/src/bench/java/pearusher/store/PlainFileEngine.java
+++ b/src/bench/java/pearusher/store/PlainFileEngine.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** Appends encoded batches to one file: the baseline of the other engines. */
+/** Appends encoded batches to one file, as the baseline for the other engines. */
 final class PlainFileEngine implements StorageEngine {
   private static final int BUFFER_BYTES = 1 << 22;
 
--- a/src/bench/java/pearusher/store/RecoveryBench.java
+++ b/src/bench/java/pearusher/store/RecoveryBench.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 import java.nio.file.Path;
 
-/** Measures the time and the memory to open a store with a long log. */
+/** Measures the time and the memory required to open a store with a long log. */
 final class RecoveryBench {
   private static final int RECORDS_PER_SYNC = 5000;
   private static final int RECORDS_PER_KEY = 10;
@@ -28,7 +28,9 @@
     }
   }
 
-  /** Writes a log whose state grows with it and returns the size of the log. */
+  /**
+   * Writes a log whose number of keys grows with its records. Returns the size of the log in bytes.
+   */
   private static long fill(Path directory, int records) throws IOException {
     int keys = Math.max(1, records / RECORDS_PER_KEY);
     try (Store store = Store.open(new FileDisk(directory), StoreOptions.DEFAULT)) {
@@ -46,7 +48,7 @@
 
   private static void measure(Path directory, int records, long logBytes) throws IOException {
     long bestNs = Long.MAX_VALUE;
-    long heldBytes = 0;
+    long retainedBytes = 0;
     for (int round = 0; round < ROUNDS; round++) {
       System.gc();
       long usedBefore = usedHeapBytes();
@@ -55,7 +57,7 @@
         Store.Recovered recovered = store.takeRecovered();
         bestNs = Math.min(bestNs, System.nanoTime() - startNs);
         System.gc();
-        heldBytes = usedHeapBytes() - usedBefore;
+        retainedBytes = usedHeapBytes() - usedBefore;
         if (recovered.sequence() != records) {
           throw new IllegalStateException(
               "recovery lost " + (records - recovered.sequence()) + " of " + records + " records");
@@ -66,7 +68,7 @@
     StoreBench.print(prefix + "_ms", bestNs / 1e6, "ms");
     StoreBench.print(prefix + "_log", logBytes / 1e6, "MB");
     StoreBench.print(prefix + "_rate", logBytes / 1e6 / (bestNs / 1e9), "MB/s");
-    StoreBench.print(prefix + "_held", heldBytes / 1e6, "MB");
+    StoreBench.print(prefix + "_held", retainedBytes / 1e6, "MB");
   }
 
   private static long usedHeapBytes() {
--- a/src/bench/java/pearusher/store/StorageEngine.java
+++ b/src/bench/java/pearusher/store/StorageEngine.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** A storage engine under measurement: the store itself, a plain file or an alternative. */
+/** A measured storage engine: the project's store, a plain file or an alternative engine. */
 interface StorageEngine extends AutoCloseable {
   /** Opens an engine in an empty directory. */
   interface Factory {
@@ -12,7 +12,10 @@
 
   void append(WriteBatch batch) throws IOException;
 
-  /** Hands all appended batches to the operating system, so that they survive a killed process. */
+  /**
+   * Writes all appended batches to the operating system, so that they survive a crash of the
+   * process.
+   */
   void write() throws IOException;
 
   /** Makes all appended batches durable. */
--- a/src/bench/java/pearusher/store/StoreBench.java
+++ b/src/bench/java/pearusher/store/StoreBench.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 
 /**
- * Measures the store beside a plain file and alternative engines, on the workload of {@link
+ * Compares the store with a plain file and alternative engines on the workload of {@link
  * BenchWorkload}. Prints {@code name value unit} lines; any argument selects the short run.
  */
 public final class StoreBench {
