--- a/src/main/java/pearusher/protocol/Endpoint.java
+++ b/src/main/java/pearusher/protocol/Endpoint.java
@@ -3,16 +3,18 @@
 import pearusher.policy.Lifecycle;
 
 /**
- * A server as discovery lists it.
+ * One server of an endpoint list.
  *
- * @param server its id
- * @param hostPort its address as text, or null if there is none that can be used
- * @param zone the index of its zone in the settings
- * @param machineType the index of its machine type; the number of types if it is unknown
- * @param cell the cell that it runs in
- * @param lifecycle its state
- * @param weight its share of the load, relative to others
- * @param startedUs when it last started, in Unix time in microseconds; 0 if long ago
+ * @param server the id of the server
+ * @param hostPort the address as {@code host:port}, or null if the list has no usable one
+ * @param zone the index of the zone in the settings
+ * @param machineType the index of the machine type in the settings; the number of machine types if
+ *     the type is unknown
+ * @param cell the cell that the server runs in
+ * @param lifecycle the lifecycle state
+ * @param weight the share of the load, relative to other servers
+ * @param startedUs the time of the last start, in Unix time in microseconds; 0 if the server
+ *     started long ago
  */
 public record Endpoint(
     String server,
--- a/src/main/java/pearusher/protocol/EndpointDecoder.java
+++ b/src/main/java/pearusher/protocol/EndpointDecoder.java
@@ -7,7 +7,7 @@
 import pearusher.sitesettings.PathValues;
 import pearusher.sitesettings.SettingsException;
 
-/** Decodes one entry of discovery's list of servers. Immutable; any thread may use it. */
+/** Decoder of one entry of an endpoint list. Immutable; any thread may use it. */
 final class EndpointDecoder {
   private static final String ID = "instanceId";
   private static final String HOST_PORT = "hostPort";
@@ -18,7 +18,7 @@
   private static final String WEIGHT = "weight";
   private static final String STARTED_AT_MS = "startedAtMs";
 
-  /** The fields of an entry. */
+  /** All fields of an entry that are decoded; others are ignored. */
   static final Set<String> FIELD_NAMES =
       Set.of(ID, HOST_PORT, ZONE, MACHINE_TYPE, CELL, LIFECYCLE, WEIGHT, STARTED_AT_MS);
 
@@ -28,12 +28,12 @@
           "terminating", Lifecycle.DRAINING,
           "terminated", Lifecycle.REMOVED);
 
-  /** An unknown state is treated as that of a server which wants no new requests. */
+  /** State for an unknown one: the server gets no new requests. */
   private static final Lifecycle DEFAULT_LIFECYCLE = Lifecycle.DRAINING;
 
   private static final double DEFAULT_WEIGHT = 1;
 
-  /** No usable address with a port is longer. */
+  /** A longer address cannot be a usable host and port and is ignored. */
   private static final int MAX_ADDRESS_LENGTH = 64;
 
   private static final int MICROS_PER_MILLI = 1000;
@@ -47,9 +47,9 @@
   /**
    * Decodes an entry.
    *
-   * @param entry its fields by name
-   * @return the server; empty if the settings do not have its zone
-   * @throws SettingsException if a field is missing or unusable
+   * @param entry the fields of the entry by name
+   * @return the server; empty if its zone is not in the settings
+   * @throws SettingsException if a required field is missing or a value is invalid
    */
   Optional<Endpoint> decode(PathValues entry) throws SettingsException {
     Integer zone = names.zones().get(entry.require(ZONE));
--- a/src/main/java/pearusher/protocol/EndpointListBuilder.java
+++ b/src/main/java/pearusher/protocol/EndpointListBuilder.java
@@ -12,12 +12,13 @@
 import pearusher.sitesettings.SettingsException;
 
 /**
- * Builds an {@link EndpointList} from the tokens of one JSON object in discovery's format. It grows
- * with the servers listed and the texts of the current entry, and belongs to one thread.
+ * Builder of an {@link EndpointList} from the tokens of one JSON object in discovery's format. Not
+ * thread-safe. Its memory use is proportional to the number of servers and to the text of the
+ * current entry.
  *
- * <p>If a field occurs more than once, its last value counts. Null counts as absent, and a list of
- * plain values as their texts joined with commas. Faults of values are reported at the end of the
- * object, so that malformed JSON behind them takes precedence.
+ * <p>The last value of a repeated field is used. A null counts as an absent field. An array of
+ * scalars counts as the text of its elements joined with commas. An invalid value is reported only
+ * at the end of the object, so that malformed JSON after it takes precedence.
  */
 final class EndpointListBuilder {
   private static final String GENERATION = "generation";
@@ -25,7 +26,7 @@
   private static final String ENTRIES = "instances";
   private static final Set<String> HEAD_FIELD_NAMES = Set.of(GENERATION, COMPLETE);
 
-  /** What the next token belongs to. */
+  /** Position in the document, which determines how the next token is processed. */
   private enum State {
     BEFORE_OBJECT,
     HEAD,
@@ -42,18 +43,18 @@
   private final Map<String, String> entryFields = new HashMap<>();
   private State state = State.BEFORE_OBJECT;
 
-  /** Nesting depth within a value that is ignored; 0 outside of one. */
+  /** Nesting depth within an ignored value; 0 outside of ignored values. */
   private int ignoredDepth;
 
   private String fieldName;
 
-  /** The plain values of the current array; null outside of one. */
-  private PlainValues plainValues;
+  /** Scalars of the current array; null outside of an array of scalars. */
+  private ScalarArray scalarArray;
 
   private List<Endpoint> endpoints = List.of();
   private SettingsException fault;
 
-  // Of the current array of entries, which replaces an earlier one once it ends.
+  // State of the current array of entries, which replaces an earlier array when it ends.
   private List<Endpoint> pendingEndpoints;
   private SettingsException pendingFault;
   private int entryIndex;
@@ -62,10 +63,10 @@
   /**
    * Creates a builder.
    *
-   * @param documentName the name of the document, which begins each fault
-   * @param keyPrefix the path of the object within the document, with a dot at its end, or empty
+   * @param documentName the name of the document, with which each error message begins
+   * @param keyPrefix the path of the object within the document, ending with a dot, or empty
    * @param names the names of zones and machine types
-   * @param limits the limits that the list must keep
+   * @param limits the limits on the list
    */
   EndpointListBuilder(
       String documentName, String keyPrefix, WireNames names, EndpointListLimits limits) {
@@ -75,17 +76,23 @@
     this.limits = limits;
   }
 
-  /** Returns whether the object has ended. */
+  /** Returns whether the end of the object was read. */
   boolean isComplete() {
     return state == State.AFTER_OBJECT;
   }
 
-  /** Processes the parser's current token. */
+  /**
+   * Processes the current token of a parser.
+   *
+   * @throws EndpointListTooLongException if the list has more servers than the limits allow
+   * @throws SettingsException if the document is not one JSON object, or an array of scalars is too
+   *     long
+   */
   void accept(JsonToken token, JsonParser parser) throws IOException, SettingsException {
     if (ignoredDepth > 0) {
       ignore(token);
-    } else if (plainValues != null) {
-      acceptPlainValue(token, parser);
+    } else if (scalarArray != null) {
+      acceptArrayElement(token, parser);
     } else {
       acceptInState(token, parser);
     }
@@ -159,7 +166,7 @@
     entryIndex++;
   }
 
-  /** Ends the array; one of plain values only counts as a text, not as entries. */
+  /** Ends the array of entries; an array of scalars alone counts as a text and is ignored. */
   private void endEntries() {
     state = State.HEAD;
     if (hasNestedEntry || entryIndex == 0) {
@@ -197,10 +204,10 @@
     pendingEndpoints.add(endpoint);
   }
 
-  /** Records a fault unless there is an earlier one. */
-  private void recordFault(SettingsException latest) {
+  /** Records a fault of the current array of entries; only the first one is reported. */
+  private void recordFault(SettingsException entryFault) {
     if (pendingFault == null) {
-      pendingFault = latest;
+      pendingFault = entryFault;
     }
   }
 
@@ -209,48 +216,52 @@
         documentName + ": the key " + keyPrefix + ENTRIES + "." + entryIndex + ".", entryFields);
   }
 
-  /** Processes the name or the value of a field, and stores the value if its name is used. */
+  /** Processes the name or the value of a field; stores the value if the field is decoded. */
   private void acceptField(
-      JsonToken token, JsonParser parser, Set<String> usedNames, Map<String, String> values)
+      JsonToken token, JsonParser parser, Set<String> decodedNames, Map<String, String> values)
       throws IOException {
     if (token == JsonToken.FIELD_NAME) {
       fieldName = parser.currentName();
-    } else if (token == JsonToken.START_ARRAY && usedNames.contains(fieldName)) {
-      plainValues = new PlainValues(values);
+    } else if (token == JsonToken.START_ARRAY && decodedNames.contains(fieldName)) {
+      scalarArray = new ScalarArray(values);
     } else if (token.isStructStart()) {
       ignoredDepth = 1;
-    } else if (token != JsonToken.VALUE_NULL && usedNames.contains(fieldName)) {
+    } else if (token != JsonToken.VALUE_NULL && decodedNames.contains(fieldName)) {
       values.put(fieldName, parser.getText());
     }
   }
 
-  private void acceptPlainValue(JsonToken token, JsonParser parser)
+  private void acceptArrayElement(JsonToken token, JsonParser parser)
       throws IOException, SettingsException {
     if (token == JsonToken.END_ARRAY) {
-      plainValues.store(fieldName);
-      plainValues = null;
+      scalarArray.store(fieldName);
+      scalarArray = null;
     } else if (token.isStructStart()) {
-      plainValues.onlyPlain = false;
+      scalarArray.onlyScalars = false;
       ignoredDepth = 1;
-    } else if (plainValues.length() + parser.getTextLength() <= limits.maxTextLength()) {
-      plainValues.add(parser.getText());
+    } else if (scalarArray.length() + parser.getTextLength() <= limits.maxTextLength()) {
+      scalarArray.add(parser.getText());
     } else {
       throw new SettingsException(
           documentName
-              + ": a list of plain values under "
+              + ": the array under "
               + fieldName
-              + " of over "
+              + " is longer than "
               + limits.maxTextLength()
               + " characters");
     }
   }
 
-  /** Returns whether the object has a generation: without one it is no list. */
+  /** Returns whether the object has a generation, without which it is not an endpoint list. */
   boolean hasGeneration() {
     return headFields.containsKey(GENERATION);
   }
 
-  /** Returns the list, once the object has ended. */
+  /**
+   * Returns the list; the end of the object must have been read.
+   *
+   * @throws SettingsException if a required field is missing or a value is invalid
+   */
   EndpointList build() throws SettingsException {
     if (fault != null) {
       throw fault;
@@ -259,14 +270,14 @@
     return new EndpointList(head.requireLong(GENERATION), head.requireBoolean(COMPLETE), endpoints);
   }
 
-  /** The values of an array, which count as one text if none of them is nested. */
-  private static final class PlainValues {
+  /** Scalars of an array, which are stored as one text unless an element is nested. */
+  private static final class ScalarArray {
     private final Map<String, String> target;
     private final StringBuilder joined = new StringBuilder();
-    private boolean onlyPlain = true;
+    private boolean onlyScalars = true;
     private boolean empty = true;
 
-    PlainValues(Map<String, String> target) {
+    ScalarArray(Map<String, String> target) {
       this.target = target;
     }
 
@@ -283,7 +294,7 @@
     }
 
     void store(String fieldName) {
-      if (onlyPlain) {
+      if (onlyScalars) {
         target.put(fieldName, joined.toString());
       }
     }
--- a/src/main/java/pearusher/protocol/EndpointListLimits.java
+++ b/src/main/java/pearusher/protocol/EndpointListLimits.java
@@ -1,61 +1,67 @@
 package pearusher.protocol;
 
 /**
- * Limits on a list of servers, derived from the heap: a longer list is rejected and the last valid
- * one stays in force, since the process would otherwise run out of memory.
+ * Limits on an endpoint list, derived from the heap size. A list that exceeds them is rejected and
+ * the last valid list stays in force; otherwise the process would run out of memory.
  *
- * @param maxListed the maximum number of servers of one list, in zones of the settings
- * @param maxTextLength the maximum length of one text of a list, used or ignored, in characters
- * @param heapBytes the size of the heap that both are derived from
+ * @param maxListed the maximum number of servers in one list; servers of unknown zones do not count
+ * @param maxTextLength the maximum length of one text in a list, decoded or ignored, in characters
+ * @param heapBytes the maximum heap size from which the other limits are derived, in bytes
  */
 public record EndpointListLimits(int maxListed, int maxTextLength, long heapBytes) {
-  /** Maximum length of a server's id in characters. */
+  /** Maximum length of a server id in characters. */
   static final int MAX_ID_LENGTH = 255;
 
   /**
-   * Heap bytes of one listed server in all of the process, with an id of maximum length, in two
-   * zones and with eight proxies bound. See docs/design.md, "Limits".
+   * Heap that one listed server occupies in the whole process, for an id of maximum length, two
+   * zones and bindings to eight proxies. See docs/design.md, "Limits".
    */
-  static final int BYTES_PER_SERVER = 1820;
+  static final int HEAP_BYTES_PER_SERVER = 1820;
 
-  /** A list may take this fraction of the heap, and the list it replaces half as much again. */
-  static final int HEAP_FRACTION = 2;
+  /**
+   * Divisor of the heap size that gives the share of one list. The list that it replaces may occupy
+   * half as much in addition.
+   */
+  static final int HEAP_DIVISOR = 2;
 
-  /** A text is buffered twice while it is read, at two bytes a character: a 64th of the heap. */
+  /**
+   * The parser buffers a text twice at two bytes per character, so one text uses at most a 64th of
+   * the heap.
+   */
   private static final int HEAP_BYTES_PER_TEXT_CHARACTER = 256;
 
-  /** Leaves room for {@link #maxKnown} in an int. */
+  /** Ensures that {@link #maxKnown} fits in an int. */
   private static final int MAX_LIMIT = Integer.MAX_VALUE / 2;
 
   private static final double BYTES_PER_MEGABYTE = 1 << 20;
 
-  /** Returns the limits for a heap of a size. */
+  /** Returns the limits for a maximum heap size in bytes. */
   static EndpointListLimits of(long heapBytes) {
-    long servers = heapBytes / HEAP_FRACTION / BYTES_PER_SERVER;
+    long servers = heapBytes / HEAP_DIVISOR / HEAP_BYTES_PER_SERVER;
     long textLength = heapBytes / HEAP_BYTES_PER_TEXT_CHARACTER;
     return new EndpointListLimits(
         (int) Math.min(MAX_LIMIT, servers), (int) Math.min(MAX_LIMIT, textLength), heapBytes);
   }
 
-  /** Returns the limits for the heap of this process. */
+  /** Returns the limits for the maximum heap size of this process. */
   public static EndpointListLimits ofThisProcess() {
     return of(Runtime.getRuntime().maxMemory());
   }
 
   /**
-   * Returns the maximum number of servers known at once; it includes removed servers that the
-   * policy has not forgotten yet.
+   * Returns the maximum number of servers that the process may track at once: one and a half times
+   * {@link #maxListed}. It includes removed servers that the policy has not discarded yet.
    */
   public int maxKnown() {
     return maxListed + maxListed / 2;
   }
 
-  /** Describes the limit on one list, for the message of a rejection. */
+  /** Returns the text about the limit on one list, for a log line on its rejection. */
   String describeMaxListed() {
     return describe(maxListed);
   }
 
-  /** Describes the limit on all known servers, for the message of a rejection. */
+  /** Returns the text about the limit on all known servers, for a log line on a rejection. */
   public String describeMaxKnown() {
     return describe(maxKnown());
   }
--- a/src/main/java/pearusher/protocol/EndpointListReader.java
+++ b/src/main/java/pearusher/protocol/EndpointListReader.java
@@ -13,38 +13,38 @@
 import pearusher.sitesettings.SettingsException;
 
 /**
- * Reads lists of servers from bytes as they arrive, one JSON object after the other. One reader
- * serves one response of discovery, on one thread. It grows with the servers listed, not with the
- * length of the text. Malformed text is reported at the end of its object, a list that exceeds the
- * limits at once.
+ * Incremental reader of endpoint lists, which arrive as consecutive JSON objects in the response of
+ * discovery. Each response needs its own reader. Not thread-safe. Its memory use is proportional to
+ * the number of servers, not to the length of the text. A malformed object is reported at its end;
+ * a list that exceeds the limits is reported immediately.
  */
 public final class EndpointListReader {
   private static final String DOCUMENT_NAME = "list";
 
-  /** A character takes at most six bytes: a backslash, the letter u and four digits. */
+  /** The longest encoding of a character: a backslash, the letter u and four digits. */
   private static final int MAX_BYTES_PER_CHARACTER = 6;
 
   private final WireNames names;
   private final EndpointListLimits limits;
   private final JsonFactory factory;
 
-  /** Null before the first byte of an object. */
+  /** Parser of the current object; null before its first byte. */
   private JsonParser parser;
 
   private EndpointListBuilder builder;
   private SettingsException fault;
 
-  /** Bytes since the last token, which the parser buffers. */
+  /** Bytes received since the last token, which the parser buffers. */
   private long unparsedBytes;
 
-  /** Whether nothing came since the last object, or only a carriage return. */
+  /** Whether the current line is empty, apart from one carriage return. */
   private boolean lineEmpty = true;
 
   /**
    * Creates a reader.
    *
    * @param names the names of zones and machine types
-   * @param limits the limits that each list must keep
+   * @param limits the limits on each list
    */
   public EndpointListReader(WireNames names, EndpointListLimits limits) {
     this.names = names;
@@ -52,7 +52,10 @@
     factory = createFactory(limits);
   }
 
-  /** Creates a factory whose parsers keep no table of field names, which new ones could flood. */
+  /**
+   * Creates a factory whose parsers do not cache field names: a peer could fill the cache with new
+   * names.
+   */
   private static JsonFactory createFactory(EndpointListLimits limits) {
     return JsonFactory.builder()
         .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
@@ -63,10 +66,10 @@
   }
 
   /**
-   * Consumes all remaining bytes of a buffer.
+   * Parses all remaining bytes of a buffer.
    *
-   * @param bytes the bytes received, without the end of a line
-   * @throws EndpointListTooLongException if the list exceeds the limits
+   * @param bytes the received bytes, without line ends
+   * @throws EndpointListTooLongException if the list has more servers than the limits allow
    */
   public void feed(ByteBuffer bytes) throws EndpointListTooLongException {
     if (!bytes.hasRemaining()) {
@@ -101,19 +104,25 @@
     unparsedBytes += bytes.remaining();
     feeder().feedInput(bytes);
     processTokens();
-    // The parser checks the length of a number only at its end.
-    if (unparsedBytes > (long) limits.maxTextLength() * MAX_BYTES_PER_CHARACTER) {
+    // The parser checks the length of a number only once the number is complete.
+    long maxUnparsedBytes = (long) limits.maxTextLength() * MAX_BYTES_PER_CHARACTER;
+    if (unparsedBytes > maxUnparsedBytes) {
       throw new SettingsException(
-          DOCUMENT_NAME + ": malformed JSON: a value of over " + unparsedBytes + " bytes");
+          DOCUMENT_NAME
+              + ": malformed JSON: unfinished value of "
+              + unparsedBytes
+              + " bytes exceeds "
+              + maxUnparsedBytes
+              + " bytes");
     }
   }
 
-  /** Returns whether the current object has a fault, which will be reported at its end. */
+  /** Returns whether the current object is invalid, which is reported at its end. */
   boolean hasFault() {
     return fault != null;
   }
 
-  /** Records the fault of the current object, the rest of which is ignored. */
+  /** Records a fault of the current object and ignores the rest of the object. */
   private void recordFault(SettingsException cause) {
     reset();
     lineEmpty = false;
@@ -141,10 +150,10 @@
   }
 
   /**
-   * Ends the current line; the next byte begins another one.
+   * Processes the end of a line; the next byte starts a new line.
    *
-   * @return the list of the line; empty for an empty line
-   * @throws SettingsException if the line is not a valid list
+   * @return the list in the line; empty for an empty line
+   * @throws SettingsException if the line is not a valid endpoint list
    */
   public Optional<EndpointList> endOfLine() throws SettingsException {
     if (lineEmpty) {
@@ -155,10 +164,10 @@
   }
 
   /**
-   * Ends the body of a response that holds one list.
+   * Processes the end of a response body that consists of one list.
    *
    * @return the list
-   * @throws SettingsException if the body is not a valid list
+   * @throws SettingsException if the body is not a valid endpoint list
    */
   public EndpointList endOfBody() throws SettingsException {
     try {
@@ -202,16 +211,16 @@
   }
 
   /**
-   * Reads the list that a document holds under a key.
+   * Reads the list under a top-level key of a document.
    *
-   * @param documentName the name of the document, which begins each fault
+   * @param documentName the name of the document, with which each error message begins
    * @param key the top-level key of the list
    * @param document the document, which must be well-formed JSON
    * @param names the names of zones and machine types
-   * @param limits the limits that the list must keep
-   * @return the list; an empty one if the document has none
+   * @param limits the limits on the list
+   * @return the list; {@link EndpointList#EMPTY} if the document has none
    * @throws IOException if the document cannot be read
-   * @throws SettingsException if the list is not valid
+   * @throws SettingsException if the list is invalid or exceeds the limits
    */
   public static EndpointList readUnderKey(
       String documentName,
--- a/src/main/java/pearusher/protocol/EndpointListTooLongException.java
+++ b/src/main/java/pearusher/protocol/EndpointListTooLongException.java
@@ -2,7 +2,7 @@
 
 import pearusher.sitesettings.SettingsException;
 
-/** A list of more servers than the heap can hold; the text names the limit. */
+/** An endpoint list that has more servers than the heap allows; the message states the limit. */
 public final class EndpointListTooLongException extends SettingsException {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/pearusher/protocol/FaultText.java
+++ b/src/main/java/pearusher/protocol/FaultText.java
@@ -1,6 +1,6 @@
 package pearusher.protocol;
 
-/** Shortens texts of peers before they are quoted in messages of faults. */
+/** Shortens texts received from peers before an error message quotes them. */
 final class FaultText {
   private static final int MAX_QUOTED_LENGTH = 40;
 
--- a/src/main/java/pearusher/protocol/LoadReportParser.java
+++ b/src/main/java/pearusher/protocol/LoadReportParser.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * Parses the load reports of servers, as they stand in messages and in responses to health checks.
- * A parsed report has the metrics in the order of the settings, 0 for one that is missing; it is
- * empty if no metric can be read. Unknown metrics are ignored. Immutable; any thread may use it.
+ * Parser of the load reports of servers in messages and in responses to health checks. A parsed
+ * report lists the metrics in the order of the settings, with 0 for a missing metric. It is empty
+ * if no metric is valid. Unknown metrics are ignored. Immutable; any thread may use it.
  */
 public final class LoadReportParser {
   private static final String PAIR_SEPARATOR = ",";
@@ -28,10 +28,11 @@
   }
 
   /**
-   * Parses the body of a response to a health check: a prefix, then pairs of names and values.
+   * Parses the body of a response to a health check: the prefix {@code TEXT}, then name-value
+   * pairs.
    *
-   * @param body the body as it was received
-   * @return the metrics, or an empty array if the body has none
+   * @param body the received bytes
+   * @return the metrics, or an empty array if the body has no valid metric
    */
   public float[] parseHealthCheckBody(byte[] body) {
     String text = new String(body, StandardCharsets.UTF_8).trim();
@@ -39,7 +40,12 @@
     return parsePairs(pairs, BODY_VALUE_SEPARATOR);
   }
 
-  /** Parses the field of a message; one value that cannot be read makes the message malformed. */
+  /**
+   * Parses the load field of a message.
+   *
+   * @throws MalformedMessageException if a pair has no name, or its value is not a decimal number
+   *     of at least 0
+   */
   float[] parseField(String text) throws MalformedMessageException {
     if (!text.isEmpty()) {
       for (String pair : text.split(PAIR_SEPARATOR, -1)) {
@@ -56,14 +62,16 @@
       valid =
           separator > 0 && MessageFields.parseDecimal(pair.substring(separator + 1).trim()) >= 0;
     } catch (NumberFormatException e) {
-      throw MessageFields.fault(MessageDecoder.LOAD, "is unreadable", text);
+      throw MessageFields.fault(
+          MessageDecoder.LOAD, "has a value that is not a decimal number", text);
     }
     if (!valid) {
-      throw MessageFields.outOfRange(MessageDecoder.LOAD, text);
+      throw MessageFields.fault(
+          MessageDecoder.LOAD, "is not a list of name:value pairs with values of at least 0", text);
     }
   }
 
-  /** Parses pairs of names and values; those that cannot be read are ignored. */
+  /** Parses name-value pairs; ignores pairs without a finite value. */
   float[] parsePairs(String text, String valueSeparator) {
     Map<String, Float> values = new HashMap<>();
     for (String pair : text.split(PAIR_SEPARATOR)) {
--- a/src/main/java/pearusher/protocol/MalformedMessageException.java
+++ b/src/main/java/pearusher/protocol/MalformedMessageException.java
@@ -1,13 +1,13 @@
 package pearusher.protocol;
 
-/** A message that is well framed but cannot be used; the text names the faulty field. */
+/** A RESP message with an unknown kind or an invalid field; the text names the field. */
 public final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
   /**
    * Creates the exception.
    *
-   * @param message what is wrong, with the name of the field
+   * @param message the error message, with the name of the field
    */
   public MalformedMessageException(String message) {
     super(message);
--- a/src/main/java/pearusher/protocol/MessageDecoder.java
+++ b/src/main/java/pearusher/protocol/MessageDecoder.java
@@ -5,9 +5,9 @@
 import pearusher.policy.RequestClass;
 
 /**
- * Decodes the messages of proxies and collectors. Unknown fields are ignored. Values that can be
- * read but cannot be true are rejected, since they would distort the policy's averages for many
- * control periods. Immutable; any thread may use it.
+ * Decoder of messages from proxies and collectors. Unknown fields are ignored. Implausible values
+ * are rejected, since they would distort the averages of the policy for many control periods.
+ * Immutable; any thread may use it.
  */
 public final class MessageDecoder {
   private static final String PING = "ping";
@@ -46,7 +46,7 @@
    * Creates a decoder.
    *
    * @param names the names that messages use
-   * @param settings the settings, from which the limits of values follow
+   * @param settings the settings, from which the maximum values are derived
    */
   public MessageDecoder(WireNames names, PolicySettings settings) {
     this.names = names;
@@ -56,7 +56,10 @@
     loadReports = new LoadReportParser(names);
   }
 
-  /** Returns the longest time that a client waits: no mean of good responses is twice as long. */
+  /**
+   * Returns the longest deadline of a request class. No mean response time of successful attempts
+   * reaches twice this time.
+   */
   private static long longestDeadlineUs(PolicySettings settings) {
     return settings.requestClasses().stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
   }
@@ -64,15 +67,19 @@
   /**
    * Decodes one message.
    *
-   * @param strings its strings: the kind, then names and values in turn
+   * @param strings the strings of the message: its kind, then alternating names and values
    * @return the message
-   * @throws MalformedMessageException if the kind is unknown, or a field is missing or unusable
+   * @throws MalformedMessageException if the kind is unknown, a field is missing or a value is
+   *     invalid
    */
   public Message decode(List<String> strings) throws MalformedMessageException {
     String kind = strings.get(0);
     if (strings.size() % 2 == 0) {
       throw new MalformedMessageException(
-          "an odd number of fields after '" + FaultText.abbreviate(kind) + "'");
+          "expected pairs of names and values after '"
+              + FaultText.abbreviate(kind)
+              + "', found an odd number of strings: "
+              + (strings.size() - 1));
     }
     MessageFields fields = new MessageFields(strings);
     return switch (kind) {
@@ -84,7 +91,7 @@
       case LOAD_REPORT -> decodeLoadReport(fields);
       default ->
           throw new MalformedMessageException(
-              "an unknown kind '" + FaultText.abbreviate(kind) + "'");
+              "unknown kind of message '" + FaultText.abbreviate(kind) + "'");
     };
   }
 
@@ -131,7 +138,8 @@
   private int proxy(MessageFields fields) throws MalformedMessageException {
     long proxy = fields.requireInteger(PROXY, Integer.MAX_VALUE);
     if (proxy >= proxyCount) {
-      throw new MalformedMessageException("the proxy " + proxy + " is not known");
+      throw new MalformedMessageException(
+          "unknown proxy " + proxy + ", expected 0 to " + (proxyCount - 1));
     }
     return (int) proxy;
   }
@@ -143,7 +151,7 @@
   private long spanUs(MessageFields fields) throws MalformedMessageException {
     long spanUs = fields.requireMicros(SPAN_MS, maxSpanMs);
     if (spanUs <= 0) {
-      throw MessageFields.outOfRange(SPAN_MS, fields.require(SPAN_MS));
+      throw MessageFields.fault(SPAN_MS, "is not more than 0", fields.require(SPAN_MS));
     }
     return spanUs;
   }
--- a/src/main/java/pearusher/protocol/MessageEncoder.java
+++ b/src/main/java/pearusher/protocol/MessageEncoder.java
@@ -8,7 +8,7 @@
 import java.util.StringJoiner;
 import pearusher.policy.AdmissionLevel;
 
-/** Encodes the assigner's messages to its peers. It is stateless and may be used by any thread. */
+/** Encoder of the messages from the assigner to proxies and collectors. Stateless. */
 public final class MessageEncoder {
   private static final String PONG = "pong";
   private static final String UPDATE = "update";
@@ -31,7 +31,7 @@
 
   private MessageEncoder() {}
 
-  /** Encodes the response to a ping. */
+  /** Returns the encoded response to a ping. */
   public static byte[] encodePong() {
     return RespWriter.encode(List.of(PONG));
   }
@@ -40,7 +40,7 @@
    * Encodes one update for a proxy.
    *
    * @param parts the parts of the update, in the order in which the proxy applies them
-   * @return the bytes of all parts
+   * @return the RESP arrays of all parts
    */
   public static byte[] encodeUpdate(List<UpdatePart> parts) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
@@ -94,7 +94,7 @@
     return pairs.toString();
   }
 
-  /** Formats a number in the simulator's single precision and without an exponent. */
+  /** Formats a number in single precision, as the simulator does, and without an exponent. */
   static String formatDecimal(double value) {
     return new BigDecimal(Float.toString((float) value)).toPlainString();
   }
--- a/src/main/java/pearusher/protocol/RequestClasses.java
+++ b/src/main/java/pearusher/protocol/RequestClasses.java
@@ -5,8 +5,9 @@
 import java.util.Optional;
 
 /**
- * The request classes, and both forms of a set of them: the policy's commands have a bit for each
- * class by its index, with 0 for all classes; messages have a list of names. Immutable.
+ * The request classes, with conversions between both representations of a set of classes. Commands
+ * of the policy use a bit set by class index, in which 0 means all classes. Messages use a list of
+ * names. Immutable.
  */
 public final class RequestClasses {
   private final List<String> names;
@@ -14,7 +15,7 @@
   /**
    * Creates the classes.
    *
-   * @param names their names in the order of the settings
+   * @param names the names of the classes in the order of the settings
    */
   public RequestClasses(List<String> names) {
     this.names = names;
@@ -26,9 +27,9 @@
   }
 
   /**
-   * Returns a set of classes with the bit of each class set.
+   * Returns the bit set of the classes of a command, with each bit set if the command is for all.
    *
-   * @param classBits the classes of a command; 0 for all
+   * @param classBits the bit set in the command; 0 means all classes
    */
   public int bits(int classBits) {
     int all = (1 << names.size()) - 1;
@@ -38,16 +39,16 @@
   /**
    * Returns whether a command is for all classes.
    *
-   * @param classBits the classes of a command; 0 for all
+   * @param classBits the bit set in the command; 0 means all classes
    */
   public boolean coversAll(int classBits) {
     return bits(classBits) == bits(0);
   }
 
   /**
-   * Returns the names of a set of classes, or empty if it has all of them.
+   * Returns the names of the classes in a set; empty if the set contains all classes.
    *
-   * @param classBits the set, with the bit of each of its classes set
+   * @param classBits the bit set, in which 0 means no class
    */
   public Optional<List<String>> names(int classBits) {
     if (classBits == bits(0)) {
--- a/src/main/java/pearusher/protocol/RespException.java
+++ b/src/main/java/pearusher/protocol/RespException.java
@@ -2,15 +2,15 @@
 
 import java.io.IOException;
 
-/** Bytes that cannot be framed as RESP, or that exceed a limit. */
+/** Received bytes that are not RESP messages or exceed a limit. */
 public final class RespException extends IOException {
   private static final long serialVersionUID = 1L;
 
-  /** What is wrong with the bytes. */
+  /** Kind of fault. */
   public enum Kind {
-    /** They are not RESP2 arrays of bulk strings. */
+    /** The bytes are not RESP2 arrays of bulk strings. */
     MALFORMED,
-    /** They exceed a limit on one message or on all unfinished messages together. */
+    /** The bytes exceed the limit on one message or on all unfinished messages together. */
     TOO_LONG
   }
 
--- a/src/main/java/pearusher/protocol/RespReader.java
+++ b/src/main/java/pearusher/protocol/RespReader.java
@@ -8,47 +8,51 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Reads the RESP2 arrays of bulk strings of one connection from bytes as they arrive. Thread-safe;
- * it grows with the bytes received of an unfinished message, never with a length that was merely
- * announced.
+ * Incremental reader of the RESP2 arrays of bulk strings on one connection. Thread-safe. Its memory
+ * use is proportional to the received bytes of an unfinished message, never to an announced length.
  */
 public final class RespReader implements AutoCloseable {
-  /** Maximum size of a message in bytes, its headers included. */
+  /** Maximum size of a message in bytes, including headers. */
   public static final int MAX_MESSAGE_BYTES = 1 << 20;
 
   /**
-   * Unfinished bytes that all readers of this process may hold together. A byte takes two bytes of
-   * memory while a buffer grows.
+   * Maximum size of all unfinished messages of this process together. While a buffer grows, a byte
+   * occupies two bytes of memory.
    */
   private static final long MAX_UNFINISHED_BYTES =
       Math.min(8L << 20, Math.max(2 * MAX_MESSAGE_BYTES, Runtime.getRuntime().maxMemory() / 8));
 
-  /** Unfinished bytes granted to every reader, even beyond the common limit: ten proxy messages. */
-  private static final int GUARANTEED_BYTES = 4 << 10;
+  /**
+   * Size of an unfinished message that is accepted even beyond {@link #MAX_UNFINISHED_BYTES}: ten
+   * messages of a proxy.
+   */
+  private static final int GUARANTEED_UNFINISHED_BYTES = 4 << 10;
 
-  /** A larger buffer is replaced once its content was used. */
+  /**
+   * Maximum size of a buffer that is reused; a larger one is replaced after its string was read.
+   */
   private static final int MAX_RETAINED_BUFFER_BYTES = 1 << 10;
 
   private static final int INITIAL_BUFFER_BYTES = 64;
   private static final int MAX_HEADER_BYTES = 16;
   private static final byte[] LINE_END = {'\r', '\n'};
 
-  /** Marks that no header announced a length yet. */
-  private static final int UNKNOWN = -1;
+  /** Marks a length that no header has announced yet. */
+  private static final int UNKNOWN_LENGTH = -1;
 
   private static final AtomicLong UNFINISHED_BYTES = new AtomicLong();
 
   private ByteArrayOutputStream buffer = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
   private final List<String> strings = new ArrayList<>();
-  private int remainingStrings = UNKNOWN;
-  private int stringLength = UNKNOWN;
+  private int remainingStrings = UNKNOWN_LENGTH;
+  private int stringLength = UNKNOWN_LENGTH;
 
-  /** Bytes read of the line end that follows the current string. */
-  private int lineEndBytes;
+  /** Number of bytes read of the line end after the current string. */
+  private int lineEndBytesRead;
 
   private int messageBytes;
 
-  /** This reader's part of {@link #UNFINISHED_BYTES}. */
+  /** Share of this reader in {@link #UNFINISHED_BYTES}. */
   private int accountedBytes;
 
   private int maxMessageBytes;
@@ -64,7 +68,7 @@
     this.maxMessageBytes = maxMessageBytes;
   }
 
-  /** Sets the maximum size of a message in bytes, its headers included. */
+  /** Sets the maximum size of a message in bytes, including headers. */
   public synchronized void setMaxMessageBytes(int bytes) {
     maxMessageBytes = bytes;
   }
@@ -72,42 +76,43 @@
   /**
    * Reads the next complete message. A closed reader discards all input.
    *
-   * @param source received bytes; what the message does not need is left in it
-   * @return the strings of the message, or null if all bytes were consumed before its end
-   * @throws RespException if the bytes are malformed or exceed a limit; the reader is unusable then
+   * @param source the received bytes; bytes after the message remain in the buffer
+   * @return the strings of the message, or null if the message is incomplete
+   * @throws RespException if the bytes are malformed or exceed a limit; the reader must not be used
+   *     afterwards
    */
   public synchronized List<String> next(ByteBuffer source) throws RespException {
     if (closed) {
       source.position(source.limit());
     }
     while (source.hasRemaining()) {
-      boolean complete = stringLength == UNKNOWN ? readHeader(source) : readString(source);
+      boolean complete = stringLength == UNKNOWN_LENGTH ? readHeader(source) : readString(source);
       if (!complete) {
         break;
       }
       if (remainingStrings == 0) {
-        return takeMessage();
+        return completeMessage();
       }
     }
-    account(messageBytes);
+    updateAccountedBytes(messageBytes);
     return null;
   }
 
-  /** Returns whether a message has begun and is incomplete. */
+  /** Returns whether some but not all bytes of a message were received. */
   public synchronized boolean isMidMessage() {
     return messageBytes > 0;
   }
 
-  private List<String> takeMessage() throws RespException {
+  private List<String> completeMessage() throws RespException {
     List<String> message = List.copyOf(strings);
     strings.clear();
-    remainingStrings = UNKNOWN;
+    remainingStrings = UNKNOWN_LENGTH;
     messageBytes = 0;
-    account(0);
+    updateAccountedBytes(0);
     return message;
   }
 
-  /** Reads a header up to its line end; returns false if the bytes ended before. */
+  /** Reads a header up to its line end; returns false if it is incomplete. */
   private boolean readHeader(ByteBuffer source) throws RespException {
     while (source.hasRemaining()) {
       byte next = source.get();
@@ -119,21 +124,21 @@
       }
       buffer.write(next);
       if (buffer.size() > MAX_HEADER_BYTES) {
-        throw malformed("a header that doesn't end");
+        throw malformed("header exceeds " + MAX_HEADER_BYTES + " bytes");
       }
     }
     return false;
   }
 
   private void parseHeader(String header) throws RespException {
-    boolean isArray = remainingStrings == UNKNOWN;
+    boolean isArray = remainingStrings == UNKNOWN_LENGTH;
     char prefix = isArray ? RespWriter.ARRAY_PREFIX : RespWriter.BULK_STRING_PREFIX;
     int length = parseLength(header, prefix);
     if (length < 0 || (length == 0 && isArray)) {
-      throw malformed("'" + prefix + "' and a length expected");
+      throw malformed("expected '" + prefix + "' and a length of at least " + (isArray ? 1 : 0));
     }
     if (length > maxMessageBytes) {
-      throw tooLong("a length of " + length);
+      throw tooLong("announced length " + length + " exceeds " + maxMessageBytes + " bytes");
     }
     if (isArray) {
       remainingStrings = length;
@@ -144,40 +149,43 @@
 
   private static int parseLength(String header, char prefix) {
     if (header.length() <= 2 || header.charAt(0) != prefix || !header.endsWith("\r")) {
-      return UNKNOWN;
+      return UNKNOWN_LENGTH;
     }
     try {
       return Integer.parseInt(header.substring(1, header.length() - 1));
     } catch (NumberFormatException e) {
-      return UNKNOWN;
+      return UNKNOWN_LENGTH;
     }
   }
 
-  /** Reads a string and its line end; returns false if the bytes ended before. */
+  /** Reads a string and its line end; returns false if they are incomplete. */
   private boolean readString(ByteBuffer source) throws RespException {
-    int missing = stringLength + LINE_END.length - buffer.size() - lineEndBytes;
+    int missing = stringLength + LINE_END.length - buffer.size() - lineEndBytesRead;
     int available = Math.min(source.remaining(), missing);
     for (int i = 0; i < available; i++) {
       byte next = source.get();
       if (buffer.size() < stringLength) {
         buffer.write(next);
-      } else if (next != LINE_END[lineEndBytes++]) {
-        throw malformed("no line end after a string");
+      } else if (next != LINE_END[lineEndBytesRead++]) {
+        throw malformed("expected a line end after a string of " + stringLength + " bytes");
       }
     }
     addMessageBytes(available);
-    if (lineEndBytes < LINE_END.length) {
+    if (lineEndBytesRead < LINE_END.length) {
       return false;
     }
     strings.add(buffer.toString(StandardCharsets.UTF_8));
     remainingStrings--;
-    stringLength = UNKNOWN;
-    lineEndBytes = 0;
+    stringLength = UNKNOWN_LENGTH;
+    lineEndBytesRead = 0;
     clearBuffer();
     return true;
   }
 
-  /** Clears the buffer; a large one is replaced, or each connection would retain its longest. */
+  /**
+   * Clears the buffer. Replaces a large buffer; otherwise each connection would retain memory for
+   * its longest string.
+   */
   private void clearBuffer() {
     if (buffer.size() > MAX_RETAINED_BUFFER_BYTES) {
       buffer = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
@@ -188,18 +196,19 @@
   private void addMessageBytes(int count) throws RespException {
     messageBytes += count;
     if (messageBytes > maxMessageBytes) {
-      throw tooLong("a message of over " + maxMessageBytes + " bytes");
+      throw tooLong("message exceeds " + maxMessageBytes + " bytes");
     }
   }
 
-  /** Updates this reader's part of the unfinished bytes of the process. */
-  private void account(int bytes) throws RespException {
-    boolean overCommonLimit =
+  /** Updates the share of this reader in {@link #UNFINISHED_BYTES} and checks the limit. */
+  private void updateAccountedBytes(int bytes) throws RespException {
+    boolean exceedsSharedLimit =
         UNFINISHED_BYTES.addAndGet(bytes - accountedBytes) > MAX_UNFINISHED_BYTES;
     boolean grew = bytes > accountedBytes;
     accountedBytes = bytes;
-    if (overCommonLimit && grew && bytes > GUARANTEED_BYTES) {
-      throw tooLong("too many unfinished messages at once");
+    if (exceedsSharedLimit && grew && bytes > GUARANTEED_UNFINISHED_BYTES) {
+      throw tooLong(
+          "unfinished messages of all connections exceed " + MAX_UNFINISHED_BYTES + " bytes");
     }
   }
 
@@ -211,7 +220,7 @@
     return new RespException(RespException.Kind.TOO_LONG, detail);
   }
 
-  /** Releases this reader's part of the unfinished bytes of the process. */
+  /** Releases the share of this reader in the limit on all unfinished messages. */
   @Override
   public synchronized void close() {
     closed = true;
--- a/src/main/java/pearusher/protocol/RespWriter.java
+++ b/src/main/java/pearusher/protocol/RespWriter.java
@@ -4,9 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/**
- * Writes messages as RESP2 arrays of bulk strings. It is stateless and may be used by any thread.
- */
+/** Encoder of messages as RESP2 arrays of bulk strings. Stateless. */
 public final class RespWriter {
   static final char ARRAY_PREFIX = '*';
   static final char BULK_STRING_PREFIX = '$';
@@ -18,8 +16,8 @@
   /**
    * Encodes one message.
    *
-   * @param strings its strings, in their order
-   * @return the bytes of the array, with all headers
+   * @param strings the strings of the message
+   * @return the RESP array, including all headers
    */
   public static byte[] encode(List<String> strings) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
--- a/src/main/java/pearusher/protocol/UpdatePart.java
+++ b/src/main/java/pearusher/protocol/UpdatePart.java
@@ -7,16 +7,17 @@
 import pearusher.policy.AdmissionLevel;
 
 /**
- * A part of an update for a proxy. An update is divided where request classes need different
- * content, or where a table is too long for one message.
+ * One of the messages that make up an update for a proxy. An update is divided if request classes
+ * need different content, or if a table is too long for one message.
  *
- * @param classes the names of the request classes concerned; empty for all classes
- * @param replacesTable whether the weights are the complete table rather than changes to it
+ * @param classes the names of the request classes that the part applies to; empty for all classes
+ * @param replacesTable true if the weights are the complete table, false if they are changes to it
  * @param weights the weight of each server by its id; 0 removes the server from the table
  * @param admission the admission level, if it changes
  * @param ejected the ids of servers that the proxy is to eject
  * @param reinstated the ids of servers that the proxy is to reinstate
- * @param ackNumber the number that the proxy is to acknowledge, if any
+ * @param ackNumber the acknowledgement number for the proxy to send back; empty if no
+ *     acknowledgement is requested
  */
 public record UpdatePart(
     Optional<List<String>> classes,
--- a/src/main/java/pearusher/protocol/WireNames.java
+++ b/src/main/java/pearusher/protocol/WireNames.java
@@ -7,13 +7,14 @@
 import pearusher.sitesettings.SettingsException;
 
 /**
- * The names that messages use for what the settings list. Immutable; it grows with the settings.
+ * The names of zones, request classes, machine types and load metrics in messages, with their
+ * indexes in the settings. Immutable.
  *
  * @param zones the index of each zone by its name
- * @param classes the names of the request classes by index
+ * @param classes the names of the request classes in the order of their indexes
  * @param classIndex the index of each request class by its name
  * @param machineTypes the index of each machine type by its name
- * @param loadMetrics the canonical names of the load metrics by index
+ * @param loadMetrics the canonical names of the load metrics in the order of their indexes
  */
 public record WireNames(
     Map<String, Integer> zones,
@@ -28,7 +29,7 @@
   private static final String MACHINE_TYPES_KEY = "kinds";
   private static final String LOAD_METRICS_KEY = "report.fields";
 
-  /** The protocol's name of each load metric by its name in the settings; others are the same. */
+  /** Name of a load metric in the protocol by its name in the settings, where they differ. */
   private static final Map<String, String> CANONICAL_METRICS =
       Map.of(
           "outstanding", "inflight",
@@ -38,7 +39,7 @@
           "throughput", "qps",
           "errors_per_s", "eps");
 
-  /** Returns the protocol's name of a load metric: some servers use the name of the settings. */
+  /** Returns the protocol name of a load metric; some servers report the name from the settings. */
   static String canonicalMetric(String name) {
     return CANONICAL_METRICS.getOrDefault(name, name);
   }
@@ -48,7 +49,7 @@
    *
    * @param settings the settings of the site
    * @return the names
-   * @throws SettingsException if a list is missing or names something twice
+   * @throws SettingsException if a required list is missing or a list has a duplicate name
    */
   public static WireNames of(PathValues settings) throws SettingsException {
     List<String> classes = settings.requireEach(CLASSES_KEY, CLASS_NAME_KEY);
--- a/src/main/java/pearusher/protocol/package-info.java
+++ b/src/main/java/pearusher/protocol/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Codec of the assigner's protocol: RESP framing, typed messages, and the endpoint lists of
- * discovery. The protocol's own names are mapped to the terms of this code here and nowhere else.
- * It holds at most one incomplete message a connection and does no I/O.
+ * discovery. This package alone maps the names in the protocol to the terms used in the code. It
+ * does no I/O and buffers at most one incomplete message per connection.
  */
 package pearusher.protocol;
--- a/src/test/java/pearusher/protocol/EndpointListFixture.java
+++ b/src/test/java/pearusher/protocol/EndpointListFixture.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import pearusher.server.TestPeers;
 
-/** A list of servers as text, and readers that are fed with it. */
+/** Endpoint list as JSON text, and readers that receive it in pieces. */
 final class EndpointListFixture {
   private static final long HEAP_BYTES = 40L << 20;
   static final WireNames NAMES =
--- a/src/test/java/pearusher/protocol/EndpointListReaderLimitsTest.java
+++ b/src/test/java/pearusher/protocol/EndpointListReaderLimitsTest.java
@@ -22,9 +22,12 @@
 import pearusher.server.TestPeers;
 import pearusher.sitesettings.SettingsException;
 
-/** What a list of servers may hold and how much memory it may take. */
+/**
+ * Limits on the size of an endpoint list and on the memory that reading it takes. Guards against a
+ * list of discovery that exhausts the heap of the assigner.
+ */
 class EndpointListReaderLimitsTest {
-  private static String many(int servers, int idLength) {
+  private static String listWithServers(int servers, int idLength) {
     StringBuilder out = new StringBuilder();
     for (int k = 0; k < servers; k++) {
       String id = "s-" + k;
@@ -41,42 +44,44 @@
   }
 
   @Test
-  void aListOverTheLimitIsRejectedAtOnceAndTheNextOneIsRead() throws Exception {
+  void listOverLimitIsRejectedImmediatelyAndNextListIsRead() throws Exception {
     EndpointListReader reader = reader(5);
-    feed(reader, many(5, 0));
+    feed(reader, listWithServers(5, 0));
     assertEquals(5, reader.endOfLine().orElseThrow().endpoints().size());
-    String sixServers = many(6, 0);
+    String sixServers = listWithServers(6, 0);
     EndpointListTooLongException rejection =
         assertThrows(
             EndpointListTooLongException.class,
             () -> feed(reader, sixServers.substring(0, sixServers.length() - 2)));
     assertEquals("over 5 servers: the heap of 40 MB holds no more", rejection.getMessage());
-    feed(reader, many(5, 0));
+    feed(reader, listWithServers(5, 0));
     assertEquals(5, reader.endOfLine().orElseThrow().endpoints().size());
   }
 
-  /** Servers of unknown zones are ignored and do not count. */
+  /** Servers of unknown zones are ignored, so they need no memory. */
   @Test
-  void onlyServersOfKnownZonesCount() throws Exception {
+  void serversOfUnknownZonesDoNotCountTowardsLimit() throws Exception {
     EndpointListReader reader = reader(5);
     feed(
         reader,
         TestPeers.endpointListJson(
             1,
             true,
-            many(5, 0).replaceFirst(".*\"instances\":\\[", "").replaceFirst("\\]\\}$", ""),
+            listWithServers(5, 0)
+                .replaceFirst(".*\"instances\":\\[", "")
+                .replaceFirst("\\]\\}$", ""),
             TestPeers.endpointJson("e", "127.0.0.1:1", "east", "in_service", 0)));
     assertEquals(5, reader.endOfLine().orElseThrow().endpoints().size());
   }
 
   @Test
-  void anIdMayHave255Characters() throws Exception {
+  void idOf255CharactersIsAcceptedAndLongerIdIsRejected() throws Exception {
     EndpointListReader reader = reader(9);
     for (String character : List.of("x", "é", "€", "😀")) {
-      feed(reader, many(1, 0).replace("s-0", character.repeat(255)));
+      feed(reader, listWithServers(1, 0).replace("s-0", character.repeat(255)));
       assertEquals(
           character.repeat(255), reader.endOfLine().orElseThrow().endpoints().get(0).server());
-      feed(reader, many(1, 0).replace("s-0", character.repeat(256)));
+      feed(reader, listWithServers(1, 0).replace("s-0", character.repeat(256)));
       String message = assertThrows(SettingsException.class, reader::endOfLine).getMessage();
       assertTrue(
           message.startsWith(
@@ -85,9 +90,9 @@
     }
   }
 
-  /** An address that cannot be one is not kept. */
+  /** An address that is too long to be valid is not stored. */
   @Test
-  void anAddressThatIsTooLongIsIgnored() throws Exception {
+  void overlongAddressIsIgnored() throws Exception {
     EndpointListReader reader = reader(9);
     feed(
         reader,
@@ -96,7 +101,7 @@
     assertNull(reader.endOfLine().orElseThrow().endpoints().get(0).hostPort());
   }
 
-  /** A value without end must not be buffered without limit, whether it is used or ignored. */
+  /** A decoded or ignored value whose end never arrives must not be buffered without limit. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -112,21 +117,21 @@
         "{\"instances\":[{\"instanceId\":\"|\\u00e9",
         "{\"x\":|["
       })
-  void aValueWithoutEndIsAFault(String start, String continuation) throws Exception {
+  void unfinishedValueOverLimitIsRejected(String start, String continuation) throws Exception {
     EndpointListReader reader = reader(9);
     feed(reader, start);
     byte[] piece = continuation.repeat(1000).getBytes(StandardCharsets.UTF_8);
     for (int k = 0; k < 60; k++) {
       reader.feed(ByteBuffer.wrap(piece));
     }
-    assertTrue(reader.hasFault(), "60,000 characters came");
+    assertTrue(reader.hasFault(), "after 60,000 characters");
     assertThrows(SettingsException.class, reader::endOfLine);
     feed(reader, LIST);
     assertEquals(2, reader.endOfLine().orElseThrow().endpoints().size());
   }
 
   @Test
-  void aTextOfMoreCharactersThanTheLimitIsAFaultThatNamesIt() throws Exception {
+  void textOverLimitIsRejectedWithLimitInMessage() throws Exception {
     EndpointListReader reader = reader(9);
     feed(reader, LIST.replace("43", "\"" + "0".repeat(998) + "43\""));
     assertEquals(43, reader.endOfLine().orElseThrow().generation());
@@ -140,25 +145,24 @@
   }
 
   @Test
-  void theLimitsFollowTheHeap() {
+  void limitsScaleWithHeapSize() {
     EndpointListLimits small = EndpointListLimits.of(39L << 20);
     assertTrue(small.maxListed() >= 10_000 && small.maxListed() < 100_000, small.toString());
     assertTrue(small.maxTextLength() >= 64 << 10, small.toString());
     EndpointListLimits large = EndpointListLimits.of(10 * (39L << 20));
     assertTrue(Math.abs(large.maxListed() - 10 * small.maxListed()) <= 10, large.toString());
-    assertTrue(EndpointListLimits.of(Long.MAX_VALUE).maxKnown() > 0, "as large as can be");
+    assertTrue(EndpointListLimits.of(Long.MAX_VALUE).maxKnown() > 0, "for the largest heap size");
   }
 
-  // Memory that a list takes, in allocated bytes.
-
+  /** Returns the bytes that this thread has allocated so far. */
   private static long allocatedBytes() {
     return ((ThreadMXBean) ManagementFactory.getThreadMXBean())
         .getThreadAllocatedBytes(Thread.currentThread().getId());
   }
 
-  /** Reading an ordinary list allocates little memory. */
+  /** Reading a list of ordinary size allocates under 2000 bytes per server. */
   @Test
-  void readingAllocatesUnderABoundPerServer() throws Exception {
+  void allocationPerServerIsBounded() throws Exception {
     int servers = 9100;
     int zones = 98;
     Map<String, Integer> zoneIndexes = new HashMap<>();
@@ -168,13 +172,13 @@
             zoneIndexes, List.of(), Map.of(), new HashMap<>(Map.of("small", 0)), List.of());
     EndpointListReader reader = new EndpointListReader(names, EndpointListLimits.of(39L << 20));
     byte[] text =
-        many(servers, 10)
+        listWithServers(servers, 10)
             .replace("\"north\"", "\"zone-0\"")
             .replace("\"south\"", "\"zone-97\"")
             .getBytes(StandardCharsets.UTF_8);
     EndpointList list = null;
     long bytes = Long.MAX_VALUE;
-    // The first round still loads classes.
+    // The first round also loads classes, so only the second one is measured.
     for (int round = 0; round < 2; round++) {
       long before = allocatedBytes();
       for (int from = 0; from < text.length; from += 16 << 10) {
@@ -184,14 +188,14 @@
       bytes = allocatedBytes() - before;
     }
     assertEquals(servers, list.endpoints().size());
-    assertTrue(bytes < 2000L * servers, bytes / servers + " bytes a server were allocated");
+    assertTrue(bytes < 2000L * servers, bytes / servers + " bytes allocated per server");
   }
 
-  /** The records hold no part of the text beyond their own fields. */
+  /** The decoded records must retain no text of the list beyond their own fields. */
   @Test
-  void theRecordsRetainNoOtherTextOfTheList() throws Exception {
+  void retainedMemoryPerServerIsBounded() throws Exception {
     EndpointListReader reader = reader(20_000);
-    String text = many(10_000, 10);
+    String text = listWithServers(10_000, 10);
     System.gc();
     long before = liveBytes();
     feed(reader, text);
@@ -199,7 +203,7 @@
     System.gc();
     long retained = liveBytes() - before;
     assertEquals(10_000, list.endpoints().size());
-    assertTrue(retained < 10_000 * 260L, retained / 10_000 + " bytes a server are retained");
+    assertTrue(retained < 10_000 * 260L, retained / 10_000 + " bytes retained per server");
   }
 
   private static long liveBytes() {
--- a/src/test/java/pearusher/protocol/EndpointListReaderTest.java
+++ b/src/test/java/pearusher/protocol/EndpointListReaderTest.java
@@ -32,14 +32,18 @@
 import pearusher.sitesettings.PathValues;
 import pearusher.sitesettings.SettingsException;
 
-/** Lists of servers as they arrive in pieces: their content and their faults. */
+/**
+ * Endpoint lists that arrive in pieces: content, invalid values and malformed JSON. A reference
+ * decoder, which parses the complete text at once, guards against results that depend on how the
+ * text was divided.
+ */
 class EndpointListReaderTest {
-  private static final String ANOTHER =
+  private static final String VALID_ENTRY_FIELDS =
       "\"zone\":\"north\",\"instanceId\":\"b\",\"lifecycle\":\"x\"";
-  private static final String LISTS = "\"zone\":[\"south\"],\"instanceId\":[\"b\",2,null]";
+  private static final String ARRAY_VALUES = "\"zone\":[\"south\"],\"instanceId\":[\"b\",2,null]";
 
-  /** The model: reads a list from the values of the complete text by path. */
-  private static EndpointList readByModel(byte[] text) throws SettingsException {
+  /** Reference decoder: looks up each value by its path in the complete text. */
+  private static EndpointList readByReferenceDecoder(byte[] text) throws SettingsException {
     Map<String, Lifecycle> states =
         Map.of(
             "in_service",
@@ -72,7 +76,7 @@
   }
 
   @Test
-  void listsAreDecoded() throws Exception {
+  void completeListAndDeltaAreDecoded() throws Exception {
     EndpointList list =
         TestPeers.readEndpointList(
             TestPeers.endpointListJson(
@@ -99,18 +103,18 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 7, 64, 100_000})
-  void piecesOfEverySizeGiveTheSameList(int pieceBytes) throws Exception {
+  void listIsDecodedForAnyPieceSize(int pieceBytes) throws Exception {
     byte[] text = LIST.getBytes(StandardCharsets.UTF_8);
     EndpointListReader reader = reader(2);
     for (int round = 0; round < 2; round++) {
       feed(reader, text, pieceBytes);
-      assertEquals(Optional.of(readByModel(text)), reader.endOfLine());
+      assertEquals(Optional.of(readByReferenceDecoder(text)), reader.endOfLine());
       assertEquals(Optional.empty(), reader.endOfLine(), "an empty line follows");
     }
   }
 
   @Test
-  void anEmptyLineIsNeitherAListNorAFault() throws Exception {
+  void emptyLineIsNeitherListNorFault() throws Exception {
     EndpointListReader reader = reader(2);
     assertEquals(Optional.empty(), reader.endOfLine());
     feed(reader, "\r");
@@ -127,9 +131,9 @@
         assertThrows(SettingsException.class, reader::endOfBody).getMessage());
   }
 
-  /** A truncated line is malformed wherever it ends, and does not affect the next one. */
+  /** A line that is truncated at any position is malformed and does not affect the next line. */
   @Test
-  void aTruncatedTextIsMalformed() throws Exception {
+  void truncatedLineIsRejectedAndNextLineIsRead() throws Exception {
     byte[] text = LIST.getBytes(StandardCharsets.UTF_8);
     EndpointListReader reader = reader(2);
     for (int length = 1; length < text.length; length++) {
@@ -146,7 +150,7 @@
     return "{\"generation\":1,\"reset\":true,\"instances\":[" + first + ",{" + fields + "}]}";
   }
 
-  /** Each fault equals that of the model, which flattens the complete text. */
+  /** The error message equals that of the reference decoder. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -166,14 +170,15 @@
         "{\"reset\":true,\"instances\":[{\"zone\":\"east\"}]}|list: the key generation is missing",
         "{\"reset\":true,\"instances\":[7,8]}|list: the key generation is missing"
       })
-  void aFaultOfAListIsNamed(String text, String expected) throws Exception {
+  void invalidListIsRejectedWithFieldName(String text, String expected) throws Exception {
     EndpointListReader reader = reader(9);
     feed(reader, text.getBytes(StandardCharsets.UTF_8), 3);
     assertEquals(expected, assertThrows(SettingsException.class, reader::endOfBody).getMessage());
     assertEquals(
         expected,
         assertThrows(
-                SettingsException.class, () -> readByModel(text.getBytes(StandardCharsets.UTF_8)))
+                SettingsException.class,
+                () -> readByReferenceDecoder(text.getBytes(StandardCharsets.UTF_8)))
             .getMessage());
   }
 
@@ -191,9 +196,9 @@
         "\"zone\":\"north\",\"instanceId\":\"b\",\"cell\":\"c\"|cell is unreadable: 'c'",
         "\"zone\":\"north\",\"instanceId\":\"b\",\"lifecycle\":\"x\",\"weight\":true|weight is"
             + " unreadable: 'true'",
-        ANOTHER + ",\"startedAtMs\":\"NaN\"|startedAtMs is unreadable: 'NaN'"
+        VALID_ENTRY_FIELDS + ",\"startedAtMs\":\"NaN\"|startedAtMs is unreadable: 'NaN'"
       })
-  void aFaultOfAServerIsNamed(String fields, String expected) throws Exception {
+  void invalidEntryIsRejectedWithFieldName(String fields, String expected) throws Exception {
     EndpointListReader reader = reader(9);
     feed(reader, listWith(fields));
     String fullMessage = "list: the key instances.1." + expected;
@@ -203,32 +208,32 @@
         fullMessage,
         assertThrows(
                 SettingsException.class,
-                () -> readByModel(listWith(fields).getBytes(StandardCharsets.UTF_8)))
+                () -> readByReferenceDecoder(listWith(fields).getBytes(StandardCharsets.UTF_8)))
             .getMessage());
   }
 
-  /** What counts as a value, for repeated fields and repeated servers too. */
+  /** Fields that are repeated, null, empty or arrays, and servers that are repeated. */
   @ParameterizedTest
   @ValueSource(
       strings = {
         "\"zone\":\"south\",\"zone\":\"north\",\"instanceId\":\"b\",\"lifecycle\":\"x\"",
         "\"zone\":\"south\",\"zone\":null,\"instanceId\":12,\"lifecycle\":[]",
-        LISTS + ",\"lifecycle\":\"terminated\",\"weight\":[2.5]",
+        ARRAY_VALUES + ",\"lifecycle\":\"terminated\",\"weight\":[2.5]",
         "\"zone\":\"south\",\"instanceId\":\"a\",\"lifecycle\":\"terminated\",\"cell\":\"7\"",
         "\"zone\":\"east\"",
         "\"zone\":[]",
         "\"zone\":\"south\",\"instanceId\":\"\",\"lifecycle\":\"x\""
       })
-  void valuesAreThoseOfTheModel(String fields) throws Exception {
+  void entryIsDecodedAsByReferenceDecoder(String fields) throws Exception {
     EndpointListReader reader = reader(9);
     feed(reader, listWith(fields));
     assertEquals(
-        Optional.of(readByModel(listWith(fields).getBytes(StandardCharsets.UTF_8))),
+        Optional.of(readByReferenceDecoder(listWith(fields).getBytes(StandardCharsets.UTF_8))),
         reader.endOfLine());
   }
 
   @Test
-  void ofTwoListsInOneObjectTheLastCounts() throws Exception {
+  void lastOfTwoArraysOfEntriesIsUsed() throws Exception {
     EndpointListReader reader = reader(9);
     String server = TestPeers.endpointJson("c", "127.0.0.1:3", "north", "in_service", 0);
     feed(
@@ -242,9 +247,7 @@
         reader.endOfLine().orElseThrow().endpoints().stream().map(Endpoint::server).toList());
   }
 
-  // The same as the model, for arbitrary lists.
-
-  private static String scalar(Random random) {
+  private static String randomScalar(Random random) {
     return switch (random.nextInt(6)) {
       case 0 -> "null";
       case 1 -> "true";
@@ -255,36 +258,42 @@
     };
   }
 
-  private static String any(Random random, int depth) {
+  private static String randomValue(Random random, int depth) {
     if (depth == 0 || random.nextInt(3) > 0) {
-      return scalar(random);
+      return randomScalar(random);
     }
     List<String> parts =
-        IntStream.range(0, random.nextInt(3)).mapToObj(k -> any(random, depth - 1)).toList();
+        IntStream.range(0, random.nextInt(3))
+            .mapToObj(k -> randomValue(random, depth - 1))
+            .toList();
     if (random.nextBoolean()) {
       return "[" + String.join(", ", parts) + "]";
     }
     return "{" + String.join(",", parts.stream().map(p -> "\"zone\" : " + p).toList()) + "}";
   }
 
-  /** The fields in any order, among unknown ones; some are malformed or repeated. */
-  private static String object(Random random, Map<String, String> fields) {
+  /**
+   * Returns an object that has the fields in random order among unknown fields; some fields are
+   * repeated or have a random value.
+   */
+  private static String randomObject(Random random, Map<String, String> fields) {
     List<String> members = new ArrayList<>();
     fields.forEach(
         (key, value) -> {
-          members.add("\"" + key + "\":" + (random.nextInt(60) == 0 ? any(random, 2) : value));
+          members.add(
+              "\"" + key + "\":" + (random.nextInt(60) == 0 ? randomValue(random, 2) : value));
           if (random.nextInt(20) == 0) {
             members.add("\"" + key + "\":" + value);
           }
           if (random.nextInt(4) == 0) {
-            members.add("\"other" + random.nextInt(9) + "\": " + any(random, 3));
+            members.add("\"other" + random.nextInt(9) + "\": " + randomValue(random, 3));
           }
         });
     Collections.shuffle(members, random);
     return "{" + String.join(random.nextBoolean() ? "," : " ,\n ", members) + "}";
   }
 
-  private static String listing(Random random) {
+  private static String randomList(Random random) {
     List<String> servers = new ArrayList<>();
     for (int k = random.nextInt(8); k > 0; k--) {
       Map<String, String> fields = new LinkedHashMap<>();
@@ -311,13 +320,13 @@
           fields.put(key, others.get(key));
         }
       }
-      servers.add(random.nextInt(80) == 0 ? any(random, 2) : object(random, fields));
+      servers.add(random.nextInt(80) == 0 ? randomValue(random, 2) : randomObject(random, fields));
     }
     Map<String, String> fields = new LinkedHashMap<>();
     fields.put("generation", random.nextInt(1000) + "");
     fields.put("reset", random.nextBoolean() + "");
     fields.put("instances", "[" + String.join(",", servers) + "]");
-    return object(random, fields);
+    return randomObject(random, fields);
   }
 
   private static String outcome(Callable<EndpointList> reading) throws Exception {
@@ -329,23 +338,25 @@
   }
 
   /**
-   * Whether an object has two lists: the second replaces the first, where the model would merge
-   * their servers.
+   * Returns whether an object has two arrays of entries. The second replaces the first, whereas the
+   * reference decoder would merge their servers.
    */
-  private static boolean hasTwoLists(String text) {
+  private static boolean hasTwoArraysOfEntries(String text) {
     return text.indexOf("\"instances\"") != text.lastIndexOf("\"instances\"");
   }
 
   @Property(seed = "34", tries = 2000)
-  void anyListIsReadAsByTheModel(
+  void randomListIsDecodedAsByReferenceDecoder(
       @ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int pieceBytes) throws Exception {
-    String text = listing(new Random(seed));
+    String text = randomList(new Random(seed));
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     EndpointListReader reader = reader(100);
     feed(reader, bytes, pieceBytes);
-    if (!hasTwoLists(text)) {
+    if (!hasTwoArraysOfEntries(text)) {
       assertEquals(
-          outcome(() -> readByModel(bytes)), outcome(() -> reader.endOfLine().orElseThrow()), text);
+          outcome(() -> readByReferenceDecoder(bytes)),
+          outcome(() -> reader.endOfLine().orElseThrow()),
+          text);
     }
   }
 }
--- a/src/test/java/pearusher/protocol/LoadReportParserTest.java
+++ b/src/test/java/pearusher/protocol/LoadReportParserTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Load reports in messages and in responses to health checks. */
+/** Parsing of load reports in messages and in responses to health checks. */
 class LoadReportParserTest {
   private final WireNames names =
       new WireNames(Map.of(), List.of(), Map.of(), Map.of(), List.of("util", "inflight"));
@@ -25,7 +25,7 @@
     "'nonsense',''",
     "'util:NaN',''"
   })
-  void loadMetricsAreFoundByName(String load, String expected) {
+  void metricsAreParsedByName(String load, String expected) {
     StringBuilder actual = new StringBuilder();
     for (float value :
         new LoadReportParser(names).parsePairs(load, LoadReportParser.FIELD_VALUE_SEPARATOR)) {
@@ -37,12 +37,12 @@
   }
 
   @Test
-  void theBodyOfAHealthCheckIsParsed() {
+  void healthCheckBodyIsParsed() {
     assertArrayEquals(new float[] {0.61f, 7}, parseBody("TEXT inflight=7, queue=2, util=0.61\n"));
     assertArrayEquals(
         parseBody("TEXT inflight=7, util=0.61"),
         parseBody("TEXT outstanding=7, utilization=0.61"),
-        "the settings' names mean the same");
+        "names from the settings are accepted too");
     assertArrayEquals(new float[0], parseBody("<html>"));
     assertArrayEquals(new float[0], parseBody(""));
   }
--- a/src/test/java/pearusher/protocol/MessageDecoderTest.java
+++ b/src/test/java/pearusher/protocol/MessageDecoderTest.java
@@ -16,7 +16,7 @@
 import pearusher.policy.PolicySettings;
 import pearusher.server.ExampleConfig;
 
-/** Messages of proxies and collectors, and their faults. */
+/** Decoding of messages from proxies and collectors, and rejection of invalid ones. */
 class MessageDecoderTest {
   @TempDir Path dir;
   private WireNames names;
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void everyKindIsDecoded() throws Exception {
+  void everyKindOfMessageIsDecoded() throws Exception {
     assertEquals(new Message.Ping(), decode("ping"));
     assertEquals(new Message.CollectorHello(1), decode("collector zone south"));
     assertEquals(
@@ -49,7 +49,7 @@
     assertEquals(
         new Message.UsageReport(7, 1, 1, 2, 1_000_000),
         decode("usage proxy 7 class order tries 1 failed 2 span_ms 1000.0"),
-        "of an earlier period");
+        "a failed request may have been received in an earlier period");
     Message.LoadReport report =
         (Message.LoadReport)
             decode(
@@ -70,15 +70,15 @@
   }
 
   @Test
-  void orderOfFieldsAndUnknownFieldsDoNotMatter() throws Exception {
+  void fieldOrderAndUnknownFieldsAreIgnored() throws Exception {
     assertEquals(
         decode("joined proxy 7 zone north weight 21.5 fresh 0"),
         decode("joined fresh 0 colour red weight 21.5 proxy 7 zone north"));
   }
 
-  /** Without a successful attempt the mean has no meaning and is ignored. */
+  /** If no attempt succeeded, the mean response time is undefined and ignored. */
   @Test
-  void aMeanIsRequiredOnlyIfSomeAttemptsSucceeded() throws Exception {
+  void meanIsRequiredOnlyIfAnAttemptSucceeded() throws Exception {
     assertEquals(
         0,
         ((Message.LoadReport) decode("heard zone north server a tries 3 failed 3 span_ms 9"))
@@ -107,12 +107,12 @@
         "usage proxy 7 class order tries 1 failed 0|span_ms is missing",
         "collector|zone is missing"
       })
-  void aFaultNamesTheField(String line, String fieldName) {
+  void invalidMessageIsRejectedWithFieldName(String line, String fieldName) {
     String fault = assertThrows(MalformedMessageException.class, () -> decode(line)).getMessage();
     assertTrue(fault.contains(fieldName), fault);
   }
 
-  /** Each would distort an average or a rate of the policy for many control periods. */
+  /** Each value would distort an average or a rate of the policy for many control periods. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -137,7 +137,7 @@
         "applied proxy 7 mark 4294967301 took_ms 3|mark",
         "applied proxy 7 mark 5 took_ms 1e9|took_ms"
       })
-  void impossibleValuesAreFaults(String line, String fieldName) {
+  void implausibleValueIsRejectedWithFieldName(String line, String fieldName) {
     String fault = assertThrows(MalformedMessageException.class, () -> decode(line)).getMessage();
     assertTrue(fault.contains(fieldName), fault);
   }
--- a/src/test/java/pearusher/protocol/MessageEncoderTest.java
+++ b/src/test/java/pearusher/protocol/MessageEncoderTest.java
@@ -14,10 +14,10 @@
 import pearusher.policy.AdmissionLevel;
 import pearusher.server.TestPeers;
 
-/** Updates as proxies receive them. */
+/** Encoding of updates for proxies. */
 class MessageEncoderTest {
   @Test
-  void anUpdateIsEncodedAsTheProtocolShows() {
+  void updateIsEncodedAsOneArrayPerPart() {
     Map<String, Double> weights = new LinkedHashMap<>();
     weights.put("s-5be2a07c", 1.5);
     weights.put("s-0badcafe", 0.00002);
@@ -62,7 +62,10 @@
         new String(actual, StandardCharsets.UTF_8));
   }
 
-  /** Not every proxy parses exponents. A weight of zero removes a server from the table. */
+  /**
+   * Some proxies cannot parse exponents. The value 0 matters since a weight of zero removes a
+   * server from the table.
+   */
   @ParameterizedTest
   @CsvSource({"0,0.0", "1e6,1000000.0", "1e-7,0.00000010", "0.1,0.1", "123456789,123456792"})
   void numbersAreFormattedWithoutExponent(double value, String expected) {
--- a/src/test/java/pearusher/protocol/RespReaderTest.java
+++ b/src/test/java/pearusher/protocol/RespReaderTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** RESP messages as they arrive in pieces, their faults and their limits. */
+/** Reading of RESP messages that arrive in pieces, rejection of malformed bytes, and limits. */
 class RespReaderTest {
   private static RespReader reader() {
     return new RespReader(RespReader.MAX_MESSAGE_BYTES);
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void aMessageSplitAtEveryByteIsTheSame() throws Exception {
+  void messageIsReadForAnySplit() throws Exception {
     List<String> strings =
         List.of("heard", "zone", "Île", "server", "s-1", "load", "", "tries", "\r\n$3");
     byte[] encoded =
@@ -69,9 +69,9 @@
     assertEquals(50, readAll(reader(), fifty).size());
   }
 
-  /** 1 MiB fits, its headers counted; one byte more does not. */
+  /** A message of 1 MiB, including headers, is accepted; one byte more is not. */
   @Test
-  void theLimitIsOneMebibyte() throws Exception {
+  void messageOfOneMebibyteIsReadAndLongerOneIsRejected() throws Exception {
     int headerBytes = RespWriter.encode(List.of("x".repeat(1_000_000))).length - 1_000_000;
     String fits = "x".repeat(RespReader.MAX_MESSAGE_BYTES - headerBytes);
     assertEquals(List.of(List.of(fits)), readAll(reader(), RespWriter.encode(List.of(fits))));
@@ -96,17 +96,17 @@
         "*00000000000000000000001@,MALFORMED",
         "PING@,MALFORMED"
       })
-  void bytesThatAreNotRespAreRejected(String text, RespException.Kind kind) {
+  void malformedOrOverlongBytesAreRejected(String text, RespException.Kind kind) {
     byte[] encoded = bytes(text.replace("@", "\r\n"));
     assertEquals(kind, assertThrows(RespException.class, () -> readAll(reader(), encoded)).kind());
   }
 
   /**
-   * Many connections may each announce a long message and never finish it: all unfinished bytes
-   * together are bounded, and a closed reader releases its part.
+   * Many connections may each announce a long message and never finish it. The unfinished bytes of
+   * all readers together are bounded, and a closed reader releases its share.
    */
   @Test
-  void unfinishedMessagesAreBoundedTogether() throws Exception {
+  void longUnfinishedMessagesAreBoundedTogether() throws Exception {
     byte[] unfinished = bytes("*1\r\n$1000000\r\n" + "x".repeat(900_000));
     List<RespReader> readers = new ArrayList<>();
     RespException fault = null;
@@ -120,7 +120,7 @@
       }
     }
     assertEquals(RespException.Kind.TOO_LONG, fault.kind());
-    // Small messages are read even so: a valid connection must not be the one that is rejected.
+    // Small messages are still read, so that no well-behaved connection is rejected instead.
     byte[] small = RespWriter.encode(List.of("ping", "x".repeat(1000)));
     assertEquals(
         1,
@@ -131,10 +131,11 @@
   }
 
   /**
-   * Nor may hundreds of connections hold somewhat too much each: no message of theirs is so long.
+   * Hundreds of connections may each leave some kilobytes unfinished. Messages of proxies are
+   * shorter than that, so most of these connections are rejected.
    */
   @Test
-  void manyUnfinishedMessagesOfSomeKilobytesAreBoundedToo() throws Exception {
+  void manyShortUnfinishedMessagesAreBoundedTogether() throws Exception {
     byte[] unfinished = bytes("*1\r\n$60000\r\n" + "x".repeat(30_000));
     List<RespReader> readers = new ArrayList<>();
     int rejected = 0;
@@ -152,9 +153,9 @@
     assertTrue(rejected >= 600 - (8 << 20) / 30_000, rejected + " of 600 rejected");
   }
 
-  /** An unidentified connection may not announce what a proxy may. */
+  /** The limit of an unidentified connection is lower than that of a proxy, which raises it. */
   @Test
-  void aReaderHasItsOwnLimit() throws Exception {
+  void messageLimitIsSetPerReader() throws Exception {
     RespReader reader = new RespReader(100);
     byte[] over = RespWriter.encode(List.of("x".repeat(200)));
     assertEquals(
