--- a/src/main/java/pearusher/transport/AcceptPolicy.java
+++ b/src/main/java/pearusher/transport/AcceptPolicy.java
@@ -5,88 +5,99 @@
 import java.util.function.IntSupplier;
 
 /**
- * Decides whether a new connection is accepted, and which one is evicted for it if file descriptors
- * run short. Only the accepting thread uses it; its decisions hold the registry's monitor. Its size
- * is constant.
+ * Policy for accepting connections, with the choice of the connection to evict if file descriptors
+ * run short. Only the accepting thread uses it. Its decisions are made while holding the monitor of
+ * the registry.
  */
 final class AcceptPolicy {
-  /** Descriptors reserved for calls, health checks and connections whose end is not seen yet. */
+  /**
+   * File descriptors reserved for calls, health checks and connections whose end was not detected
+   * yet.
+   */
   private static final int RESERVED_DESCRIPTORS = 40;
 
-  /** Connections that are accepted whatever the number of descriptors. */
-  private static final int MIN_CONNECTIONS = 16;
+  /** Number of connections that are accepted regardless of the limit on file descriptors. */
+  private static final int GUARANTEED_CONNECTIONS = 16;
 
   /**
-   * Connections accepted before the selector must process those it has, which frees descriptors.
+   * Number of connections accepted before the selector must process its open connections, which
+   * frees file descriptors.
    */
-  private static final int MAX_ACCEPTS_IN_A_ROW = 16;
+  private static final int MAX_CONSECUTIVE_ACCEPTS = 16;
 
-  private static final String OWN_DESCRIPTORS = "/proc/self/fd";
+  private static final String DESCRIPTOR_DIRECTORY = "/proc/self/fd";
 
   /**
-   * The decision on a new connection.
+   * Decision on a new connection.
    *
-   * @param accepted whether it is accepted
-   * @param evicted the connection to be closed for it, if one must be
+   * @param accepted whether the connection is accepted
+   * @param evicted the connection to close in its favor; empty if none must be closed
    */
-  record Admission(boolean accepted, Optional<StreamConnection> evicted) {}
+  record AcceptDecision(boolean accepted, Optional<StreamConnection> evicted) {}
 
   private final ConnectionRegistry registry;
   private final IntSupplier maxDescriptors;
   private int initialDescriptors;
 
-  /** Connections accepted since the selector last processed those it has. */
-  private int acceptsInARow;
+  /** Number of connections accepted since the selector last processed its open connections. */
+  private int consecutiveAccepts;
 
   /**
    * Creates the policy.
    *
-   * @param registry the connections that are open
-   * @param maxDescriptors the descriptors that the process may hold, which a reload may change
+   * @param registry the open connections
+   * @param maxDescriptors the maximum number of file descriptors of the process, which a reload may
+   *     change
    */
   AcceptPolicy(ConnectionRegistry registry, IntSupplier maxDescriptors) {
     this.registry = registry;
     this.maxDescriptors = maxDescriptors;
   }
 
-  /** Counts the descriptors that the process holds before the first connection. */
+  /** Counts the file descriptors that are open before the first connection. */
   void countInitialDescriptors() {
-    String[] descriptors = new File(OWN_DESCRIPTORS).list();
+    String[] descriptors = new File(DESCRIPTOR_DIRECTORY).list();
     initialDescriptors = descriptors == null ? RESERVED_DESCRIPTORS : descriptors.length;
   }
 
-  /** Returns the number of connections that may be open at once. */
+  /** Returns the maximum number of open connections. */
   int maxConnections() {
     int available = maxDescriptors.getAsInt() - initialDescriptors - RESERVED_DESCRIPTORS;
-    return Math.max(MIN_CONNECTIONS, available);
+    return Math.max(GUARANTEED_CONNECTIONS, available);
   }
 
-  /** Returns whether the selector must process its connections before the next accept. */
+  /**
+   * Returns whether the selector must process its open connections before the next accept. A false
+   * result counts as one accept.
+   */
   boolean mustPause() {
     synchronized (registry) {
-      acceptsInARow++;
-      boolean withinLimit = acceptsInARow <= MAX_ACCEPTS_IN_A_ROW;
+      consecutiveAccepts++;
+      boolean withinLimit = consecutiveAccepts <= MAX_CONSECUTIVE_ACCEPTS;
       if (withinLimit && !(isFull() && registry.isAwaitingOpening())) {
         return false;
       }
-      acceptsInARow = 0;
+      consecutiveAccepts = 0;
       return true;
     }
   }
 
-  /** Notes that the selector processes its connections now. */
+  /** Records that the selector processes its open connections. */
   void onPause() {
-    acceptsInARow = 0;
+    consecutiveAccepts = 0;
   }
 
-  /** Decides on a new connection; an unidentified one is evicted for it if all are taken. */
-  Admission admit() {
+  /**
+   * Decides on a new connection. If the maximum number of connections is open, an unidentified
+   * connection is evicted; if there is none, the new connection is rejected.
+   */
+  AcceptDecision decide() {
     synchronized (registry) {
       if (!isFull()) {
-        return new Admission(true, Optional.empty());
+        return new AcceptDecision(true, Optional.empty());
       }
       Optional<StreamConnection> evicted = registry.takeEvictionCandidate();
-      return new Admission(evicted.isPresent(), evicted);
+      return new AcceptDecision(evicted.isPresent(), evicted);
     }
   }
 
--- a/src/main/java/pearusher/transport/ConnectionRegistry.java
+++ b/src/main/java/pearusher/transport/ConnectionRegistry.java
@@ -8,18 +8,17 @@
 import pearusher.config.Timeouts;
 
 /**
- * Tracks the connections of the listening socket: how many there are, which of them are
- * unidentified and since when, which have sent only a part of a message, and which await a pong.
- * Thread-safe: all state, that of its entries too, is guarded by this object's monitor. It grows
- * with the connections.
+ * Registry of the connections of the listening socket. Tracks their number, the unidentified
+ * connections and their timeouts, the connections with an unfinished message, and those that await
+ * a pong. Thread-safe: the monitor of this object guards all state, including that of the entries.
  */
 final class ConnectionRegistry {
-  /** Idle timeouts within which an identified connection must complete a message. */
+  /** Time in which an identified connection must complete a message, in idle timeouts. */
   private static final int IDLE_TIMEOUTS_PER_MESSAGE = 6;
 
   private static final long NS_PER_MS = 1_000_000;
 
-  /** What the registry knows of one connection. */
+  /** State of one connection. */
   static final class Entry {
     private final StreamConnection connection;
     private volatile boolean identified;
@@ -35,12 +34,12 @@
       this.connection = connection;
     }
 
-    /** Returns whether the peer has identified itself; any thread may ask. */
+    /** Returns whether the peer has identified itself; any thread may call this. */
     boolean isIdentified() {
       return identified;
     }
 
-    /** Notes that bytes were received. */
+    /** Records that bytes were received. */
     void onBytesReceived() {
       hasReceived = true;
     }
@@ -53,25 +52,27 @@
 
   private final Set<Entry> awaitingPong = new LinkedHashSet<>();
 
-  /** Connections that were accepted and are not closed. */
+  /** Number of accepted connections that are not closed. */
   private int connections;
 
-  /** Those of them that are not open yet. */
+  /** Number of accepted connections that are not open yet. */
   private int opening;
 
   private boolean ready;
 
+  /** Records that a connection was accepted. */
   synchronized void onAccepted() {
     connections++;
     opening++;
   }
 
-  /** Notes that an accepted connection failed before it was opened. */
+  /** Records that an accepted connection failed before it was opened. */
   synchronized void onAcceptFailed() {
     connections--;
     opening--;
   }
 
+  /** Records that a connection was opened, and starts its identification timeout. */
   synchronized void onOpened(Entry entry) {
     if (entry.closed) {
       return;
@@ -86,6 +87,7 @@
     unidentified.add(entry);
   }
 
+  /** Removes a closed connection. */
   synchronized void onClosed(Entry entry) {
     if (!entry.closed) {
       connections--;
@@ -97,21 +99,21 @@
     entry.closed = true;
   }
 
-  /** Returns the number of connections that hold a descriptor. */
+  /** Returns the number of connections that occupy a file descriptor. */
   synchronized int size() {
     return connections;
   }
 
-  /** Returns whether no connection can be evicted yet, but some are about to open. */
+  /** Returns whether no connection can be evicted yet but some are about to open. */
   synchronized boolean isAwaitingOpening() {
     return unidentified.isEmpty() && opening > 0;
   }
 
   /**
-   * Selects a connection to be evicted, which counts as unidentified no more: one that has sent
-   * nothing before one that has, and the oldest first.
+   * Selects the connection to evict and removes it from the unidentified connections. Prefers
+   * connections that have sent nothing, and among those the oldest one.
    *
-   * @return the connection; empty if all are identified
+   * @return the connection; empty if no connection is unidentified
    */
   synchronized Optional<StreamConnection> takeEvictionCandidate() {
     Optional<Entry> candidate =
@@ -123,7 +125,7 @@
     return candidate.map(entry -> entry.connection);
   }
 
-  /** Evicts a selected connection; returns false if it was identified since its selection. */
+  /** Marks a selected connection as evicted; returns false if it was identified in the meantime. */
   synchronized boolean evict(Entry entry) {
     if (entry.identified) {
       return false;
@@ -133,8 +135,8 @@
   }
 
   /**
-   * Identifies a connection, unless it was closed or evicted. The callback runs under the monitor:
-   * otherwise a proxy could join on a connection whose end was already reported.
+   * Marks a connection as identified, unless it was closed or evicted. The callback runs while the
+   * monitor is held; otherwise a proxy could join on a connection whose end was already reported.
    */
   synchronized void identify(Entry entry, Runnable onIdentified) {
     if (entry.closed || entry.evicted) {
@@ -145,7 +147,7 @@
     onIdentified.run();
   }
 
-  /** Notes that the proxy has a newer stream: this one will be closed like an unidentified one. */
+  /** Starts the timeout of a stream that a newer stream of the proxy has replaced. */
   synchronized void onReplaced(Entry entry) {
     if (!entry.closed) {
       addUnidentified(entry);
@@ -153,8 +155,9 @@
   }
 
   /**
-   * Notes since when a message is unfinished. An identified connection may be silent for ever, but
-   * not within a message: a peer that stops there has failed and would hold its place.
+   * Updates the time since which a message is unfinished. An identified connection may be idle
+   * without limit between messages, but not within a message. A peer that stops within a message
+   * has failed and would occupy its connection forever.
    *
    * @param entry the connection that was read
    * @param completedAny whether a message was completed before the unfinished one
@@ -167,7 +170,7 @@
     }
   }
 
-  /** Notes a ping; returns whether it may be answered at once. */
+  /** Records a ping; returns whether it may be answered immediately. */
   synchronized boolean onPing(Entry entry) {
     entry.pendingPings++;
     if (!ready) {
@@ -176,55 +179,59 @@
     return ready;
   }
 
-  /** Returns the number of pongs that a connection is due, and resets it. */
-  synchronized int takePendingPings(Entry entry) {
+  /** Returns the number of unanswered pings of a connection and resets it. */
+  synchronized int resetPendingPings(Entry entry) {
     int pendingPings = entry.pendingPings;
     entry.pendingPings = 0;
     return pendingPings;
   }
 
   /**
-   * Marks the assigner as ready: from now on pings are answered at once.
+   * Marks the assigner as ready, so that pings are answered immediately. Restarts the
+   * identification timeout of the connections that await a pong.
    *
-   * @return the connections that await a pong, whose time to identify themselves starts anew
+   * @return the connections that await a pong
    */
   synchronized List<StreamConnection> markReady() {
     ready = true;
     long nowNs = System.nanoTime();
-    List<StreamConnection> waiting = new ArrayList<>();
+    List<StreamConnection> awaitingConnections = new ArrayList<>();
     for (Entry entry : awaitingPong) {
       entry.unidentifiedSinceNs = nowNs;
-      waiting.add(entry.connection);
+      awaitingConnections.add(entry.connection);
     }
     awaitingPong.clear();
-    return waiting;
+    return awaitingConnections;
   }
 
-  /** Returns the connections whose time to identify themselves or to end a message is over. */
-  synchronized List<StreamConnection> overdue(Timeouts timeouts) {
+  /** Returns the connections whose timeout for identification or for a message has expired. */
+  synchronized List<StreamConnection> findExpired(Timeouts timeouts) {
     long nowNs = System.nanoTime();
-    List<StreamConnection> overdue = new ArrayList<>();
+    List<StreamConnection> expired = new ArrayList<>();
     for (Entry entry : unidentified) {
-      if (nowNs - entry.unidentifiedSinceNs >= identificationLimitNs(entry, timeouts)
+      if (nowNs - entry.unidentifiedSinceNs >= identificationTimeoutNs(entry, timeouts)
           && (ready || !awaitingPong.contains(entry))) {
-        overdue.add(entry.connection);
+        expired.add(entry.connection);
       }
     }
-    long unfinishedLimitNs = (long) IDLE_TIMEOUTS_PER_MESSAGE * timeouts.idleMs() * NS_PER_MS;
+    long messageTimeoutNs = (long) IDLE_TIMEOUTS_PER_MESSAGE * timeouts.idleMs() * NS_PER_MS;
     for (Entry entry : unfinished) {
-      if (nowNs - entry.unfinishedSinceNs >= unfinishedLimitNs) {
-        overdue.add(entry.connection);
+      if (nowNs - entry.unfinishedSinceNs >= messageTimeoutNs) {
+        expired.add(entry.connection);
       }
     }
-    return overdue;
+    return expired;
   }
 
-  /** A replaced stream of a proxy has at least the time after which its silence is noticed. */
-  private static long identificationLimitNs(Entry entry, Timeouts timeouts) {
-    long limitMs = timeouts.identificationMs();
+  /**
+   * Returns the identification timeout. For a replaced stream of a proxy it is at least the idle
+   * timeout.
+   */
+  private static long identificationTimeoutNs(Entry entry, Timeouts timeouts) {
+    long timeoutMs = timeouts.identificationMs();
     if (entry.connection.isProxyStream()) {
-      limitMs = Math.max(limitMs, timeouts.idleMs());
+      timeoutMs = Math.max(timeoutMs, timeouts.idleMs());
     }
-    return limitMs * NS_PER_MS;
+    return timeoutMs * NS_PER_MS;
   }
 }
--- a/src/main/java/pearusher/transport/PeerIdentity.java
+++ b/src/main/java/pearusher/transport/PeerIdentity.java
@@ -1,10 +1,10 @@
 package pearusher.transport;
 
 /**
- * What the other end of a connection has identified itself as.
+ * Identity that the peer of a connection has declared.
  *
- * @param role what it is
- * @param proxy the number of the proxy, or {@link #NO_PROXY}
+ * @param role the role of the peer
+ * @param proxy the number of the proxy, or {@link #NO_PROXY} if the peer is not a proxy
  */
 record PeerIdentity(Role role, int proxy) {
   enum Role {
@@ -34,7 +34,7 @@
     return role == Role.COLLECTOR;
   }
 
-  /** Describes the peer for log lines. */
+  /** Returns the description of the peer for log lines. */
   String describe() {
     return switch (role) {
       case UNIDENTIFIED -> "an unidentified peer";
--- a/src/main/java/pearusher/transport/PeerSocket.java
+++ b/src/main/java/pearusher/transport/PeerSocket.java
@@ -17,15 +17,14 @@
 import pearusher.logging.RepeatedEvent;
 
 /**
- * Sends and receives datagrams between the assigners of a tier. Datagrams of unknown senders and
- * those that are too long are dropped and counted. It has a receiving thread of its own and sends
- * on the executor's threads; its size is constant.
+ * Datagram socket between the assigners of a tier. Drops and counts datagrams that are too long or
+ * come from unknown senders. Receives on its own thread and sends on the threads of the executor.
  */
 public final class PeerSocket implements PeerMessenger, AutoCloseable {
-  /** Maximum size of a datagram. */
+  /** Maximum size of a datagram in bytes. */
   static final int MAX_DATAGRAM_BYTES = 256;
 
-  /** The peer number that stands for all peers. */
+  /** Peer number that addresses all peers. */
   private static final int ALL_PEERS = -1;
 
   private volatile AssignerConfig config;
@@ -33,15 +32,15 @@
   private final Executor executor;
   private final RepeatedEvent droppedDatagrams = new RepeatedEvent();
 
-  /** Null where the configuration has no peers. */
+  /** Null if the configuration has no peers, or before {@link #listen}. */
   private DatagramChannel channel;
 
   /**
-   * Creates a socket, which is not open yet.
+   * Creates a socket without opening it.
    *
    * @param config the addresses of the peers
    * @param controller receives the messages of peers
-   * @param executor runs the sending
+   * @param executor sends the messages
    */
   public PeerSocket(AssignerConfig config, PeerEvents controller, Executor executor) {
     this.config = config;
@@ -50,7 +49,7 @@
   }
 
   /**
-   * Starts to receive, if the settings and the configuration allow peers.
+   * Opens the socket and starts receiving, if the settings and the configuration allow peers.
    *
    * @throws IOException if the address is not available
    */
@@ -72,7 +71,7 @@
   }
 
   /**
-   * Returns the address that the open socket is bound to.
+   * Returns the address that the socket is bound to; the socket must have been opened.
    *
    * @throws IOException if the socket was closed
    */
@@ -107,7 +106,10 @@
     if (!isPeer || datagram.remaining() > MAX_DATAGRAM_BYTES) {
       droppedDatagrams.record(
           count ->
-              Logger.warn("datagrams dropped: {} so far, of unknown senders or too long", count));
+              Logger.warn(
+                  "datagrams dropped: {} so far, from unknown senders or over {} bytes",
+                  count,
+                  MAX_DATAGRAM_BYTES));
       return;
     }
     byte[] message = new byte[datagram.remaining()];
--- a/src/main/java/pearusher/transport/RejectionLog.java
+++ b/src/main/java/pearusher/transport/RejectionLog.java
@@ -3,12 +3,18 @@
 import org.tinylog.Logger;
 import pearusher.logging.RepeatedEvent;
 
-/** Logs rejected connections and messages, which may come by hundreds. Thread-safe. */
+/**
+ * Log of rejected connections and dropped messages. Limits the number of lines, since rejections
+ * may occur by the hundreds. Thread-safe.
+ */
 final class RejectionLog {
   private final RepeatedEvent connections = new RepeatedEvent();
   private final RepeatedEvent messages = new RepeatedEvent();
 
-  /** Logs that an unidentified connection was closed, for what it sent or for its descriptor. */
+  /**
+   * Logs that an unidentified connection was closed, because of its messages or because no file
+   * descriptor was left.
+   */
   void connectionRejected(String cause) {
     connections.record(
         count ->
@@ -16,7 +22,7 @@
                 "unidentified connections rejected: {} so far, the last: {}", count, cause));
   }
 
-  /** Logs that a message on an identified connection was dropped. */
+  /** Logs that a message of an identified connection was dropped. */
   void messageDropped(String sender, String cause) {
     messages.record(
         count ->
--- a/src/main/java/pearusher/transport/ResetAwareEndPoint.java
+++ b/src/main/java/pearusher/transport/ResetAwareEndPoint.java
@@ -11,8 +11,8 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * An end point that reports a reset of its connection as a failure. Jetty's own reports a reset and
- * an orderly close alike, as the end of the input. Its threads are those of its selector.
+ * End point that reports a connection reset as a failure. The end point of Jetty reports both a
+ * reset and an orderly close as the end of the input. The threads of the selector run it.
  */
 public final class ResetAwareEndPoint extends SocketChannelEndPoint {
   private static final int END_OF_INPUT = -1;
@@ -22,7 +22,7 @@
    *
    * @param channel the socket channel
    * @param selector the selector that the channel is registered with
-   * @param key the channel's registration
+   * @param key the registration of the channel
    * @param scheduler runs idle timeouts
    */
   public ResetAwareEndPoint(
--- a/src/main/java/pearusher/transport/SendQueue.java
+++ b/src/main/java/pearusher/transport/SendQueue.java
@@ -8,12 +8,15 @@
 import org.eclipse.jetty.util.IteratingCallback;
 
 /**
- * Writes messages to one connection, one after the other in their order. Any thread may add one;
- * the thread that runs {@link #iterate} writes. It grows with what the peer leaves unread, up to
- * {@link #MAX_UNSENT_BYTES}.
+ * Queue of messages to one connection, which are written in order. Any thread may add a message;
+ * the thread that calls {@link #iterate} writes. Messages that the peer does not read stay in the
+ * queue; the owner closes the connection if they exceed {@link #MAX_UNSENT_BYTES}.
  */
 final class SendQueue extends IteratingCallback {
-  /** Bytes that may be unsent, beyond what the kernel buffers, until the stream is closed. */
+  /**
+   * Maximum number of unsent bytes, not counting those that the kernel buffers, before the
+   * connection is closed.
+   */
   static final int MAX_UNSENT_BYTES = 512 << 10;
 
   private final EndPoint endPoint;
@@ -32,7 +35,7 @@
     this.onFailure = onFailure;
   }
 
-  /** Adds a message; returns false if more bytes are unsent now than may be. */
+  /** Adds a message; returns false if the unsent bytes now exceed {@link #MAX_UNSENT_BYTES}. */
   boolean add(byte[] message) {
     synchronized (unsent) {
       unsentBytes += message.length;
@@ -41,6 +44,7 @@
     }
   }
 
+  /** Discards all unsent messages. */
   void clear() {
     synchronized (unsent) {
       unsent.clear();
--- a/src/main/java/pearusher/transport/StreamConnection.java
+++ b/src/main/java/pearusher/transport/StreamConnection.java
@@ -18,32 +18,33 @@
 import pearusher.protocol.RespReader;
 
 /**
- * One connection of the listening socket: the stream of a proxy, a collector, or unidentified. One
- * thread at a time reads; any thread may send or close. It grows with the received part of a
- * message and with what is to be sent, both bounded.
+ * Connection of the listening socket: the stream of a proxy, a connection of a collector, or an
+ * unidentified connection. One thread at a time reads; any thread may send or close. The buffers of
+ * an incomplete received message and of unsent messages are bounded.
  *
- * <p>An unidentified connection is closed for anything but a ping or an identification. On an
- * identified one a malformed message is dropped alone, since closing the stream would leave the
- * proxy's time limits running; bytes that cannot be framed close it.
+ * <p>An unidentified connection is closed after any message other than a ping or an identification.
+ * On an identified connection a malformed message is only dropped, since closing the stream would
+ * leave the proxy's time limits running. Bytes that are not RESP close any connection.
  */
 public final class StreamConnection extends AbstractConnection implements ProxyStream {
   /**
-   * Maximum size of a message on an unidentified connection; a proxy's join has a hundred bytes.
+   * Maximum size of a message on an unidentified connection; the join message of a proxy has a
+   * hundred bytes.
    */
   private static final int MAX_UNIDENTIFIED_MESSAGE_BYTES = 8 << 10;
 
-  /** Reads after which a peer that sends without pause yields to others. */
-  private static final int MAX_READS_IN_A_ROW = 16;
+  /** Number of reads after which a peer that sends continuously yields to other connections. */
+  private static final int MAX_CONSECUTIVE_READS = 16;
 
   /**
-   * What all connections of a socket share.
+   * Objects that all connections of a listening socket share.
    *
    * @param controller receives the messages
    * @param registry tracks the connections
-   * @param rejections logs rejected connections and messages
+   * @param rejections logs rejected connections and dropped messages
    * @param decoder decodes the messages
-   * @param isStopping whether the server closes its connections
-   * @param buffers a buffer for the reads of each thread
+   * @param isStopping returns whether the server is closing its connections
+   * @param buffers the read buffer of each thread
    */
   record Context(
       ProxyEvents controller,
@@ -59,15 +60,15 @@
   private final RespReader reader = new RespReader(MAX_UNIDENTIFIED_MESSAGE_BYTES);
   private final SendQueue sendQueue;
 
-  /** The source of a collector's reports, for fair queueing; proxies use their own number. */
+  /** Source number of a collector's reports for fair queueing; a proxy uses its own number. */
   private final int collectorSource;
 
-  /** The position among all accepted connections, which several threads open in any order. */
+  /** Position in the order of accepting; threads may open connections in another order. */
   private final long acceptOrder;
 
   private volatile PeerIdentity identity = PeerIdentity.UNIDENTIFIED;
 
-  /** The first reason for which this connection was closed; null while it is open. */
+  /** First reason for closing this connection; null while it is open. */
   private TerminationReason terminationReason;
 
   StreamConnection(
@@ -109,7 +110,7 @@
 
   private void readAvailable(ByteBuffer buffer) throws IOException, MalformedMessageException {
     boolean completedAny = false;
-    for (int reads = 0; reads < MAX_READS_IN_A_ROW; reads++) {
+    for (int reads = 0; reads < MAX_CONSECUTIVE_READS; reads++) {
       buffer.clear().flip();
       int count = getEndPoint().fill(buffer);
       if (count < 0) {
@@ -126,7 +127,7 @@
     fillInterested();
   }
 
-  /** Processes all messages that are complete now; returns whether there were any. */
+  /** Processes all complete messages; returns whether there were any. */
   private boolean processMessages(ByteBuffer buffer)
       throws RespException, MalformedMessageException {
     boolean completedAny = false;
@@ -198,11 +199,11 @@
     } else if (message instanceof Message.UsageReport usage && sender.isProxy(usage.proxy())) {
       controller.onUsageReport(usage, usage.proxy());
     } else {
-      throw new MalformedMessageException("unexpected message " + message);
+      throw new MalformedMessageException("message is not allowed from this sender: " + message);
     }
   }
 
-  /** Returns whether a message has begun and is incomplete. */
+  /** Returns whether some but not all bytes of a message were received. */
   boolean isMidMessage() {
     return reader.isMidMessage();
   }
@@ -212,9 +213,9 @@
     return identity.isProxy();
   }
 
-  /** Answers the pings that were received and not answered yet. */
+  /** Answers all unanswered pings. */
   void sendPongs() {
-    int pendingPings = registry.takePendingPings(entry);
+    int pendingPings = registry.resetPendingPings(entry);
     for (int k = 0; k < pendingPings; k++) {
       send(MessageEncoder.encodePong());
     }
@@ -222,11 +223,11 @@
 
   @Override
   public void send(byte[] message) {
-    Runnable next = sendQueue.add(message) ? sendQueue::iterate : this::closeUnread;
+    Runnable next = sendQueue.add(message) ? sendQueue::iterate : this::closeOnFullSendBuffer;
     getExecutor().execute(next);
   }
 
-  private void closeUnread() {
+  private void closeOnFullSendBuffer() {
     close(
         TerminationReason.SEND_BUFFER_FULL, "over " + SendQueue.MAX_UNSENT_BYTES + " bytes unsent");
   }
@@ -236,7 +237,10 @@
     return acceptOrder;
   }
 
-  /** The proxy has a newer stream: this one is closed like an unidentified one, with a delay. */
+  /**
+   * Called when the proxy has a newer stream. This stream is closed with a delay, by the timeout of
+   * unidentified connections.
+   */
   @Override
   public void onReplaced() {
     registry.onReplaced(entry);
@@ -249,8 +253,8 @@
   }
 
   /**
-   * Closes this connection for its descriptor, unless the peer identified itself since it was
-   * selected: the descriptors in reserve suffice for that.
+   * Closes this connection to free its file descriptor, unless the peer identified itself after the
+   * connection was selected. The reserved file descriptors suffice for that case.
    */
   public void evict() {
     if (registry.evict(entry)) {
@@ -258,7 +262,7 @@
     }
   }
 
-  /** Closes this connection; of several reasons the first one counts. */
+  /** Closes this connection for a reason; later calls have no effect. */
   void close(TerminationReason reason) {
     if (!setTerminationReason(reason)) {
       return;
@@ -270,7 +274,7 @@
     getEndPoint().close();
   }
 
-  /** Closes this connection for what the peer did. */
+  /** Closes this connection for a reason caused by the peer; the log line includes the detail. */
   private void close(TerminationReason reason, String detail) {
     if (!setTerminationReason(reason)) {
       return;
--- a/src/main/java/pearusher/transport/StreamServer.java
+++ b/src/main/java/pearusher/transport/StreamServer.java
@@ -23,18 +23,18 @@
 import pearusher.protocol.MessageDecoder;
 
 /**
- * Listens for proxies and collectors, accepts their connections as {@link AcceptPolicy} decides,
- * and closes those that are unidentified or within a message for too long. It never closes the
- * stream of a proxy that is merely silent. Its threads are those of one selector and of the
- * executor; it grows with the connections.
+ * Listening socket for proxies and collectors. Accepts connections as {@link AcceptPolicy} decides.
+ * Closes connections that stay unidentified, or stay within a message, for too long. Never closes
+ * the stream of a proxy only because it is idle. Runs on the threads of one selector and of the
+ * executor.
  */
 public final class StreamServer extends SelectorManager {
   private static final int SELECTORS = 1;
   private static final int ACCEPT_BACKLOG = 1024;
   private static final int READ_BUFFER_BYTES = 16 << 10;
 
-  /** How often connections are checked within the identification timeout. */
-  private static final int CHECKS_PER_TIMEOUT = 16;
+  /** Number of checks for expired connections per identification timeout. */
+  private static final int EXPIRY_CHECKS_PER_TIMEOUT = 16;
 
   private volatile AssignerConfig config;
   private final Scheduler scheduler;
@@ -43,20 +43,20 @@
   private final AcceptPolicy acceptPolicy;
   private final StreamConnection.Context context;
 
-  /** Counts the connections opened, which gives each its own number as a source of reports. */
+  /** Number of connections opened so far, from which each gets its source number for reports. */
   private final AtomicInteger openedConnections = new AtomicInteger();
 
   private ServerSocketChannel serverChannel;
 
-  /** Connections accepted since the start; only the accepting thread uses it. */
+  /** Number of connections accepted so far; only the accepting thread uses it. */
   private long acceptedConnections;
 
   private volatile boolean stopping;
 
   /**
-   * Creates a server, which does not listen yet.
+   * Creates a server that does not listen yet.
    *
-   * @param config the address to listen on, the timeouts and the names of messages
+   * @param config the address to listen on, the timeouts and the names used in messages
    * @param controller receives the messages
    * @param executor runs the connections
    * @param scheduler runs timeouts
@@ -78,7 +78,7 @@
     addEventListener(new AcceptFailureListener());
   }
 
-  /** Uncounts channels that fail before they are open, for which no connection is created. */
+  /** Removes channels from the count that fail before a connection is created for them. */
   private final class AcceptFailureListener implements AcceptListener {
     @Override
     public void onAcceptFailed(SelectableChannel channel, Throwable cause) {
@@ -87,7 +87,7 @@
   }
 
   /**
-   * Starts to listen. The port is taken from here on, but no ping is answered before {@link
+   * Starts listening. The port is bound from now on, but pings are answered only after {@link
    * #markReady}.
    *
    * @return the address that the server listens on
@@ -101,35 +101,35 @@
     start();
     acceptPolicy.countInitialDescriptors();
     acceptor(serverChannel);
-    closeOverdue();
+    closeExpired();
     return (InetSocketAddress) serverChannel.getLocalAddress();
   }
 
-  /** Applies the timeouts and the descriptors of a reloaded configuration. */
+  /** Applies the timeouts and the limit on file descriptors of a reloaded configuration. */
   public void reload(AssignerConfig reloaded) {
     config = reloaded;
   }
 
-  /** Returns the number of connections that may be open at once. */
+  /** Returns the maximum number of open connections. */
   public int maxConnections() {
     return acceptPolicy.maxConnections();
   }
 
-  /** Closes the connections whose time is over, and schedules the next check. */
-  private void closeOverdue() {
+  /** Closes the connections whose timeout has expired, and schedules the next check. */
+  private void closeExpired() {
     Timeouts timeouts = config.timeouts();
-    for (StreamConnection connection : registry.overdue(timeouts)) {
+    for (StreamConnection connection : registry.findExpired(timeouts)) {
       connection.close(TerminationReason.TIMED_OUT);
     }
     if (!stopping) {
       scheduler.schedule(
-          () -> getExecutor().execute(this::closeOverdue),
-          Math.max(1, timeouts.identificationMs() / CHECKS_PER_TIMEOUT),
+          () -> getExecutor().execute(this::closeExpired),
+          Math.max(1, timeouts.identificationMs() / EXPIRY_CHECKS_PER_TIMEOUT),
           TimeUnit.MILLISECONDS);
     }
   }
 
-  /** Answers pings from now on, those that were received before at once. */
+  /** Answers all pings received so far, and from now on each ping immediately. */
   public void markReady() {
     registry.markReady().forEach(StreamConnection::sendPongs);
   }
@@ -144,33 +144,33 @@
   }
 
   /**
-   * Accepts the next connection. If descriptors run short, an unidentified connection is evicted
-   * for it. While evicted ones are still closing, new ones wait in the kernel; if all are held by
-   * proxies and collectors, new ones are closed at once.
+   * Accepts the next connection. If file descriptors run short, an unidentified connection is
+   * evicted. While evicted connections are still closing, new connections wait in the kernel. If
+   * proxies and collectors occupy all connections, a new connection is closed immediately.
    */
   @Override
   protected SelectableChannel doAccept(SelectableChannel listening) throws IOException {
     if (acceptPolicy.mustPause()) {
       return null;
     }
-    // Accepts before it admits, so that nothing is evicted if no connection is waiting.
+    // Accepts before deciding, so that nothing is evicted if no connection is waiting.
     SelectableChannel channel = super.doAccept(listening);
     if (channel == null) {
       acceptPolicy.onPause();
       return null;
     }
-    AcceptPolicy.Admission admission = acceptPolicy.admit();
-    if (!admission.accepted()) {
+    AcceptPolicy.AcceptDecision decision = acceptPolicy.decide();
+    if (!decision.accepted()) {
       channel.close();
       acceptPolicy.onPause();
-      rejections.connectionRejected("no descriptor is left");
+      rejections.connectionRejected("no file descriptor is left and no connection can be evicted");
       return null;
     }
-    admission.evicted().ifPresent(StreamConnection::evict);
+    decision.evicted().ifPresent(StreamConnection::evict);
     return channel;
   }
 
-  /** Selects a connection to be evicted, for tests of races with it. */
+  /** Selects a connection to evict; only for tests of races with eviction. */
   public Optional<StreamConnection> takeEvictionCandidate() {
     return registry.takeEvictionCandidate();
   }
@@ -192,12 +192,12 @@
   @Override
   public Connection newConnection(SelectableChannel channel, EndPoint endPoint, Object attachment) {
     long acceptOrder = (Long) attachment;
-    // Sources below 0 are collectors, others proxies.
+    // Negative source numbers are those of collectors; others are proxy numbers.
     int collectorSource = -1 - openedConnections.getAndIncrement();
     return new StreamConnection(endPoint, getExecutor(), context, acceptOrder, collectorSource);
   }
 
-  /** Returns the number of connections that hold a descriptor. */
+  /** Returns the number of connections that occupy a file descriptor. */
   public int connections() {
     return registry.size();
   }
--- a/src/main/java/pearusher/transport/TerminationReason.java
+++ b/src/main/java/pearusher/transport/TerminationReason.java
@@ -8,35 +8,37 @@
 import pearusher.protocol.RespException;
 
 /**
- * The reasons why a connection, of either side, can end, and what each means for a health check.
- * The stream of a proxy has left whatever the reason.
+ * Reason why an accepted or an outgoing connection ended, with the health check result that it
+ * stands for. A proxy counts as disconnected for every reason.
  */
 public enum TerminationReason {
   /** A complete response of status 200. */
   COMPLETED(HealthCheckResult.OK),
-  /** Status 503: the server is draining, overloaded or out of service for now. */
+  /** Status 503: the server is draining, overloaded or temporarily out of service. */
   UNAVAILABLE(HealthCheckResult.REJECTED),
   /** Any other status. */
   ERROR_STATUS(HealthCheckResult.ERROR),
   /** The connection was refused: the process is down. */
   REFUSED(HealthCheckResult.UNREACHABLE),
-  /** The connection never came up, or there is no address. */
+  /** The connection could not be established, or there is no address. */
   UNREACHABLE(HealthCheckResult.UNREACHABLE),
-  /** The connection was up, and nothing more came within the timeout. */
+  /** The connection was established, but the next data did not arrive within the timeout. */
   TIMED_OUT(HealthCheckResult.TIMED_OUT),
-  /** The peer closed in order: the normal end of a stream, or a truncated response. */
+  /**
+   * The peer closed the connection without a reset: the end of a stream or a truncated response.
+   */
   CLOSED(HealthCheckResult.DISCONNECTED),
   /** The peer reset the connection. */
   RESET(HealthCheckResult.DISCONNECTED),
-  /** What the peer sent cannot be parsed; this side closed. */
+  /** The peer sent malformed data; this side closed the connection. */
   MALFORMED(HealthCheckResult.DISCONNECTED),
-  /** The peer sent more than is allowed; this side closed. */
+  /** The peer exceeded a size limit; this side closed the connection. */
   TOO_LONG(HealthCheckResult.DISCONNECTED),
-  /** The peer left too much unread; this side closed. */
+  /** The peer read too slowly and the send buffer is full; this side closed the connection. */
   SEND_BUFFER_FULL(HealthCheckResult.OTHER),
-  /** An unidentified connection was closed for its descriptor. */
+  /** An unidentified connection was closed to free its file descriptor. */
   EVICTED(HealthCheckResult.OTHER),
-  /** This side no longer needs the connection. */
+  /** This side no longer needed the connection and closed it. */
   CANCELLED(HealthCheckResult.OTHER);
 
   private static final int STATUS_OK = 200;
@@ -48,7 +50,7 @@
     this.healthCheckResult = healthCheckResult;
   }
 
-  /** Returns the result of a health check whose connection ended so. */
+  /** Returns the result of a health check whose connection ended for this reason. */
   public HealthCheckResult healthCheckResult() {
     return healthCheckResult;
   }
@@ -59,9 +61,9 @@
   }
 
   /**
-   * Returns the reason that a complete response stands for.
+   * Returns the reason for a connection that ended with a complete response.
    *
-   * @param status the status of the response
+   * @param status the HTTP status of the response
    */
   public static TerminationReason ofStatus(int status) {
     return switch (status) {
@@ -71,7 +73,7 @@
     };
   }
 
-  /** Returns the reason that bytes stand for which are no RESP message. */
+  /** Returns the reason for a connection on which the received bytes are not RESP. */
   static TerminationReason ofRespFault(RespException.Kind kind) {
     return switch (kind) {
       case MALFORMED -> MALFORMED;
@@ -80,20 +82,20 @@
   }
 
   /**
-   * Returns the reason that a failure to connect stands for.
+   * Returns the reason for a connection that could not be established.
    *
-   * @param failure what was thrown while connecting
+   * @param failure the exception thrown while connecting
    */
   public static TerminationReason ofConnectFailure(Throwable failure) {
-    // The JDK reports a timeout by the kernel as a refusal with this text.
+    // The JDK reports a connect timeout of the kernel as a ConnectException with this text.
     boolean timedOut = String.valueOf(failure.getMessage()).contains("timed out");
     return failure instanceof ConnectException && !timedOut ? REFUSED : UNREACHABLE;
   }
 
   /**
-   * Returns the reason that a failure on an established connection stands for.
+   * Returns the reason for an established connection that failed.
    *
-   * @param failure what was thrown while reading or writing
+   * @param failure the exception thrown while reading or writing
    */
   public static TerminationReason ofFailure(Throwable failure) {
     if (failure instanceof TimeoutException || failure instanceof SocketTimeoutException) {
--- a/src/main/java/pearusher/transport/package-info.java
+++ b/src/main/java/pearusher/transport/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Server sockets and connections: the listening socket for proxies and collectors, their RESP
- * streams, and datagrams between assigners. Its threads are those of Jetty's selectors and their
- * executor; messages go to the controller's event loop. It decides nothing about tables.
+ * streams, and datagrams between assigners. Runs on the threads of Jetty's selectors and of their
+ * executor, and passes messages to the event loop of the controller. Takes no decisions on tables.
  */
 package pearusher.transport;
--- a/src/test/java/pearusher/transport/TerminationReasonTest.java
+++ b/src/test/java/pearusher/transport/TerminationReasonTest.java
@@ -16,6 +16,10 @@
 import pearusher.policy.HealthCheckResult;
 import pearusher.protocol.RespException;
 
+/**
+ * Mapping of failures to termination reasons, and of those to health check results. Guards against
+ * health checks that report a wrong result to the policy.
+ */
 class TerminationReasonTest {
   private static final Map<TerminationReason, HealthCheckResult> HEALTH_CHECK_RESULTS =
       new EnumMap<>(
@@ -51,7 +55,7 @@
   }
 
   @Test
-  void causesAreMappedToReasons() {
+  void statusesAndFailuresAreMappedToReasons() {
     assertEquals(TerminationReason.COMPLETED, TerminationReason.ofStatus(200));
     assertEquals(TerminationReason.UNAVAILABLE, TerminationReason.ofStatus(503));
     assertEquals(TerminationReason.ERROR_STATUS, TerminationReason.ofStatus(204));
