--- a/src/main/java/pearusher/server/AssignerProcess.java
+++ b/src/main/java/pearusher/server/AssignerProcess.java
@@ -18,8 +18,9 @@
 import pearusher.sitesettings.SettingsException;
 
 /**
- * The process of an assigner: reads the configuration, warms up, serves until SIGTERM, and decides
- * the exit status. Runs on the main thread.
+ * An assigner process: reads the configuration, warms up the code, serves until SIGTERM, and
+ * determines the exit status. Runs on the main thread; the SIGTERM handling runs on a shutdown
+ * hook.
  */
 public final class AssignerProcess {
   private static final int FAILED = 1;
@@ -29,7 +30,9 @@
   private final BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> policyFactory;
   private final ConfigReloader reloader;
 
-  /** Whether the process ends since something failed; SIGTERM then does not change the status. */
+  /**
+   * Whether the process is ending because of a failure; SIGTERM then leaves its status unchanged.
+   */
   private final AtomicBoolean isFailing = new AtomicBoolean();
 
   private AssignerProcess(
@@ -41,7 +44,13 @@
     this.reloader = reloader;
   }
 
-  /** Runs an assigner without optional features. */
+  /**
+   * Runs an assigner without optional features until the process ends.
+   *
+   * @param environment names the listen address, the discovery address and the configuration file
+   * @param policyFactory creates the policy
+   * @return the exit status: 1 if the start failed, 2 for an invalid configuration
+   */
   public static int run(
       Map<String, String> environment,
       BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> policyFactory) {
@@ -49,11 +58,12 @@
   }
 
   /**
-   * Runs an assigner. On SIGTERM the virtual machine ends with status 0.
+   * Runs an assigner until the process ends. On SIGTERM the virtual machine exits with status 0.
    *
-   * @param environment names the address to listen on, discovery and the configuration file
+   * @param environment names the listen address, the discovery address and the configuration file
    * @param policyFactory creates the policy
-   * @return the exit status: 1 where it failed, 2 for an invalid configuration
+   * @param features the optional features that are enabled
+   * @return the exit status: 1 if the start failed, 2 for an invalid configuration
    */
   public static int run(
       Map<String, String> environment,
@@ -75,8 +85,8 @@
     Logger.info(
         "start: {} on {}, discovery {}, {} servers known",
         config.name(),
-        text(config.listen()),
-        text(config.discovery()),
+        formatAddress(config.listen()),
+        formatAddress(config.discovery()),
         config.knownServers().endpoints().size());
     Optional<DurablePublisher> durablePublisher;
     try {
@@ -107,7 +117,7 @@
         DurablePublisher.open(config, features.persistence().get(), Controller.unixClock()));
   }
 
-  /** Serves until the virtual machine ends; returns where the start failed. */
+  /** Serves until the virtual machine exits; returns only if the start failed. */
   private void serve(AssignerServer server) {
     try {
       WarmUp.run(config, policyFactory);
@@ -119,7 +129,7 @@
       onPolicyFailure(e);
     } catch (Exception e) {
       isFailing.set(true);
-      Logger.error("can't start on {}: {}", text(config.listen()), e.getMessage());
+      Logger.error("can't start on {}: {}", formatAddress(config.listen()), e.getMessage());
     }
   }
 
@@ -138,8 +148,8 @@
     Runtime.getRuntime().halt(0);
   }
 
-  /** An address as the log shows it. */
-  static String text(InetSocketAddress address) {
+  /** Returns an address in the form of log lines: numeric host, colon, port. */
+  static String formatAddress(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 }
--- a/src/main/java/pearusher/server/AssignerServer.java
+++ b/src/main/java/pearusher/server/AssignerServer.java
@@ -21,14 +21,14 @@
 import pearusher.transport.StreamServer;
 
 /**
- * Creates the parts of one assigner, connects them, and starts and stops them. The thread that
- * creates it starts it; reloads are serialized by {@link ConfigReloader}.
+ * Components of one assigner: creates and connects them, and starts and stops them. The thread that
+ * creates an instance also starts it; {@link ConfigReloader} serializes reloads.
  */
 final class AssignerServer {
   private static final int MAX_IO_THREADS = 8;
   private static final int MIN_IO_THREADS = 4;
 
-  /** How often a disk that hangs is looked for, in milliseconds. */
+  /** Interval between checks for a disk that does not respond, in milliseconds. */
   private static final long STORE_CHECK_INTERVAL_MS = 100;
 
   private final Controller controller;
@@ -42,13 +42,14 @@
   private final Optional<DurablePublisher> durablePublisher;
 
   /**
-   * An assigner that is not started yet.
+   * Creates an assigner that is not started.
    *
    * @param policyFactory creates the policy
    * @param clockUs Unix time in microseconds
-   * @param onPolicyFailure receives what the policy throws, after which no decisions are made
-   * @param durablePublisher the store, where persistence is switched on
-   * @param intake the queue of reports, where the intake is switched on
+   * @param onPolicyFailure receives the exception that the policy throws; no decisions are made
+   *     after it
+   * @param durablePublisher publishes through the store; empty if persistence is disabled
+   * @param intake the queue of reports; empty if the intake is disabled
    */
   AssignerServer(
       AssignerConfig config,
@@ -77,9 +78,11 @@
   }
 
   /**
-   * Starts all parts. Pings are answered only once the policy knows the configured servers.
+   * Starts all components. Pings are answered only after the policy has received the configured
+   * servers.
    *
-   * @return the address that it listens on
+   * @return the address of the listening socket
+   * @throws Exception if a component does not start, for example because the address is in use
    */
   InetSocketAddress start() throws Exception {
     ioThreads.start();
@@ -104,7 +107,7 @@
         () -> checkStoreRegularly(publisher), STORE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Hands a new configuration to the parts that take one, and moves the endpoint watch. */
+  /** Applies a new configuration and moves the endpoint watch to its discovery address. */
   void reload(AssignerConfig config) {
     streams.reload(config);
     peers.reload(config);
@@ -112,7 +115,7 @@
     controller.onDiscoveryMoved();
   }
 
-  /** Stops all parts. */
+  /** Stops all components and closes the store. */
   void stop() throws Exception {
     decisionThread.interrupt();
     streams.stop();
--- a/src/main/java/pearusher/server/ConfigReloader.java
+++ b/src/main/java/pearusher/server/ConfigReloader.java
@@ -7,9 +7,8 @@
 import pearusher.sitesettings.SettingsException;
 
 /**
- * Reads the configuration again on request. Requests that come before there is a server are kept
- * until one is connected, since the file may have changed after it was read. Any thread may call
- * it.
+ * Reloads the configuration on request. A request that arrives before a server is connected is
+ * executed when one is, because the file may have changed after it was first read. Thread-safe.
  */
 final class ConfigReloader {
   private final Map<String, String> environment;
@@ -18,16 +17,19 @@
   private boolean isRequestPending;
 
   /**
-   * A reloader without a server.
+   * Creates a reloader that is not connected to a server.
    *
-   * @param environment names the file
+   * @param environment names the configuration file
    */
   ConfigReloader(Map<String, String> environment) {
     this.environment = environment;
   }
 
   /**
-   * Connects the server that new configurations are handed to, and reloads if that was requested.
+   * Connects the server that receives reloaded configurations. Reloads at once if a request is
+   * pending.
+   *
+   * @param config the configuration that the server was started with
    */
   synchronized void connect(AssignerConfig config, AssignerServer startedServer) {
     firstConfig = config;
@@ -38,8 +40,9 @@
   }
 
   /**
-   * Reloads the configuration. Requests come on threads of their own and take turns here, so that
-   * the last file that is read is the last to take effect.
+   * Reloads the configuration, or records the request if no server is connected. Each request runs
+   * on its own thread; requests are serialized so that the file read last also takes effect last.
+   * An invalid file leaves the previous configuration in effect.
    */
   synchronized void reload() {
     if (server == null) {
@@ -48,10 +51,10 @@
     }
     try {
       AssignerConfig config = AssignerConfigReader.reload(firstConfig, environment);
-      Logger.info("reload: discovery {}", AssignerProcess.text(config.discovery()));
+      Logger.info("reload: discovery {}", AssignerProcess.formatAddress(config.discovery()));
       server.reload(config);
     } catch (SettingsException | RuntimeException e) {
-      Logger.warn("reload: {}; the old configuration stays", e.getMessage());
+      Logger.warn("reload failed: {}; the previous configuration stays in effect", e.getMessage());
     }
   }
 }
--- a/src/main/java/pearusher/server/HangupSignal.java
+++ b/src/main/java/pearusher/server/HangupSignal.java
@@ -6,8 +6,8 @@
 import org.tinylog.Logger;
 
 /**
- * Handles SIGHUP, on which the virtual machine would end otherwise. The class that takes signals is
- * not part of the Java standard and the compiler warns of it, so it is looked up at run time.
+ * Handler of SIGHUP, which would otherwise end the virtual machine. {@code sun.misc.Signal} is not
+ * part of the Java standard and using it causes compiler warnings, so it is accessed by reflection.
  */
 final class HangupSignal {
   private static final String SIGNAL_CLASS = "sun.misc.Signal";
@@ -17,23 +17,23 @@
   private HangupSignal() {}
 
   /**
-   * Runs an action at each SIGHUP, on a thread of its own. Where this can't work, a warning is
-   * logged: if the signal was ignored when the process began (by nohup, or a trap of the shell that
-   * started it), the virtual machine leaves it so and drops the handler silently.
+   * Runs an action on each SIGHUP, on a separate thread. Logs a warning if the handler cannot be
+   * installed. If the process inherited an ignored SIGHUP (from nohup, or from a trap in the parent
+   * shell), the virtual machine keeps ignoring the signal and silently discards the handler.
    */
   static void onHangup(Runnable action) {
     try {
       if (!install(action)) {
         Logger.warn(
-            "no reload on SIGHUP: it was ignored when the process began; start it by "
-                + "env --default-signal=HUP");
+            "SIGHUP reload disabled: the signal was ignored at process start; start the process"
+                + " with env --default-signal=HUP");
       }
     } catch (ReflectiveOperationException e) {
-      Logger.warn("no reload on SIGHUP: {}", e.getMessage());
+      Logger.warn("SIGHUP reload disabled: handler not installed: {}", e.getMessage());
     }
   }
 
-  /** Installs a handler; false where the signal was ignored before. */
+  /** Installs a handler. Returns false if the process inherited an ignored signal. */
   private static boolean install(Runnable action) throws ReflectiveOperationException {
     Class<?> signalClass = Class.forName(SIGNAL_CLASS);
     Class<?> handlerClass = Class.forName(HANDLER_CLASS);
@@ -48,7 +48,7 @@
     return previous != handlerClass.getField("SIG_IGN").get(null);
   }
 
-  /** The methods of a handler object: the one for signals, and those of every object. */
+  /** Invocation handler of the signal handler proxy, including the methods of {@link Object}. */
   private record SignalHandler(Runnable action) implements InvocationHandler {
     @Override
     public Object invoke(Object self, Method method, Object[] arguments) {
--- a/src/main/java/pearusher/server/OptionalFeatures.java
+++ b/src/main/java/pearusher/server/OptionalFeatures.java
@@ -5,14 +5,14 @@
 import pearusher.intake.Intake;
 
 /**
- * Features that the operators may switch on; empty for one that is off.
+ * Features that operators can enable; empty if disabled.
  *
- * @param persistence options of the store that keeps commands over a restart
- * @param intakeBounds limits of the intake that protects the policy from too many reports
+ * @param persistence options of the store that preserves commands across restarts
+ * @param intakeBounds limits of the intake that protects the policy from report overload
  */
 public record OptionalFeatures(
     Optional<PersistenceOptions> persistence, Optional<Intake.Bounds> intakeBounds) {
-  /** Everything off. */
+  /** No optional feature is enabled. */
   public static final OptionalFeatures NONE =
       new OptionalFeatures(Optional.empty(), Optional.empty());
 }
--- a/src/main/java/pearusher/server/WarmUp.java
+++ b/src/main/java/pearusher/server/WarmUp.java
@@ -22,19 +22,22 @@
 import pearusher.protocol.RespWriter;
 
 /**
- * Runs made-up control periods from message bytes to decisions to message bytes, before the first
- * ping is answered, so that the first real ones don't run code that was never compiled. It uses a
- * controller and a policy of its own, and never touches the real ones, a socket or the log.
+ * Warm-up of the code before the first ping is answered: runs synthetic control periods, from
+ * decoding messages through decisions to encoding updates, so that the first real control periods
+ * do not run in uncompiled code. It uses a separate controller and policy, opens no sockets, and
+ * discards what that policy logs.
  */
 final class WarmUp {
-  /** It ends after so many periods or nanoseconds, whichever comes first. */
+  /**
+   * The warm-up ends at this number of periods or at {@link #MAX_DURATION_NS}, if that is earlier.
+   */
   private static final int MAX_PERIODS = 60;
 
   private static final long MAX_DURATION_NS = 400_000_000L;
 
   /**
-   * What a period holds at most. It is enough to compile the code, and a fleet whose first period
-   * alone would take longer than a start may is cut down to it.
+   * Limits of a synthetic control period. They suffice to have the code compiled, and bound the
+   * start-up time for fleets whose first period alone would take longer than a start may.
    */
   private static final int MAX_SERVERS = 256;
 
@@ -43,7 +46,7 @@
 
   private static final long START_US = 1_000_000_000_000_000L;
 
-  /** A controller that calls nobody and logs nothing. */
+  /** Controller that makes no outbound calls and discards log lines of the policy. */
   private static final class IsolatedController extends Controller {
     IsolatedController(
         AssignerConfig config,
@@ -71,7 +74,7 @@
     public void checkHealth(long server, String hostPort) {}
   }
 
-  /** A stream to no proxy; each message is decoded as a proxy would. */
+  /** Stream without a proxy, which decodes each message as a proxy does. */
   private record DecodingStream() implements ProxyStream {
     @Override
     public void send(byte[] message) {
@@ -104,14 +107,17 @@
     zones = config.names().zones().keySet().stream().limit(MAX_ZONES).toList();
   }
 
-  /** Warms up the code for a configuration and a policy. */
+  /**
+   * Runs the warm-up for a configuration and a policy. Returns early if interrupted, with the flag
+   * set.
+   */
   static void run(
       AssignerConfig config,
       BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> policyFactory) {
     try (RespReader reader = new RespReader(RespReader.MAX_MESSAGE_BYTES)) {
       int periods =
           new WarmUp(config.withKnownServersUpTo(MAX_SERVERS), policyFactory, reader).runPeriods();
-      Logger.debug("warmed up by {} periods", periods);
+      Logger.debug("warm-up finished: {} control periods", periods);
     } catch (RespException | MalformedMessageException e) {
       throw new IllegalStateException(e);
     } catch (InterruptedException e) {
@@ -119,7 +125,7 @@
     }
   }
 
-  /** Runs until one of the limits is reached; the number of periods. */
+  /** Runs control periods until one of the limits is reached. Returns their number. */
   private int runPeriods() throws RespException, MalformedMessageException, InterruptedException {
     long endNs = System.nanoTime() + MAX_DURATION_NS;
     controller.start();
--- a/src/main/java/pearusher/server/package-info.java
+++ b/src/main/java/pearusher/server/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The life of the process: start, readiness, reload on SIGHUP, graceful shutdown, and the warm-up
- * of the code paths before the first ping is answered.
+ * The lifecycle of an assigner process: start, warm-up of the code paths before the first ping is
+ * answered, readiness, reload on SIGHUP, and graceful shutdown.
  */
 package pearusher.server;
--- a/src/test/java/pearusher/server/AssignerProcessTest.java
+++ b/src/test/java/pearusher/server/AssignerProcessTest.java
@@ -197,11 +197,14 @@
   private void reloadUnreadableFiles(Process process, Path file) throws Exception {
     Files.writeString(file, "{\"name\":\"n0\",\"seed\":");
     AssignerProcesses.sendHangup(process);
-    processes.awaitLog(LOG, "WARN reload: configuration: malformed JSON: ");
+    processes.awaitLog(LOG, "WARN reload failed: configuration: malformed JSON: ");
     Files.delete(file);
     AssignerProcesses.sendHangup(process);
     processes.awaitLog(
-        LOG, "WARN reload: EDGE_CONFIG: " + file + " can't be read; the old configuration stays");
+        LOG,
+        "WARN reload failed: EDGE_CONFIG: "
+            + file
+            + " can't be read; the previous configuration stays in effect");
   }
 
   /**
@@ -220,7 +223,7 @@
       AssignerProcesses.sendHangup(process);
       otherDiscovery.awaitRequest().startWatch();
       processes.assertLogContains(LOG, "INFO reload: discovery " + otherDiscovery.address());
-      assertFalse(log().contains("no reload on SIGHUP"), log());
+      assertFalse(log().contains("SIGHUP reload disabled"), log());
     }
   }
 
@@ -272,7 +275,7 @@
     Process process = runInShell(new ExampleConfig(), "trap '' HUP; exec " + command);
     processes.awaitReady(LOG);
     processes.assertLogContains(
-        LOG, "WARN no reload on SIGHUP: it was ignored when the process began");
+        LOG, "WARN SIGHUP reload disabled: the signal was ignored at process start");
     AssignerProcesses.sendHangup(process);
     assertTrue(process.isAlive());
   }
