--- a/src/test/java/pearusher/Recorded.java
+++ b/src/test/java/pearusher/Recorded.java
@@ -7,10 +7,9 @@
 import java.nio.file.Path;
 
 /**
- * Compares what the program did with a recorded text under {@code
- * src/test/resources/pearusher/recorded}. A text that differs is written to {@code
- * target/recorded}; it is copied from there by hand, and only where the change of behaviour is
- * wanted.
+ * Comparison of program output with the expected texts under {@code
+ * src/test/resources/pearusher/recorded}. Output that differs is written to {@code
+ * target/recorded}; copy it from there by hand, and only if the change of behaviour is intended.
  */
 public final class Recorded {
   private static final Path EXPECTED = Path.of("src", "test", "resources", "pearusher", "recorded");
@@ -18,12 +17,12 @@
 
   private Recorded() {}
 
-  /** Where a recorded text is kept. */
+  /** Returns the path of an expected text. */
   public static Path file(String name) {
     return EXPECTED.resolve(name);
   }
 
-  /** Fails where the text is not the recorded one, and where none is recorded. */
+  /** Fails if the actual text differs from the expected one or if no text is recorded. */
   public static void check(String name, String actual) throws IOException {
     Path file = file(name);
     String expected = Files.exists(file) ? Files.readString(file) : "";
@@ -35,8 +34,8 @@
   }
 
   /**
-   * Bytes of ASCII text with each carriage return and line feed written out, an array of RESP a
-   * line.
+   * Returns ASCII text with carriage returns, line feeds and backslashes escaped, and one RESP
+   * array per line.
    */
   public static String lines(String bytes) {
     String text = bytes.replace("\\", "\\\\").replace("\r", "\\r").replace("\n", "\\n");
--- a/src/test/java/pearusher/server/AppliedTable.java
+++ b/src/test/java/pearusher/server/AppliedTable.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What a proxy holds for one request class; no level where it was sent none. */
+/** Table of a proxy for one request class. The level and retry mode are null until one is sent. */
 public final class AppliedTable {
   public Map<String, Float> weights = new TreeMap<>();
   public Float level;
--- a/src/test/java/pearusher/server/AppliedUpdates.java
+++ b/src/test/java/pearusher/server/AppliedUpdates.java
@@ -8,9 +8,9 @@
 import java.util.TreeSet;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** What a proxy holds, by the updates that it applied; it outlasts the proxy's streams. */
+/** State of a proxy that results from the updates that it applied, across reconnections. */
 public final class AppliedUpdates {
-  private static final int MAX_PARTS = 64;
+  private static final int MAX_MESSAGES_PER_UPDATE = 64;
   private static final String WEIGHT_FORMAT = "[0-9]+(\\.[0-9]+)?";
 
   public final Map<String, AppliedTable> tables = new TreeMap<>();
@@ -18,10 +18,10 @@
   public final List<Integer> ackNumbers = new CopyOnWriteArrayList<>();
   public final List<String> faults = new CopyOnWriteArrayList<>();
 
-  /** Complete updates, however many parts each had. */
+  /** Number of complete updates; an update of several messages counts once. */
   public volatile int updateCount;
 
-  private int parts;
+  private int messagesOfUpdate;
 
   public AppliedUpdates(List<String> classes) {
     classes.forEach(requestClass -> tables.put(requestClass, new AppliedTable()));
@@ -31,17 +31,17 @@
     return tables + " out " + ejectedServers;
   }
 
-  /** Applies an update message, given by its words; what is wrong with it goes to the faults. */
+  /** Applies an update message, and adds its errors to {@link #faults}. */
   public synchronized void apply(List<String> words) {
     Map<String, String> fields = fields(words);
     if (!words.get(0).equals("update") || words.size() % 2 == 0) {
-      faults.add("unreadable: " + words);
+      faults.add("not an update of names and values: " + words);
       return;
     }
     for (String requestClass : classes(fields)) {
       AppliedTable table = tables.get(requestClass);
       if (table == null) {
-        faults.add("class " + requestClass);
+        faults.add("unknown request class: " + requestClass);
       } else {
         updateTable(table, fields, words);
       }
@@ -50,14 +50,14 @@
     if (fields.containsKey("ticket")) {
       ackNumbers.add(Integer.parseInt(fields.get("ticket")));
     }
-    countPart(!fields.containsKey("more"));
+    countMessage(!fields.containsKey("more"));
   }
 
   private Map<String, String> fields(List<String> words) {
     Map<String, String> fields = new HashMap<>();
     for (int k = 1; k < words.size(); k += 2) {
       if (fields.put(words.get(k), words.get(k + 1)) != null) {
-        faults.add("twice: " + words.get(k));
+        faults.add("repeated field: " + words.get(k));
       }
     }
     return fields;
@@ -81,7 +81,7 @@
       }
     }
     if (fields.containsKey("level") != fields.containsKey("retry")) {
-      faults.add("no pair: " + words);
+      faults.add("only one of level and retry: " + words);
     } else if (fields.containsKey("level")) {
       table.level = Float.parseFloat(fields.get("level"));
       table.retry = Integer.parseInt(fields.get("retry"));
@@ -93,7 +93,7 @@
     String server = entry.substring(0, colon);
     String weight = entry.substring(colon + 1);
     if (!weight.matches(WEIGHT_FORMAT)) {
-      faults.add("weight " + weight);
+      faults.add("malformed weight: " + weight);
     } else if (Float.parseFloat(weight) == 0) {
       table.weights.remove(server);
     } else {
@@ -110,18 +110,18 @@
     }
   }
 
-  private synchronized void countPart(boolean isLast) {
-    parts++;
-    if (parts > MAX_PARTS) {
-      faults.add("over 64 parts");
+  private synchronized void countMessage(boolean isLast) {
+    messagesOfUpdate++;
+    if (messagesOfUpdate > MAX_MESSAGES_PER_UPDATE) {
+      faults.add("update of more than 64 messages");
     }
     if (isLast) {
-      parts = 0;
+      messagesOfUpdate = 0;
       updateCount++;
     }
   }
 
-  /** The servers that a class may be sent to with their weights: all that are not ejected. */
+  /** Returns the weights of the servers of a request class, without ejected servers. */
   public synchronized Map<String, Float> usableWeights(String requestClass) {
     Map<String, Float> usable = new TreeMap<>(tables.get(requestClass).weights);
     usable.keySet().removeAll(ejectedServers);
--- a/src/test/java/pearusher/server/AssignerProcessTest.java
+++ b/src/test/java/pearusher/server/AssignerProcessTest.java
@@ -216,7 +216,7 @@
     try (HttpStub discovery = new HttpStub();
         HttpStub otherDiscovery = new HttpStub()) {
       ExampleConfig example = new ExampleConfig().discovery(discovery.address());
-      Process process = runInShell(example, "trap '' HUP; " + AssignerProcesses.runLine());
+      Process process = runInShell(example, "trap '' HUP; " + AssignerProcesses.deployCommand());
       processes.awaitReady(LOG);
       discovery.awaitRequest().startWatch();
       example.discovery(otherDiscovery.address()).write(directory);
@@ -249,7 +249,7 @@
     proxies.get(0).send("usage proxy 0 class order tries 1 failed 0 span_ms 1000");
     process.destroy();
     if (!reloadsFirst) {
-      AssignerProcesses.hangup(process);
+      AssignerProcesses.trySendHangup(process);
     }
     assertEquals(0, AssignerProcesses.awaitExit(process));
     processes.assertLogContains(LOG, "INFO shutdown: n0 ends on SIGTERM");
@@ -320,7 +320,7 @@
   void endpointListsAreAcceptedOrRefusedWithinTheHeapOfTheRunLine() throws Exception {
     try (HttpStub discovery = new HttpStub()) {
       ExampleConfig example = withServers(example(), 10_000, 255).discovery(discovery.address());
-      Process process = runInShell(example, AssignerProcesses.runLine());
+      Process process = runInShell(example, AssignerProcesses.deployCommand());
       processes.awaitReady(LOG);
       processes.assertLogContains(LOG, "10002 servers known");
       assertAnswersPing();
@@ -353,7 +353,8 @@
   @Test
   void configuredListTooLargeForTheHeapIsStatusTwo() throws Exception {
     Process process =
-        runInShell(withServers(new ExampleConfig(), 100_000, 10), AssignerProcesses.runLine());
+        runInShell(
+            withServers(new ExampleConfig(), 100_000, 10), AssignerProcesses.deployCommand());
     assertEquals(2, AssignerProcesses.awaitExit(process));
     assertTrue(
         log()
--- a/src/test/java/pearusher/server/AssignerProcesses.java
+++ b/src/test/java/pearusher/server/AssignerProcesses.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Processes that a test starts, each with its log in a file; closing kills them. */
+/** Processes started by a test, each with its output in a log file; closing kills them. */
 final class AssignerProcesses implements AutoCloseable {
   private static final String MAIN_CLASS = "pearusher.cli.Main";
   private static final int EXIT_TIMEOUT_SECONDS = 20;
@@ -26,7 +26,7 @@
     this.directory = directory;
   }
 
-  /** Starts an assigner of this build. */
+  /** Starts an assigner with the classes of this build. */
   Process serve(Map<String, String> environment, String logName, String... options)
       throws IOException {
     List<String> command = new ArrayList<>(javaCommand(MAIN_CLASS, "serve"));
@@ -34,7 +34,7 @@
     return launch(environment, logName, command);
   }
 
-  /** Starts any command. */
+  /** Starts a command with an environment and a log file. */
   Process launch(Map<String, String> environment, String logName, List<String> command)
       throws IOException {
     ProcessBuilder builder =
@@ -48,7 +48,7 @@
     return process;
   }
 
-  /** A command that runs a class of this build. */
+  /** Returns a command that runs a main class of this build. */
   static List<String> javaCommand(String... arguments) {
     List<String> command =
         new ArrayList<>(
@@ -60,8 +60,10 @@
     return command;
   }
 
-  /** The run line of the deploy file, with the classes of this build. */
-  static String runLine() throws IOException {
+  /**
+   * Returns the run command of the deploy file, with the JAR replaced by the classes of this build.
+   */
+  static String deployCommand() throws IOException {
     String line =
         Files.readAllLines(Path.of("deploy", "balancer.toml")).stream()
             .filter(candidate -> candidate.startsWith("run = "))
@@ -73,7 +75,7 @@
             "-cp '" + System.getProperty("java.class.path") + "' " + MAIN_CLASS);
   }
 
-  /** The log of a process so far; empty before there is one. */
+  /** Returns the current content of a log file; empty if the file does not exist. */
   String log(String name) {
     try {
       return Files.readString(directory.resolve(name), StandardCharsets.UTF_8);
@@ -82,7 +84,7 @@
     }
   }
 
-  /** Waits until a log contains a text. */
+  /** Waits until a log file contains a text; fails the test after 20 s. */
   void awaitLog(String name, String text) throws InterruptedException {
     TestPeers.awaitUntil(text + " in " + name, () -> log(name).contains(text));
   }
@@ -95,18 +97,20 @@
     assertTrue(log(name).contains(text), log(name));
   }
 
-  /** Waits for the end of a process, and returns its status. */
+  /** Waits until a process has exited. Returns its exit status. */
   static int awaitExit(Process process) throws InterruptedException {
-    assertTrue(process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS), "it doesn't end");
+    assertTrue(
+        process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS),
+        "process did not exit within 20 s");
     return process.exitValue();
   }
 
   static void sendHangup(Process process) throws IOException, InterruptedException {
-    assertEquals(0, hangup(process));
+    assertEquals(0, trySendHangup(process));
   }
 
-  /** Sends SIGHUP to a process that may have ended already; the status of the command. */
-  static int hangup(Process process) throws IOException, InterruptedException {
+  /** Sends SIGHUP to a process that may have exited already. Returns the status of {@code kill}. */
+  static int trySendHangup(Process process) throws IOException, InterruptedException {
     return new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor();
   }
 
--- a/src/test/java/pearusher/server/DurableUpdateTranscriptTest.java
+++ b/src/test/java/pearusher/server/DurableUpdateTranscriptTest.java
@@ -13,26 +13,26 @@
 import pearusher.store.StoreOptions;
 
 /**
- * All bytes that proxies are sent by an assigner with a store, as they were recorded: over a first
- * process, and over a second one on the same store, at which proxies rejoin with the tables that
- * they hold. Servers drain, go and come back before and after the restart. This guards against
- * updates that differ because of the store, and against a catch-up after a restart that lacks
- * something, repeats it or turns into a complete table.
+ * Compares all bytes that an assigner with a store sends to proxies with recorded ones, before and
+ * after a restart on the same store. After the restart, proxies rejoin with their tables. Servers
+ * drain, terminate and return before and after it. This guards against updates that differ because
+ * of the store, and against updates after a restart that are incomplete, repeat weights or contain
+ * a complete table.
  *
- * <p>A start takes the stored servers from an unordered map, whose order differs from process to
- * process, and numbers them in that order. Lists of servers are therefore sorted in what the second
- * process sends; all else is compared byte by byte, and every byte of the first process.
+ * <p>At a start, stored servers are numbered in the order of an unordered map, which differs
+ * between processes. The lists of servers sent after the restart are therefore sorted before the
+ * comparison. Everything else, and all bytes before the restart, are compared byte by byte.
  */
 class DurableUpdateTranscriptTest {
-  private static final long TURN_US = 500_000;
-  private static final long RESTART_US = 2_000_000;
+  private static final long ITERATION_US = 500_000;
+  private static final long DOWNTIME_US = 2_000_000;
   private static final int SERVERS = 4;
   private static final int PROXIES = 3;
-  private static final int TURNS_BEFORE_RESTART = 14;
-  private static final int TURNS_AFTER_RESTART = 20;
+  private static final int ITERATIONS_BEFORE_RESTART = 14;
+  private static final int ITERATIONS_AFTER_RESTART = 20;
   private static final List<String> ZONES = List.of("north", "south");
 
-  /** Small segments, so that the short run has several. */
+  /** Small log segments, so that the short run writes several. */
   private static final StoreOptions STORE_OPTIONS =
       new StoreOptions(StoreOptions.Policy.EACH, 0, 4000, 2000, 2, StoreOptions.Damage.REFUSE);
 
@@ -43,26 +43,27 @@
         directory.resolve("store"), STORE_OPTIONS, 30_000_000, 5_000_000, 600_000_000);
   }
 
-  private TranscriptSite start() throws Exception {
+  private TranscriptHarness start() throws Exception {
     ExampleConfig example =
         new ExampleConfig()
             .with("\"throttleBy\": \"per_second\"", "\"throttleBy\": \"fraction\"")
             .with("\"proxyCount\": 8", "\"proxyCount\": " + PROXIES);
-    TranscriptSite site = TranscriptSite.durable(example.read(directory), ZONES, options());
+    TranscriptHarness harness =
+        TranscriptHarness.durable(example.read(directory), ZONES, options());
     for (int server = 0; server < SERVERS; server++) {
-      site.servers.put(
-          "s" + server, new TranscriptSite.Listed(server % ZONES.size(), "in_service", 0));
+      harness.servers.put(
+          "s" + server, new TranscriptHarness.ListedServer(server % ZONES.size(), "in_service", 0));
     }
-    site.begin();
-    return site;
+    harness.start();
+    return harness;
   }
 
-  /** Reports of collectors: the first server is slow, and slower from turn to turn. */
-  private static void report(TranscriptSite site, int turn) throws Exception {
-    for (String server : List.copyOf(site.servers.keySet())) {
+  /** Reports load: the latency of the first server grows with each iteration. */
+  private static void report(TranscriptHarness harness, int iteration) throws Exception {
+    for (String server : List.copyOf(harness.servers.keySet())) {
       for (String zone : ZONES) {
-        int meanMs = server.equals("s0") ? 100 + 20 * turn : 60;
-        site.report(
+        int meanMs = server.equals("s0") ? 100 + 20 * iteration : 60;
+        harness.deliverReport(
             "heard zone "
                 + zone
                 + " server "
@@ -74,83 +75,87 @@
     }
   }
 
-  private static void endTurn(TranscriptSite site, int turn, boolean isAnswered) throws Exception {
-    report(site, turn);
-    site.turn(TURN_US);
-    if (isAnswered) {
-      site.answerMarks();
+  private static void finishIteration(
+      TranscriptHarness harness, int iteration, boolean isAcknowledged) throws Exception {
+    report(harness, iteration);
+    harness.runIteration(ITERATION_US);
+    if (isAcknowledged) {
+      harness.acknowledgeUpdates();
     }
   }
 
-  /** Proxies join, one of them again; what they are sent last they do not acknowledge. */
-  private static void runBeforeRestart(TranscriptSite site) throws Exception {
-    for (int turn = 1; turn <= TURNS_BEFORE_RESTART; turn++) {
-      if (turn <= PROXIES) {
-        site.join(turn - 1, true);
-      } else if (turn == 6) {
-        site.leave(0);
-        site.change("s1", "terminating");
-      } else if (turn == 8) {
-        site.join(0, false);
-      } else if (turn == TURNS_BEFORE_RESTART - 1) {
-        site.change("s2", "terminating");
+  /** Joins all proxies and rejoins one; the updates of the last iterations stay unacknowledged. */
+  private static void runBeforeRestart(TranscriptHarness harness) throws Exception {
+    for (int iteration = 1; iteration <= ITERATIONS_BEFORE_RESTART; iteration++) {
+      if (iteration <= PROXIES) {
+        harness.joinProxy(iteration - 1, true);
+      } else if (iteration == 6) {
+        harness.disconnectProxy(0);
+        harness.changeServer("s1", "terminating");
+      } else if (iteration == 8) {
+        harness.joinProxy(0, false);
+      } else if (iteration == ITERATIONS_BEFORE_RESTART - 1) {
+        harness.changeServer("s2", "terminating");
       }
-      endTurn(site, turn, turn < TURNS_BEFORE_RESTART - 2);
+      finishIteration(harness, iteration, iteration < ITERATIONS_BEFORE_RESTART - 2);
     }
   }
 
-  /** Proxies rejoin with their tables, but one without; the drained servers go and come back. */
-  private static void runAfterRestart(TranscriptSite site) throws Exception {
-    for (int turn = 1; turn <= TURNS_AFTER_RESTART; turn++) {
-      if (turn <= PROXIES) {
-        site.join(turn - 1, turn == PROXIES);
-      } else if (turn == 5) {
-        site.change("s1", "terminated");
-      } else if (turn == 7) {
-        site.change("s2", "in_service");
-      } else if (turn == 12) {
-        site.change("s3", "terminating");
+  /** Rejoins all proxies, one without its table; one drained server terminates, one returns. */
+  private static void runAfterRestart(TranscriptHarness harness) throws Exception {
+    for (int iteration = 1; iteration <= ITERATIONS_AFTER_RESTART; iteration++) {
+      if (iteration <= PROXIES) {
+        harness.joinProxy(iteration - 1, iteration == PROXIES);
+      } else if (iteration == 5) {
+        harness.changeServer("s1", "terminated");
+      } else if (iteration == 7) {
+        harness.changeServer("s2", "in_service");
+      } else if (iteration == 12) {
+        harness.changeServer("s3", "terminating");
       }
-      endTurn(site, TURNS_BEFORE_RESTART + turn, true);
+      finishIteration(harness, ITERATIONS_BEFORE_RESTART + iteration, true);
     }
   }
 
-  private static String sorted(String word) {
-    return word.contains(",")
-        ? Arrays.stream(word.split(",")).sorted().collect(Collectors.joining(","))
-        : word;
+  private static String sortEntries(String value) {
+    return value.contains(",")
+        ? Arrays.stream(value.split(",")).sorted().collect(Collectors.joining(","))
+        : value;
   }
 
-  /** Sorts the servers of each list; a list keeps its length. */
-  private static String withSortedServers(String text) {
+  /** Sorts the entries of each list of servers, which does not change its length. */
+  private static String sortServers(String text) {
     return Arrays.stream(text.split("\r\n", -1))
-        .map(DurableUpdateTranscriptTest::sorted)
+        .map(DurableUpdateTranscriptTest::sortEntries)
         .collect(Collectors.joining("\r\n"));
   }
 
-  private static void describe(TranscriptSite.Sent sent, String text, StringBuilder out) {
+  private static void describe(
+      TranscriptHarness.SentUpdate update, String text, StringBuilder out) {
     out.append("== turn ")
-        .append(sent.turn())
+        .append(update.iteration())
         .append(", proxy ")
-        .append(sent.proxy())
+        .append(update.proxy())
         .append('\n')
         .append(Recorded.lines(text))
         .append('\n');
   }
 
   @Test
-  void aRunWithAStoreAndARestartSendsTheRecordedBytes() throws Exception {
-    TranscriptSite first = start();
+  void updatesBeforeAndAfterARestartAreTheRecordedBytes() throws Exception {
+    TranscriptHarness first = start();
     runBeforeRestart(first);
-    TranscriptSite second = first.restart(options(), RESTART_US);
-    second.begin();
+    TranscriptHarness second = first.restart(options(), DOWNTIME_US);
+    second.start();
     runAfterRestart(second);
-    second.end();
+    second.closeStore();
     StringBuilder out = new StringBuilder("before the restart\n");
-    first.sent.forEach(sent -> describe(sent, sent.text(), out));
+    first.sentUpdates.forEach(update -> describe(update, update.text(), out));
     out.append("after the restart\n");
-    second.sent.forEach(sent -> describe(sent, withSortedServers(sent.text()), out));
-    assertTrue(second.sent.size() > PROXIES, "the second process sent updates");
+    second.sentUpdates.forEach(update -> describe(update, sortServers(update.text()), out));
+    assertTrue(
+        second.sentUpdates.size() > PROXIES,
+        "too few updates after the restart: " + second.sentUpdates.size());
     Recorded.check("updates-durable-run.txt", out.toString());
   }
 }
--- a/src/test/java/pearusher/server/ExampleConfig.java
+++ b/src/test/java/pearusher/server/ExampleConfig.java
@@ -10,7 +10,7 @@
 import pearusher.protocol.EndpointListLimits;
 import pearusher.sitesettings.SettingsException;
 
-/** The documented example configuration, changed as a test needs it. */
+/** Documented example configuration with modifications by the test. */
 public final class ExampleConfig {
   private String json;
   private final Map<String, String> environment = new HashMap<>();
@@ -32,10 +32,10 @@
     return environment;
   }
 
-  /** Replaces a part of the text, which must contain it. */
+  /** Replaces all occurrences of a text; fails the test if there are none. */
   public ExampleConfig with(String original, String replacement) {
     if (!json.contains(original)) {
-      throw new AssertionError("the example has no " + original);
+      throw new AssertionError("docs/example.json does not contain " + original);
     }
     json = json.replace(original, replacement);
     return this;
@@ -55,14 +55,14 @@
     return address("EDGE_DISCOVERY", "discovery", address);
   }
 
-  /** Writes the file and returns the environment that names it. */
+  /** Writes the configuration file. Returns the environment of a process that uses it. */
   public Map<String, String> write(Path directory) throws IOException {
     Path file = Files.writeString(directory.resolve("config.json"), json);
     environment.put("EDGE_CONFIG", file.toString());
     return environment;
   }
 
-  /** Sets limits of endpoint lists other than those of this process. */
+  /** Replaces the limits of endpoint lists, which default to those of this process. */
   public ExampleConfig lists(EndpointListLimits limits) {
     listLimits = limits;
     return this;
--- a/src/test/java/pearusher/server/HttpStub.java
+++ b/src/test/java/pearusher/server/HttpStub.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** An HTTP server in place of discovery or a server: it accepts requests, the test answers them. */
+/** HTTP stub of discovery or of a server: accepts requests, to which the test responds. */
 public final class HttpStub implements AutoCloseable {
   private static final int BACKLOG = 50;
   private static final int REQUEST_TIMEOUT_SECONDS = 20;
@@ -61,11 +61,11 @@
     return "127.0.0.1:" + server.getLocalPort();
   }
 
-  /** Waits for the next request. */
+  /** Waits for the next request; fails the test after 20 s. */
   public StubRequest awaitRequest() throws InterruptedException {
     StubRequest request = requests.poll(REQUEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     if (request == null) {
-      fail("no request arrived");
+      fail("no HTTP request received within 20 s");
     }
     return request;
   }
@@ -75,7 +75,7 @@
     refuseConnections();
   }
 
-  /** Ends all connections and refuses new ones. */
+  /** Closes all connections and the listening socket, so that new connections are refused. */
   void refuseConnections() throws IOException {
     server.close();
     for (Socket socket : sockets) {
--- a/src/test/java/pearusher/server/LargeUpdateTranscriptTest.java
+++ b/src/test/java/pearusher/server/LargeUpdateTranscriptTest.java
@@ -14,53 +14,53 @@
 import pearusher.control.DecodedUpdate;
 
 /**
- * The updates that proxies are sent of tables about as large as a message holds, and larger, as
- * they were recorded: how each update is divided into messages, the fields of each message, and a
- * digest of all bytes. A complete table is sent, then all servers but a few drain in one iteration.
- * This guards against weights that are lost, repeated or sent in another order where a table is
- * divided, and against a wrong mark of a message that is not the last of its update.
+ * Compares the updates of tables at and above the size limit of a message with recorded ones: the
+ * division of each update into messages, the fields of each message, and a digest of all bytes. A
+ * complete table is sent, then all but a few servers drain in one iteration. This guards against
+ * weights that are lost, repeated or reordered where a table is divided, and against a wrong marker
+ * on a message that is not the last of its update.
  */
 class LargeUpdateTranscriptTest {
-  private static final long TURN_US = 500_000;
-  private static final int TURNS = 12;
-  private static final int FIRST_TURN_OF_DRAIN = 6;
-  private static final int SERVERS_THAT_STAY = 3;
-  private static final int MAX_WORD_LENGTH = 30;
+  private static final long ITERATION_US = 500_000;
+  private static final int ITERATIONS = 12;
+  private static final int DRAIN_ITERATION = 6;
+  private static final int REMAINING_SERVERS = 3;
+  private static final int MAX_UNABRIDGED_LENGTH = 30;
   private static final List<String> ZONES = List.of("north", "south");
 
   @TempDir Path directory;
 
-  /** The example with a channel that is wide enough for a complete table in one iteration. */
-  private TranscriptSite start(int servers) throws Exception {
+  /** Starts a harness whose channel rate allows a complete table in one iteration. */
+  private TranscriptHarness start(int servers) throws Exception {
     ExampleConfig example =
         new ExampleConfig()
             .with("\"proxyCount\": 8", "\"proxyCount\": 2")
             .with("\"channelRate\": 3900.0", "\"channelRate\": 10000000.0")
             .with("\"mostWaiting\": 5900.0", "\"mostWaiting\": 10000000.0");
-    TranscriptSite site = new TranscriptSite(example.read(directory), ZONES);
+    TranscriptHarness harness = new TranscriptHarness(example.read(directory), ZONES);
     for (int server = 0; server < servers; server++) {
-      site.servers.put(
-          "s" + server, new TranscriptSite.Listed(server % ZONES.size(), "in_service", 0));
+      harness.servers.put(
+          "s" + server, new TranscriptHarness.ListedServer(server % ZONES.size(), "in_service", 0));
     }
-    site.begin();
-    return site;
+    harness.start();
+    return harness;
   }
 
-  private static void drainAllButAFew(TranscriptSite site) {
-    List.copyOf(site.servers.keySet()).stream()
-        .skip(SERVERS_THAT_STAY)
-        .forEach(server -> site.change(server, "terminating"));
+  private static void drainAllButRemaining(TranscriptHarness harness) {
+    List.copyOf(harness.servers.keySet()).stream()
+        .skip(REMAINING_SERVERS)
+        .forEach(server -> harness.changeServer(server, "terminating"));
   }
 
-  private static void run(TranscriptSite site) throws Exception {
-    site.join(0, true);
-    site.join(1, false);
-    for (int turn = 1; turn <= TURNS; turn++) {
-      if (turn == FIRST_TURN_OF_DRAIN) {
-        drainAllButAFew(site);
+  private static void run(TranscriptHarness harness) throws Exception {
+    harness.joinProxy(0, true);
+    harness.joinProxy(1, false);
+    for (int iteration = 1; iteration <= ITERATIONS; iteration++) {
+      if (iteration == DRAIN_ITERATION) {
+        drainAllButRemaining(harness);
       }
-      site.turn(TURN_US);
-      site.answerMarks();
+      harness.runIteration(ITERATION_US);
+      harness.acknowledgeUpdates();
     }
   }
 
@@ -68,12 +68,12 @@
     return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
   }
 
-  /** A word as it is, or the number of its entries and their ends. */
-  private static String describe(String word) {
-    if (word.length() <= MAX_WORD_LENGTH) {
-      return word;
+  /** Returns a value, abridged to entry count, first and last entry and length if it is long. */
+  private static String describe(String value) {
+    if (value.length() <= MAX_UNABRIDGED_LENGTH) {
+      return value;
     }
-    String[] entries = word.split(",");
+    String[] entries = value.split(",");
     return "["
         + entries.length
         + " entries, "
@@ -81,40 +81,43 @@
         + " to "
         + entries[entries.length - 1]
         + ", "
-        + word.length()
+        + value.length()
         + " characters]";
   }
 
-  private static String describe(List<String> words) {
-    return words.stream().map(LargeUpdateTranscriptTest::describe).collect(Collectors.joining(" "));
+  private static String describe(List<String> message) {
+    return message.stream()
+        .map(LargeUpdateTranscriptTest::describe)
+        .collect(Collectors.joining(" "));
   }
 
-  private static void describe(TranscriptSite.Sent sent, StringBuilder out) throws Exception {
-    List<List<String>> messages = DecodedUpdate.parts(sent.bytes());
+  private static void describe(TranscriptHarness.SentUpdate update, StringBuilder out)
+      throws Exception {
+    List<List<String>> messages = DecodedUpdate.parts(update.bytes());
     out.append("== turn ")
-        .append(sent.turn())
+        .append(update.iteration())
         .append(", proxy ")
-        .append(sent.proxy())
+        .append(update.proxy())
         .append(", messages ")
         .append(messages.size())
         .append(", bytes ")
-        .append(sent.bytes().length)
+        .append(update.bytes().length)
         .append(", sha256 ")
-        .append(digest(sent.bytes()))
+        .append(digest(update.bytes()))
         .append('\n');
-    messages.forEach(words -> out.append(describe(words)).append('\n'));
+    messages.forEach(message -> out.append(describe(message)).append('\n'));
   }
 
   @ParameterizedTest
   @ValueSource(ints = {8191, 8192, 8193, 8195, 8196, 16384, 16385})
-  void tablesOfManyServersAreDividedAsRecorded(int servers) throws Exception {
-    TranscriptSite site = start(servers);
-    run(site);
+  void updatesOfLargeTablesAreDividedAsRecorded(int servers) throws Exception {
+    TranscriptHarness harness = start(servers);
+    run(harness);
     StringBuilder out = new StringBuilder();
-    for (TranscriptSite.Sent sent : site.sent) {
-      describe(sent, out);
+    for (TranscriptHarness.SentUpdate update : harness.sentUpdates) {
+      describe(update, out);
     }
-    assertTrue(out.toString().contains(" whole 1 "), "a complete table");
+    assertTrue(out.toString().contains(" whole 1 "), "no message with a complete table");
     Recorded.check("updates-large-" + servers + ".txt", out.toString());
   }
 }
--- a/src/test/java/pearusher/server/LoopbackFixture.java
+++ b/src/test/java/pearusher/server/LoopbackFixture.java
@@ -20,7 +20,9 @@
 import pearusher.policy.PolicyCommands;
 import pearusher.policy.PolicySettings;
 
-/** An assigner on loopback with a scripted policy, a stub of discovery, and its log. */
+/**
+ * Assigner on the loopback interface with a scripted policy, a discovery stub and a captured log.
+ */
 public abstract class LoopbackFixture {
   static final List<String> CLASSES = List.of("lookup", "order");
   @TempDir Path directory;
@@ -31,7 +33,7 @@
   public ExampleConfig example;
   InetSocketAddress address;
 
-  /** Captured log lines, which go to standard output too. */
+  /** Captured log lines, which are also written to standard output. */
   public final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
   private PrintStream standardOutput;
@@ -62,7 +64,7 @@
     System.setOut(standardOutput);
   }
 
-  /** Waits until the log contains a text. */
+  /** Waits until the captured log contains a text; fails the test after 20 s. */
   public void awaitLog(String text) throws InterruptedException {
     TestPeers.awaitUntil(
         text,
@@ -94,8 +96,8 @@
     return start(policy);
   }
 
-  ProxyClient joinProxy(int number, AppliedUpdates held, boolean isFresh) throws IOException {
-    ProxyClient client = new ProxyClient(address, held);
+  ProxyClient joinProxy(int number, AppliedUpdates applied, boolean isFresh) throws IOException {
+    ProxyClient client = new ProxyClient(address, applied);
     client.send("joined proxy " + number + " zone north weight 2.5 fresh " + (isFresh ? 1 : 0));
     return client;
   }
@@ -106,7 +108,7 @@
     return client;
   }
 
-  /** Starts an assigner whose policy commands a watch of the endpoint list. */
+  /** Starts an assigner whose policy starts a watch. Returns the request of the watch. */
   public StubRequest startWithWatch() throws Exception {
     start();
     policy.command(commands -> commands.watchEndpoints(true));
--- a/src/test/java/pearusher/server/PeerDatagramTranscriptTest.java
+++ b/src/test/java/pearusher/server/PeerDatagramTranscriptTest.java
@@ -19,29 +19,29 @@
 import pearusher.control.ScriptedPolicy;
 
 /**
- * The datagrams between two assigners of one tier, without sockets, as they were recorded. The real
- * policy sends none and takes nothing from those that it is sent: both are recorded and checked
- * here, with the updates that the proxies of each assigner get. For the way of a datagram through
- * the controller, a policy of the test sends some, whose bytes and effect are recorded.
+ * Compares the datagrams between two assigners of one tier, without sockets, with recorded ones.
+ * The real policy sends no datagrams and ignores received ones; the test checks both, and the
+ * updates to the proxies of each assigner. A scripted policy sends datagrams to check their path
+ * through the controller.
  *
- * <p>This guards against datagrams that a policy begins to send or to obey unnoticed, and against
- * bytes, numbers of peers or an order that change on the way through the controller.
+ * <p>This guards against a policy that unintentionally sends datagrams or reacts to them, and
+ * against changes of bytes, peer numbers or order on the way through the controller.
  */
 class PeerDatagramTranscriptTest {
-  private static final long TURN_US = 500_000;
-  private static final int TURNS = 30;
+  private static final long ITERATION_US = 500_000;
+  private static final int ITERATIONS = 30;
   private static final int ASSIGNERS = 2;
   private static final long ALL_PEERS = 0xffffffffL;
   private static final List<String> ZONES = List.of("north", "south");
 
-  /** The bodies that an assigner is sent: none, one byte, text and the longest. */
+  /** Bodies of received datagrams: empty, one byte, text, and the maximum length. */
   private static final List<byte[]> BODIES =
       List.of(
           new byte[0], new byte[] {1}, "s1 out".getBytes(StandardCharsets.US_ASCII), new byte[256]);
 
   @TempDir Path directory;
   private final List<String> datagrams = new ArrayList<>();
-  private final List<TranscriptSite> sites = new ArrayList<>();
+  private final List<TranscriptHarness> harnesses = new ArrayList<>();
   private int iteration;
 
   private AssignerConfig config(int assigner) throws Exception {
@@ -54,47 +54,47 @@
         .read(directory);
   }
 
-  /** Records a datagram, a line each with the number of its iteration. */
+  /** Records a datagram as a line with the number of the iteration. */
   private void record(int from, int to, byte[] body) {
     String hex = HexFormat.of().formatHex(body);
     datagrams.add("iteration " + iteration + ", from " + from + " to " + to + ": " + hex);
   }
 
-  private TranscriptSite startSite(int assigner) throws Exception {
+  private TranscriptHarness createHarness(int assigner) throws Exception {
     AssignerConfig config = config(assigner);
-    assertTrue(config.settings().peersEnabled(), "datagrams are allowed");
-    assertEquals(ASSIGNERS, config.peers().assigners().size(), "addresses of assigners");
-    TranscriptSite site =
-        new TranscriptSite(
+    assertTrue(config.settings().peersEnabled(), "datagrams are disabled");
+    assertEquals(ASSIGNERS, config.peers().assigners().size(), "number of assigner addresses");
+    TranscriptHarness harness =
+        new TranscriptHarness(
             config,
             ZONES,
             (peer, body) -> {
               record(assigner, peer, body);
-              sites.get(1 - assigner).deliver(assigner, body);
+              harnesses.get(1 - assigner).deliverDatagram(assigner, body);
             });
     for (int server = 0; server < 5; server++) {
-      site.servers.put(
-          "s" + server, new TranscriptSite.Listed(server % ZONES.size(), "in_service", 0));
+      harness.servers.put(
+          "s" + server, new TranscriptHarness.ListedServer(server % ZONES.size(), "in_service", 0));
     }
-    return site;
+    return harness;
   }
 
-  /** Each assigner has two proxies, of which one moves from the first assigner to the second. */
+  /** Joins two proxies to each assigner, and later moves one from the first to the second. */
   private void changeProxies() throws Exception {
     if (iteration <= 2) {
-      sites.get(0).join(iteration - 1, true);
-      sites.get(1).join(iteration + 1, false);
+      harnesses.get(0).joinProxy(iteration - 1, true);
+      harnesses.get(1).joinProxy(iteration + 1, false);
     } else if (iteration == 14) {
-      sites.get(0).leave(1);
+      harnesses.get(0).disconnectProxy(1);
     } else if (iteration == 15) {
-      sites.get(1).join(1, false);
+      harnesses.get(1).joinProxy(1, false);
     }
   }
 
-  private static void report(TranscriptSite site, int turn) throws Exception {
-    for (String server : List.copyOf(site.servers.keySet())) {
-      boolean isFaulty = server.equals("s2") && turn > 8 && turn < 14;
-      site.report(
+  private static void report(TranscriptHarness harness, int iteration) throws Exception {
+    for (String server : List.copyOf(harness.servers.keySet())) {
+      boolean isFaulty = server.equals("s2") && iteration > 8 && iteration < 14;
+      harness.deliverReport(
           "heard zone north server "
               + server
               + " tries 60 failed "
@@ -103,55 +103,59 @@
     }
   }
 
-  private void runIteration(TranscriptSite site) throws Exception {
+  private void runIteration(TranscriptHarness harness) throws Exception {
     if (iteration == 6) {
-      site.change("s1", "terminating");
+      harness.changeServer("s1", "terminating");
     } else if (iteration == 18) {
-      site.change("s1", "in_service");
+      harness.changeServer("s1", "in_service");
     }
-    report(site, iteration);
-    site.turn(TURN_US);
-    site.answerMarks();
+    report(harness, iteration);
+    harness.runIteration(ITERATION_US);
+    harness.acknowledgeUpdates();
   }
 
-  /** Runs both assigners with the real policy; before each iteration, a test may send datagrams. */
-  private void run(BiConsumer<Integer, TranscriptSite> beforeIteration) throws Exception {
-    sites.clear();
+  /**
+   * Runs both assigners with the real policy.
+   *
+   * @param beforeIteration called before each iteration of an assigner with its number and harness
+   */
+  private void run(BiConsumer<Integer, TranscriptHarness> beforeIteration) throws Exception {
+    harnesses.clear();
     for (int assigner = 0; assigner < ASSIGNERS; assigner++) {
-      sites.add(startSite(assigner));
+      harnesses.add(createHarness(assigner));
     }
     iteration = 0;
-    for (TranscriptSite site : sites) {
-      site.begin();
+    for (TranscriptHarness harness : harnesses) {
+      harness.start();
     }
-    for (iteration = 1; iteration <= TURNS; iteration++) {
+    for (iteration = 1; iteration <= ITERATIONS; iteration++) {
       changeProxies();
       for (int assigner = 0; assigner < ASSIGNERS; assigner++) {
-        beforeIteration.accept(assigner, sites.get(assigner));
-        runIteration(sites.get(assigner));
+        beforeIteration.accept(assigner, harnesses.get(assigner));
+        runIteration(harnesses.get(assigner));
       }
     }
   }
 
   private void describeUpdates(StringBuilder out) {
     for (int assigner = 0; assigner < ASSIGNERS; assigner++) {
-      for (TranscriptSite.Sent sent : sites.get(assigner).sent) {
+      for (TranscriptHarness.SentUpdate update : harnesses.get(assigner).sentUpdates) {
         out.append("== assigner ")
             .append(assigner)
             .append(", turn ")
-            .append(sent.turn())
+            .append(update.iteration())
             .append(", proxy ")
-            .append(sent.proxy())
+            .append(update.proxy())
             .append('\n')
-            .append(Recorded.lines(sent.text()))
+            .append(Recorded.lines(update.text()))
             .append('\n');
       }
     }
   }
 
   @Test
-  void assignersWithTheRealPolicySendTheRecordedDatagramsAndUpdates() throws Exception {
-    run((assigner, site) -> {});
+  void realPolicySendsTheRecordedDatagramsAndUpdates() throws Exception {
+    run((assigner, harness) -> {});
     StringBuilder out = new StringBuilder("datagrams " + datagrams.size() + "\n");
     datagrams.forEach(datagram -> out.append(datagram).append('\n'));
     describeUpdates(out);
@@ -159,22 +163,23 @@
   }
 
   @Test
-  void datagramsOfAPeerChangeNoUpdateOfTheRealPolicy() throws Exception {
-    run((assigner, site) -> {});
-    List<byte[]> without = sites.stream().map(TranscriptSite::transcript).toList();
+  void receivedDatagramsDoNotChangeUpdatesOfTheRealPolicy() throws Exception {
+    run((assigner, harness) -> {});
+    List<byte[]> without = harnesses.stream().map(TranscriptHarness::transcript).toList();
     run(
-        (assigner, site) ->
-            BODIES.forEach(body -> site.deliver(ASSIGNERS - 1 - assigner, body.clone())));
+        (assigner, harness) ->
+            BODIES.forEach(
+                body -> harness.deliverDatagram(ASSIGNERS - 1 - assigner, body.clone())));
     for (int assigner = 0; assigner < ASSIGNERS; assigner++) {
-      byte[] with = sites.get(assigner).transcript();
-      assertTrue(with.length > 0, "assigner " + assigner + " sent updates");
+      byte[] with = harnesses.get(assigner).transcript();
+      assertTrue(with.length > 0, "assigner " + assigner + " sent no updates");
       assertArrayEquals(without.get(assigner), with, "updates of assigner " + assigner);
     }
   }
 
-  /** An assigner whose datagrams the other one is given in its next iteration. */
-  private Controller startScripted(int assigner, ScriptedPolicy policy, List<Controller> all)
-      throws Exception {
+  /** Starts an assigner whose datagrams the other assigner receives in its next iteration. */
+  private Controller startScripted(
+      int assigner, ScriptedPolicy policy, List<Controller> controllers) throws Exception {
     Controller controller =
         new Controller(config(assigner), policy, () -> 1_000_000L * iteration, failure -> {}) {
           @Override
@@ -185,7 +190,7 @@
         new NoOutboundCalls(),
         (peer, body) -> {
           record(assigner, peer, body);
-          all.get(1 - assigner).onPeerMessage(assigner, body);
+          controllers.get(1 - assigner).onPeerMessage(assigner, body);
         });
     controller.start();
     policy.events.clear();
@@ -211,8 +216,8 @@
     return bytes;
   }
 
-  /** Commands of the first assigner in iterations 1 to 3, and an answer of the second one. */
-  private static void command(int iteration, List<ScriptedPolicy> policies) {
+  /** Commands datagrams of the first assigner in iterations 1 to 3, and one of the second in 3. */
+  private static void commandDatagrams(int iteration, List<ScriptedPolicy> policies) {
     if (iteration == 1) {
       policies.get(0).command(commands -> commands.sendToPeer(1, countingBytes(256)));
     } else if (iteration == 2) {
@@ -230,7 +235,7 @@
   }
 
   @Test
-  void commandedDatagramsHaveTheRecordedBytesAndEffect() throws Exception {
+  void commandedDatagramsHaveTheRecordedBytesAndEvents() throws Exception {
     List<ScriptedPolicy> policies = List.of(new ScriptedPolicy(), new ScriptedPolicy());
     List<Controller> controllers = new ArrayList<>();
     for (int assigner = 0; assigner < ASSIGNERS; assigner++) {
@@ -238,7 +243,7 @@
     }
     StringBuilder out = new StringBuilder();
     for (iteration = 1; iteration <= 4; iteration++) {
-      command(iteration, policies);
+      commandDatagrams(iteration, policies);
       for (int assigner = 0; assigner < ASSIGNERS; assigner++) {
         controllers.get(assigner).execute(() -> {});
         controllers.get(assigner).runIteration();
--- a/src/test/java/pearusher/server/ProxyClient.java
+++ b/src/test/java/pearusher/server/ProxyClient.java
@@ -4,18 +4,18 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** A proxy's stream, which applies each update to what the proxy holds. */
+/** Stream of a proxy that applies each update that it receives. */
 final class ProxyClient extends RespClient {
-  final AppliedUpdates held;
+  final AppliedUpdates applied;
 
-  ProxyClient(InetSocketAddress to, AppliedUpdates held) throws IOException {
+  ProxyClient(InetSocketAddress to, AppliedUpdates applied) throws IOException {
     super(to);
-    this.held = held;
+    this.applied = applied;
     startReading();
   }
 
   @Override
   void onMessage(List<String> words) {
-    held.apply(words);
+    applied.apply(words);
   }
 }
--- a/src/test/java/pearusher/server/RaceTest.java
+++ b/src/test/java/pearusher/server/RaceTest.java
@@ -263,7 +263,8 @@
       first.close();
     }
     policy.command(commands -> commands.requestAck(7, true));
-    TestPeers.awaitUntil("the acknowledgement request", () -> second.held.ackNumbers.contains(7));
+    TestPeers.awaitUntil(
+        "the acknowledgement request", () -> second.applied.ackNumbers.contains(7));
     assertEquals(List.of(), policy.events, "neither joined nor left");
     second.close();
     policy.awaitEvent("onProxyLeft 3");
@@ -345,7 +346,7 @@
       assertEquals(0, newStream.received.size(), "what was ordered for the earlier stream");
       assertFalse(newStream.isEnded);
     }
-    TestPeers.awaitUntil("the other proxy's table", () -> other.held.ackNumbers.contains(9));
+    TestPeers.awaitUntil("the other proxy's table", () -> other.applied.ackNumbers.contains(9));
     assertEquals(List.of(), policy.events);
   }
 
@@ -408,7 +409,7 @@
     policy.awaitEvent("onProxyJoined 3");
     chosen.get(0).evict();
     policy.command(commands -> commands.requestAck(7, true));
-    TestPeers.awaitUntil("the acknowledgement request", () -> proxy.held.ackNumbers.contains(7));
+    TestPeers.awaitUntil("the acknowledgement request", () -> proxy.applied.ackNumbers.contains(7));
     assertFalse(proxy.isEnded);
     assertEquals(List.of(), policy.events);
   }
--- a/src/test/java/pearusher/server/RawConnection.java
+++ b/src/test/java/pearusher/server/RawConnection.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import pearusher.Recorded;
 
-/** A connection that keeps all bytes that it receives. */
+/** Connection that records all received bytes. */
 final class RawConnection implements AutoCloseable {
   private static final int CONNECT_TIMEOUT_MS = 5000;
 
@@ -48,15 +48,15 @@
     }
   }
 
-  /** Returns what was received after the last call of {@link #awaitEnd}. */
+  /** Returns the bytes received since the last call of {@link #awaitEnd}. */
   private String unconsumed() {
     return text().substring(consumedLength);
   }
 
-  /** Waits until what was received after the last call ends with these bytes, and returns it. */
+  /** Waits until the bytes since the last call end with the given ones. Returns these bytes. */
   String awaitEnd(String end) throws InterruptedException {
     TestPeers.awaitUntil(
-        "bytes that end with " + Recorded.lines(end), () -> unconsumed().endsWith(end));
+        "received bytes ending with " + Recorded.lines(end), () -> unconsumed().endsWith(end));
     String text = unconsumed();
     consumedLength += text.length();
     return text;
--- a/src/test/java/pearusher/server/RequestListener.java
+++ b/src/test/java/pearusher/server/RequestListener.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** An HTTP listener that keeps the heads of the requests that it receives. */
+/** HTTP listener that records the header sections of received requests. */
 final class RequestListener implements AutoCloseable {
   private static final int TIMEOUT_SECONDS = 20;
 
@@ -47,16 +47,16 @@
     return "127.0.0.1:" + server.getLocalPort();
   }
 
-  /** Waits for the next request and returns its bytes, a header a line. */
+  /** Waits for the next request. Returns its escaped bytes, one header per line. */
   String awaitRequest() throws InterruptedException {
     String head = heads.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     if (head == null) {
-      fail("no request was received");
+      fail("no HTTP request received within 20 s");
     }
     return head.replace("\r", "\\r").replace("\n", "\\n\n");
   }
 
-  /** Returns the connection of the oldest request whose connection was not returned yet. */
+  /** Returns the connections of the requests in the order of their arrival, one per call. */
   Socket nextConnection() throws InterruptedException {
     return sockets.take();
   }
--- a/src/test/java/pearusher/server/RespClient.java
+++ b/src/test/java/pearusher/server/RespClient.java
@@ -11,23 +11,23 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A connection to an assigner that sends what a test tells it to, and records what it receives. */
+/** Connection to an assigner that sends messages for a test and records received messages. */
 class RespClient implements AutoCloseable {
   private static final int CONNECT_TIMEOUT_MS = 5000;
 
   final Socket socket = new Socket();
 
-  /** Messages that were received, each as its words. */
+  /** Received messages, each as a list of its strings. */
   final List<List<String>> received = new CopyOnWriteArrayList<>();
 
-  /** Whether the connection has ended. */
+  /** Whether reading ended because the connection was closed or reset. */
   volatile boolean isEnded;
 
   RespClient(InetSocketAddress to) throws IOException {
     socket.connect(to, CONNECT_TIMEOUT_MS);
   }
 
-  /** Starts to read, on a thread of its own. */
+  /** Starts reading on a separate daemon thread. */
   RespClient startReading() {
     Thread reader = new Thread(this::readUntilEnd);
     reader.setDaemon(true);
@@ -47,10 +47,10 @@
     }
   }
 
-  /** Called with each message on the reading thread. */
+  /** Handles a received message; called on the reading thread. */
   void onMessage(List<String> words) throws IOException {}
 
-  /** Sends a message, given by its words with spaces between. */
+  /** Sends a message given as a line of strings separated by spaces. */
   void send(String line) throws IOException {
     send(TestPeers.encodeLine(line));
   }
@@ -65,7 +65,7 @@
     socket.close();
   }
 
-  /** Ends the connection as a killed process does. */
+  /** Resets the connection, which happens to connections of killed processes. */
   void reset() throws IOException {
     socket.setSoLinger(true, 0);
     socket.close();
@@ -75,12 +75,12 @@
     int count = Integer.parseInt(readHeader(input, '*'));
     List<String> words = new ArrayList<>();
     for (int k = 0; k < count; k++) {
-      words.add(readWord(input));
+      words.add(readBulkString(input));
     }
     return words;
   }
 
-  private static String readWord(InputStream input) throws IOException {
+  private static String readBulkString(InputStream input) throws IOException {
     int length = Integer.parseInt(readHeader(input, '$'));
     byte[] bytes = input.readNBytes(length + 2);
     if (bytes.length < length + 2) {
@@ -99,7 +99,7 @@
     }
     String text = line.toString(StandardCharsets.ISO_8859_1);
     if (text.charAt(0) != kind || !text.endsWith("\r")) {
-      throw new IOException("not RESP: " + text);
+      throw new IOException("expected a RESP header of type " + kind + ", got: " + text);
     }
     return text.substring(1, text.length() - 1);
   }
--- a/src/test/java/pearusher/server/RestartTest.java
+++ b/src/test/java/pearusher/server/RestartTest.java
@@ -21,18 +21,21 @@
     StubRequest watch = discovery.awaitRequest();
     watch.startWatch();
     watch.writeLine(TestPeers.endpointListJson(41, false));
-    AppliedUpdates held = new AppliedUpdates(CLASSES);
-    ProxyClient stream = joinProxy(3, held, true);
+    AppliedUpdates applied = new AppliedUpdates(CLASSES);
+    ProxyClient stream = joinProxy(3, applied, true);
     TestPeers.awaitUntil(
         "a table",
         () ->
-            held.usableWeights("order").keySet().containsAll(List.of("s-5be2a07c", "s-0badcafe")));
+            applied
+                .usableWeights("order")
+                .keySet()
+                .containsAll(List.of("s-5be2a07c", "s-0badcafe")));
     watch.writeLine(
         TestPeers.endpointListJson(
             42,
             false,
             TestPeers.endpointJson("s-0badcafe", "127.0.0.1:9", "south", "terminating", 0)));
-    TestPeers.awaitUntil("the drain", () -> held.ejectedServers.contains("s-0badcafe"));
+    TestPeers.awaitUntil("the drain", () -> applied.ejectedServers.contains("s-0badcafe"));
     first.stop();
     servers.clear();
     TestPeers.awaitUntil("the end", () -> stream.isEnded);
@@ -50,17 +53,18 @@
             true,
             TestPeers.endpointJson("s-0badcafe", "127.0.0.1:9", "south", "in_service", 0),
             TestPeers.endpointJson("s-5be2a07c", "127.0.0.1:8", "north", "in_service", 0)));
-    int before = held.updateCount;
-    ProxyClient anew = joinProxy(3, held, false);
+    int before = applied.updateCount;
+    ProxyClient anew = joinProxy(3, applied, false);
     TestPeers.awaitUntil(
         "the new table",
         () ->
-            held.updateCount > before
-                && held.usableWeights("order")
+            applied.updateCount > before
+                && applied
+                    .usableWeights("order")
                     .keySet()
                     .containsAll(List.of("s-5be2a07c", "s-0badcafe")));
-    assertEquals(List.of(), held.faults);
-    assertEquals("[]", held.ejectedServers.toString());
+    assertEquals(List.of(), applied.faults);
+    assertEquals("[]", applied.ejectedServers.toString());
     anew.close();
   }
 }
--- a/src/test/java/pearusher/server/SimulatedProxies.java
+++ b/src/test/java/pearusher/server/SimulatedProxies.java
@@ -17,28 +17,30 @@
 import pearusher.simulator.BatchWriter;
 import pearusher.simulator.SimulatorLoop;
 
-/** The proxies of the simulator: applies the actions that the policy sends over its wire. */
+/**
+ * Simulated proxies, which apply the actions that the policy sends over the simulator's protocol.
+ */
 final class SimulatedProxies {
   private static final int CLASSES = 2;
   private static final int SERVER_BYTES = 6;
 
-  /** The byte of a server's address that numbers the servers of the test. */
+  /** Position of the byte in a server's address that identifies the server in this test. */
   private static final int SERVER_NUMBER_BYTE = 3;
 
   private final SimulatorLoop loop = new SimulatorLoop(FaastPolicy::new);
   private final Map<Integer, Map<Integer, Float>> weightsByTable = new TreeMap<>();
 
-  /** Level and retry of each class as text; null where none was sent. */
+  /** Admission level and retry mode of each request class as text; null if none was sent. */
   private final Map<Integer, String[]> levelsByTable = new TreeMap<>();
 
   private final TreeSet<Integer> ejectedServers = new TreeSet<>();
   private final Map<Integer, Integer> tableByProxy = new TreeMap<>();
 
-  /** Tokens of the timers that are set, by the time at which they fire. */
+  /** Tokens of pending timers by their due time in microseconds. */
   private final TreeMap<Long, List<Long>> timers = new TreeMap<>();
 
-  /** Plays a batch of records at a time, after the timers that are due. */
-  void play(long nowUs, List<String> records) throws Exception {
+  /** Sends the due timers and a batch of records to the policy, and applies its actions. */
+  void runBatch(long nowUs, List<String> records) throws Exception {
     List<String> batch = new ArrayList<>(List.of("0f0300"));
     batch.addAll(records);
     while (!timers.isEmpty() && timers.firstKey() <= nowUs) {
@@ -54,7 +56,7 @@
     }
   }
 
-  /** A proxy has left: it follows no table. */
+  /** Removes the binding of a proxy that left. */
   void unbind(int proxy) {
     tableByProxy.remove(proxy);
   }
@@ -82,7 +84,7 @@
       case 67 -> action.position(action.position() + 5);
       case 68 -> action.get();
       case 65 -> action.position(action.position() + 2 + action.getShort(action.position()));
-      default -> throw new AssertionError("action " + code);
+      default -> throw new AssertionError("unexpected action code: " + code);
     }
   }
 
@@ -126,7 +128,7 @@
     }
   }
 
-  /** What a proxy holds, in the form of {@link SimulatorParityTest}. */
+  /** Returns the state of a proxy in the format of {@link SimulatorParityTest}. */
   String describe(int proxy) {
     Integer table = tableByProxy.get(proxy);
     if (table == null) {
--- a/src/test/java/pearusher/server/SimulatorParityTest.java
+++ b/src/test/java/pearusher/server/SimulatorParityTest.java
@@ -59,12 +59,12 @@
     return "0a0000" + u8(server) + "901f";
   }
 
-  private static String describe(AppliedUpdates held) {
+  private static String describe(AppliedUpdates applied) {
     List<String> out = new ArrayList<>();
     for (String requestClass : CLASSES) {
-      AppliedTable at = held.tables.get(requestClass);
+      AppliedTable at = applied.tables.get(requestClass);
       out.add(
-          held.usableWeights(requestClass)
+          applied.usableWeights(requestClass)
               + " "
               + (at.level == null ? "null" : at.level + " " + at.retry));
     }
@@ -77,7 +77,7 @@
   private final SimulatedProxies simulated = new SimulatedProxies();
   private final AtomicLong clock = new AtomicLong(START_US);
   private final Map<Integer, ProxyClient> streams = new TreeMap<>();
-  private final Map<Integer, AppliedUpdates> held = new TreeMap<>();
+  private final Map<Integer, AppliedUpdates> applied = new TreeMap<>();
   private final List<String> records = new ArrayList<>();
   private Controller controller;
   private InetSocketAddress address;
@@ -110,8 +110,8 @@
   }
 
   private void join(int proxy, boolean fresh) throws Exception {
-    held.putIfAbsent(proxy, new AppliedUpdates(CLASSES));
-    ProxyClient stream = new ProxyClient(address, held.get(proxy));
+    applied.putIfAbsent(proxy, new AppliedUpdates(CLASSES));
+    ProxyClient stream = new ProxyClient(address, applied.get(proxy));
     streams.put(proxy, stream);
     sendBoth(
         stream,
@@ -187,7 +187,7 @@
     for (int k = 0; k < CONFIGURED_SERVERS; k++) {
       entries.append(listRecord(k, 1, 0));
     }
-    simulated.play(
+    simulated.runBatch(
         START_US,
         List.of(
             "01" + BatchWriter.u64(config.settings().seed()) + settingsRecord(example.json()),
@@ -218,7 +218,7 @@
     records.clear();
     playEvents(step, watch, collector);
     controller.runIteration();
-    simulated.play(nowUs, records);
+    simulated.runBatch(nowUs, records);
   }
 
   /** Compares what the bound proxies of both sides hold; the number of these. */
@@ -226,7 +226,7 @@
     int compared = 0;
     for (int proxy : streams.keySet()) {
       String expected = simulated.describe(proxy);
-      AppliedUpdates actual = held.get(proxy);
+      AppliedUpdates actual = applied.get(proxy);
       if (!expected.equals("unbound")) {
         TestPeers.awaitUntil(
             "step " + step + ", proxy " + proxy + ": " + expected + " but " + describe(actual),
@@ -329,7 +329,7 @@
   }
 
   private void acknowledge(int proxy) throws Exception {
-    List<Integer> requested = held.get(proxy).ackNumbers;
+    List<Integer> requested = applied.get(proxy).ackNumbers;
     if (requested.isEmpty()) {
       return;
     }
--- a/src/test/java/pearusher/server/StreamMessageTest.java
+++ b/src/test/java/pearusher/server/StreamMessageTest.java
@@ -20,7 +20,8 @@
     proxy.send("usage proxy 3 class order tries 19 failed 1 span_ms 1000.0");
     policy.awaitEvent("onUsageReport 3 1 19 1 1000000");
     policy.command(commands -> commands.requestAck(905, true));
-    TestPeers.awaitUntil("the acknowledgement request", () -> proxy.held.ackNumbers.contains(905));
+    TestPeers.awaitUntil(
+        "the acknowledgement request", () -> proxy.applied.ackNumbers.contains(905));
     proxy.send("applied proxy 3 mark 905 took_ms 0.4");
     policy.awaitEvent("onAcknowledgement 3 905 400");
     try (RespClient collector = new RespClient(address).startReading()) {
@@ -98,7 +99,7 @@
           commands.bindProxy(3, 0, 0);
           commands.requestAck(9, false);
         });
-    TestPeers.awaitUntil("the acknowledgement request", () -> proxy.held.ackNumbers.contains(9));
+    TestPeers.awaitUntil("the acknowledgement request", () -> proxy.applied.ackNumbers.contains(9));
     proxy.send("usage proxy 3 class lookup tries 5 failed 0 span_ms 1000");
     policy.awaitEvent("onUsageReport 3 0 5");
     proxy.send(message);
@@ -108,7 +109,7 @@
     assertEquals(
         List.of("onUsageReport 3 1 6 0 1000000", "onAcknowledgement 3 9 100"), policy.events);
     assertFalse(proxy.isEnded);
-    assertEquals(Map.of("s-0badcafe", 0.5f), proxy.held.usableWeights("lookup"));
+    assertEquals(Map.of("s-0badcafe", 0.5f), proxy.applied.usableWeights("lookup"));
     awaitLog(" dropped: 1 so far, the last ");
   }
 
--- a/src/test/java/pearusher/server/StreamTest.java
+++ b/src/test/java/pearusher/server/StreamTest.java
@@ -61,10 +61,10 @@
   @Test
   void newStreamOfAProxyReplacesTheOldOne() throws Exception {
     start();
-    AppliedUpdates held = new AppliedUpdates(CLASSES);
-    ProxyClient old = joinProxy(3, held, true);
+    AppliedUpdates applied = new AppliedUpdates(CLASSES);
+    ProxyClient old = joinProxy(3, applied, true);
     policy.awaitEvent("onProxyJoined 3");
-    ProxyClient now = joinProxy(3, held, false);
+    ProxyClient now = joinProxy(3, applied, false);
     policy.awaitEvent("onProxyLeft 3");
     policy.awaitEvent("onProxyJoined 3 0 2.5 false");
     old.send("applied proxy 3 mark 9 took_ms 1");
@@ -72,7 +72,7 @@
     policy.awaitEvent("onUsageReport 3 0 5");
     old.close();
     policy.command(commands -> commands.requestAck(10, true));
-    TestPeers.awaitUntil("the acknowledgement request", () -> held.ackNumbers.contains(10));
+    TestPeers.awaitUntil("the acknowledgement request", () -> applied.ackNumbers.contains(10));
     now.send("applied proxy 3 mark 10 took_ms 0.1");
     policy.awaitEvent("onAcknowledgement 3 10");
     assertTrue(
@@ -86,7 +86,7 @@
           commands.bindProxy(3, 0, 0);
         });
     TestPeers.awaitUntil(
-        "the table", () -> held.usableWeights("lookup").equals(Map.of("s-0badcafe", 0.5f)));
+        "the table", () -> applied.usableWeights("lookup").equals(Map.of("s-0badcafe", 0.5f)));
     assertEquals(2, now.received.size());
     assertEquals(0, old.received.size());
     now.close();
@@ -112,7 +112,7 @@
       updates++;
       int number = updates;
       commandSmallUpdate(number);
-      TestPeers.awaitUntil("update " + number, () -> quick.held.ackNumbers.contains(number));
+      TestPeers.awaitUntil("update " + number, () -> quick.applied.ackNumbers.contains(number));
       if (updates == SMALL_UPDATES) {
         addServers();
       }
@@ -121,7 +121,7 @@
       }
     }
     awaitLog("WARN connection of proxy 3 ended: SEND_BUFFER_FULL: over 524288 bytes unsent");
-    assertEquals(List.of(), quick.held.faults);
+    assertEquals(List.of(), quick.applied.faults);
     assertFalse(quick.isEnded);
     stopped.close();
   }
--- a/src/test/java/pearusher/server/StubRequest.java
+++ b/src/test/java/pearusher/server/StubRequest.java
@@ -4,9 +4,9 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A request that an {@link HttpStub} received; the test writes the response. */
+/** Request received by an {@link HttpStub}; the test writes the response. */
 public record StubRequest(String path, Socket socket) {
-  /** Writes raw text. */
+  /** Writes text to the connection without any framing. */
   public void write(String text) throws IOException {
     socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     socket.getOutputStream().flush();
@@ -17,7 +17,7 @@
     write("HTTP/1.1 " + status + " X\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
   }
 
-  /** Starts the response of a watch. */
+  /** Writes the header of a chunked response, which starts a watch. */
   public void startWatch() throws IOException {
     write(
         "HTTP/1.1 200 OK\r\n"
@@ -25,7 +25,7 @@
             + "Transfer-Encoding: chunked\r\n\r\n");
   }
 
-  /** Writes a line of a watch, as a chunk of its own. */
+  /** Writes a line of a watch as one chunk. */
   public void writeLine(String text) throws IOException {
     write(Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n");
   }
--- a/src/test/java/pearusher/server/TestPeers.java
+++ b/src/test/java/pearusher/server/TestPeers.java
@@ -12,7 +12,8 @@
 import pearusher.sitesettings.SettingsException;
 
 /**
- * Helpers of tests that play the systems around an assigner: messages, endpoint lists and waits.
+ * Helpers for tests that simulate the systems around an assigner: encoding of messages and endpoint
+ * lists, and waiting for a condition.
  */
 public final class TestPeers {
   private static final long TIMEOUT_NS = 20_000_000_000L;
@@ -20,38 +21,38 @@
 
   private TestPeers() {}
 
-  /** Waits until a condition holds; fails the test after a timeout. */
+  /** Waits until a condition is true; fails the test after 20 s. */
   public static void awaitUntil(String description, BooleanSupplier condition)
       throws InterruptedException {
     long deadlineNs = System.nanoTime() + TIMEOUT_NS;
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > deadlineNs) {
-        fail("never happened: " + description);
+        fail("timed out after 20 s waiting for: " + description);
       }
       Thread.sleep(POLL_INTERVAL_MS);
     }
   }
 
-  /** Encodes a message, given by its words. */
-  public static byte[] encodeMessage(String... words) {
-    StringBuilder message = new StringBuilder("*" + words.length + "\r\n");
-    for (String word : words) {
+  /** Encodes a message from its strings. */
+  public static byte[] encodeMessage(String... strings) {
+    StringBuilder message = new StringBuilder("*" + strings.length + "\r\n");
+    for (String string : strings) {
       message
           .append('$')
-          .append(word.getBytes(StandardCharsets.UTF_8).length)
+          .append(string.getBytes(StandardCharsets.UTF_8).length)
           .append("\r\n")
-          .append(word)
+          .append(string)
           .append("\r\n");
     }
     return message.toString().getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Encodes a message, given by its words with spaces between. */
+  /** Encodes a message from a line of strings separated by spaces. */
   static byte[] encodeLine(String line) {
     return encodeMessage(line.split(" "));
   }
 
-  /** A server of an endpoint list, as discovery writes it. */
+  /** Returns a server entry in the JSON format of discovery. */
   public static String endpointJson(
       String id, String address, String zone, String lifecycle, long startedAtMs) {
     return "{\"instanceId\":\""
@@ -67,7 +68,7 @@
         + "}";
   }
 
-  /** An endpoint list, as discovery writes it. */
+  /** Returns an endpoint list in the JSON format of discovery. */
   public static String endpointListJson(long generation, boolean reset, String... instances) {
     return "{\"generation\":"
         + generation
@@ -78,7 +79,7 @@
         + "]}";
   }
 
-  /** Reads an endpoint list. */
+  /** Parses an endpoint list with the limits of this process. */
   public static EndpointList readEndpointList(String text, WireNames names)
       throws SettingsException {
     EndpointListReader reader = new EndpointListReader(names, EndpointListLimits.ofThisProcess());
--- a/src/test/java/pearusher/server/TranscriptFixture.java
+++ b/src/test/java/pearusher/server/TranscriptFixture.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import pearusher.policy.PolicyCommands;
 
-/** An assigner on loopback whose bytes are compared with a recorded transcript. */
+/** Assigner on the loopback interface whose bytes are compared with a recorded transcript. */
 abstract class TranscriptFixture extends LoopbackFixture {
   private static final int TIMEOUT_SECONDS = 20;
 
@@ -19,7 +19,7 @@
     return new String(TestPeers.encodeLine(line), StandardCharsets.US_ASCII);
   }
 
-  /** Issues commands, and returns once the iteration in which they were issued has ended. */
+  /** Issues commands in one iteration of the decision loop, and waits until it has ended. */
   void issueInOneIteration(Consumer<PolicyCommands> issuer) throws InterruptedException {
     CountDownLatch issued = new CountDownLatch(1);
     policy.command(
@@ -27,9 +27,10 @@
           issuer.accept(commands);
           issued.countDown();
         });
-    assertTrue(issued.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the commands were not issued");
+    assertTrue(issued.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "commands not issued within 20 s");
     CountDownLatch nextIteration = new CountDownLatch(1);
     server.controller().execute(nextIteration::countDown);
-    assertTrue(nextIteration.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "no iteration followed");
+    assertTrue(
+        nextIteration.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "no further iteration within 20 s");
   }
 }
--- a/src/test/java/pearusher/server/UpdateTranscriptTest.java
+++ b/src/test/java/pearusher/server/UpdateTranscriptTest.java
@@ -16,16 +16,17 @@
 import pearusher.Recorded;
 
 /**
- * All bytes that the real module orders for each proxy over several dozen periods, as they were
- * recorded: a digest of long runs, and the bytes of a short one. Servers drain, go and come back,
- * proxies leave and join anew, and for a while there are more requests than the servers can serve.
+ * Compares all bytes that the real policy sends to each proxy over dozens of control periods with
+ * recorded ones: a digest for long runs, and the bytes of a short run. Servers drain, terminate and
+ * return, proxies leave and rejoin, and requests exceed the capacity of the servers for a while.
+ * This guards against unintended changes of the updates that proxies receive.
  */
 class UpdateTranscriptTest {
-  private static final long TURN_US = 500_000;
+  private static final long ITERATION_US = 500_000;
   private static final List<String> CLASSES = List.of("lookup", "order", "bulk");
 
-  /** How large a site is, and how long it runs. */
-  private record Size(List<String> zones, int servers, int proxies, int turns) {}
+  /** Size of a simulated site, and the number of iterations of a run. */
+  private record Size(List<String> zones, int servers, int proxies, int iterations) {}
 
   private static final Size SHORT = new Size(List.of("north", "south"), 3, 2, 16);
   private static final Size SMALL = new Size(List.of("north", "south"), 5, 4, 140);
@@ -33,7 +34,7 @@
 
   @TempDir Path dir;
 
-  /** The example with three classes and the zones and proxies of a size. */
+  /** Returns the example configuration with three classes and the zones and proxies of a size. */
   private static ExampleConfig example(Size size) throws Exception {
     return new ExampleConfig()
         .with(
@@ -83,125 +84,132 @@
     };
   }
 
-  private TranscriptSite play(ExampleConfig example, Size size, long seed) throws Exception {
-    TranscriptSite site = new TranscriptSite(example.read(dir), size.zones());
+  private TranscriptHarness run(ExampleConfig example, Size size, long seed) throws Exception {
+    TranscriptHarness harness = new TranscriptHarness(example.read(dir), size.zones());
     for (int k = 0; k < size.servers(); k++) {
-      site.servers.put(
-          "s" + k, new TranscriptSite.Listed(k % size.zones().size(), "in_service", 0));
+      harness.servers.put(
+          "s" + k, new TranscriptHarness.ListedServer(k % size.zones().size(), "in_service", 0));
     }
-    site.begin();
+    harness.start();
     Random random = new Random(seed);
-    for (int turn = 0; turn < size.turns(); turn++) {
-      if (turn < size.proxies()) {
-        site.join(turn, turn % 3 != 0);
+    for (int iteration = 0; iteration < size.iterations(); iteration++) {
+      if (iteration < size.proxies()) {
+        harness.joinProxy(iteration, iteration % 3 != 0);
       }
-      changeServers(site, size, turn);
-      changeProxies(site, size, turn);
-      report(site, size, turn, random);
-      if (turn % 2 == 1) {
-        site.answerMarks();
+      changeServers(harness, size, iteration);
+      changeProxies(harness, size, iteration);
+      report(harness, size, iteration, random);
+      if (iteration % 2 == 1) {
+        harness.acknowledgeUpdates();
       }
-      site.turn(TURN_US);
+      harness.runIteration(ITERATION_US);
     }
-    return site;
+    return harness;
   }
 
-  /** Drains, ends, returns and a new server, at shares of the run's length. */
-  private static void changeServers(TranscriptSite site, Size size, int turn) {
-    int percent = percent(size, turn);
+  /** Drains, terminates, restarts and adds servers at fixed percentages of the run. */
+  private static void changeServers(TranscriptHarness harness, Size size, int iteration) {
+    int percent = percentReached(size, iteration);
     if (percent == 25) {
-      site.change("s1", "terminating");
+      harness.changeServer("s1", "terminating");
     } else if (percent == 40) {
-      site.change("s1", "terminated");
+      harness.changeServer("s1", "terminated");
     } else if (percent == 50) {
-      site.servers.put("s" + size.servers(), new TranscriptSite.Listed(0, "in_service", 0));
-      site.change("s" + size.servers(), "in_service");
+      harness.servers.put(
+          "s" + size.servers(), new TranscriptHarness.ListedServer(0, "in_service", 0));
+      harness.changeServer("s" + size.servers(), "in_service");
     } else if (percent == 55) {
-      site.change("s2", "terminating");
+      harness.changeServer("s2", "terminating");
     } else if (percent == 75) {
-      site.change("s2", "in_service");
+      harness.changeServer("s2", "in_service");
     }
   }
 
-  /** Leavings, joinings with and without a table, and a stream that takes the place of another. */
-  private static void changeProxies(TranscriptSite site, Size size, int turn) throws Exception {
-    int percent = percent(size, turn);
+  /** Disconnects proxies, rejoins them with and without a table, and replaces a stream. */
+  private static void changeProxies(TranscriptHarness harness, Size size, int iteration)
+      throws Exception {
+    int percent = percentReached(size, iteration);
     if (percent == 45) {
-      site.leave(0);
+      harness.disconnectProxy(0);
     } else if (percent == 51) {
-      site.join(0, false);
+      harness.joinProxy(0, false);
     } else if (percent == 70) {
-      site.leave(1);
+      harness.disconnectProxy(1);
     } else if (percent == 76) {
-      site.join(1, true);
+      harness.joinProxy(1, true);
     } else if (percent == 81) {
-      site.join(0, false);
+      harness.joinProxy(0, false);
     }
   }
 
-  /** The share of the run that is over, in the first turn that has reached it; else -1. */
-  private static int percent(Size size, int turn) {
+  /** Returns the percentage that is first reached in this iteration; -1 if there is none. */
+  private static int percentReached(Size size, int iteration) {
     for (int percent : new int[] {25, 40, 45, 50, 51, 55, 70, 75, 76, 81}) {
-      if (turn == (percent * size.turns() + 99) / 100) {
+      if (iteration == (percent * size.iterations() + 99) / 100) {
         return percent;
       }
     }
     return -1;
   }
 
-  private static int failedAttempts(int attempts, boolean overload, boolean faulty) {
-    if (overload) {
+  private static int failedAttempts(int attempts, boolean isOverloaded, boolean isFaulty) {
+    if (isOverloaded) {
       return attempts / 2;
     }
-    return faulty ? attempts - 1 : 0;
+    return isFaulty ? attempts - 1 : 0;
   }
 
-  /** Reports of collectors: server s0 fails for a while, and later all are slow and many fail. */
-  private static void report(TranscriptSite site, Size size, int turn, Random random)
+  /** Reports load and usage: server s0 fails for a while; later all servers are overloaded. */
+  private static void report(TranscriptHarness harness, Size size, int iteration, Random random)
       throws Exception {
-    boolean overload = turn * 100 > 58 * size.turns() && turn * 100 < 72 * size.turns();
-    boolean faulty = turn * 100 > 15 * size.turns() && turn * 100 < 24 * size.turns();
-    for (String server : turn % 2 == 0 ? List.copyOf(site.servers.keySet()) : List.<String>of()) {
+    boolean isOverloaded =
+        iteration * 100 > 58 * size.iterations() && iteration * 100 < 72 * size.iterations();
+    boolean isFaulty =
+        iteration * 100 > 15 * size.iterations() && iteration * 100 < 24 * size.iterations();
+    for (String server :
+        iteration % 2 == 0 ? List.copyOf(harness.servers.keySet()) : List.<String>of()) {
       for (String zone : size.zones()) {
-        int tries = 20 + random.nextInt(60);
-        int failed = failedAttempts(tries, overload, faulty && server.equals("s0"));
-        int mean = overload ? 1500 : 50 + random.nextInt(40);
-        site.report(
+        int attempts = 20 + random.nextInt(60);
+        int failed = failedAttempts(attempts, isOverloaded, isFaulty && server.equals("s0"));
+        int meanMs = isOverloaded ? 1500 : 50 + random.nextInt(40);
+        harness.deliverReport(
             "heard zone "
                 + zone
                 + " server "
                 + server
                 + " tries "
-                + tries
+                + attempts
                 + " failed "
                 + failed
                 + " mean_ms "
-                + mean
+                + meanMs
                 + " span_ms 1000.0 load util:0."
                 + random.nextInt(10)
                 + ",inflight:"
                 + random.nextInt(40));
       }
     }
-    for (int proxy : site.joined()) {
-      String grade = CLASSES.get((proxy + turn) % CLASSES.size());
-      int tries = overload ? 400 + random.nextInt(100) : 20 + random.nextInt(20);
-      site.report(
+    for (int proxy : harness.connectedProxies()) {
+      String requestClass = CLASSES.get((proxy + iteration) % CLASSES.size());
+      int attempts = isOverloaded ? 400 + random.nextInt(100) : 20 + random.nextInt(20);
+      harness.deliverReport(
           "usage proxy "
               + proxy
               + " class "
-              + grade
+              + requestClass
               + " tries "
-              + tries
+              + attempts
               + " failed "
-              + (overload ? tries / 3 : 0)
+              + (isOverloaded ? attempts / 3 : 0)
               + " span_ms 1500.0");
     }
   }
 
-  private static int count(TranscriptSite site, String word) {
+  private static int countMessages(TranscriptHarness harness, String fieldName) {
     return (int)
-        site.sent.stream().filter(sent -> sent.text().contains("\r\n" + word + "\r\n")).count();
+        harness.sentUpdates.stream()
+            .filter(update -> update.text().contains("\r\n" + fieldName + "\r\n"))
+            .count();
   }
 
   @ParameterizedTest
@@ -214,41 +222,41 @@
         "own-zone-class",
         "small-site"
       })
-  void aLongRunSendsTheRecordedBytes(String name) throws Exception {
-    TranscriptSite site = play(scenario(name), size(name), 20_261_203);
-    Map<String, String> facts = new TreeMap<>();
-    byte[] transcript = site.transcript();
-    facts.put("messages", Integer.toString(site.sent.size()));
-    facts.put("bytes", Integer.toString(transcript.length));
+  void longRunSendsTheRecordedBytes(String name) throws Exception {
+    TranscriptHarness harness = run(scenario(name), size(name), 20_261_203);
+    Map<String, String> summary = new TreeMap<>();
+    byte[] transcript = harness.transcript();
+    summary.put("messages", Integer.toString(harness.sentUpdates.size()));
+    summary.put("bytes", Integer.toString(transcript.length));
     for (String word : List.of("whole", "lines", "level", "out", "back", "ticket", "more")) {
-      facts.put("messages with " + word, Integer.toString(count(site, word)));
+      summary.put("messages with " + word, Integer.toString(countMessages(harness, word)));
     }
-    facts.put(
+    summary.put(
         "sha256",
         HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(transcript)));
     for (String word : List.of("whole", "lines", "out", "back", "ticket")) {
-      assertTrue(count(site, word) > 0, "no message has " + word + ": " + facts);
+      assertTrue(countMessages(harness, word) > 0, "no message has " + word + ": " + summary);
     }
     StringBuilder out = new StringBuilder();
-    facts.forEach((key, value) -> out.append(key).append(" = ").append(value).append('\n'));
+    summary.forEach((key, value) -> out.append(key).append(" = ").append(value).append('\n'));
     Recorded.check("updates-" + name + ".txt", out.toString());
   }
 
   @Test
-  void aShortRunSendsTheRecordedBytesInFull() throws Exception {
-    TranscriptSite site =
-        play(
+  void shortRunSendsTheRecordedBytes() throws Exception {
+    TranscriptHarness harness =
+        run(
             example(SHORT).with("\"throttleBy\": \"per_second\"", "\"throttleBy\": \"fraction\""),
             SHORT,
             7);
     StringBuilder out = new StringBuilder();
-    for (TranscriptSite.Sent sent : site.sent) {
+    for (TranscriptHarness.SentUpdate update : harness.sentUpdates) {
       out.append("== turn ")
-          .append(sent.turn())
+          .append(update.iteration())
           .append(", proxy ")
-          .append(sent.proxy())
+          .append(update.proxy())
           .append('\n')
-          .append(Recorded.lines(sent.text()))
+          .append(Recorded.lines(update.text()))
           .append('\n');
     }
     Recorded.check("updates-short-run.txt", out.toString());
