--- a/src/main/java/pearusher/intake/ArrivalQueue.java
+++ b/src/main/java/pearusher/intake/ArrivalQueue.java
@@ -6,37 +6,42 @@
 import java.util.Map;
 
 /**
- * Reports in the order of their arrival. It also tracks what the waiting reports of each source
- * cover, from which the age of the ones before them follows. It grows with the reports that wait.
+ * FIFO queue of reports. It also sums the spans of the queued reports of each source, from which
+ * the age of a report ahead of them is estimated. Its size is proportional to the number of queued
+ * reports.
  */
 final class ArrivalQueue {
   private final ArrayDeque<QueuedReport> reports = new ArrayDeque<>();
 
-  /** Sum of the spans of waiting reports in microseconds, by source. */
-  private final Map<ReportSource, Long> waitingSpansUs = new HashMap<>();
+  /** Sum of the spans of the queued reports in microseconds, by source. */
+  private final Map<ReportSource, Long> queuedSpansUs = new HashMap<>();
 
   void add(QueuedReport report) {
     reports.add(report);
-    waitingSpansUs.merge(ReportSource.of(report), report.totals().spanUs(), Long::sum);
+    queuedSpansUs.merge(ReportSource.of(report), report.totals().spanUs(), Long::sum);
   }
 
-  /** Takes the oldest report, which must exist. */
-  QueuedReport take() {
+  /**
+   * Removes and returns the oldest report.
+   *
+   * @throws java.util.NoSuchElementException if the queue is empty
+   */
+  QueuedReport removeOldest() {
     QueuedReport report = reports.remove();
     ReportSource source = ReportSource.of(report);
-    long leftUs = waitingSpansUs.merge(source, -report.totals().spanUs(), Long::sum);
-    if (leftUs <= 0) {
-      waitingSpansUs.remove(source);
+    long remainingUs = queuedSpansUs.merge(source, -report.totals().spanUs(), Long::sum);
+    if (remainingUs <= 0) {
+      queuedSpansUs.remove(source);
     }
     return report;
   }
 
-  /** The time in microseconds that the waiting reports of a report's source cover. */
-  long waitingSpanUs(QueuedReport report) {
-    return waitingSpansUs.getOrDefault(ReportSource.of(report), 0L);
+  /** Returns the sum in microseconds of the spans of the queued reports of a report's source. */
+  long queuedSpanUs(QueuedReport report) {
+    return queuedSpansUs.getOrDefault(ReportSource.of(report), 0L);
   }
 
-  /** The waiting reports, the oldest first. */
+  /** Returns the queued reports, oldest first. */
   Collection<QueuedReport> reports() {
     return reports;
   }
@@ -51,6 +56,6 @@
 
   void clear() {
     reports.clear();
-    waitingSpansUs.clear();
+    queuedSpansUs.clear();
   }
 }
--- a/src/main/java/pearusher/intake/FairQueue.java
+++ b/src/main/java/pearusher/intake/FairQueue.java
@@ -7,11 +7,11 @@
 import java.util.function.Consumer;
 
 /**
- * A queue of reports for each origin, served by deficit round robin (Shreedhar and Varghese, 1995),
- * a report for a unit. It grows with the origins and the reports that wait.
+ * Per-origin report queues, served by deficit round robin (Shreedhar and Varghese, 1995) with a
+ * cost of one per report. Its size is proportional to the number of origins and queued reports.
  */
 final class FairQueue {
-  /** What became of a report that was added. */
+  /** Outcome of adding a report. */
   enum AddResult {
     QUEUED,
     MERGED,
@@ -21,7 +21,7 @@
   private final int maxPerOrigin;
   private final Map<Integer, OriginQueue> queues = new HashMap<>();
 
-  /** Origins with reports that wait, in the order of their turns. */
+  /** Origins with queued reports, in the order of their turns. */
   private final ArrayDeque<Integer> schedule = new ArrayDeque<>();
 
   private int size;
@@ -30,7 +30,11 @@
     this.maxPerOrigin = maxPerOrigin;
   }
 
-  /** Adds a report to its origin's queue, to one about the same subject if there is one. */
+  /**
+   * Adds a report to its origin's queue. A queued report of the same subject is merged with it.
+   *
+   * @return {@code REFUSED} if the origin's queue is full
+   */
   AddResult add(QueuedReport report) {
     OriginQueue queue = queues.computeIfAbsent(report.origin(), ignored -> new OriginQueue());
     ReportTotals earlier = queue.totals().get(report.subject());
@@ -49,19 +53,22 @@
     return AddResult.QUEUED;
   }
 
-  /** Takes reports in fair turns, one for each token, as long as there are tokens and reports. */
+  /**
+   * Delivers reports in round-robin order, one for each token, until the tokens or the reports run
+   * out.
+   */
   void serve(TokenBucket budget, Consumer<QueuedReport> receiver) {
     while (budget.hasToken() && !schedule.isEmpty()) {
       int origin = schedule.poll();
       OriginQueue queue = queues.get(origin);
       queue.startTurn();
-      while (queue.mayTake() && budget.hasToken()) {
-        budget.take();
+      while (queue.canDequeue() && budget.hasToken()) {
+        budget.consumeToken();
         size--;
-        receiver.accept(queue.take(origin));
+        receiver.accept(queue.removeOldest(origin));
       }
       if (queue.isEmpty()) {
-        // A new queue starts without a deficit: an idle origin saves up no turns.
+        // Drops the deficit counter with the queue: an idle origin accumulates no turns.
         queues.remove(origin);
       } else {
         schedule.add(origin);
@@ -69,12 +76,12 @@
     }
   }
 
-  /** The queues of all origins. */
+  /** Returns the queues of all origins, which the caller may modify. */
   Collection<OriginQueue> queues() {
     return queues.values();
   }
 
-  /** Brings the schedule and the size up to date after the queues were changed. */
+  /** Removes empty queues and updates the schedule and the size, after a caller changed queues. */
   void removeEmptyQueues() {
     schedule.removeIf(origin -> queues.get(origin).isEmpty());
     queues.values().removeIf(OriginQueue::isEmpty);
@@ -87,7 +94,7 @@
     size = 0;
   }
 
-  /** The number of reports that wait, merged ones counted once. */
+  /** Returns the number of queued reports; merged reports count as one. */
   int size() {
     return size;
   }
--- a/src/main/java/pearusher/intake/Intake.java
+++ b/src/main/java/pearusher/intake/Intake.java
@@ -7,34 +7,35 @@
 import java.util.function.Consumer;
 
 /**
- * The queue of load reports in front of the policy, in one of two modes.
+ * Queue of load reports in front of the policy, in one of two modes.
  *
  * <ul>
  *   <li>Normal: reports are delivered unchanged, in the order of their arrival.
- *   <li>Overload, once more reports wait than may: each origin has a bounded queue in which reports
- *       about the same subject are merged. The queues are served in fair turns within a rate limit.
- *       Once a second, what is more than the next second can serve is reduced to a sample. The mode
- *       ends when all queues were empty for a while, so that a load which hovers at the limit does
- *       not switch it on and off.
+ *   <li>Overload, entered when the number of queued reports exceeds its limit: each origin has a
+ *       bounded queue in which reports of the same subject are merged. The queues are served in
+ *       round-robin order within a rate limit. Once a second, reports in excess of the next
+ *       second's rate are reduced to a sample. The mode ends after all queues have been empty for
+ *       the recovery time, so that a load close to the limit does not switch it on and off.
  * </ul>
  *
- * <p>Not thread-safe: callers guard it by a lock of theirs. Times are microseconds of one clock
- * that may jump. It grows with the reports that wait and the sources whose ages are estimated.
+ * <p>Not thread-safe: callers synchronize access. Times are microseconds of one clock that may
+ * jump. Its size is proportional to the number of queued reports and of sources whose report
+ * ageEstimator are estimated.
  */
 public final class Intake {
 
   /**
    * Limits of an intake.
    *
-   * @param reportsPerSecond reports that are delivered in a second under overload
-   * @param maxQueued reports that may wait before it is an overload
-   * @param maxPerOrigin most reports of one origin that wait under overload, merged ones counted
-   *     once
-   * @param recoveryUs how long all queues must have been empty until an overload is over
-   * @param maxAgeUs age above which a report is dropped instead of delivered
-   * @param samplingEnabled whether reports that can't be delivered within a second are sampled;
-   *     else they wait
-   * @param seed of the random numbers for sampling
+   * @param reportsPerSecond rate limit of delivery during an overload
+   * @param maxQueued number of queued reports above which an overload starts
+   * @param maxPerOrigin maximum number of queued reports of one origin during an overload; merged
+   *     reports count as one
+   * @param recoveryUs time in microseconds that all queues must be empty before an overload ends
+   * @param maxAgeUs age in microseconds above which a report is dropped instead of delivered
+   * @param samplingEnabled whether reports that can't be delivered within a second are sampled; if
+   *     false, they stay queued
+   * @param seed seed of the random numbers for sampling
    */
   public record Bounds(
       double reportsPerSecond,
@@ -45,40 +46,40 @@
       boolean samplingEnabled,
       long seed) {}
 
-  /** Receives changes of state, for the log; all methods do nothing by default. */
+  /** Listener for changes of mode and dropped reports. By default, all methods do nothing. */
   public interface Events {
     /**
-     * An overload has started.
+     * Called when an overload starts.
      *
-     * @param origin the one that most of the waiting reports are from
-     * @param part its part of them
+     * @param origin the origin with the most queued reports
+     * @param share the fraction of the queued reports that this origin sent, from 0 to 1
      */
-    default void onOverloadStarted(int origin, double part) {}
+    default void onOverloadStarted(int origin, double share) {}
 
     /**
-     * Waiting reports were reduced to a sample.
+     * Called when queued reports were reduced to a sample.
      *
-     * @param keptPart the part of them that was kept
-     * @param relativeError the standard error of the attempts that they stand for, as a part of
-     *     those
+     * @param keptShare the fraction of the reports that remain queued, from 0 to 1
+     * @param relativeError the standard error of the estimated number of attempts, divided by that
+     *     number
      */
-    default void onSampled(double keptPart, double relativeError) {}
+    default void onSampled(double keptShare, double relativeError) {}
 
     /**
-     * An overload is over.
+     * Called when an overload ends.
      *
-     * @param merged reports that were added to others
-     * @param refused reports that were refused since their origin's queue was full
+     * @param merged number of reports merged with others during the overload
+     * @param refused number of reports refused because their origin's queue was full
      */
     default void onOverloadEnded(long merged, long refused) {}
 
-    /** A report was dropped since it was too old. */
+    /** Called when a report is dropped because it is older than the limit. */
     default void onExpired(QueuedReport report) {}
   }
 
   private static final long SAMPLING_INTERVAL_US = 1_000_000;
 
-  /** Sources whose ages are estimated, some 200 bytes each. */
+  /** Bound on the sources whose report ageEstimator are estimated, at about 200 bytes each. */
   private static final int MAX_SOURCES = 100_000;
 
   private final Bounds bounds;
@@ -87,14 +88,14 @@
   private final FairQueue overloadQueue;
   private final TokenBucket budget;
   private final OverloadSampler sampler;
-  private final ReportAgeEstimator ages = new ReportAgeEstimator(MAX_SOURCES);
+  private final ReportAgeEstimator ageEstimator = new ReportAgeEstimator(MAX_SOURCES);
   private boolean isOverloaded;
   private OptionalLong lastSamplingUs = OptionalLong.empty();
   private OptionalLong emptySinceUs = OptionalLong.empty();
   private long mergedCount;
   private long refusedCount;
 
-  /** An empty intake in normal mode. */
+  /** Creates an empty intake in normal mode. */
   public Intake(Bounds bounds, Events events) {
     this.bounds = bounds;
     this.events = events;
@@ -104,9 +105,9 @@
   }
 
   /**
-   * Adds a report.
+   * Adds a report, and starts an overload if too many are queued.
    *
-   * @return false if it was refused since its origin's queue is full
+   * @return false if the report was refused because its origin's queue is full
    */
   public boolean offer(QueuedReport report) {
     if (!isOverloaded && arrivals.size() < bounds.maxQueued()) {
@@ -153,17 +154,17 @@
     return result != FairQueue.AddResult.REFUSED;
   }
 
-  /** In normal mode: delivers the oldest report, if there is one. */
+  /** Delivers the oldest report, if one is queued, in normal mode. */
   public void pollOldest(long nowUs, Consumer<QueuedReport> receiver) {
     if (!arrivals.isEmpty()) {
-      QueuedReport report = arrivals.take();
-      deliver(report, arrivals.waitingSpanUs(report), nowUs, receiver);
+      QueuedReport report = arrivals.removeOldest();
+      deliver(report, arrivals.queuedSpanUs(report), nowUs, receiver);
     }
   }
 
   private void deliver(
       QueuedReport report, long behindUs, long nowUs, Consumer<QueuedReport> receiver) {
-    long ageUs = ages.estimateAgeUs(report, behindUs, nowUs);
+    long ageUs = ageEstimator.estimateAgeUs(report, behindUs, nowUs);
     if (ageUs > bounds.maxAgeUs()) {
       events.onExpired(report);
     } else {
@@ -172,8 +173,8 @@
   }
 
   /**
-   * Under overload: delivers reports in fair turns within the rate limit, and ends an overload that
-   * is over.
+   * Delivers reports in round-robin order within the rate limit during an overload, and ends the
+   * overload once all queues have been empty for the recovery time. Does nothing in normal mode.
    */
   public void serve(long nowUs, Consumer<QueuedReport> receiver) {
     if (!isOverloaded) {
@@ -182,7 +183,7 @@
     budget.refill(nowUs);
     sampleIfDue(nowUs);
     overloadQueue.serve(budget, report -> deliver(report, 0, nowUs, receiver));
-    endOverloadIfOver(nowUs);
+    endOverloadIfRecovered(nowUs);
   }
 
   private void sampleIfDue(long nowUs) {
@@ -193,11 +194,11 @@
       lastSamplingUs = OptionalLong.of(nowUs);
       sampler
           .reduce(overloadQueue, (int) bounds.reportsPerSecond())
-          .ifPresent(outcome -> events.onSampled(outcome.keptPart(), outcome.relativeError()));
+          .ifPresent(outcome -> events.onSampled(outcome.keptShare(), outcome.relativeError()));
     }
   }
 
-  private void endOverloadIfOver(long nowUs) {
+  private void endOverloadIfRecovered(long nowUs) {
     if (overloadQueue.size() > 0) {
       emptySinceUs = OptionalLong.empty();
     } else if (emptySinceUs.isEmpty() || nowUs < emptySinceUs.getAsLong()) {
@@ -210,12 +211,12 @@
     }
   }
 
-  /** Whether the intake is in overload mode. */
+  /** Returns whether the intake is in overload mode. */
   public boolean isOverloaded() {
     return isOverloaded;
   }
 
-  /** The number of reports that wait, merged ones counted once. */
+  /** Returns the number of queued reports; merged reports count as one. */
   public int size() {
     return arrivals.size() + overloadQueue.size();
   }
--- a/src/main/java/pearusher/intake/OriginQueue.java
+++ b/src/main/java/pearusher/intake/OriginQueue.java
@@ -4,16 +4,19 @@
 import java.util.Map;
 
 /**
- * The reports of one origin that wait, those about the same subject added up. It grows with the
+ * Queued reports of one origin, summed by subject. Its size is proportional to the number of
  * subjects that the origin reports about.
  */
 final class OriginQueue {
   private final Map<QueuedReport.Subject, ReportTotals> totals = new LinkedHashMap<>();
 
-  /** How many reports may be taken in the current turn: the deficit counter of the round robin. */
+  /**
+   * Deficit counter of the round robin: the number of reports that may be dequeued in the current
+   * turn.
+   */
   private long deficit;
 
-  /** Waiting totals by subject, the oldest subject first. */
+  /** Returns the queued totals by subject, oldest subject first; the caller may modify the map. */
   Map<QueuedReport.Subject, ReportTotals> totals() {
     return totals;
   }
@@ -26,18 +29,23 @@
     return totals.isEmpty();
   }
 
-  /** Starts a turn, with a quantum of one report: no origin's turn is longer than another's. */
+  /** Starts a turn with a quantum of one report, which is the same for every origin. */
   void startTurn() {
     deficit++;
   }
 
-  /** Whether a report may be taken in the current turn. */
-  boolean mayTake() {
+  /** Returns whether a report is queued and may be dequeued in the current turn. */
+  boolean canDequeue() {
     return deficit >= 1 && !totals.isEmpty();
   }
 
-  /** Takes the oldest report; there must be one. */
-  QueuedReport take(int origin) {
+  /**
+   * Removes and returns the oldest report.
+   *
+   * @param origin the origin of this queue, which the returned report names
+   * @throws java.util.NoSuchElementException if the queue is empty
+   */
+  QueuedReport removeOldest(int origin) {
     QueuedReport.Subject oldest = totals.keySet().iterator().next();
     deficit--;
     return new QueuedReport(origin, oldest, totals.remove(oldest));
--- a/src/main/java/pearusher/intake/OverloadSampler.java
+++ b/src/main/java/pearusher/intake/OverloadSampler.java
@@ -6,27 +6,32 @@
 import java.util.SplittableRandom;
 
 /**
- * Reduces the reports that wait to a number that can be served. An origin that has no more than its
- * even share keeps all of it. The others are sampled together, each with the same total mass, so
- * that each keeps an even share on average whatever it sent: samples of one or two reports for each
- * origin would state no error that can be trusted.
+ * Reduces queued reports to a number that can be delivered. Origins with at most an even share of
+ * the capacity keep all their reports. The reports of all other origins form one sample, in which
+ * each origin has the same total weight, so that each keeps an even share on average regardless of
+ * the number of reports that it sent. Separate samples of one or two reports per origin would give
+ * no reliable error estimate.
  */
 final class OverloadSampler {
   /**
-   * A report that may be dropped.
+   * Report that may be dropped.
    *
-   * @param mass its part of the attempts that its origin reported
+   * @param normalizedWeight its weight divided by the sum of the weights of its origin's reports
    */
   private record Candidate(
-      OriginQueue queue, QueuedReport.Subject subject, ReportTotals totals, double mass) {}
+      OriginQueue queue,
+      QueuedReport.Subject subject,
+      ReportTotals totals,
+      double normalizedWeight) {}
 
   /**
-   * What sampling did.
+   * Result of sampling.
    *
-   * @param keptPart the part of the reports that was kept
-   * @param relativeError the standard error of the attempts that they stand for, as a part of those
+   * @param keptShare the fraction of the reports that remain queued, from 0 to 1
+   * @param relativeError the standard error of the estimated number of attempts, divided by that
+   *     number
    */
-  record Outcome(double keptPart, double relativeError) {}
+  record Outcome(double keptShare, double relativeError) {}
 
   private final SplittableRandom random;
 
@@ -34,7 +39,11 @@
     this.random = random;
   }
 
-  /** Samples the reports of a queue if there are more than a capacity; empty if not. */
+  /**
+   * Samples the reports of a queue if their number exceeds a capacity.
+   *
+   * @return the result; empty if no sampling was needed
+   */
   Optional<Outcome> reduce(FairQueue reports, int capacity) {
     if (reports.size() <= capacity) {
       return Optional.empty();
@@ -43,30 +52,33 @@
     int share = evenShare(reports, capacity);
     double variance = sampleAbove(reports, share);
     reports.removeEmptyQueues();
-    double keptPart = 1.0 * reports.size() / sizeBefore;
+    double keptShare = 1.0 * reports.size() / sizeBefore;
     double error = Math.sqrt(variance) / Math.max(1, attempts(reports));
-    return Optional.of(new Outcome(keptPart, error));
+    return Optional.of(new Outcome(keptShare, error));
   }
 
   /**
-   * The largest number of reports that each origin may keep so that all together keep no more than
-   * the capacity: what one leaves unused goes to the others.
+   * Returns the maximum number of reports that each origin may keep so that the total does not
+   * exceed the capacity. The unused share of an origin is divided among the others. The result is
+   * at least 1, even if there are more origins than capacity.
    */
   private static int evenShare(FairQueue reports, int capacity) {
     int[] sizes = reports.queues().stream().mapToInt(OriginQueue::size).sorted().toArray();
-    int left = capacity;
+    int remainingCapacity = capacity;
     for (int k = 0; k < sizes.length; k++) {
-      int share = left / (sizes.length - k);
+      int share = remainingCapacity / (sizes.length - k);
       if (sizes[k] > share) {
         return Math.max(1, share);
       }
-      left -= sizes[k];
+      remainingCapacity -= sizes[k];
     }
     return capacity;
   }
 
   /**
-   * Samples the queues that are longer than a share; the variance of the attempts they stand for.
+   * Samples the queues that are longer than a share.
+   *
+   * @return the variance of the estimated number of attempts
    */
   private double sampleAbove(FairQueue reports, int share) {
     List<Candidate> candidates = new ArrayList<>();
@@ -80,9 +92,10 @@
     }
     double variance = 0;
     PrioritySample<Candidate> sample =
-        new PrioritySample<>(candidates, Candidate::mass, share * sampledOrigins, random);
-    for (PrioritySample.Kept<Candidate> kept : sample.kept()) {
-      variance += putBack(kept);
+        new PrioritySample<>(
+            candidates, Candidate::normalizedWeight, share * sampledOrigins, random);
+    for (PrioritySample.SampledItem<Candidate> sampled : sample.items()) {
+      variance += requeueScaled(sampled);
     }
     return variance;
   }
@@ -96,17 +109,21 @@
                 candidates.add(new Candidate(queue, subject, totals, weight(totals) / total)));
   }
 
-  /** A report without attempts counts too: it says that its origin is alive. */
+  /** Returns at least 1: a report without attempts still shows that its origin is running. */
   private static long weight(ReportTotals totals) {
     return Math.max(1, totals.attempts());
   }
 
-  /** Scales a kept report to what it stands for; the variance of its attempts. */
-  private double putBack(PrioritySample.Kept<Candidate> kept) {
-    Candidate candidate = kept.item();
-    double attempts = candidate.totals().attempts() / candidate.mass();
-    double addedVariance = kept.variance() * attempts * attempts;
-    double factor = kept.estimate() / candidate.mass();
+  /**
+   * Puts a sampled report back in its queue, scaled to the reports that it represents.
+   *
+   * @return the variance that the scaling adds to the estimated number of attempts
+   */
+  private double requeueScaled(PrioritySample.SampledItem<Candidate> sampled) {
+    Candidate candidate = sampled.item();
+    double attempts = candidate.totals().attempts() / candidate.normalizedWeight();
+    double addedVariance = sampled.variance() * attempts * attempts;
+    double factor = sampled.estimate() / candidate.normalizedWeight();
     ReportTotals scaled = candidate.totals().scaled(factor, addedVariance, random);
     candidate.queue().totals().put(candidate.subject(), scaled);
     return addedVariance;
--- a/src/main/java/pearusher/intake/PrioritySample.java
+++ b/src/main/java/pearusher/intake/PrioritySample.java
@@ -7,38 +7,38 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Priority sampling (Duffield, Lund and Thorup, Journal of the ACM, 2007). Each item of weight w
- * gets the priority w/u, with u drawn evenly from (0, 1]. The items of the highest priorities are
- * kept; the highest priority that is not kept is the threshold. A kept item stands for max(w,
- * threshold), which makes every sum over a subset unbiased; the unbiased estimate of its variance
- * is threshold * max(0, threshold - w).
+ * Priority sample (Duffield, Lund and Thorup, Journal of the ACM, 2007). Each item of weight w gets
+ * the priority w/u, with u drawn uniformly from (0, 1]. The sample contains the items of the
+ * highest priorities; the highest priority outside the sample is the threshold. The weight estimate
+ * of a sampled item is max(w, threshold), which makes every sum over a subset unbiased. The
+ * unbiased estimate of its variance is threshold * max(0, threshold - w).
  *
- * @param <T> an item
+ * @param <T> the type of an item
  */
 public final class PrioritySample<T> {
 
   /**
-   * A kept item.
+   * Item of the sample.
    *
-   * @param weight its own weight
-   * @param estimate the weight that it stands for
-   * @param variance the estimated variance of that estimate
+   * @param weight the item's own weight
+   * @param estimate the estimated weight that the item represents in sums over the sample
+   * @param variance the estimated variance of {@code estimate}
    */
-  public record Kept<T>(T item, double weight, double estimate, double variance) {}
+  public record SampledItem<T>(T item, double weight, double estimate, double variance) {}
 
   private record Prioritized<T>(T item, int position, double weight, double priority) {}
 
-  private final List<Kept<T>> kept = new ArrayList<>();
+  private final List<SampledItem<T>> sampledItems = new ArrayList<>();
 
   /**
    * Draws a sample.
    *
-   * @param size how many items are kept, in their order; all of them where there are no more
+   * @param size the number of items to draw; all items are in the sample if there are no more
    */
   public PrioritySample(
       List<T> items, ToDoubleFunction<T> weight, int size, SplittableRandom random) {
     if (items.size() <= size) {
-      items.forEach(item -> keepUnchanged(item, weight.applyAsDouble(item)));
+      items.forEach(item -> addUnchanged(item, weight.applyAsDouble(item)));
       return;
     }
     List<Prioritized<T>> prioritized = prioritize(items, weight, random);
@@ -46,7 +46,7 @@
     double threshold = prioritized.get(size).priority();
     prioritized.subList(0, size).stream()
         .sorted(Comparator.comparingInt(Prioritized::position))
-        .forEach(item -> keep(item, threshold));
+        .forEach(item -> addWithThreshold(item, threshold));
   }
 
   private static <T> List<Prioritized<T>> prioritize(
@@ -60,18 +60,18 @@
     return prioritized;
   }
 
-  private void keepUnchanged(T item, double weight) {
-    kept.add(new Kept<>(item, weight, weight, 0));
+  private void addUnchanged(T item, double weight) {
+    sampledItems.add(new SampledItem<>(item, weight, weight, 0));
   }
 
-  private void keep(Prioritized<T> item, double threshold) {
+  private void addWithThreshold(Prioritized<T> item, double threshold) {
     double estimate = Math.max(item.weight(), threshold);
     double variance = threshold * Math.max(0, threshold - item.weight());
-    kept.add(new Kept<>(item.item(), item.weight(), estimate, variance));
+    sampledItems.add(new SampledItem<>(item.item(), item.weight(), estimate, variance));
   }
 
-  /** The kept items, in their order. */
-  public List<Kept<T>> kept() {
-    return kept;
+  /** Returns the sampled items, in the order of the input. */
+  public List<SampledItem<T>> items() {
+    return sampledItems;
   }
 }
--- a/src/main/java/pearusher/intake/QueuedReport.java
+++ b/src/main/java/pearusher/intake/QueuedReport.java
@@ -1,15 +1,16 @@
 package pearusher.intake;
 
 /**
- * A load report in the intake.
+ * Load report in the intake.
  *
- * @param origin the sender: a proxy's number, or below 0 a collector's
- * @param subject what the totals are of: reports of one origin about the same subject add up
- * @param ageUs estimated time in microseconds since the end of its span, when it is delivered
+ * @param origin the sender: a proxy's number, or a negative number for a collector
+ * @param subject the subject of the totals; reports of one origin with equal subjects are summed
+ * @param ageUs estimated time in microseconds from the end of the report's span to its delivery; 0
+ *     before delivery
  */
 public record QueuedReport(int origin, Subject subject, ReportTotals totals, long ageUs) {
 
-  /** A report that has just arrived. */
+  /** Creates a report of age 0, as it arrives. */
   public QueuedReport(int origin, Subject subject, ReportTotals totals) {
     this(origin, subject, totals, 0);
   }
@@ -18,13 +19,13 @@
     return new QueuedReport(origin, subject, totals, newAgeUs);
   }
 
-  /** What a report's totals are of. */
+  /** Subject of a report's totals. */
   public sealed interface Subject {}
 
-  // The records below are keys of a hash map for each report: their hashCode and equals are written
-  // out because the generated ones are slower.
+  // The records below are hash map keys that are looked up for each report. Their hashCode and
+  // equals are written out because the generated ones are slower.
 
-  /** Attempts of a zone's proxies at a server, given by its name. */
+  /** Attempts of the proxies of a zone at a server, which is identified by name. */
   public record ServerAttempts(String server, int zone) implements Subject {
     @Override
     public int hashCode() {
--- a/src/main/java/pearusher/intake/ReportAgeEstimator.java
+++ b/src/main/java/pearusher/intake/ReportAgeEstimator.java
@@ -4,35 +4,35 @@
 import java.util.Map;
 
 /**
- * Estimates how old a report is without a clock of its sender.
+ * Estimates the age of reports without a timestamp of their sender.
  *
- * <p>Reports of one source follow one another and each covers its span. So of several that wait
- * together only the last can be current: each is as old as what the ones behind it cover. Where,
- * after a silence, reports come faster than the time that they cover, they were delayed during the
- * silence: the second of them is as old as the silence, less what was covered since, and so on
- * until the silence is covered. A single report after a silence counts as current: either nothing
- * happened, or earlier reports were lost.
+ * <p>The reports of one source cover consecutive spans of time. Of several queued reports of a
+ * source only the last can be current: the age of each is the sum of the spans queued behind it.
+ * Reports that arrive after a gap faster than the spans that they cover were delayed during the
+ * gap: the age of the second of them is the gap less the span covered since, and so on until the
+ * spans add up to the gap. A single report after a gap counts as current: either nothing happened
+ * during the gap, or earlier reports were lost.
  *
- * <p>A clock that jumps back makes no report older. The ends of a source's spans never run
- * backwards in time, except after that single report, whose age was a guess until the next one
- * arrived.
+ * <p>A clock that jumps back makes no report older. The estimated span ends of a source never
+ * decrease, except after a single report that follows a gap: its age is uncertain until the next
+ * report arrives.
  *
- * <p>It grows with the sources, up to the given number.
+ * <p>Its size is proportional to the number of sources, up to the given maximum.
  */
 final class ReportAgeEstimator {
-  /** A report that arrives sooner than this part of its span was delayed. */
-  private static final double MIN_PART_OF_SPAN = 0.5;
+  /** A report that arrives sooner after the previous one than this fraction of its span is late. */
+  private static final double MIN_INTERVAL_PER_SPAN = 0.5;
 
   private static final long UNKNOWN_US = Long.MIN_VALUE;
 
   private static final class SourceHistory {
     long lastReportUs;
 
-    /** The part of a silence that no report has covered yet. */
+    /** Remainder of a gap that no report has covered yet. */
     long uncoveredUs;
 
-    /** The silence before the last report, which counts if the next one follows too soon. */
-    long silenceUs;
+    /** Gap before the last report; used only if the next report arrives too soon. */
+    long gapUs;
 
     /** Estimated end of the last report's span. */
     long spanEndUs = UNKNOWN_US;
@@ -43,7 +43,11 @@
 
   private final Map<ReportSource, SourceHistory> histories;
 
-  /** An estimator that remembers so many sources, the ones that reported last. */
+  /**
+   * Creates an estimator without sources.
+   *
+   * @param maxSources number of sources above which the least recently reporting one is evicted
+   */
   ReportAgeEstimator(int maxSources) {
     histories =
         new LinkedHashMap<>(16, 0.75f, true) {
@@ -57,19 +61,20 @@
   }
 
   /**
-   * Estimates the age of the end of a report's span when the report is delivered.
+   * Estimates the time from the end of a report's span to the delivery of the report.
    *
-   * @param behindUs spans of the reports of the same source that wait behind it
-   * @return microseconds, 0 for current
+   * @param behindUs sum in microseconds of the spans of the same source that are queued behind it
+   * @param nowUs the time of delivery in microseconds
+   * @return the age in microseconds; 0 for a current report
    */
   long estimateAgeUs(QueuedReport report, long behindUs, long nowUs) {
     SourceHistory history =
         histories.computeIfAbsent(ReportSource.of(report), ignored -> new SourceHistory());
     boolean hasJumpedBack = nowUs < history.lastReportUs;
     if (hasJumpedBack) {
-      history.silenceUs = 0;
+      history.gapUs = 0;
     } else if (history.spanEndUs != UNKNOWN_US) {
-      updateSilence(history, report.totals().spanUs(), nowUs - history.lastReportUs);
+      updateGap(history, report.totals().spanUs(), nowUs - history.lastReportUs);
     }
     history.lastReportUs = nowUs;
     long ageUs = Math.max(behindUs, Math.max(0, history.uncoveredUs));
@@ -78,18 +83,18 @@
     return Math.max(0, nowUs - history.spanEndUs);
   }
 
-  private static void updateSilence(SourceHistory history, long spanUs, long elapsedUs) {
-    if (elapsedUs >= MIN_PART_OF_SPAN * spanUs) {
+  private static void updateGap(SourceHistory history, long spanUs, long elapsedUs) {
+    if (elapsedUs >= MIN_INTERVAL_PER_SPAN * spanUs) {
       history.uncoveredUs = 0;
-      history.silenceUs = Math.max(0, elapsedUs - spanUs);
+      history.gapUs = Math.max(0, elapsedUs - spanUs);
       return;
     }
-    // The reports of the silence before the last one were delayed: its estimate was wrong.
-    history.uncoveredUs = Math.max(history.uncoveredUs, history.silenceUs) - spanUs;
-    if (history.silenceUs > 0) {
+    // The reports of the gap were delayed, so the last report's estimated span end was too late.
+    history.uncoveredUs = Math.max(history.uncoveredUs, history.gapUs) - spanUs;
+    if (history.gapUs > 0) {
       history.spanEndUs = history.previousSpanEndUs;
     }
-    history.silenceUs = 0;
+    history.gapUs = 0;
   }
 
   int size() {
--- a/src/main/java/pearusher/intake/ReportSource.java
+++ b/src/main/java/pearusher/intake/ReportSource.java
@@ -1,12 +1,13 @@
 package pearusher.intake;
 
-/** What consecutive reports share: the origin that sends them and the subject. */
+/** Origin and subject, which identify a sequence of reports that cover consecutive spans. */
 record ReportSource(int origin, QueuedReport.Subject subject) {
   static ReportSource of(QueuedReport report) {
     return new ReportSource(report.origin(), report.subject());
   }
 
-  // A key of a hash map for each report: written out because the generated methods are slower.
+  // hashCode and equals are written out because the generated ones are slower: this record is a
+  // hash map key that is looked up for each report.
 
   @Override
   public int hashCode() {
--- a/src/main/java/pearusher/intake/ReportTotals.java
+++ b/src/main/java/pearusher/intake/ReportTotals.java
@@ -3,17 +3,17 @@
 import java.util.SplittableRandom;
 
 /**
- * What some attempts resulted in, in a form that adds up exactly: whole numbers, and the total time
- * of the successful attempts in place of its mean.
+ * Results of attempts in a form that can be summed exactly: integers, and the total time of the
+ * successful attempts instead of its mean.
  *
- * @param attempts how many attempts there were
- * @param failed how many of them failed
- * @param successTotalUs total time of the successful ones in microseconds
- * @param spanUs the time in microseconds that the reports cover
- * @param reports how many reports were added up
- * @param load the latest load report of the server among them; empty for none
- * @param variance of the attempts as an estimate: 0 where nothing was left out. Those of several
- *     add up, since their random draws are independent
+ * @param attempts number of attempts
+ * @param failed number of failed attempts
+ * @param successTotalUs total time of the successful attempts in microseconds
+ * @param spanUs total time in microseconds that the reports cover
+ * @param reports number of reports summed
+ * @param load the latest load metrics of the server among these reports; empty if there are none
+ * @param variance variance of {@code attempts} as an estimate; 0 if no report was dropped by
+ *     sampling. Variances can be summed because the random draws are independent
  */
 public record ReportTotals(
     long attempts,
@@ -25,9 +25,10 @@
     double variance) {
 
   /**
-   * The totals of one report.
+   * Returns the totals of one report.
    *
    * @param meanUs mean time of the successful attempts in microseconds
+   * @param spanUs the time in microseconds that the report covers
    */
   public static ReportTotals of(
       long attempts, long failed, long meanUs, long spanUs, float[] load) {
@@ -35,7 +36,7 @@
     return new ReportTotals(attempts, failed, successTotalUs, spanUs, 1, load, 0);
   }
 
-  /** The sum of these totals and later ones. */
+  /** Returns the sum of these totals and later ones, with the later load metrics if present. */
   public ReportTotals plus(ReportTotals later) {
     return new ReportTotals(
         attempts + later.attempts,
@@ -48,8 +49,10 @@
   }
 
   /**
-   * These totals as they stand for more attempts. Counts are rounded up or down at random, so that
-   * nothing is added or lost on average; the mean stays.
+   * Returns these totals with attempts scaled by a factor. Counts are rounded up or down at random,
+   * so that the rounding is unbiased; the mean time is preserved.
+   *
+   * @param addedVariance the variance that the scaled number of attempts has in addition
    */
   public ReportTotals scaled(double factor, double addedVariance, SplittableRandom random) {
     long scaledAttempts = roundRandomly(attempts * factor, random);
@@ -71,8 +74,8 @@
   }
 
   /**
-   * The mean time of the successful attempts, rounded to the nearest microsecond; 0 where there are
-   * none.
+   * Returns the mean time of the successful attempts, rounded to the nearest microsecond; 0 if no
+   * attempt succeeded.
    */
   public long meanUs() {
     long succeeded = attempts - failed;
--- a/src/main/java/pearusher/intake/TokenBucket.java
+++ b/src/main/java/pearusher/intake/TokenBucket.java
@@ -1,6 +1,6 @@
 package pearusher.intake;
 
-/** A rate limit: tokens that accrue with time, up to a second's worth. */
+/** Token bucket rate limiter whose capacity is the number of tokens of one second. */
 final class TokenBucket {
   private static final long SECOND_US = 1_000_000;
 
@@ -13,15 +13,15 @@
     this.tokensPerSecond = tokensPerSecond;
   }
 
-  /** Starts again without tokens. */
+  /** Empties the bucket; the next refill adds no tokens. */
   void reset() {
     tokens = 0;
     hasRefilled = false;
   }
 
   /**
-   * Adds the tokens that have accrued since the last refill. A clock that jumps back adds none, one
-   * that jumps ahead a second's worth.
+   * Adds the tokens for the time since the last refill. A clock that jumps back adds none; a clock
+   * that jumps ahead adds at most the tokens of one second.
    */
   void refill(long nowUs) {
     long elapsedUs = hasRefilled ? Math.max(0, Math.min(SECOND_US, nowUs - lastRefillUs)) : 0;
@@ -34,7 +34,7 @@
     return tokens >= 1;
   }
 
-  void take() {
+  void consumeToken() {
     tokens--;
   }
 }
--- a/src/test/java/pearusher/intake/IntakeTest.java
+++ b/src/test/java/pearusher/intake/IntakeTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Merging, fair turns, sampling, ages, and the start and end of an overload. */
+/** Tests of merging, fair queueing, sampling, report ages, and the start and end of an overload. */
 class IntakeTest {
   private static final long HOUR_US = 3_600_000_000L;
   private static final long TICK_US = 100_000;
@@ -29,8 +29,8 @@
 
   private final class RecordedEvents implements Intake.Events {
     @Override
-    public void onOverloadStarted(int origin, double part) {
-      events.add("started " + origin + " " + part);
+    public void onOverloadStarted(int origin, double share) {
+      events.add("started " + origin + " " + share);
     }
 
     @Override
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public void onSampled(double keptPart, double relativeError) {
+    public void onSampled(double keptShare, double relativeError) {
       events.add("sampled");
     }
 
@@ -73,9 +73,12 @@
     assertEquals(0, intake.size());
   }
 
-  /** One origin reports a thousand times as much as the others, always about new servers. */
+  /**
+   * One origin sends a thousand times as many reports as each other origin, each about a new server
+   * so that none are merged. Its reports must not displace those of the others.
+   */
   @Test
-  void busyOriginDoesNotAffectTheOthers() {
+  void busyOriginDoesNotDisplaceReportsOfOtherOrigins() {
     int busyOrigin = 99;
     long offeredAttempts = 0;
     Map<Integer, Long> deliveredAttempts = new HashMap<>();
@@ -94,14 +97,16 @@
       assertTrue(intake.size() <= 50 + 10 * 50);
     }
     deliveredAttempts.remove(busyOrigin);
-    long ofOthers = deliveredAttempts.values().stream().mapToLong(Long::longValue).sum();
-    assertTrue(ofOthers >= offeredAttempts - 2 * 10 * 7, ofOthers + " of " + offeredAttempts);
+    long attemptsOfOthers = deliveredAttempts.values().stream().mapToLong(Long::longValue).sum();
+    assertTrue(
+        attemptsOfOthers >= offeredAttempts - 2 * 10 * 7,
+        attemptsOfOthers + " of " + offeredAttempts);
     assertTrue(events.get(0).startsWith("started 99 "), events.get(0));
   }
 
-  /** A collector that was disconnected for ten minutes sends 600 reports about one server. */
+  /** A collector reconnects after ten minutes and sends 600 reports about one server at once. */
   @Test
-  void burstOfDelayedReportsIsMergedIntoOne() {
+  void burstOfDelayedReportsIsMergedIntoOneReport() {
     for (int k = 0; k < 600; k++) {
       assertTrue(intake.offer(report(5, "s1", 3)));
     }
@@ -112,7 +117,7 @@
     assertEquals(
         600_000_000L,
         delivered.stream().mapToLong(report -> report.totals().spanUs()).sum(),
-        "the span says how old they are");
+        "spans are summed");
     assertEquals(1, delivered.size());
   }
 
@@ -133,7 +138,7 @@
       }
       overloaded.serve(second * 1_000_000L, report -> deliveredCount[report.origin()]++);
     }
-    // Each gets what it sent, or its part of the budget but for a turn.
+    // Each origin gets all accepted reports or its share of the rate limit, to within two reports.
     double fairShare = 10 * 100.0 / rates.size();
     for (int origin = 0; origin < rates.size(); origin++) {
       assertTrue(
@@ -143,9 +148,12 @@
     }
   }
 
-  /** The load hovers at the limit, and the clock jumps. */
+  /**
+   * A load that alternates above and below the limit must not start a new overload each time. A
+   * clock that jumps must release no more than the reports of one second.
+   */
   @Test
-  void loadThatHoversAtTheLimitIsOneOverload() {
+  void loadCloseToTheLimitAndClockJumpsGiveOneOverload() {
     for (int k = 0; k < 130; k++) {
       intake.offer(report(k % 7, "s" + k, 1));
     }
@@ -162,7 +170,7 @@
       intake.offer(report(k, "u" + k, 1));
     }
     intake.serve(5_000_000_000_000L, delivered::add);
-    assertTrue(delivered.size() - sizeBefore <= 1000, "a second's worth");
+    assertTrue(delivered.size() - sizeBefore <= 1000, "at most the reports of one second");
     intake.serve(0, delivered::add);
     assertTrue(delivered.size() - sizeBefore <= 1000);
     for (int tick = 1; tick < 60; tick++) {
@@ -173,15 +181,15 @@
     assertEquals(0, intake.size());
   }
 
-  /** At one, ten and a hundred times the rate limit: totals lie within three standard errors. */
+  /** Totals lie within three standard errors at 1, 10 and 100 times the rate limit. */
   @Test
-  void totalsOfASampleLieWithinTheStatedError() {
+  void sampledTotalsLieWithinTheEstimatedError() {
     for (int loadFactor : new int[] {1, 10, 100}) {
-      new SampledLoad(loadFactor).assertTotalsLieWithinTheStatedError();
+      new SampledLoad(loadFactor).assertTotalsLieWithinTheEstimatedError();
     }
   }
 
-  /** An intake with sampling under a multiple of its rate limit. */
+  /** Intake with sampling that receives a multiple of its rate limit. */
   private static final class SampledLoad {
     private static final int LIMIT_PER_SECOND = 200;
     private static final int SECONDS = 20;
@@ -189,7 +197,7 @@
 
     private final int loadFactor;
     private final SplittableRandom random = new SplittableRandom(5);
-    private double statedError;
+    private double estimatedError;
     private long offeredAttempts;
     private long deliveredAttempts;
     private final Intake intake =
@@ -197,8 +205,8 @@
             new Intake.Bounds(LIMIT_PER_SECOND, 50, 100_000, 2_000_000, HOUR_US, true, 7),
             new Intake.Events() {
               @Override
-              public void onSampled(double keptPart, double relativeError) {
-                statedError = Math.max(statedError, relativeError);
+              public void onSampled(double keptShare, double relativeError) {
+                estimatedError = Math.max(estimatedError, relativeError);
               }
             });
 
@@ -206,9 +214,9 @@
       this.loadFactor = loadFactor;
     }
 
-    void assertTotalsLieWithinTheStatedError() {
+    void assertTotalsLieWithinTheEstimatedError() {
       for (int second = 0; second < SECONDS; second++) {
-        offerASecond(second);
+        offerReportsOfOneSecond(second);
         for (int tick = 0; tick < 10; tick++) {
           intake.serve(second * 1_000_000L + tick * TICK_US, this::checkAndCount);
         }
@@ -218,12 +226,13 @@
       }
       double error = Math.abs(1.0 * deliveredAttempts / offeredAttempts - 1);
       assertTrue(
-          error <= 3 * statedError + 1e-9,
-          loadFactor + " times: off by " + error + ", stated " + statedError);
-      assertTrue(loadFactor == 1 || (statedError > 0 && statedError < 0.2), "" + statedError);
+          error <= 3 * estimatedError + 1e-9,
+          loadFactor + " times: off by " + error + ", estimated error " + estimatedError);
+      assertTrue(
+          loadFactor == 1 || (estimatedError > 0 && estimatedError < 0.2), "" + estimatedError);
     }
 
-    private void offerASecond(int second) {
+    private void offerReportsOfOneSecond(int second) {
       for (int k = 0; k < LIMIT_PER_SECOND * loadFactor; k++) {
         long attempts = random.nextInt(100);
         offeredAttempts += attempts;
@@ -240,7 +249,7 @@
       deliveredAttempts += totals.attempts();
       assertTrue(
           totals.attempts() == totals.failed() || Math.abs(totals.meanUs() - MEAN_US) <= 1,
-          "the mean stays");
+          "the mean is preserved");
     }
   }
 
@@ -249,9 +258,12 @@
         new Intake.Bounds(1000, 5000, 50, 2_000_000, maxAgeUs, false, 1), new RecordedEvents());
   }
 
-  /** 600 reports of ten minutes wait together: the last is current, the first ten minutes old. */
+  /**
+   * 600 reports that cover ten minutes are queued together: the last is current, the first is ten
+   * minutes old, and those older than the limit expire.
+   */
   @Test
-  void ageOfAReportFollowsFromThoseThatWaitBehindIt() {
+  void reportAgeIsTheSumOfTheSpansQueuedBehindIt() {
     Intake limited = intakeWithMaxAge(120_000_000);
     for (int k = 0; k < 600; k++) {
       limited.offer(report(5, "s1", 3));
@@ -263,12 +275,13 @@
     assertEquals(480 - 1, events.stream().filter("expired"::equals).count());
     assertEquals(120_000_000, delivered.get(0).ageUs());
     assertEquals(0, delivered.get(delivered.size() - 2).ageUs());
-    assertEquals(0, delivered.get(delivered.size() - 1).ageUs(), "of another origin");
+    assertEquals(
+        0, delivered.get(delivered.size() - 1).ageUs(), "the report of another origin is current");
   }
 
-  /** After a silence, 600 reports arrive within two seconds, each delivered at once. */
+  /** 600 reports arrive within two seconds after a gap of ten minutes, each delivered at once. */
   @Test
-  void burstAfterASilenceIsAsOldAsTheSilence() {
+  void burstAfterAGapIsAsOldAsTheGap() {
     Intake unlimited = intakeWithMaxAge(HOUR_US);
     long nowUs = 0;
     for (int k = 0; k < 5; k++) {
@@ -276,14 +289,16 @@
       unlimited.offer(report(5, "s1", 3));
       unlimited.pollOldest(nowUs, delivered::add);
     }
-    assertTrue(delivered.stream().allMatch(report -> report.ageUs() == 0), "one a second");
+    assertTrue(
+        delivered.stream().allMatch(report -> report.ageUs() == 0),
+        "reports at one per second are current");
     nowUs += 600_000_000;
     for (int k = 0; k < 600; k++) {
       nowUs += 3_000;
       unlimited.offer(report(5, "s1", 3));
       unlimited.pollOldest(nowUs, delivered::add);
     }
-    assertEquals(0, delivered.get(5).ageUs(), "one report after a silence may be current");
+    assertEquals(0, delivered.get(5).ageUs(), "a single report after a gap counts as current");
     long oldCount =
         delivered.subList(6, 605).stream().filter(report -> report.ageUs() > 2_000_000).count();
     assertTrue(oldCount > 590, oldCount + " of 599 are old");
--- a/src/test/java/pearusher/intake/PrioritySampleTest.java
+++ b/src/test/java/pearusher/intake/PrioritySampleTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** A sample stands for all items without bias. */
+/** Tests that the estimates of a priority sample are unbiased. */
 class PrioritySampleTest {
   private static final int SEEDS = 4000;
   private static final int SAMPLE_SIZE = 40;
@@ -25,31 +25,31 @@
     return weight % 2 == 0;
   }
 
-  /** Over many seeds the mean of a subset's sum nears the true one as fast as it must. */
+  /** Over many seeds, the mean of a subset's sum is within four standard errors of the true sum. */
   @Test
-  void sumsOverASubsetAreUnbiasedAndTheirVarianceIsAsStated() {
+  void sumsOverASubsetAreUnbiasedAndHaveTheEstimatedVariance() {
     List<Integer> weights = weights();
-    double truth =
+    double trueSum =
         weights.stream().filter(PrioritySampleTest::isInSubset).mapToInt(weight -> weight).sum();
     double sum = 0;
     double squaredErrors = 0;
-    double statedVariance = 0;
+    double estimatedVariance = 0;
     for (int seed = 0; seed < SEEDS; seed++) {
       double estimate = 0;
       PrioritySample<Integer> sample =
           new PrioritySample<>(weights, weight -> weight, SAMPLE_SIZE, new SplittableRandom(seed));
-      for (PrioritySample.Kept<Integer> kept : sample.kept()) {
-        estimate += isInSubset(kept.item()) ? kept.estimate() : 0;
-        statedVariance += isInSubset(kept.item()) ? kept.variance() / SEEDS : 0;
+      for (PrioritySample.SampledItem<Integer> sampled : sample.items()) {
+        estimate += isInSubset(sampled.item()) ? sampled.estimate() : 0;
+        estimatedVariance += isInSubset(sampled.item()) ? sampled.variance() / SEEDS : 0;
       }
       sum += estimate;
-      squaredErrors += (estimate - truth) * (estimate - truth);
+      squaredErrors += (estimate - trueSum) * (estimate - trueSum);
     }
     double variance = squaredErrors / SEEDS;
     double tolerance = 4 * Math.sqrt(variance) / Math.sqrt(SEEDS);
-    assertEquals(truth, sum / SEEDS, tolerance);
-    assertEquals(variance, statedVariance, 0.1 * statedVariance, "the stated variance");
-    // The tolerance is narrow enough to see that items without the threshold stand for too little.
-    assertTrue(truth * 0.6 > tolerance);
+    assertEquals(trueSum, sum / SEEDS, tolerance);
+    assertEquals(variance, estimatedVariance, 0.1 * estimatedVariance, "the estimated variance");
+    // The tolerance is narrow enough to detect estimates that ignore the threshold and are too low.
+    assertTrue(trueSum * 0.6 > tolerance);
   }
 }
--- a/src/test/java/pearusher/intake/ReportAgeEstimatorTest.java
+++ b/src/test/java/pearusher/intake/ReportAgeEstimatorTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Estimated ages of reports. */
+/** Tests of the estimated span ends of one source, and of the bound on the number of sources. */
 class ReportAgeEstimatorTest {
   private static final int MAX_SOURCES = 10;
 
@@ -20,11 +20,9 @@
         ReportTotals.of(1, 0, 40_000, 1_000_000, new float[0]));
   }
 
-  /**
-   * Whatever the clock and the rate: a later report's span does not end before an earlier one's.
-   */
+  /** At any clock steps and report rates, the estimated span ends of a source do not decrease. */
   @Property(seed = "20", tries = 300)
-  void spansNeverRunBackwards(
+  void estimatedSpanEndsDoNotDecrease(
       @ForAll @Size(max = 60) List<@IntRange(min = -3000, max = 5000) Integer> stepsMs) {
     ReportAgeEstimator ages = new ReportAgeEstimator(MAX_SOURCES);
     long nowUs = 1_000_000_000;
@@ -33,16 +31,16 @@
     for (int stepMs : stepsMs) {
       nowUs += stepMs * 1000L;
       latestUs = Math.max(latestUs, nowUs);
-      boolean isSilence = stepMs > 1000;
+      boolean isGap = stepMs > 1000;
       long behindUs = Math.abs(stepMs) % 7 == 0 ? 2_000_000 : 0;
       long ageUs = ages.estimateAgeUs(report(1), behindUs, nowUs);
       assertTrue(ageUs >= 0);
-      // After the clock jumped back, ends can't be compared with those from before.
+      // Span ends from before and after a backward clock jump can't be compared.
       if (nowUs >= latestUs) {
         assertTrue(nowUs - ageUs >= endUs, "steps " + stepsMs + " at " + stepMs);
       }
-      // The age of one report after a silence is a guess, which the next one may correct.
-      endUs = isSilence ? endUs : Math.max(endUs, nowUs - ageUs);
+      // The estimated age of a single report after a gap may be corrected by the next report.
+      endUs = isGap ? endUs : Math.max(endUs, nowUs - ageUs);
     }
     for (int origin = 0; origin < 50; origin++) {
       ages.estimateAgeUs(report(origin), 0, nowUs);
--- a/src/test/java/pearusher/intake/ReportTotalsTest.java
+++ b/src/test/java/pearusher/intake/ReportTotalsTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Totals of reports add up without loss. */
+/** Tests that report totals can be summed without loss. */
 class ReportTotalsTest {
   private static final int FIELDS = 4;
 
@@ -29,7 +29,7 @@
   }
 
   @Property(seed = "18", tries = 500)
-  void mergingIsAssociativeAndLosesNothing(
+  void mergingIsAssociativeAndLossless(
       @ForAll @Size(3 * FIELDS) List<@IntRange(max = 600_000) Integer> drawn) {
     ReportTotals first = totals(drawn.subList(0, FIELDS));
     ReportTotals second = totals(drawn.subList(FIELDS, 2 * FIELDS));
@@ -38,7 +38,7 @@
     assertEquals(fields(merged), fields(first.plus(second.plus(third))));
     assertEquals(first.attempts() + second.attempts() + third.attempts(), merged.attempts());
     assertEquals(first.failed() + second.failed() + third.failed(), merged.failed());
-    // The mean is weighted by successful attempts, to the microsecond.
+    // The mean is weighted by successful attempts and rounded to the nearest microsecond.
     double succeeded = merged.attempts() - merged.failed();
     double totalUs =
         1.0 * first.successTotalUs() + second.successTotalUs() + third.successTotalUs();
