--- a/src/main/java/pearusher/config/AssignerConfig.java
+++ b/src/main/java/pearusher/config/AssignerConfig.java
@@ -9,18 +9,19 @@
 import pearusher.protocol.WireNames;
 
 /**
- * The configuration of one assigner process. Immutable; it grows with the list of known servers.
+ * Configuration of one assigner process. Immutable; its size is proportional to the list of known
+ * servers.
  *
  * @param name the name of the assigner
- * @param listen where proxies and collectors connect
- * @param discovery the address of discovery
- * @param maxDescriptors the number of file descriptors that the process may hold
+ * @param listen the address on which proxies and collectors connect
+ * @param discovery the address of the discovery service
+ * @param maxDescriptors the maximum number of open file descriptors of the process
  * @param peers the addresses of the assigners of this tier
- * @param knownServers the list of servers to start with
+ * @param knownServers the initial list of servers
  * @param settings the settings of the policy
- * @param names the names that messages use for what the settings list
+ * @param names the names of zones, request classes and other settings items in messages
  * @param timeouts the timeouts of connections
- * @param listLimits the limits on lists of servers
+ * @param listLimits the limits on endpoint lists
  */
 public record AssignerConfig(
     String name,
@@ -35,9 +36,10 @@
     EndpointListLimits listLimits) {
 
   /**
-   * Returns this configuration with what a running assigner applies of a reloaded one: the
-   * addresses of discovery and of its peers, the number of descriptors and the timeouts. The
-   * settings stay, and so does the list of servers, of which the assigner has a later version.
+   * Returns a copy with the reloadable values of another configuration: the addresses of the
+   * discovery service and of the peers, the number of file descriptors, and the timeouts. The
+   * policy settings are unchanged. So is the list of servers, because the running assigner has a
+   * later version of it.
    *
    * @param reloaded the reloaded configuration, which has as many peers as this one
    */
@@ -56,7 +58,7 @@
   }
 
   /**
-   * Returns this configuration with at most a number of known servers, the first ones of its list.
+   * Returns a copy whose list of known servers is truncated to a maximum length.
    *
    * @param maxServers the maximum number of known servers
    */
--- a/src/main/java/pearusher/config/PeerAddresses.java
+++ b/src/main/java/pearusher/config/PeerAddresses.java
@@ -5,17 +5,18 @@
 import java.util.Optional;
 
 /**
- * The addresses of the assigners of one tier, for datagrams between them.
+ * Addresses for datagrams between the assigners of one tier.
  *
- * @param listen where this assigner receives them; empty if it neither receives nor sends any
- * @param assigners the address of each assigner by its index; empty without {@code listen}
- * @param broadcast the address that reaches all assigners, if there is one
+ * @param listen the address on which this assigner receives datagrams; empty if it neither receives
+ *     nor sends any
+ * @param assigners the address of each assigner by its index; empty if {@code listen} is empty
+ * @param broadcast the broadcast address of the tier; empty if there is none
  */
 public record PeerAddresses(
     Optional<InetSocketAddress> listen,
     List<InetSocketAddress> assigners,
     Optional<InetSocketAddress> broadcast) {
-  /** The addresses of an assigner without peers. */
+  /** Addresses of an assigner that exchanges no datagrams with peers. */
   public static final PeerAddresses NONE =
       new PeerAddresses(Optional.empty(), List.of(), Optional.empty());
 }
--- a/src/main/java/pearusher/config/SocketAddresses.java
+++ b/src/main/java/pearusher/config/SocketAddresses.java
@@ -6,15 +6,15 @@
 import java.util.Optional;
 import java.util.regex.Pattern;
 
-/** Parses and formats numeric addresses with a port. */
+/** Parsing and formatting of numeric IP addresses with a port. */
 public final class SocketAddresses {
   private static final String OCTET = "(\\d{1,2}|1\\d\\d|2[0-4]\\d|25[0-5])";
   private static final String IPV4 = OCTET + "(\\." + OCTET + "){3}";
   private static final String BRACKETED_IPV6 = "\\[[0-9a-fA-F:.]+\\]";
 
   /**
-   * A numeric host. Anything else, an octet over 255 too, is a name to the library, which would
-   * query the network and block the caller.
+   * A numeric host. {@link InetAddress#getByName} treats any other text as a host name, including
+   * one with an octet over 255, and would query the network and block the caller.
    */
   private static final Pattern HOST = Pattern.compile(IPV4 + "|" + BRACKETED_IPV6);
 
@@ -23,11 +23,11 @@
   private SocketAddresses() {}
 
   /**
-   * Parses an IPv4 address, or an IPv6 address in brackets, followed by a colon and a port. Names
-   * are not resolved.
+   * Parses an IPv4 address, or an IPv6 address in brackets, followed by a colon and a port. Host
+   * names are rejected, not resolved.
    *
    * @param text the text to parse
-   * @return the address; empty if the text is not one
+   * @return the address; empty if the text is malformed or a host name
    */
   public static Optional<InetSocketAddress> parse(String text) {
     int colon = text.lastIndexOf(':');
--- a/src/main/java/pearusher/config/Timeouts.java
+++ b/src/main/java/pearusher/config/Timeouts.java
@@ -3,9 +3,9 @@
 /**
  * Timeouts of connections, in milliseconds.
  *
- * @param connectMs how long a connection to discovery or a server may take to come up
- * @param responseMs how long a response may take once its connection is up
- * @param idleMs how long a peer that must send something may stay silent
- * @param identificationMs how long an accepted connection may stay unidentified
+ * @param connectMs limit on establishing a connection to the discovery service or a server
+ * @param responseMs limit on receiving a response over an established connection
+ * @param idleMs limit on the time without data from a peer that must send periodically
+ * @param identificationMs limit on the time until an accepted connection identifies itself
  */
 public record Timeouts(int connectMs, int responseMs, int idleMs, int identificationMs) {}
--- a/src/main/java/pearusher/config/package-info.java
+++ b/src/main/java/pearusher/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The configuration of one assigner process: environment variables and the JSON file that they
- * name, checked as a whole, with defaults. Immutable once read.
+ * Configuration of one assigner process: environment variables and the JSON file that they name.
+ * The values are validated together, have defaults, and are immutable once read.
  */
 package pearusher.config;
--- a/src/main/java/pearusher/intake/Intake.java
+++ b/src/main/java/pearusher/intake/Intake.java
@@ -79,7 +79,7 @@
 
   private static final long SAMPLING_INTERVAL_US = 1_000_000;
 
-  /** Bound on the sources whose report ageEstimator are estimated, at about 200 bytes each. */
+  /** Bound on the sources whose report ages are estimated, at about 200 bytes each. */
   private static final int MAX_SOURCES = 100_000;
 
   private final Bounds bounds;
--- a/src/main/java/pearusher/sitesettings/JsonFlattener.java
+++ b/src/main/java/pearusher/sitesettings/JsonFlattener.java
@@ -12,9 +12,10 @@
 import java.util.StringJoiner;
 
 /**
- * Flattens a JSON object to values by path: keys of nested objects are joined with dots; a list of
- * plain values is joined with commas; a list of objects has its length under {@code .count} and its
- * items under {@code .0}, {@code .1} and so on. Null values are left out.
+ * Flattens a JSON object to a map of values by path. Keys of nested objects are joined with dots.
+ * Arrays of scalars become one value, joined with commas. Arrays of objects or arrays have their
+ * length under {@code .count} and their items under {@code .0}, {@code .1} and so on. Empty arrays
+ * have both forms. Null values of objects are omitted.
  */
 final class JsonFlattener {
   private final JsonParser parser;
@@ -25,12 +26,13 @@
   }
 
   /**
-   * Reads one JSON object.
+   * Reads one JSON object and returns its values by path.
    *
-   * @param name what the text is, for faults
-   * @param skippedKey a key of the outermost object whose value is only checked for its form
-   * @throws SettingsException where the text is not one well-formed JSON object
-   * @throws IOException where the text can't be read
+   * @param name the name of the document in error messages
+   * @param skippedKey a key of the outermost object whose value is parsed but omitted; empty for
+   *     none
+   * @throws SettingsException if the text is not exactly one well-formed JSON object
+   * @throws IOException if the text can't be read
    */
   static Map<String, String> flatten(String name, InputStream text, String skippedKey)
       throws SettingsException, IOException {
@@ -72,7 +74,7 @@
   }
 
   private void addArray(String path) throws IOException {
-    StringJoiner plainValues = new StringJoiner(",");
+    StringJoiner scalars = new StringJoiner(",");
     int count = 0;
     boolean isNested = false;
     JsonToken token = parser.nextToken();
@@ -81,7 +83,7 @@
         isNested = true;
         addValue(token, path + "." + count);
       } else {
-        plainValues.add(parser.getText());
+        scalars.add(parser.getText());
       }
       count++;
       token = parser.nextToken();
@@ -90,7 +92,7 @@
       values.put(path + ".count", Integer.toString(count));
     }
     if (!isNested) {
-      values.put(path, plainValues.toString());
+      values.put(path, scalars.toString());
     }
   }
 }
--- a/src/main/java/pearusher/sitesettings/PathValues.java
+++ b/src/main/java/pearusher/sitesettings/PathValues.java
@@ -11,13 +11,14 @@
 import java.util.Optional;
 
 /**
- * Values by path, read from {@code path=value} lines or from nested JSON, which is flattened to the
- * same paths. It knows the meaning of no key; every fault names the path.
+ * Settings values by path, read from {@code path=value} lines or from nested JSON, which is
+ * flattened to the same paths. Independent of the meaning of keys. Every error message names the
+ * path. Immutable if the wrapped map is.
  */
 public final class PathValues {
-  private static final int MAX_ITEMS = 1 << 20;
+  private static final int MAX_LIST_ITEMS = 1 << 20;
 
-  /** What stands before the path in each fault. */
+  /** Text in front of the path in each error message. */
   private final String faultPrefix;
 
   private final Map<String, String> values;
@@ -28,15 +29,19 @@
   }
 
   /**
-   * Wraps values that were read elsewhere, without a copy.
+   * Wraps a map of values without copying it.
    *
-   * @param faultPrefix the text before the path in each fault
+   * @param faultPrefix the text in front of the path in each error message
    */
   public static PathValues of(String faultPrefix, Map<String, String> values) {
     return new PathValues(faultPrefix, values);
   }
 
-  /** Reads the simulator's form: a path, an equals sign and a value on each line. */
+  /**
+   * Parses the simulator's format: a path, an equals sign and a value on each line. Lines that
+   * start with an equals sign or contain none are ignored. The last of several lines with the same
+   * path applies.
+   */
   public static PathValues parseLines(String text) {
     Map<String, String> values = new HashMap<>();
     for (String line : text.split("\n")) {
@@ -49,9 +54,10 @@
   }
 
   /**
-   * Reads a JSON object.
+   * Parses a JSON object.
    *
-   * @param name what the text is, for faults
+   * @param name the name of the document in error messages
+   * @throws SettingsException if the text is not exactly one well-formed JSON object
    */
   public static PathValues parseJson(String name, byte[] text) throws SettingsException {
     try {
@@ -62,23 +68,29 @@
   }
 
   /**
-   * Reads a JSON object from a stream.
+   * Parses a JSON object from a stream.
    *
-   * @param name what the text is, for faults
-   * @param skippedKey a key of the outermost object whose value is only checked for its form
+   * @param name the name of the document in error messages
+   * @param skippedKey a key of the outermost object whose value is parsed but omitted; empty for
+   *     none
+   * @throws SettingsException if the text is not exactly one well-formed JSON object
+   * @throws IOException if the stream can't be read
    */
   public static PathValues parseJson(String name, InputStream text, String skippedKey)
       throws SettingsException, IOException {
     return new PathValues(name + ": the key ", JsonFlattener.flatten(name, text, skippedKey));
   }
 
-  /** The fault of a text that is no JSON. */
+  /** Returns the exception for malformed JSON, with the first line of the parser's message. */
   public static SettingsException malformed(String name, IOException cause) {
     String text = String.valueOf(cause.getMessage());
     return new SettingsException(name + ": malformed JSON: " + text.lines().findFirst().orElse(""));
   }
 
-  /** The values whose paths have a prefix, without it; faults name the complete path. */
+  /**
+   * Returns the values whose paths start with a prefix, under paths without it. Error messages name
+   * the complete path.
+   */
   public PathValues below(String prefix) {
     Map<String, String> selected = new HashMap<>();
     values.forEach(
@@ -90,7 +102,7 @@
     return new PathValues(faultPrefix + prefix, selected);
   }
 
-  /** Whether the key has a value. */
+  /** Returns whether the key has a value. */
   public boolean has(String key) {
     return values.containsKey(key);
   }
@@ -99,31 +111,43 @@
     return values.isEmpty();
   }
 
-  /** A fault of a key; the text says what is wrong with it. */
+  /**
+   * Returns an exception that names a key.
+   *
+   * @param text the predicate of the message, such as {@code is missing}
+   */
   public SettingsException fault(String key, String text) {
     return new SettingsException(faultPrefix + key + " " + text);
   }
 
-  private SettingsException unreadable(String key, String value) {
+  private SettingsException unparsableValue(String key, String value) {
     return fault(key, "is unreadable: '" + value + "'");
   }
 
-  /** The text of a key that may be left out. */
+  /** Returns the text of an optional key; empty if it is absent. */
   public Optional<String> text(String key) {
     return Optional.ofNullable(values.get(key));
   }
 
-  /** Whether a key that may be left out has this text. */
+  /** Returns whether an optional key is present and has this text. */
   public boolean isSetTo(String key, String text) {
     return text.equals(values.get(key));
   }
 
-  /** The text of a key. */
+  /**
+   * Returns the text of a required key.
+   *
+   * @throws SettingsException if the key is absent
+   */
   public String require(String key) throws SettingsException {
     return text(key).orElseThrow(() -> fault(key, "is missing"));
   }
 
-  /** A finite number. */
+  /**
+   * Returns the number of a required key.
+   *
+   * @throws SettingsException if the key is absent or its value is not a finite number
+   */
   public double requireDouble(String key) throws SettingsException {
     String text = require(key);
     try {
@@ -132,22 +156,34 @@
         return value;
       }
     } catch (NumberFormatException e) {
-      throw unreadable(key, text);
+      throw unparsableValue(key, text);
     }
-    throw unreadable(key, text);
+    throw unparsableValue(key, text);
   }
 
-  /** A number, rounded to the nearest whole one. */
+  /**
+   * Returns the number of a required key, rounded to the nearest integer.
+   *
+   * @throws SettingsException if the key is absent or its value is not a finite number
+   */
   public long requireLong(String key) throws SettingsException {
     return Math.round(requireDouble(key));
   }
 
-  /** A number that is 0 where it is left out. */
+  /**
+   * Returns the number of an optional key; 0 if it is absent.
+   *
+   * @throws SettingsException if the value is not a finite number
+   */
   public double doubleOrZero(String key) throws SettingsException {
     return has(key) ? requireDouble(key) : 0;
   }
 
-  /** A whole number within bounds, or the default where it is left out. */
+  /**
+   * Returns the integer of an optional key, or the default if the key is absent.
+   *
+   * @throws SettingsException if the value is not an integer from {@code min} to {@code max}
+   */
   public int intBetween(String key, int min, int max, int defaultValue) throws SettingsException {
     if (!has(key)) {
       return defaultValue;
@@ -159,36 +195,54 @@
     return (int) value;
   }
 
-  /** Either {@code true} or {@code false}. */
+  /**
+   * Returns the boolean of a required key.
+   *
+   * @throws SettingsException if the value is neither {@code true} nor {@code false}
+   */
   public boolean requireBoolean(String key) throws SettingsException {
     return requireOneOf(key, Map.of("true", true, "false", false));
   }
 
-  /** What a key's text stands for among known texts. */
-  public <T> T requireOneOf(String key, Map<String, T> meanings) throws SettingsException {
+  /**
+   * Returns the value that corresponds to the text of a required key.
+   *
+   * @param valuesByText the accepted texts
+   * @throws SettingsException if the key is absent or has another text
+   */
+  public <T> T requireOneOf(String key, Map<String, T> valuesByText) throws SettingsException {
     String text = require(key);
-    T meaning = meanings.get(text);
-    if (meaning == null) {
-      throw unreadable(key, text);
+    T value = valuesByText.get(text);
+    if (value == null) {
+      throw unparsableValue(key, text);
     }
-    return meaning;
+    return value;
   }
 
-  /** A list of plain values. */
+  /**
+   * Returns the comma-separated list of a required key.
+   *
+   * @throws SettingsException if the key is absent
+   */
   public List<String> requireList(String key) throws SettingsException {
     require(key);
     return listOrEmpty(key);
   }
 
-  /** A list of plain values that is empty where it is left out. */
+  /** Returns the comma-separated list of an optional key; empty if it is absent. */
   public List<String> listOrEmpty(String key) {
     String text = values.getOrDefault(key, "");
     return text.isEmpty() ? List.of() : List.of(text.split(","));
   }
 
-  /** The values of one key of each object in a list, which is empty where it is left out. */
+  /**
+   * Returns the texts of one required key of each object in an optional list of objects.
+   *
+   * @return the texts in the order of the list; empty if the list is absent
+   * @throws SettingsException if the key is absent in an object
+   */
   public List<String> requireEach(String listKey, String key) throws SettingsException {
-    int count = intBetween(listKey + ".count", 0, MAX_ITEMS, 0);
+    int count = intBetween(listKey + ".count", 0, MAX_LIST_ITEMS, 0);
     List<String> texts = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       texts.add(require(listKey + "." + i + "." + key));
--- a/src/main/java/pearusher/sitesettings/PolicySettingsReader.java
+++ b/src/main/java/pearusher/sitesettings/PolicySettingsReader.java
@@ -17,8 +17,8 @@
 import pearusher.policy.SiteTraits;
 
 /**
- * Reads the settings of a policy, for the simulator and for the server alike. It knows no other
- * part of a configuration and ignores unknown keys.
+ * Reader of the policy settings, which the simulator and the server share. Independent of the rest
+ * of the configuration; unknown keys are ignored.
  */
 public final class PolicySettingsReader {
   private static final Map<String, LoadMetric> LOAD_METRICS =
@@ -48,11 +48,11 @@
           "dedup", Idempotency.WITH_KEY,
           "fragile", Idempotency.NOT_IDEMPOTENT);
 
-  /** All other pick methods of a site count as random. */
+  /** Any other value, or none, is read as {@link PickMethod#RANDOM}. */
   private static final Map<String, PickMethod> PICK_METHODS =
       Map.of("rotate", PickMethod.ROUND_ROBIN, "p2c", PickMethod.POWER_OF_TWO_CHOICES);
 
-  private static final Map<String, Boolean> LIST_ON_REQUEST =
+  private static final Map<String, Boolean> LIST_ON_REQUEST_MODES =
       Map.of("on_request", true, "pushed", false);
 
   private final PathValues values;
@@ -62,10 +62,10 @@
   }
 
   /**
-   * Reads settings.
+   * Reads the settings of a policy.
    *
-   * @param seed the seed of the policy's random draws
-   * @throws SettingsException naming the first key that is missing or unreadable
+   * @param seed the seed of the policy's random number generator
+   * @throws SettingsException if a key is missing or unreadable; names the first such key
    */
   public static PolicySettings read(long seed, PathValues values) throws SettingsException {
     return new PolicySettingsReader(values).read(seed);
@@ -95,7 +95,7 @@
         values.requireDouble("familyInfo.reportsPerS"),
         (int) values.requireLong("familyInfo.ejects"),
         (int) values.requireLong("familyInfo.shards"),
-        values.requireOneOf("discovery", LIST_ON_REQUEST),
+        values.requireOneOf("discovery", LIST_ON_REQUEST_MODES),
         values.requireBoolean("ceilings.probes"),
         values.requireBoolean("ceilings.peers"),
         values.requireOneOf("report.source", LOAD_REPORT_SOURCES),
@@ -209,7 +209,7 @@
     return values.isSetTo(key, "true");
   }
 
-  /** Whether a list of flags, which may be too short, has this one set. */
+  /** Returns whether the flag at an index is set; a flag beyond the end of the list is not. */
   private static boolean isTrueAt(List<String> flags, int index) {
     return index < flags.size() && "true".equals(flags.get(index));
   }
--- a/src/main/java/pearusher/sitesettings/package-info.java
+++ b/src/main/java/pearusher/sitesettings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads the settings of a site, from JSON or from {@code path=value} lines, into the records that
- * the policy is given at its start. It knows no other part of a configuration.
+ * Reading of a site's settings, from JSON or from {@code path=value} lines, into the records that
+ * the policy is constructed with. The package does not depend on the rest of the configuration.
  */
 package pearusher.sitesettings;
--- a/src/test/java/pearusher/config/AssignerConfigTest.java
+++ b/src/test/java/pearusher/config/AssignerConfigTest.java
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void theExampleIsRead() throws Exception {
+  void exampleConfigurationIsRead() throws Exception {
     AssignerConfig config = new ExampleConfig().read(dir);
     assertEquals("n0", config.name());
     assertEquals(1024, config.maxDescriptors());
@@ -54,9 +54,9 @@
         config.knownServers().endpoints().get(1));
   }
 
-  /** Nested JSON and the simulator's lines give the same settings. */
+  /** Nested JSON is flattened to the same paths that the simulator's lines have. */
   @Test
-  void jsonAndLinesAgree() throws Exception {
+  void jsonAndLinesGiveTheSameValues() throws Exception {
     StringBuilder lines = new StringBuilder();
     PathValues json =
         PathValues.parseJson(
@@ -102,17 +102,17 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"EDGE_NAME", "EDGE_LISTEN", "EDGE_DISCOVERY", "EDGE_CONFIG"})
-  void aMissingVariableIsNamed(String variable) throws Exception {
+  void errorForMissingVariableNamesIt(String variable) throws Exception {
     Map<String, String> environment = new HashMap<>(new ExampleConfig().write(dir));
     environment.remove(variable);
     assertEquals(
-        "the variable " + variable + " is missing",
+        "the environment variable " + variable + " is missing or blank",
         assertThrows(SettingsException.class, () -> AssignerConfigReader.read(environment))
             .getMessage());
   }
 
   @Test
-  void anUnreadableFileIsNamed() throws Exception {
+  void errorForUnreadableFileNamesItsVariable() throws Exception {
     Map<String, String> environment = new ExampleConfig().write(dir);
     Files.delete(Path.of(environment.get("EDGE_CONFIG")));
     assertTrue(
@@ -123,7 +123,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "[]", "{", "{\"a\":1}}", "{\"a\" 1}", "nonsense"})
-  void malformedJsonIsReported(String text) throws Exception {
+  void malformedJsonIsRejected(String text) throws Exception {
     Map<String, String> environment = new ExampleConfig().write(dir);
     Files.writeString(Path.of(environment.get("EDGE_CONFIG")), text);
     assertTrue(
@@ -157,7 +157,8 @@
         "\"peers_all\": \"127.0.0.1:7947\"|\"peers_all\": \"a.example:7947\"|peers_all",
         "\"lifecycle\": \"in_service\"|\"life\": \"in_service\"|known.instances.0.lifecycle"
       })
-  void aFaultyKeyIsNamed(String original, String replacement, String key) throws Exception {
+  void errorForInvalidValueNamesItsKey(String original, String replacement, String key)
+      throws Exception {
     ExampleConfig example =
         new ExampleConfig().with(original, replacement == null ? "" : replacement);
     String message = fault(example);
@@ -170,7 +171,7 @@
     "EDGE_LISTEN,listen,127.0.0.1:9",
     "EDGE_DISCOVERY,discovery,127.0.0.1:9"
   })
-  void aContradictionBetweenVariableAndFileIsReported(String variable, String key, String value)
+  void differentValuesOfVariableAndKeyAreRejected(String variable, String key, String value)
       throws Exception {
     Map<String, String> environment = new HashMap<>(new ExampleConfig().write(dir));
     environment.put(variable, value);
@@ -183,7 +184,7 @@
   }
 
   @Test
-  void theSimulatorReadsTheSameSettings() throws Exception {
+  void simulatorReaderGivesTheSameSettings() throws Exception {
     PathValues all =
         PathValues.parseJson(
             "configuration", new ExampleConfig().json().getBytes(StandardCharsets.UTF_8));
@@ -192,9 +193,12 @@
         PolicySettingsReader.read(0x8c1f30d27a5be964L, all.below("settings.")));
   }
 
-  /** The list may stand before or after the settings that it depends on, or twice. */
+  /**
+   * The decoding of the known list depends on the settings, which may precede or follow it in the
+   * file. The last of two lists applies; a list of another type counts as empty.
+   */
   @Test
-  void theKnownListIsReadAtAnyPosition() throws Exception {
+  void knownListIsReadAtAnyPosition() throws Exception {
     AssignerConfig first = new ExampleConfig().read(dir);
     String json = new ExampleConfig().json();
     int start = json.indexOf("  \"known\"");
@@ -223,7 +227,7 @@
   }
 
   @Test
-  void aKnownListOverTheLimitNamesItsKey() throws Exception {
+  void errorForKnownListOverTheLimitNamesItsKey() throws Exception {
     EndpointListLimits oneServer = new EndpointListLimits(1, 1000, 40 << 20);
     assertEquals(
         "configuration: the key known.instances names over 1 servers: the heap of 40 MB holds "
@@ -245,9 +249,12 @@
         message);
   }
 
-  /** The file is not kept as text: its memory follows the number of its servers. */
+  /**
+   * Guards against buffering the complete file as text, which takes a multiple of the memory of the
+   * parsed servers.
+   */
   @Test
-  void readingAKnownListAllocatesLittleMemory() throws Exception {
+  void readingAKnownListAllocatesLessThan2000BytesPerServer() throws Exception {
     StringBuilder servers = new StringBuilder();
     for (int k = 0; k < 9100; k++) {
       servers
@@ -267,15 +274,12 @@
     long before = threads.getThreadAllocatedBytes(Thread.currentThread().getId());
     assertEquals(9102, AssignerConfigReader.read(environment).knownServers().endpoints().size());
     long bytes = threads.getThreadAllocatedBytes(Thread.currentThread().getId()) - before;
-    assertTrue(bytes < 2000L * 9102, bytes / 9102 + " bytes a server were allocated");
+    assertTrue(bytes < 2000L * 9102, bytes / 9102 + " bytes were allocated per server");
   }
 
-  /**
-   * A reload applies the addresses of others and the limits; the settings stay, whatever the file
-   * has.
-   */
+  /** A changed policy setting in a reloaded file must not reach the running policy. */
   @Test
-  void aReloadAppliesAddressesAndLimitsOnly() throws Exception {
+  void reloadAppliesOnlyAddressesAndLimits() throws Exception {
     AssignerConfig first = new ExampleConfig().read(dir);
     Map<String, String> environment = new HashMap<>(new ExampleConfig().write(dir));
     new ExampleConfig()
@@ -304,7 +308,7 @@
         "\"tickUs\": 5000|\"tickUs\": true|the key settings.tickUs is unreadable",
         "}|]|malformed JSON"
       })
-  void aFaultyReloadNamesTheKey(String original, String replacement, String expected)
+  void errorOnReloadNamesTheKey(String original, String replacement, String expected)
       throws Exception {
     AssignerConfig first = new ExampleConfig().read(dir);
     Map<String, String> environment = new ExampleConfig().with(original, replacement).write(dir);
--- a/src/test/java/pearusher/config/SocketAddressesTest.java
+++ b/src/test/java/pearusher/config/SocketAddressesTest.java
@@ -18,18 +18,18 @@
         "1.2.3:80",
         "300.0.0.1:80"
       })
-  void onlyNumericAddressesWithAPortAreAddresses(String text) {
+  void textWithoutNumericAddressAndPortIsRejected(String text) {
     assertEquals(Optional.empty(), SocketAddresses.parse(text));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"127.0.0.1:80", "255.1.2.3:65535", "0.0.0.0:0"})
-  void aParsedAddressIsFormattedAsItWas(String text) {
+  void formattingAParsedAddressGivesTheOriginalText(String text) {
     assertEquals(Optional.of(text), SocketAddresses.parse(text).map(SocketAddresses::format));
   }
 
   @Test
-  void anIpv6AddressStandsInBrackets() {
+  void ipv6AddressRequiresBrackets() {
     assertEquals(
         Optional.of(8080), SocketAddresses.parse("[::1]:8080").map(address -> address.getPort()));
     assertEquals(Optional.empty(), SocketAddresses.parse("::1:8080"));
