--- a/src/main/java/pearusher/simulator/CommandCode.java
+++ b/src/main/java/pearusher/simulator/CommandCode.java
@@ -1,6 +1,6 @@
 package pearusher.simulator;
 
-/** Codes of the records in a reply; each record begins with the byte of its code. */
+/** Record codes of a reply. The first byte of each record is its code. */
 enum CommandCode {
   LOG(65),
   SET_EJECTED(66),
@@ -9,12 +9,12 @@
   BIND_PROXY(69),
   SET_ADMISSION(70),
   FETCH_ENDPOINTS(71),
-  /** Names the instance that the records after it belong to. */
+  /** Selects the instance of the records that follow. */
   INSTANCE(72),
   SEND_TO_PEER(73),
   CLEAR_TABLE(74),
   CHECK_HEALTH(75),
-  /** The instance has failed and gets no further events. */
+  /** Reports that the instance has failed and receives no further events. */
   FAILURE(76),
   SET_TIMER(77),
   SET_WEIGHT(78);
--- a/src/main/java/pearusher/simulator/EndpointListDecoder.java
+++ b/src/main/java/pearusher/simulator/EndpointListDecoder.java
@@ -6,9 +6,9 @@
 import pearusher.policy.ListUpdateKind;
 import pearusher.policy.ServerEntry;
 
-/** Decodes the parts of an endpoint list. */
+/** Decoder of the fields and entries of an endpoint list record. */
 final class EndpointListDecoder {
-  /** Kinds of an update by their codes, from 0. */
+  /** Update kinds, indexed by code. */
   private static final List<ListUpdateKind> KINDS =
       List.of(
           ListUpdateKind.DELTA,
@@ -16,7 +16,7 @@
           ListUpdateKind.CACHED,
           ListUpdateKind.FAILED);
 
-  /** States of a server by their codes, from 0. */
+  /** Lifecycle states of a server, indexed by code. */
   private static final List<Lifecycle> LIFECYCLES =
       List.of(Lifecycle.REMOVED, Lifecycle.READY, Lifecycle.DRAINING);
 
@@ -26,7 +26,7 @@
     return readCode(in, KINDS, "list form");
   }
 
-  /** Reads the entries with their number in front. */
+  /** Reads a 32-bit count and that number of entries. */
   static List<ServerEntry> readEntries(RecordReader in) throws SimulatorProtocolException {
     long count = in.readU32();
     List<ServerEntry> entries = new ArrayList<>();
--- a/src/main/java/pearusher/simulator/EventCode.java
+++ b/src/main/java/pearusher/simulator/EventCode.java
@@ -6,7 +6,7 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** Codes of the records in a batch of events; each record begins with the byte of its code. */
+/** Record codes of a batch of events. The first byte of each record is its code. */
 enum EventCode {
   START(1),
   ENDPOINT_LIST(2),
@@ -22,7 +22,7 @@
   SLICE_USAGE_REPORT(12),
   SLICE_ASSIGNMENT(13),
   SLICE_WEIGHT(14),
-  /** Names the instance that the records after it belong to. */
+  /** Selects the instance of the records that follow. */
   INSTANCE(15);
 
   private static final Map<Integer, EventCode> BY_VALUE =
--- a/src/main/java/pearusher/simulator/EventDispatcher.java
+++ b/src/main/java/pearusher/simulator/EventDispatcher.java
@@ -13,9 +13,12 @@
 import pearusher.sitesettings.PolicySettingsReader;
 import pearusher.sitesettings.SettingsException;
 
-/** Decodes the event records of one batch and delivers each to its instance. */
+/** Decoder of the event records of one batch, which it delivers to the policy instances. */
 final class EventDispatcher {
-  /** Results of health checks by the status that the simulator gives; others are unspecified. */
+  /**
+   * Results of health checks by the status code in the record. Any other status is decoded as
+   * {@link HealthCheckResult#OTHER}.
+   */
   private static final Map<Integer, HealthCheckResult> RESULT_BY_STATUS =
       Map.of(
           200, HealthCheckResult.OK,
@@ -35,7 +38,14 @@
     this.in = in;
   }
 
-  /** Decodes the record with this code, of which the reader stands behind the code. */
+  /**
+   * Decodes a record and delivers its event.
+   *
+   * @param instance the number of the instance
+   * @param code the code of the record, which has already been read
+   * @throws SimulatorProtocolException if the code is unknown, or the record is truncated or
+   *     invalid
+   */
   void dispatch(int instance, int code) throws SimulatorProtocolException {
     EventCode event =
         EventCode.of(code)
@@ -78,13 +88,14 @@
       case SLICE_USAGE_REPORT -> sliceUsageReport();
       case SLICE_ASSIGNMENT -> sliceAssignment();
       case SLICE_WEIGHT -> sliceWeight();
-      case START, STOP, INSTANCE -> throw new IllegalArgumentException("no event: " + event);
+      case START, STOP, INSTANCE ->
+          throw new IllegalArgumentException("not a policy event: " + event);
     };
   }
 
   private Consumer<AssignmentPolicy> endpointList() throws SimulatorProtocolException {
     ListUpdateKind kind = EndpointListDecoder.readKind(in);
-    in.readU32(); // The version of the list, which no policy needs.
+    in.readU32(); // The version of the list; unused, because policies do not take it.
     List<ServerEntry> entries = EndpointListDecoder.readEntries(in);
     return policy -> policy.onEndpointList(nowUs, kind, entries);
   }
@@ -112,8 +123,8 @@
     int proxy = in.readU16();
     int zone = in.readU8();
     float requestsPerSecond = in.readFloat();
-    boolean holdsNoTable = in.readFlag();
-    return policy -> policy.onProxyJoined(nowUs, proxy, zone, requestsPerSecond, holdsNoTable);
+    boolean hasNoTable = in.readFlag();
+    return policy -> policy.onProxyJoined(nowUs, proxy, zone, requestsPerSecond, hasNoTable);
   }
 
   private Consumer<AssignmentPolicy> proxyLeft() throws SimulatorProtocolException {
--- a/src/main/java/pearusher/simulator/Frame.java
+++ b/src/main/java/pearusher/simulator/Frame.java
@@ -7,15 +7,16 @@
 import java.util.Optional;
 
 /**
- * One batch of events as it is read: a header of 16 bytes, then the records.
+ * Encoded batch of events: a header of 16 bytes, followed by the records.
  *
- * @param recordCount the number of records that the header announces
- * @param nowUs the time of the batch
+ * @param recordCount the number of records according to the header
+ * @param nowUs the time of the batch in microseconds
+ * @param body the encoded records
  */
 record Frame(long recordCount, long nowUs, byte[] body) {
   private static final int HEADER_BYTES = 16;
 
-  /** The bytes of header and body. */
+  /** Returns the length of header and body in bytes. */
   long size() {
     return (long) HEADER_BYTES + body.length;
   }
@@ -23,9 +24,10 @@
   /**
    * Reads the next frame.
    *
-   * @param offset position of the frame in the input, for faults
-   * @return empty at the end of the input
-   * @throws SimulatorProtocolException where the input ends within the frame
+   * @param offset the position of the frame in the input, for error messages
+   * @return the frame; empty at the end of the input
+   * @throws SimulatorProtocolException if the input ends within the frame, or the length in the
+   *     header exceeds the maximum array size
    */
   static Optional<Frame> read(InputStream in, long offset)
       throws IOException, SimulatorProtocolException {
@@ -58,8 +60,8 @@
     return body;
   }
 
-  private static SimulatorProtocolException truncated(String where) {
+  private static SimulatorProtocolException truncated(String detail) {
     return new SimulatorProtocolException(
-        SimulatorProtocolException.Kind.TRUNCATED, "truncated " + where);
+        SimulatorProtocolException.Kind.TRUNCATED, "truncated " + detail);
   }
 }
--- a/src/main/java/pearusher/simulator/PolicyInstances.java
+++ b/src/main/java/pearusher/simulator/PolicyInstances.java
@@ -9,8 +9,9 @@
 import pearusher.policy.PolicySettings;
 
 /**
- * The policy instances of a simulation by number. An instance that throws is removed and the reply
- * tells its failure; the others continue. Grows with the instances that the simulator starts.
+ * Policy instances of a simulation by number. An instance that throws is removed, and its failure
+ * is written to the reply; the others continue. Its size is proportional to the number of instances
+ * that the simulator starts.
  */
 final class PolicyInstances {
   private final BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> factory;
@@ -23,7 +24,7 @@
     this.reply = reply;
   }
 
-  /** Starts an instance in place of the one that has the number. */
+  /** Starts an instance, which replaces any running instance with the same number. */
   void start(int instance, PolicySettings settings) {
     try {
       policies.put(instance, factory.apply(settings, reply));
@@ -37,7 +38,7 @@
     policies.remove(instance);
   }
 
-  /** Delivers an event to an instance; one that is not running gets none. */
+  /** Delivers an event to an instance; discards the event if the instance is not running. */
   void deliver(int instance, Consumer<AssignmentPolicy> event) {
     AssignmentPolicy policy = policies.get(instance);
     if (policy == null) {
--- a/src/main/java/pearusher/simulator/RecordReader.java
+++ b/src/main/java/pearusher/simulator/RecordReader.java
@@ -4,7 +4,7 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 
-/** Reads the little-endian fields of a frame's records; faults name the position. */
+/** Reader of the little-endian fields of a frame's records. Error messages name the position. */
 final class RecordReader {
   private static final int NO_CODE = -1;
   private static final int ADDRESS_BYTES = 4;
@@ -30,7 +30,7 @@
     return !buffer.hasRemaining();
   }
 
-  /** A fault at the current position. */
+  /** Returns an exception that names the current position, the record and its code. */
   SimulatorProtocolException fault(SimulatorProtocolException.Kind kind, String text) {
     String codeText = code == NO_CODE ? "" : ", record code " + code;
     return new SimulatorProtocolException(
@@ -44,7 +44,7 @@
             + ")");
   }
 
-  private void require(long bytes) throws SimulatorProtocolException {
+  private void requireRemaining(long bytes) throws SimulatorProtocolException {
     if (bytes > buffer.remaining()) {
       throw fault(
           SimulatorProtocolException.Kind.TRUNCATED,
@@ -53,7 +53,7 @@
   }
 
   int readU8() throws SimulatorProtocolException {
-    require(Byte.BYTES);
+    requireRemaining(Byte.BYTES);
     return Byte.toUnsignedInt(buffer.get());
   }
 
@@ -62,31 +62,31 @@
   }
 
   int readU16() throws SimulatorProtocolException {
-    require(Short.BYTES);
+    requireRemaining(Short.BYTES);
     return Short.toUnsignedInt(buffer.getShort());
   }
 
   long readU32() throws SimulatorProtocolException {
-    require(Integer.BYTES);
+    requireRemaining(Integer.BYTES);
     return Integer.toUnsignedLong(buffer.getInt());
   }
 
   long readU64() throws SimulatorProtocolException {
-    require(Long.BYTES);
+    requireRemaining(Long.BYTES);
     return buffer.getLong();
   }
 
   float readFloat() throws SimulatorProtocolException {
-    require(Float.BYTES);
+    requireRemaining(Float.BYTES);
     return buffer.getFloat();
   }
 
   /**
-   * Reads four bytes of address, most significant first, and a port as one number that sorts like
-   * the address.
+   * Reads a server's IPv4 address (four bytes, most significant first) and port as one number,
+   * which has the port in its low 16 bits and sorts by address first.
    */
   long readServer() throws SimulatorProtocolException {
-    require(ADDRESS_BYTES + Short.BYTES);
+    requireRemaining(ADDRESS_BYTES + Short.BYTES);
     long address = 0;
     for (int i = 0; i < ADDRESS_BYTES; i++) {
       address = address << Byte.SIZE | Byte.toUnsignedInt(buffer.get());
@@ -95,21 +95,21 @@
   }
 
   byte[] readBytes(long count) throws SimulatorProtocolException {
-    require(count);
+    requireRemaining(count);
     byte[] bytes = new byte[(int) count];
     buffer.get(bytes);
     return bytes;
   }
 
-  /** Reads a text with its length in front. */
+  /** Reads a 32-bit length and a UTF-8 text of that number of bytes. */
   String readText() throws SimulatorProtocolException {
     return new String(readBytes(readU32()), StandardCharsets.UTF_8);
   }
 
-  /** Reads load metrics with their number in front. */
+  /** Reads an 8-bit count and that number of load metrics. */
   float[] readLoad() throws SimulatorProtocolException {
     int count = readU8();
-    require((long) Float.BYTES * count);
+    requireRemaining((long) Float.BYTES * count);
     float[] load = new float[count];
     for (int i = 0; i < count; i++) {
       load[i] = buffer.getFloat();
--- a/src/main/java/pearusher/simulator/ReplyWriter.java
+++ b/src/main/java/pearusher/simulator/ReplyWriter.java
@@ -6,8 +6,8 @@
 import pearusher.policy.PolicyCommands;
 
 /**
- * Encodes the commands of all instances as one reply; a record that names the instance leads those
- * of each. Grows with the longest reply.
+ * Encoder of the commands of all instances as one reply. A record that names the instance precedes
+ * the commands of each instance. Its buffer has the size of the longest reply so far.
  */
 final class ReplyWriter implements PolicyCommands {
   private static final int HEADER_BYTES = 8;
@@ -20,9 +20,10 @@
   private ByteBuffer buffer = newBuffer(INITIAL_BYTES);
   private int recordCount;
 
-  /** The instance whose commands come next, and the one that the last record named. */
+  /** Instance of the next command. */
   private int instance = NO_INSTANCE;
 
+  /** Instance named by the last instance record of this reply. */
   private int namedInstance = NO_INSTANCE;
 
   private static ByteBuffer newBuffer(int bytes) {
@@ -37,12 +38,12 @@
     namedInstance = NO_INSTANCE;
   }
 
-  /** The commands that follow belong to this instance. */
+  /** Sets the instance of the commands that follow. */
   void setInstance(int number) {
     instance = number;
   }
 
-  /** The reply with its header: the length of the records and their number. */
+  /** Returns the reply with its header, which has the length of the records and their number. */
   byte[] toFrame() {
     buffer.putInt(0, buffer.position() - HEADER_BYTES);
     buffer.putInt(Integer.BYTES, recordCount);
@@ -51,7 +52,7 @@
     return frame;
   }
 
-  /** Starts a record of the current instance and reserves its fields' bytes. */
+  /** Starts a record of the current instance and ensures capacity for its fields. */
   private ByteBuffer startRecord(CommandCode code, int fieldBytes) {
     if (namedInstance != instance) {
       namedInstance = instance;
@@ -76,7 +77,7 @@
     buffer = larger;
   }
 
-  /** Four bytes of address, most significant first, and the port. */
+  /** Writes the IPv4 address (four bytes, most significant first) and the port of a server. */
   private static void putServer(ByteBuffer to, long server) {
     for (int shift = 40; shift >= 16; shift -= Byte.SIZE) {
       to.put((byte) (server >>> shift));
@@ -183,7 +184,7 @@
     writeText(CommandCode.LOG, text);
   }
 
-  /** The current instance has failed and gets no further events. */
+  /** Writes that the current instance has failed and receives no further events. */
   void failure(String text) {
     writeText(CommandCode.FAILURE, text);
   }
--- a/src/main/java/pearusher/simulator/SimulatorLoop.java
+++ b/src/main/java/pearusher/simulator/SimulatorLoop.java
@@ -12,8 +12,8 @@
 import pearusher.policy.PolicySettings;
 
 /**
- * Reads batches of events, delivers them to the policy instances and writes one reply a batch.
- * Single-threaded.
+ * Main loop of the simulator protocol: reads batches of events, delivers them to the policy
+ * instances and writes one reply per batch. Single-threaded.
  */
 public final class SimulatorLoop {
   private static final int NO_INSTANCE = -1;
@@ -24,17 +24,18 @@
   /**
    * Creates a loop without instances.
    *
-   * @param factory makes the policy of an instance that the simulator starts
+   * @param factory creates the policy of each instance that the simulator starts
    */
   public SimulatorLoop(BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> factory) {
     instances = new PolicyInstances(factory, reply);
   }
 
   /**
-   * Runs until the input ends.
+   * Processes batches until the end of the input.
    *
-   * @throws SimulatorProtocolException where the input does not follow the protocol; replies to the
-   *     batches before it have been written
+   * @throws IOException if reading the input or writing the output fails
+   * @throws SimulatorProtocolException if the input violates the protocol; replies to all earlier
+   *     batches have been written
    */
   public void run(InputStream in, OutputStream out) throws IOException, SimulatorProtocolException {
     long offset = 0;
@@ -65,11 +66,15 @@
     return reply.toFrame();
   }
 
-  /** Delivers the events of a batch and returns the instances that got any, in ascending order. */
+  /**
+   * Delivers the events of a batch.
+   *
+   * @return the numbers of the instances that the events were addressed to, in ascending order
+   */
   private Set<Integer> dispatchEvents(Frame frame) throws SimulatorProtocolException {
     RecordReader in = new RecordReader(frame.body());
     EventDispatcher dispatcher = new EventDispatcher(instances, frame.nowUs(), in);
-    Set<Integer> addressed = new TreeSet<>();
+    Set<Integer> addressedInstances = new TreeSet<>();
     int instance = NO_INSTANCE;
     for (long count = 0; count < frame.recordCount(); count++) {
       int code = nextCode(in, frame, count);
@@ -82,13 +87,13 @@
             SimulatorProtocolException.Kind.NO_INSTANCE, "record before any instance is named");
       }
       reply.setInstance(instance);
-      addressed.add(instance);
+      addressedInstances.add(instance);
       dispatcher.dispatch(instance, code);
     }
     if (!in.isAtEnd()) {
       throw lengthMismatch(in, "bytes left after " + frame.recordCount() + " records");
     }
-    return addressed;
+    return addressedInstances;
   }
 
   private static int nextCode(RecordReader in, Frame frame, long count)
--- a/src/main/java/pearusher/simulator/SimulatorProtocolException.java
+++ b/src/main/java/pearusher/simulator/SimulatorProtocolException.java
@@ -1,28 +1,29 @@
 package pearusher.simulator;
 
 /**
- * Input that does not follow the simulator's protocol; the text names the position and the code.
+ * Thrown if the input violates the simulator's protocol. The message names the position and, where
+ * known, the record code.
  */
 public final class SimulatorProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** What is wrong with the input. */
+  /** Kind of protocol violation. */
   public enum Kind {
     /** The input ends within a header, a frame or a record. */
     TRUNCATED,
-    /** Length and number of records of a frame don't agree with its content. */
+    /** The length or the number of records of a frame differs from its content, or is too large. */
     LENGTH_MISMATCH,
-    /** A code of a record or of a field has no meaning. */
+    /** The code of a record or of a field is not defined. */
     UNKNOWN_CODE,
-    /** An event comes before the instance that it belongs to. */
+    /** An event precedes the first record that names an instance. */
     NO_INSTANCE,
-    /** The settings of an instance can't be used. */
+    /** The settings of an instance are invalid. */
     INVALID_SETTINGS
   }
 
   private final Kind kind;
 
-  /** Creates a fault of a kind; the text is shown to the operator. */
+  /** Creates an exception of a kind; the text is shown to the operator. */
   public SimulatorProtocolException(Kind kind, String text) {
     super(text);
     this.kind = kind;
@@ -32,7 +33,7 @@
     return kind;
   }
 
-  /** The same fault with the position of its frame in the input. */
+  /** Returns an exception whose message also has the position of the frame in the input. */
   SimulatorProtocolException inFrameAt(long offset) {
     return new SimulatorProtocolException(kind, "frame at byte " + offset + ": " + getMessage());
   }
--- a/src/main/java/pearusher/simulator/package-info.java
+++ b/src/main/java/pearusher/simulator/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The policy behind the simulator's binary protocol: reads batches of events on standard input,
- * delivers them to the policy instances, and writes one reply a batch. Single-threaded; it makes no
- * decisions.
+ * Adapter between the simulator's binary protocol and the policy. It reads batches of events from
+ * an input stream, delivers them to the policy instances, and writes one reply per batch. It is
+ * single-threaded and makes no decisions.
  */
 package pearusher.simulator;
--- a/src/test/java/pearusher/simulator/BatchWriter.java
+++ b/src/test/java/pearusher/simulator/BatchWriter.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HexFormat;
 
-/** Batches of events for tests, from records in hex. */
+/** Builder of encoded batches of events for tests, from records in hexadecimal. */
 public final class BatchWriter {
   static final String SETTINGS =
       String.join(
@@ -87,7 +87,7 @@
     return u32(value) + u32(value >> 32);
   }
 
-  /** A frame of records in hex at a time. */
+  /** Returns a frame of records in hexadecimal, with a time in microseconds. */
   public static byte[] frame(long nowUs, String... records) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     byte[] body = hex(String.join("", records));
@@ -101,7 +101,7 @@
     return "01" + u64(7) + u32(bytes.length) + HexFormat.of().formatHex(bytes);
   }
 
-  /** Two ready servers of different zones, as a cached list. */
+  /** Returns a cached endpoint list of two ready servers in different zones. */
   static String cachedList() {
     return "02 02 29000000 02000000"
         + "0a124a07 5b1b 00 0000 0000 01 0000803f 0000000000000000"
--- a/src/test/java/pearusher/simulator/SimulatorLoopTest.java
+++ b/src/test/java/pearusher/simulator/SimulatorLoopTest.java
@@ -41,7 +41,7 @@
     return PolicySettingsReader.read(7, PathValues.parseLines(text));
   }
 
-  /** A policy that records the events it gets and issues no commands. */
+  /** Returns a policy that records the events that it receives and issues no commands. */
   private AssignmentPolicy recordingPolicy() {
     return (AssignmentPolicy)
         Proxy.newProxyInstance(
@@ -71,7 +71,7 @@
     return run(factory, new ByteArrayInputStream(in));
   }
 
-  private List<String> events(String... records) throws Exception {
+  private List<String> eventsOfBatch(String... records) throws Exception {
     List<String> batch = new ArrayList<>();
     batch.add("0f0300");
     batch.add(BatchWriter.start(BatchWriter.SETTINGS));
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void anEmptyBatchGetsAnEmptyReply() throws Exception {
+  void emptyBatchGivesEmptyReply() throws Exception {
     byte[] in = BatchWriter.hex("00000000 00000000 5a5c800000000000");
     assertArrayEquals(new byte[8], run((settings, commands) -> recordingPolicy(), in));
     assertArrayEquals(new byte[0], run((settings, commands) -> recordingPolicy(), new byte[0]));
@@ -92,7 +92,7 @@
   @Test
   void everyEventIsDecoded() throws Exception {
     List<String> received =
-        events(
+        eventsOfBatch(
             BatchWriter.cachedList(),
             "03 4d00000000000000",
             "04 0a124a07 5b1b 9801 10270000 01 0000003f",
@@ -105,17 +105,17 @@
             "0c 05000000 01000000 01 0700 80841e00",
             "0d 01 0700",
             "0e 0700 0a9011f2 841b 0000403f");
-    String rest = ", machineType=0, cell=0, lifecycle=READY, weight=";
+    String otherFields = ", machineType=0, cell=0, lifecycle=READY, weight=";
     assertEquals(
         "onEndpointList 5 CACHED [ServerEntry[server="
             + FIRST_SERVER
             + ", zone=0"
-            + rest
+            + otherFields
             + "1.0, startedUs=0], "
             + "ServerEntry[server="
             + SECOND_SERVER
             + ", zone=1"
-            + rest
+            + otherFields
             + "1.5, startedUs=6100000]]",
         received.get(0));
     assertEquals(
@@ -137,11 +137,11 @@
   @Test
   void listKindsLifecyclesAndHealthCheckResultsAreDecoded() throws Exception {
     String entry = "01000000 0a124a07 5b1b 00 0100 0200 ";
-    String rest = " 0000803f 0000000000000000";
+    String otherFields = " 0000803f 0000000000000000";
     List<String> received =
-        events(
-            "02 00 01000000" + entry + "02" + rest,
-            "02 01 01000000" + entry + "00" + rest,
+        eventsOfBatch(
+            "02 00 01000000" + entry + "02" + otherFields,
+            "02 01 01000000" + entry + "00" + otherFields,
             "02 03 01000000 00000000",
             "04 0a124a07 5b1b c800 00000000 00",
             "04 0a124a07 5b1b f601 00000000 00",
@@ -155,10 +155,11 @@
     assertTrue(
         received.get(1).contains("COMPLETE") && received.get(1).contains("lifecycle=REMOVED"));
     assertTrue(received.get(2).contains("FAILED"));
-    List<String> ends = List.of("OK", "ERROR", "REJECTED", "UNREACHABLE", "DISCONNECTED", "OTHER");
-    for (int i = 0; i < ends.size(); i++) {
+    List<String> results =
+        List.of("OK", "ERROR", "REJECTED", "UNREACHABLE", "DISCONNECTED", "OTHER");
+    for (int i = 0; i < results.size(); i++) {
       assertEquals(
-          "onHealthCheckResult 5 " + FIRST_SERVER + " " + ends.get(i) + " 0 []",
+          "onHealthCheckResult 5 " + FIRST_SERVER + " " + results.get(i) + " 0 []",
           received.get(3 + i));
     }
   }
@@ -209,33 +210,37 @@
     assertEquals(List.of(LoadMetric.UTILIZATION, LoadMetric.IN_FLIGHT), settings.loadMetrics());
     assertEquals(5900, settings.channel().maxBacklogLines());
     assertEquals(17_000_000, settings.limits().slowStartUs());
-    PolicySettings optional =
+    PolicySettings settingsWithOptionalKeys =
         settings(
             BatchWriter.SETTINGS
                 + "\nfamilyInfo.pick=p2c\ngoal.whole=0.55"
                 + "\nfamilyInfo.connsLeast=172.0\nfamilyInfo.zonal=true"
                 + "\nfees.handshake=0.04\ncountedBy=work");
-    assertEquals(PickMethod.POWER_OF_TWO_CHOICES, optional.siteTraits().pickMethod());
-    assertEquals(0.55, optional.scoreWeights().overall());
-    assertTrue(optional.siteTraits().proxiesJoinInOwnZone() && optional.scoreWeights().byWork());
-    assertEquals(172, optional.siteTraits().minConnections());
-    assertEquals(0.04, optional.costs().handshake());
+    assertEquals(
+        PickMethod.POWER_OF_TWO_CHOICES, settingsWithOptionalKeys.siteTraits().pickMethod());
+    assertEquals(0.55, settingsWithOptionalKeys.scoreWeights().overall());
+    assertTrue(
+        settingsWithOptionalKeys.siteTraits().proxiesJoinInOwnZone()
+            && settingsWithOptionalKeys.scoreWeights().byWork());
+    assertEquals(172, settingsWithOptionalKeys.siteTraits().minConnections());
+    assertEquals(0.04, settingsWithOptionalKeys.costs().handshake());
   }
 
   @Test
-  void aMissingOrUnreadableKeyIsNamed() {
+  void errorForMissingOrUnreadableKeyNamesIt() {
     for (String line : BatchWriter.SETTINGS.split("\n")) {
       String key = line.substring(0, line.indexOf('='));
-      boolean optional =
+      boolean isOptional =
           key.endsWith(".name")
               || key.equals("kinds")
               || key.equals("report.fields")
               || key.equals("some.newKey")
               || key.equals("rules.askWithinUs");
-      String without = BatchWriter.SETTINGS.replace(line + "\n", "").replace("\n" + line, "");
-      if (!optional) {
+      String settingsWithoutKey =
+          BatchWriter.SETTINGS.replace(line + "\n", "").replace("\n" + line, "");
+      if (!isOptional) {
         SettingsException fault =
-            assertThrows(SettingsException.class, () -> settings(without), key);
+            assertThrows(SettingsException.class, () -> settings(settingsWithoutKey), key);
         assertTrue(fault.getMessage().contains(key), fault.getMessage());
       }
     }
@@ -246,7 +251,7 @@
     assertTrue(fault.getMessage().contains("familyInfo.transitUs"), fault.getMessage());
   }
 
-  /** An input whose reads don't go past a cut. */
+  /** Returns an input stream of which no single read crosses a position. */
   private static InputStream cutAt(byte[] input, int cut) {
     return new InputStream() {
       private int at;
@@ -282,7 +287,7 @@
   }
 
   @Test
-  void framesSplitAtEveryByteAreReadAlike() throws Exception {
+  void framesSplitAtAnyByteGiveTheSameReplies() throws Exception {
     byte[] input = shortInput(BatchWriter.SETTINGS);
     byte[] expected = run(FaastPolicy::new, input);
     assertTrue(expected.length > 100);
@@ -313,26 +318,27 @@
     return fault;
   }
 
-  private static void assertText(SimulatorProtocolException fault, String part) {
+  private static void assertMessageContains(SimulatorProtocolException fault, String part) {
     assertTrue(fault.getMessage().contains(part), fault.getMessage());
   }
 
   @Test
-  void invalidInputIsReportedWithItsPosition() {
+  void errorForInvalidInputNamesItsPosition() {
     byte[] valid = shortInput(BatchWriter.SETTINGS);
     for (int cut : new int[] {5, 20, valid.length - 3}) {
       byte[] truncated = Arrays.copyOf(valid, cut);
-      assertText(assertFault(SimulatorProtocolException.Kind.TRUNCATED, truncated), "truncated");
+      assertMessageContains(
+          assertFault(SimulatorProtocolException.Kind.TRUNCATED, truncated), "truncated");
     }
     SimulatorProtocolException unknownCode =
         assertFault(
             SimulatorProtocolException.Kind.UNKNOWN_CODE, BatchWriter.frame(1, "0f0300", "63"));
-    assertText(unknownCode, "code 99");
-    assertText(unknownCode, "byte 3");
+    assertMessageContains(unknownCode, "code 99");
+    assertMessageContains(unknownCode, "byte 3");
     byte[] wrongCount = BatchWriter.frame(1, "0f0300", "03 4d00000000000000");
     for (byte count : new byte[] {3, 1}) {
       wrongCount[4] = count;
-      assertText(
+      assertMessageContains(
           assertFault(SimulatorProtocolException.Kind.LENGTH_MISMATCH, wrongCount),
           "length doesn't add up");
     }
@@ -343,7 +349,7 @@
   }
 
   @Test
-  void anExceptionInThePolicyBecomesAFailureRecord() throws Exception {
+  void exceptionInThePolicyGivesAFailureRecord() throws Exception {
     byte[] received =
         run(
             (settings, commands) -> {
@@ -356,8 +362,8 @@
   }
 
   @Test
-  void aStoppedInstanceGetsNoFurtherEvents() throws Exception {
-    assertEquals(List.of("onTimer 5 1"), events("03 0100000000000000", "06", "08 2900"));
+  void stoppedInstanceReceivesNoFurtherEvents() throws Exception {
+    assertEquals(List.of("onTimer 5 1"), eventsOfBatch("03 0100000000000000", "06", "08 2900"));
     assertTrue(receivedEvents.stream().noneMatch(event -> event.startsWith("onBatchEnd")));
   }
 }
--- a/src/test/java/pearusher/simulator/SimulatorProcessTest.java
+++ b/src/test/java/pearusher/simulator/SimulatorProcessTest.java
@@ -16,9 +16,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The process that answers the simulator, and limits on the text of the decision modules. */
+/**
+ * Tests of the simulator command as a process, and of the size limits on the source files of the
+ * policy.
+ */
 class SimulatorProcessTest {
-  /** Lines of a decision module that are not blank. */
+  /** Limit on the lines of a policy source file that are not blank. */
   private static final int MAX_MODULE_LINES = 250;
 
   @TempDir Path dir;
@@ -45,7 +48,7 @@
     try (OutputStream processInput = process.getOutputStream()) {
       processInput.write(in);
     } catch (IOException closed) {
-      assertTrue(args.length != 1, "the adapter closed its input: " + closed);
+      assertTrue(args.length != 1, "the simulator command closed its input: " + closed);
     }
     return new ProcessResult(
         process.waitFor(), Files.readAllBytes(out), Files.readString(err, StandardCharsets.UTF_8));
@@ -71,7 +74,7 @@
   }
 
   @Test
-  void aTruncatedFrameExitsWithOneAndWritesNoPartialReply() throws Exception {
+  void truncatedFrameExitsWithOneWithoutPartialReply() throws Exception {
     byte[] valid = BatchWriter.frame(1);
     byte[] truncated = BatchWriter.frame(2, "0f0300", "03 4d00000000000000");
     ProcessResult result =
@@ -82,7 +85,7 @@
   }
 
   @Test
-  void anUnknownCodeAndAMissingKeyExitWithOne() throws Exception {
+  void unknownCodeOrMissingKeyExitsWithOne() throws Exception {
     ProcessResult unknownCode = run(BatchWriter.frame(2, "0f0300", "63"), "adapter");
     assertEquals(1, unknownCode.status());
     assertTrue(unknownCode.err().contains("unknown record code 99"), unknownCode.err());
@@ -96,16 +99,18 @@
     assertEquals(0, missingKey.out().length);
   }
 
-  /** The files under {@code policy} in the deploy file hold every decision. */
+  /** The deploy file lists the source files of the policy under {@code policy}. */
   @Test
-  void decisionModulesOfTheDeployFileStayWithinTheirSizeAndColumns() throws Exception {
+  void policyFilesOfTheDeployFileAreWithinTheLimitsOnLinesAndColumns() throws Exception {
     String deployFile = Files.readString(Path.of("deploy/balancer.toml"));
     Matcher policy = Pattern.compile("(?m)^policy = \\[(.*?)\\]").matcher(deployFile);
     assertTrue(policy.find(), deployFile);
     for (String name : policy.group(1).replace("\"", "").split(", *")) {
       List<String> lines = Files.readAllLines(Path.of(name));
-      long filled = lines.stream().filter(l -> !l.isBlank()).count();
-      assertTrue(filled <= MAX_MODULE_LINES, name + ": " + filled + " lines that are not blank");
+      long nonBlankLines = lines.stream().filter(l -> !l.isBlank()).count();
+      assertTrue(
+          nonBlankLines <= MAX_MODULE_LINES,
+          name + ": " + nonBlankLines + " lines that are not blank");
       assertTrue(lines.stream().allMatch(l -> l.length() <= 100), name);
     }
   }
--- a/src/test/java/pearusher/simulator/WireEvents.java
+++ b/src/test/java/pearusher/simulator/WireEvents.java
@@ -2,16 +2,16 @@
 
 import java.util.HexFormat;
 
-/** Event records of the simulator's protocol in hex, each with its code first. */
+/** Event records of the simulator's protocol in hexadecimal, each with its code first. */
 final class WireEvents {
-  /** Kinds of a list update. */
+  /** Codes of the kinds of a list update: {@code DELTA} to {@code FAILED}. */
   static final int DELTA = 0;
 
   static final int COMPLETE = 1;
   static final int CACHED = 2;
   static final int FAILED = 3;
 
-  /** Lifecycles of a listed server. */
+  /** Codes of the lifecycle states of a listed server: {@code REMOVED} to {@code DRAINING}. */
   static final int REMOVED = 0;
 
   static final int READY = 1;
@@ -19,7 +19,7 @@
 
   private WireEvents() {}
 
-  /** A server's address: a number in 10.0.0.0/16 and a fixed port. */
+  /** Returns the address of a server: its number within 10.0.0.0/16, and a fixed port. */
   static String server(int server) {
     return "0a00" + u8(server >> 8) + u8(server) + "901f";
   }
@@ -78,8 +78,8 @@
     return "06";
   }
 
-  static String proxyJoined(int proxy, int zone, double requestsPerSecond, boolean holdsNoTable) {
-    return "07" + u16(proxy) + u8(zone) + f32(requestsPerSecond) + u8(holdsNoTable ? 1 : 0);
+  static String proxyJoined(int proxy, int zone, double requestsPerSecond, boolean hasNoTable) {
+    return "07" + u16(proxy) + u8(zone) + f32(requestsPerSecond) + u8(hasNoTable ? 1 : 0);
   }
 
   static String proxyLeft(int proxy) {
@@ -128,8 +128,8 @@
     return "0e" + u16(slice) + server(server) + f32(weight);
   }
 
-  /** The records that follow belong to this instance. */
-  static String instance(int server) {
-    return "0f" + u16(server);
+  /** Returns the record that selects the instance of the records that follow. */
+  static String instance(int number) {
+    return "0f" + u16(number);
   }
 }
--- a/src/test/java/pearusher/simulator/WireTranscriptTest.java
+++ b/src/test/java/pearusher/simulator/WireTranscriptTest.java
@@ -29,19 +29,19 @@
 import pearusher.policy.PolicySettings;
 
 /**
- * Characterization of the simulator's protocol: batches of binary events must give exactly the
- * recorded bytes.
+ * Characterization test of the simulator's protocol: batches of binary events must give exactly the
+ * recorded replies.
  *
- * <p>The replies stand in wire-transcripts.txt, one a line: a name and the bytes in hex or their
- * digest. A change that keeps the behaviour changes none of them; where a change of behaviour is
- * intended, the failure message holds the new reply.
+ * <p>Each line of wire-transcripts.txt has a name and the bytes of a reply in hexadecimal, or their
+ * length and digest. Any difference is a change of behaviour. If it is intended, the failure
+ * message contains the new line.
  */
 class WireTranscriptTest {
   private static final String RECORDED = "/wire-transcripts.txt";
-  private static final long START_US = 50_000_000;
-  private static final long SECOND = 1_000_000;
+  private static final long BATCH_START_US = 50_000_000;
+  private static final long SECOND_US = 1_000_000;
 
-  /** The time at which a policy throws, in the tests that need it. */
+  /** Time in microseconds of the event at which the failing policy throws. */
   private static final long FAILURE_US = 53_000_000;
 
   private static final int SERVERS = 24;
@@ -73,11 +73,11 @@
     return lines;
   }
 
-  private static void assertRecorded(String name, String answer) throws IOException {
-    assertEquals(recorded().get(name), name + " " + answer, "new line of " + RECORDED);
+  private static void assertRecorded(String name, String reply) throws IOException {
+    assertEquals(recorded().get(name), name + " " + reply, "new line of " + RECORDED);
   }
 
-  private static byte[] answers(
+  private static byte[] replies(
       BiFunction<PolicySettings, PolicyCommands, AssignmentPolicy> factory, byte[]... frames)
       throws IOException, SimulatorProtocolException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -101,8 +101,8 @@
     return WireEvents.endpointList(kind, entries.toArray(new String[0]));
   }
 
-  /** The first batch of an instance: settings, list and proxies. */
-  private static List<String> startRecords(
+  /** Returns the first records of an instance: settings, endpoint list and proxies. */
+  private static List<String> initialRecords(
       int instance, String settings, int servers, int zones, int proxies) {
     List<String> records =
         new ArrayList<>(
@@ -122,16 +122,16 @@
 
   @Test
   void twoInstancesInOneBatchGiveTheRecordedBytes() throws Exception {
-    List<String> first = startRecords(1, RATE_MODE, 3, 2, 2);
-    first.addAll(startRecords(2, SHARE_MODE, 3, 3, 3));
+    List<String> first = initialRecords(1, RATE_MODE, 3, 2, 2);
+    first.addAll(initialRecords(2, SHARE_MODE, 3, 3, 3));
     assertRecorded(
         "two-instances",
         hex(
-            answers(
+            replies(
                 FaastPolicy::new,
-                frame(START_US, first),
+                frame(BATCH_START_US, first),
                 BatchWriter.frame(
-                    START_US + SECOND,
+                    BATCH_START_US + SECOND_US,
                     WireEvents.instance(2),
                     WireEvents.timer(1),
                     WireEvents.instance(1),
@@ -142,7 +142,7 @@
 
   @Test
   void slicesAndUnknownInstancesGiveTheRecordedBytes() throws Exception {
-    List<String> first = startRecords(4, WITH_SLICES, 3, 2, 2);
+    List<String> first = initialRecords(4, WITH_SLICES, 3, 2, 2);
     first.addAll(
         List.of(
             WireEvents.sliceAssignment(1, true),
@@ -153,39 +153,40 @@
     assertRecorded(
         "slices",
         hex(
-            answers(
+            replies(
                 FaastPolicy::new,
-                frame(START_US, first),
-                frame(START_US + 5, List.of()),
+                frame(BATCH_START_US, first),
+                frame(BATCH_START_US + 5, List.of()),
                 BatchWriter.frame(
-                    START_US + SECOND,
+                    BATCH_START_US + SECOND_US,
                     WireEvents.instance(4),
                     WireEvents.stop(),
                     WireEvents.timer(1)))));
   }
 
   @Test
-  void aMinuteOfThreeInstancesGivesTheRecordedBytes() throws Exception {
+  void minuteOfEventsGivesTheRecordedBytes() throws Exception {
     assertAll(
         IntStream.rangeClosed(1, 3)
             .mapToObj(
                 seed ->
                     () ->
                         assertRecorded(
-                            "minute-" + seed, digest(answers(FaastPolicy::new, minute(seed))))));
+                            "minute-" + seed,
+                            digest(replies(FaastPolicy::new, minuteOfEvents(seed))))));
   }
 
-  /** A minute of events for three instances, with records of every code. */
-  private static byte[][] minute(int seed) {
+  /** Returns the frames of a minute of events for four instances, with records of every code. */
+  private static byte[][] minuteOfEvents(int seed) {
     SplittableRandom random = new SplittableRandom(seed);
     List<byte[]> frames = new ArrayList<>();
-    List<String> first = startRecords(1, RATE_MODE, SERVERS, 2, PROXIES);
-    first.addAll(startRecords(2, SHARE_MODE, SERVERS, 3, PROXIES));
-    first.addAll(startRecords(300, NO_ADMISSION_MODE, SERVERS, 2, PROXIES));
-    first.addAll(startRecords(4, WITH_SLICES, SERVERS, 2, PROXIES));
-    frames.add(frame(START_US, first));
+    List<String> first = initialRecords(1, RATE_MODE, SERVERS, 2, PROXIES);
+    first.addAll(initialRecords(2, SHARE_MODE, SERVERS, 3, PROXIES));
+    first.addAll(initialRecords(300, NO_ADMISSION_MODE, SERVERS, 2, PROXIES));
+    first.addAll(initialRecords(4, WITH_SLICES, SERVERS, 2, PROXIES));
+    frames.add(frame(BATCH_START_US, first));
     for (int second = 1; second <= 60; second++) {
-      long nowUs = START_US + second * SECOND;
+      long nowUs = BATCH_START_US + second * SECOND_US;
       boolean isOverloaded = second > 15 && second < 30;
       List<String> records = new ArrayList<>();
       for (int instance : new int[] {1, 2, 300}) {
@@ -202,7 +203,7 @@
     }
     frames.add(
         BatchWriter.frame(
-            START_US + 61 * SECOND,
+            BATCH_START_US + 61 * SECOND_US,
             WireEvents.instance(2),
             WireEvents.stop(),
             WireEvents.timer(1),
@@ -264,33 +265,36 @@
   }
 
   @Test
-  void anInstanceThatFailsGivesItsFaultAndOthersContinue() throws Exception {
-    List<String> first = startRecords(1, RATE_MODE, 3, 2, 2);
-    first.addAll(startRecords(2, SHARE_MODE, 3, 3, 3));
+  void failingInstanceGivesAFailureRecordAndOthersContinue() throws Exception {
+    List<String> first = initialRecords(1, RATE_MODE, 3, 2, 2);
+    first.addAll(initialRecords(2, SHARE_MODE, 3, 3, 3));
     assertRecorded(
         "failing-instance",
         digest(
-            answers(
-                WireTranscriptTest::failing,
-                frame(START_US, first),
+            replies(
+                WireTranscriptTest::failingPolicy,
+                frame(BATCH_START_US, first),
                 frame(FAILURE_US, timers(1, 2)),
-                frame(FAILURE_US + SECOND, timers(1, 2)))));
+                frame(FAILURE_US + SECOND_US, timers(1, 2)))));
   }
 
   @Test
-  void anInstanceThatFailsAtItsStartGivesItsFault() throws Exception {
+  void instanceFailingAtStartGivesAFailureRecord() throws Exception {
     assertRecorded(
         "failing-start",
         hex(
-            answers(
+            replies(
                 (settings, commands) -> {
-                  throw withoutTrace();
+                  throw failureWithoutStackTrace();
                 },
-                frame(START_US, startRecords(1, RATE_MODE, 3, 2, 2)))));
+                frame(BATCH_START_US, initialRecords(1, RATE_MODE, 3, 2, 2)))));
   }
 
-  /** A policy that throws at one time; each event has its time as first argument. */
-  private static AssignmentPolicy failing(PolicySettings settings, PolicyCommands commands) {
+  /**
+   * Returns a policy that throws at {@link #FAILURE_US} if its admission mode is the rate. The
+   * first argument of each event is its time.
+   */
+  private static AssignmentPolicy failingPolicy(PolicySettings settings, PolicyCommands commands) {
     FaastPolicy policy = new FaastPolicy(settings, commands);
     boolean fails = settings.admissionMode() == AdmissionMode.RATE;
     return (AssignmentPolicy)
@@ -299,36 +303,36 @@
             new Class<?>[] {AssignmentPolicy.class},
             (self, method, arguments) -> {
               if (fails && arguments[0].equals(FAILURE_US)) {
-                throw withoutTrace();
+                throw failureWithoutStackTrace();
               }
               return method.invoke(policy, arguments);
             });
   }
 
-  private static RuntimeException withoutTrace() {
+  private static RuntimeException failureWithoutStackTrace() {
     RuntimeException failure = new IllegalStateException("decisions failed");
     failure.setStackTrace(new StackTraceElement[0]);
     return failure;
   }
 
-  /** The result of an invalid input: bytes of the replies before it, and the text of the fault. */
-  private static String fault(byte[] input) {
+  /** Returns the bytes of the replies before an invalid input, and the error message. */
+  private static String replyAndError(byte[] input) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    SimulatorProtocolException fault =
+    SimulatorProtocolException error =
         assertThrows(
             SimulatorProtocolException.class,
             () -> new SimulatorLoop(FaastPolicy::new).run(new ByteArrayInputStream(input), out));
-    return hex(out.toByteArray()) + "; " + fault.getMessage();
+    return hex(out.toByteArray()) + "; " + error.getMessage();
   }
 
-  private static byte[] announced(long count, byte[] frame) {
+  private static byte[] withRecordCount(long count, byte[] frame) {
     frame[4] = (byte) count;
     return frame;
   }
 
   @Test
-  void anInvalidInputEndsWithTheRecordedText() throws IOException {
-    byte[] valid = BatchWriter.frame(START_US, WireEvents.instance(1), WireEvents.timer(1));
+  void invalidInputGivesTheRecordedErrorMessage() throws IOException {
+    byte[] valid = BatchWriter.frame(BATCH_START_US, WireEvents.instance(1), WireEvents.timer(1));
     Map<String, byte[]> inputs = new TreeMap<>();
     inputs.put("short-header", BatchWriter.join(valid, BatchWriter.hex("0100 0000")));
     inputs.put(
@@ -340,8 +344,8 @@
         BatchWriter.join(valid, BatchWriter.frame(1, WireEvents.instance(1), "10")));
     inputs.put("code-zero", BatchWriter.frame(1, WireEvents.instance(1), "00"));
     inputs.put("no-instance", BatchWriter.join(valid, BatchWriter.frame(1, WireEvents.timer(1))));
-    inputs.put("too-few-records", announced(3, valid.clone()));
-    inputs.put("too-many-records", announced(1, valid.clone()));
+    inputs.put("too-few-records", withRecordCount(3, valid.clone()));
+    inputs.put("too-many-records", withRecordCount(1, valid.clone()));
     inputs.put(
         "list-form", BatchWriter.frame(1, WireEvents.instance(1), "0204" + BatchWriter.u64(0)));
     inputs.put(
@@ -368,6 +372,9 @@
     assertAll(
         inputs.entrySet().stream()
             .map(
-                input -> () -> assertRecorded("fault-" + input.getKey(), fault(input.getValue()))));
+                input ->
+                    () ->
+                        assertRecorded(
+                            "fault-" + input.getKey(), replyAndError(input.getValue()))));
   }
 }
