--- a/src/main/antlr4/pearusher/operatorsettings/Conf.g4
+++ b/src/main/antlr4/pearusher/operatorsettings/Conf.g4
@@ -1,5 +1,5 @@
 /*
- * The operators' settings, line by line in the manner of classic daemons:
+ * Grammar of the operators' settings file, a line-based format with nested blocks:
  *
  *     # a comment
  *     include "more.conf"
@@ -8,29 +8,32 @@
  *         interval 20ms
  *     }
  *
- * The grammar knows no key: SettingKey lists them.
+ * The grammar is independent of the keys, which SettingKey lists.
  */
 grammar Conf;
 
-/* One token decides what follows, so that an error has its own position and not that of the block. */
+/*
+ * The grammar is LL(1): one token of lookahead selects each alternative. A syntax error is therefore
+ * reported at the position of the unexpected token, not at the start of the enclosing block.
+ */
 file : line* EOF ;
 
-line : NL | item end ;
+line : NEWLINE | statement lineEnd ;
 
-end : NL | EOF ;
+lineEnd : NEWLINE | EOF ;
 
-item : WORD ( block | value+ ) ;
+statement : WORD ( block | value+ ) ;
 
-block : '{' NL line* '}' ;
+block : '{' NEWLINE line* '}' ;
 
 value : WORD | STRING ;
 
 STRING : '"' ( ~["\\\r\n] | '\\' ["\\] )* '"' ;
 WORD : ~[ \t\r\n{}"#] ~[ \t\r\n{}"]* ;
 COMMENT : '#' ~[\r\n]* -> skip ;
-BLANK : [ \t]+ -> skip ;
-NL : '\r'? '\n' | '\r' ;
-OPEN : '{' ;
-CLOSE : '}' ;
-/* All other characters are tokens too, so that the parser reports their position. */
-OTHER : . ;
+WHITESPACE : [ \t]+ -> skip ;
+NEWLINE : '\r'? '\n' | '\r' ;
+LEFT_BRACE : '{' ;
+RIGHT_BRACE : '}' ;
+/* Matches any other character, so that the parser reports its position. */
+UNEXPECTED : . ;
--- a/src/main/java/pearusher/cli/CommandLineRunner.java
+++ b/src/main/java/pearusher/cli/CommandLineRunner.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The root of the commands, and how they end. */
+/** Root command, and mapping of errors to exit statuses. */
 @Command(
     name = "pearusher",
     description = "A table manager that assigns servers to proxies.",
@@ -40,7 +40,10 @@
     return create().execute(args);
   }
 
-  /** Makes the command line; its faults are one line each, never a stack trace. */
+  /**
+   * Creates the command line. Errors are printed without a stack trace: a message of one line,
+   * followed by the synopsis after wrong usage.
+   */
   static CommandLine create() {
     CommandLine commandLine = new CommandLine(new CommandLineRunner());
     addHelpOption(commandLine);
@@ -60,7 +63,7 @@
     return commandLine;
   }
 
-  /** Adds {@code --help} to a command and all below it. */
+  /** Adds {@code --help} to a command and all its subcommands. */
   private static void addHelpOption(CommandLine commandLine) {
     commandLine
         .getCommandSpec()
--- a/src/main/java/pearusher/cli/JsonOutput.java
+++ b/src/main/java/pearusher/cli/JsonOutput.java
@@ -5,9 +5,9 @@
 import java.io.IOException;
 import java.io.PrintWriter;
 
-/** Output for programs: one JSON value and the end of a line. */
+/** Machine-readable output: one JSON value followed by a line break. */
 final class JsonOutput {
-  /** Writes the JSON value. */
+  /** Callback that writes one JSON value. */
   @FunctionalInterface
   interface Body {
     void write(JsonGenerator json) throws IOException;
--- a/src/main/java/pearusher/cli/Main.java
+++ b/src/main/java/pearusher/cli/Main.java
@@ -4,8 +4,8 @@
 import pearusher.server.AssignerProcess;
 
 /**
- * Starts the process. The two commands that the platform starts without options bypass the command
- * line parser, which costs more time than the assigner needs to listen.
+ * Entry point of the process. The two commands that the platform starts without options bypass the
+ * command line parser: its initialization takes longer than the assigner needs to start listening.
  */
 public final class Main {
   private Main() {}
--- a/src/main/java/pearusher/cli/SettingsCommand.java
+++ b/src/main/java/pearusher/cli/SettingsCommand.java
@@ -29,7 +29,7 @@
     throw new ParameterException(spec.commandLine(), "'settings' needs 'check' or 'show'");
   }
 
-  /** Checks a file as a start does. */
+  /** Validates a file with the code that also runs at the start of the assigner. */
   @Command(
       name = "check",
       description = {
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Shows every value in force. */
+  /** Shows the effective value of every key. */
   @Command(name = "show", description = "Show every value in force and where it comes from.")
   static final class Show implements Callable<Integer> {
     private static final String ROW = "%-20s %-24s %s%n";
@@ -121,9 +121,9 @@
     private void show(OperatorSettings settings) throws IOException {
       PrintWriter out = spec.commandLine().getOut();
       if (json) {
-        writeJson(out, settings.inForce());
+        writeJson(out, settings.effectiveValues());
       } else {
-        writeTable(out, settings.inForce());
+        writeTable(out, settings.effectiveValues());
       }
       out.flush();
     }
--- a/src/main/java/pearusher/cli/SimulatorCommand.java
+++ b/src/main/java/pearusher/cli/SimulatorCommand.java
@@ -11,7 +11,7 @@
 import pearusher.simulator.SimulatorProtocolException;
 import picocli.CommandLine.Command;
 
-/** Answers the simulator on standard input and output. */
+/** Runs the simulator protocol on standard input and output. */
 @Command(
     name = "adapter",
     description = {
--- a/src/main/java/pearusher/cli/StoreCommand.java
+++ b/src/main/java/pearusher/cli/StoreCommand.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Commands on the directory of a store, which may be in use where a command says so. */
+/** Commands on the directory of a store, which must not be in use unless a command allows it. */
 @Command(
     name = "store",
     description = "Look at a store, check, compact, copy and restore it.",
@@ -41,7 +41,7 @@
     throw new ParameterException(spec.commandLine(), "'store' needs a command, such as 'inspect'");
   }
 
-  /** A command on the directory of a store. */
+  /** Base class of the commands on the directory of a store. */
   abstract static class OnDirectory implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Shows what a directory holds. */
+  /** Shows a summary of the contents of a store, which may be in use. */
   @Command(name = "inspect", description = "Tell what the directory holds; it may be in use.")
   static final class Inspect extends OnDirectory {
     @Option(names = "--json", description = "Write a JSON object.")
@@ -107,7 +107,7 @@
     }
   }
 
-  /** Checks whether a store can be read completely. */
+  /** Checks whether all confirmed records of a store can be read. */
   @Command(
       name = "verify",
       description = {
@@ -126,7 +126,7 @@
     }
   }
 
-  /** Writes all keys and values. */
+  /** Writes all keys and values of a store. */
   @Command(name = "dump", description = "Write every key and value, in the order of the keys.")
   static final class Dump extends OnDirectory {
     private static final int FIRST_PRINTABLE = 32;
@@ -162,7 +162,7 @@
           });
     }
 
-    /** The value as text where all its bytes are printable, else as hexadecimal digits. */
+    /** Returns the value as text if all its bytes are printable, or else in hexadecimal. */
     private static String format(byte[] value) {
       for (byte character : value) {
         if (character < FIRST_PRINTABLE) {
@@ -213,7 +213,7 @@
     }
   }
 
-  /** Puts a copy in the place of a store. */
+  /** Restores a store from a backup. */
   @Command(
       name = "restore",
       description = {
--- a/src/main/java/pearusher/cli/package-info.java
+++ b/src/main/java/pearusher/cli/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The command line: the commands, their arguments and the exit status of a run (0 done, 1 failed, 2
- * used wrongly). It never does the work of a command itself, nor loads the code of a command where
- * another one runs.
+ * Command line: the commands, their arguments and the exit status (0 for success, 1 for failure, 2
+ * for wrong usage or invalid settings). The package delegates the work of a command to other
+ * packages. Running a command does not load the code of the others.
  */
 package pearusher.cli;
--- a/src/main/java/pearusher/logging/RepeatedEvent.java
+++ b/src/main/java/pearusher/logging/RepeatedEvent.java
@@ -4,16 +4,17 @@
 import java.util.function.LongConsumer;
 
 /**
- * Counts a kind of event and thins out its log lines: occurrence 1, 2, 4, 8 and so on is logged, so
- * that a peer that repeats a fault cannot flood the log. Thread-safe; its size is constant.
+ * Counter of a kind of event that limits its log lines: only occurrences 1, 2, 4, 8 and so on are
+ * logged, so that a peer that repeats an error can't flood the log. Thread-safe; its size is
+ * constant.
  */
 public final class RepeatedEvent {
   private final AtomicLong occurrences = new AtomicLong();
 
   /**
-   * Counts an occurrence.
+   * Counts an occurrence, and logs it if the number of occurrences is a power of two.
    *
-   * @param logger called with the number of occurrences so far, if this one is to be logged
+   * @param logger called with the number of occurrences so far, at most once
    */
   public void record(LongConsumer logger) {
     long count = occurrences.incrementAndGet();
--- a/src/main/java/pearusher/logging/package-info.java
+++ b/src/main/java/pearusher/logging/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Helpers for log output that several packages share. It knows no other package of the project and
- * may be used from any thread.
+ * Log output helpers shared by several packages. The package depends on no other package of the
+ * project and may be used from any thread.
  */
 package pearusher.logging;
--- a/src/main/java/pearusher/operatorsettings/InvalidSettingsException.java
+++ b/src/main/java/pearusher/operatorsettings/InvalidSettingsException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Settings that can't be used, with all faults that were found in the order of the files. */
+/** Thrown if settings are invalid. Has all faults found, in the order of the files' lines. */
 public final class InvalidSettingsException extends Exception {
   private static final long serialVersionUID = 1L;
   private final transient List<SettingsFault> faults;
@@ -13,6 +13,7 @@
     this.faults = List.copyOf(faults);
   }
 
+  /** Returns the faults found; at least one. */
   public List<SettingsFault> faults() {
     return faults;
   }
--- a/src/main/java/pearusher/operatorsettings/OperatorSettings.java
+++ b/src/main/java/pearusher/operatorsettings/OperatorSettings.java
@@ -7,82 +7,89 @@
 import java.util.Map;
 
 /**
- * The operators' settings in force: the values of the file and the defaults for all others. A
- * subsystem whose block is missing is off. Immutable.
+ * Effective operators' settings: the values of the file, and defaults for all other keys. A
+ * subsystem is off if the file has no block for it. Immutable.
  */
 public final class OperatorSettings {
 
   /**
-   * A value in force.
+   * Effective value of a key.
    *
-   * @param from its position in a file, or {@code default}
+   * @param from the position of the value in a file, or {@code default}
    */
   public record Value(SettingKey key, String text, String from) {}
 
   private static final String OFF = "off";
   private static final String FROM_DEFAULT = "default";
 
-  private final Map<SettingKey, Value> givenValues;
+  private final Map<SettingKey, Value> fileValues;
 
-  OperatorSettings(Map<SettingKey, Value> givenValues) {
-    this.givenValues = new EnumMap<>(SettingKey.class);
-    this.givenValues.putAll(givenValues);
+  OperatorSettings(Map<SettingKey, Value> fileValues) {
+    this.fileValues = new EnumMap<>(SettingKey.class);
+    this.fileValues.putAll(fileValues);
   }
 
-  /** Settings without a file: everything is off. */
+  /** Returns the settings that apply without a file: every subsystem is off. */
   public static OperatorSettings none() {
     return new OperatorSettings(Map.of());
   }
 
   /**
-   * Reads a file and those that it includes.
+   * Reads a file and the files that it includes.
    *
-   * @throws InvalidSettingsException with all faults that were found
+   * @throws InvalidSettingsException if a file is unreadable or invalid
    */
   public static OperatorSettings read(Path file) throws InvalidSettingsException {
     return SettingsValidator.validate(SettingsFileParser.read(file));
   }
 
   /**
-   * Reads settings from a text, for programs that have no file.
+   * Parses settings from a text.
    *
-   * @param name stands for the file in positions
-   * @throws InvalidSettingsException with all faults that were found
+   * @param name the file name in positions, relative to which included files are resolved
+   * @throws InvalidSettingsException if the text or an included file is invalid
    */
   public static OperatorSettings parse(String name, String text) throws InvalidSettingsException {
     return SettingsValidator.validate(SettingsFileParser.parse(name, text));
   }
 
-  /** Whether a block is there, which switches its subsystem on. */
+  /** Returns whether the file sets a key of this block, which switches its subsystem on. */
   public boolean isEnabled(String block) {
-    return givenValues.keySet().stream().anyMatch(key -> key.block().equals(block));
+    return fileValues.keySet().stream().anyMatch(key -> key.block().equals(block));
   }
 
-  /** Whether the file sets this key. */
-  boolean isGiven(SettingKey key) {
-    return givenValues.containsKey(key);
+  /** Returns whether the file sets this key. */
+  boolean isSetInFile(SettingKey key) {
+    return fileValues.containsKey(key);
   }
 
-  /** A word or path as it is in force, or another value as it is written. */
+  /**
+   * Returns the effective value of a key as it is written.
+   *
+   * @throws java.util.NoSuchElementException if the file does not set the key and it has no default
+   */
   public String text(SettingKey key) {
-    Value given = givenValues.get(key);
-    return given != null ? given.text() : key.defaultText().orElseThrow();
+    Value fileValue = fileValues.get(key);
+    return fileValue != null ? fileValue.text() : key.defaultText().orElseThrow();
   }
 
-  /** Microseconds, bytes or a plain number, as it is in force. */
+  /** Returns the effective number of a key: microseconds, bytes, or a number without a unit. */
   public double number(SettingKey key) {
     return key.parse(text(key));
   }
 
-  /** The values of all keys in their order; those of blocks that are off say so. */
-  public List<Value> inForce() {
-    return Arrays.stream(SettingKey.values()).map(this::valueInForce).toList();
+  /**
+   * Returns the effective values of all keys, in the order of {@link SettingKey}. Unset keys of
+   * blocks that are off have the value {@code off}.
+   */
+  public List<Value> effectiveValues() {
+    return Arrays.stream(SettingKey.values()).map(this::effectiveValue).toList();
   }
 
-  private Value valueInForce(SettingKey key) {
-    Value given = givenValues.get(key);
-    if (given != null) {
-      return given;
+  private Value effectiveValue(SettingKey key) {
+    Value fileValue = fileValues.get(key);
+    if (fileValue != null) {
+      return fileValue;
     }
     String text = isEnabled(key.block()) ? key.defaultText().orElse(OFF) : OFF;
     return new Value(key, text, FROM_DEFAULT);
--- a/src/main/java/pearusher/operatorsettings/SettingKey.java
+++ b/src/main/java/pearusher/operatorsettings/SettingKey.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Every key that a settings file may hold, with its form, bounds, default and help. */
+/** Key of a settings file, with the form, bounds and default of its value, and its help text. */
 public enum SettingKey {
   STORE_DIRECTORY(
       "store",
@@ -107,14 +107,14 @@
   private final String block;
   private final String keyword;
 
-  // All forms are records of immutable values, which the check can't see.
+  // All implementations of ValueForm are immutable records, which Error Prone can't infer.
   @SuppressWarnings("ImmutableEnumChecker")
   private final ValueForm form;
 
   private final String defaultText;
   private final String help;
 
-  /** A key without a default. */
+  /** Creates a key without a default. */
   SettingKey(String block, String keyword, ValueForm form, String help) {
     this(block, keyword, form, null, help);
   }
@@ -127,36 +127,37 @@
     this.help = help;
   }
 
-  /** The complete key, as in {@code store.interval}. */
+  /** Returns the complete key, such as {@code store.interval}. */
   public String path() {
     return block + "." + keyword;
   }
 
-  /** The block that the key stands in. */
+  /** Returns the name of the block that contains the key. */
   public String block() {
     return block;
   }
 
-  /** The key within its block. */
+  /** Returns the name of the key within its block. */
   String keyword() {
     return keyword;
   }
 
-  /** The default as it would be written; empty where a value is needed. */
+  /** Returns the default as it is written in a file; empty if the key is required. */
   public Optional<String> defaultText() {
     return Optional.ofNullable(defaultText);
   }
 
-  /** What the setting does, for operators. */
+  /** Returns the help text for operators. */
   public String help() {
     return help;
   }
 
   /**
-   * Reads a value of this key.
+   * Parses a value of this key.
    *
-   * @return microseconds, bytes or a plain number; 0 for words and paths, which are only checked
-   * @throws IllegalArgumentException saying what would be right
+   * @return microseconds, bytes or a number without a unit; 0 for words and paths, which are only
+   *     validated
+   * @throws IllegalArgumentException if the value is invalid; the message says what is accepted
    */
   double parse(String text) {
     return form.parse(text);
--- a/src/main/java/pearusher/operatorsettings/SettingsFault.java
+++ b/src/main/java/pearusher/operatorsettings/SettingsFault.java
@@ -1,13 +1,13 @@
 package pearusher.operatorsettings;
 
 /**
- * What is wrong in a settings file, and where.
+ * Error in a settings file, with its position.
  *
- * @param file the file's path as it was named
- * @param line from 1, 0 for the complete file
- * @param column from 1
- * @param key the complete key, as in {@code store.interval}; empty where none could be read
- * @param text what is wrong and what would be right
+ * @param file the path of the file, as it was specified
+ * @param line the line number, from 1; 0 for the complete file
+ * @param column the column, from 1; 0 for the complete file
+ * @param key the complete key, such as {@code store.interval}; empty if no key could be parsed
+ * @param text the description of the error and of what is accepted
  */
 public record SettingsFault(String file, int line, int column, String key, String text) {
   @Override
--- a/src/main/java/pearusher/operatorsettings/SettingsFileParser.java
+++ b/src/main/java/pearusher/operatorsettings/SettingsFileParser.java
@@ -13,12 +13,11 @@
 import java.util.List;
 
 /**
- * Reads settings files into lines of block, keyword and values, following includes. It knows the
- * grammar and no key. Whatever the bytes are, it ends with lines or with faults that have a
- * position.
+ * Parser of settings files, which follows includes. It produces lines of block, keyword and values,
+ * and is independent of the keys. Any input gives either lines or faults with a position.
  */
 final class SettingsFileParser {
-  /** Bounds that no settings reach, but a file that was named by mistake may. */
+  /** Limits that no settings file reaches, but another file that was specified by mistake may. */
   private static final int MAX_FILE_BYTES = 1 << 20;
 
   private static final int MAX_FILES = 64;
@@ -29,7 +28,7 @@
   private final List<SettingLine> lines = new ArrayList<>();
   private final List<SettingsFault> faults = new ArrayList<>();
 
-  /** The files that are being read, the innermost first. */
+  /** Chain of the files being read, innermost first. */
   private final Deque<Path> openFiles = new ArrayDeque<>();
 
   private int fileCount;
@@ -37,9 +36,10 @@
   private SettingsFileParser() {}
 
   /**
-   * Reads a file and those that it includes.
+   * Reads a file and the files that it includes.
    *
-   * @throws InvalidSettingsException with the first faults of syntax and includes
+   * @throws InvalidSettingsException if there are errors of syntax or includes; has the first of
+   *     them
    */
   static List<SettingLine> read(Path path) throws InvalidSettingsException {
     SettingsFileParser parser = new SettingsFileParser();
@@ -47,7 +47,13 @@
     return parser.result();
   }
 
-  /** Reads the text of one file; it may include files of the working directory. */
+  /**
+   * Parses the text of one file, which may include others.
+   *
+   * @param name the file name in positions, relative to which included files are resolved
+   * @throws InvalidSettingsException if there are errors of syntax or includes; has the first of
+   *     them
+   */
   static List<SettingLine> parse(String name, String text) throws InvalidSettingsException {
     SettingsFileParser parser = new SettingsFileParser();
     parser.openFiles.push(Path.of(name));
@@ -62,7 +68,7 @@
     return lines;
   }
 
-  /** Reads a file; {@code includedAt} has the position for faults of the file. */
+  /** Reads a file; faults of the complete file are recorded at {@code includedAt}. */
   private void readFile(Path path, SettingsFault includedAt) {
     Path normalized = path.toAbsolutePath().normalize();
     if (openFiles.contains(normalized)) {
@@ -75,7 +81,7 @@
     }
     try {
       if (Files.size(path) > MAX_FILE_BYTES) {
-        addFault(includedAt, path + " is longer than 1 MiB, which no settings are");
+        addFault(includedAt, path + " is longer than 1 MiB, the limit of a settings file");
         return;
       }
       String text = decode(Files.readAllBytes(path));
@@ -105,20 +111,20 @@
 
   private void addLines(String file, String block, List<ConfParser.LineContext> parsedLines) {
     for (ConfParser.LineContext line : parsedLines) {
-      if (line.item() != null) {
-        addItem(file, block, line.item());
+      if (line.statement() != null) {
+        addStatement(file, block, line.statement());
       }
     }
   }
 
-  private void addItem(String file, String block, ConfParser.ItemContext item) {
-    String keyword = item.WORD().getText();
-    if (item.block() != null) {
+  private void addStatement(String file, String block, ConfParser.StatementContext statement) {
+    String keyword = statement.WORD().getText();
+    if (statement.block() != null) {
       String path = block.isEmpty() ? keyword : block + "." + keyword;
-      addLines(file, path, item.block().line());
+      addLines(file, path, statement.block().line());
       return;
     }
-    SettingLine line = settingLine(file, block, item);
+    SettingLine line = settingLine(file, block, statement);
     if (keyword.equals(INCLUDE)) {
       include(line);
     } else {
@@ -126,23 +132,24 @@
     }
   }
 
-  private static SettingLine settingLine(String file, String block, ConfParser.ItemContext item) {
+  private static SettingLine settingLine(
+      String file, String block, ConfParser.StatementContext statement) {
     return new SettingLine(
         file,
-        item.WORD().getSymbol().getLine(),
-        item.WORD().getSymbol().getCharPositionInLine() + 1,
+        statement.WORD().getSymbol().getLine(),
+        statement.WORD().getSymbol().getCharPositionInLine() + 1,
         block,
-        item.WORD().getText(),
-        item.value().stream().map(SettingsFileParser::valueText).toList());
+        statement.WORD().getText(),
+        statement.value().stream().map(SettingsFileParser::valueText).toList());
   }
 
   private void include(SettingLine line) {
     if (!line.block().isEmpty()) {
-      faults.add(line.fault(INCLUDE, "stands outside of blocks only"));
+      faults.add(line.fault(INCLUDE, "is allowed outside of blocks only"));
       return;
     }
     if (line.values().size() != 1) {
-      faults.add(line.fault(INCLUDE, "takes one path"));
+      faults.add(line.fault(INCLUDE, "takes one path, found " + line.values().size() + " values"));
       return;
     }
     try {
@@ -153,7 +160,7 @@
     }
   }
 
-  /** The text of a value without quotes and escapes. */
+  /** Returns the text of a value, unquoted and unescaped. */
   private static String valueText(ConfParser.ValueContext value) {
     String text = value.getText();
     if (value.STRING() == null) {
--- a/src/main/java/pearusher/operatorsettings/SettingsSyntax.java
+++ b/src/main/java/pearusher/operatorsettings/SettingsSyntax.java
@@ -14,7 +14,7 @@
 import org.antlr.v4.runtime.Token;
 import org.antlr.v4.runtime.misc.IntervalSet;
 
-/** Parses the text of one settings file by the grammar and describes its syntax errors. */
+/** Parser of the text of one settings file, which describes its syntax errors for operators. */
 final class SettingsSyntax {
   private static final int MAX_BLOCK_DEPTH = 16;
 
@@ -22,9 +22,9 @@
       Map.of(
           ConfLexer.STRING, "a quoted text",
           ConfLexer.WORD, "a word",
-          ConfLexer.NL, "the end of the line",
-          ConfLexer.OPEN, "'{'",
-          ConfLexer.CLOSE, "'}'",
+          ConfLexer.NEWLINE, "the end of the line",
+          ConfLexer.LEFT_BRACE, "'{'",
+          ConfLexer.RIGHT_BRACE, "'}'",
           Token.EOF, "the end of the file");
 
   private final String file;
@@ -37,8 +37,9 @@
   /**
    * Parses a text.
    *
-   * @param faults gets the syntax errors
-   * @return empty where the text has syntax errors
+   * @param file the file name in positions
+   * @param faults the list to which syntax errors are added
+   * @return the syntax tree; empty if the text has syntax errors
    */
   static Optional<ConfParser.FileContext> parse(
       String file, String text, List<SettingsFault> faults) {
@@ -64,7 +65,7 @@
     return faults.isEmpty() ? Optional.of(parsed) : Optional.empty();
   }
 
-  /** The parser calls itself for each block: a file of braces must not exhaust its stack. */
+  /** Limits the nesting of blocks: the parser is recursive, and deep nesting exhausts its stack. */
   private void checkDepth(List<Token> tokens) {
     int depth = 0;
     for (Token token : tokens) {
@@ -73,7 +74,7 @@
         addFault(
             token.getLine(),
             token.getCharPositionInLine(),
-            "more than " + MAX_BLOCK_DEPTH + " blocks in one another");
+            "blocks are nested more than " + MAX_BLOCK_DEPTH + " deep");
         return;
       }
     }
@@ -81,13 +82,13 @@
 
   private static int depthChange(Token token) {
     return switch (token.getType()) {
-      case ConfLexer.OPEN -> 1;
-      case ConfLexer.CLOSE -> -1;
+      case ConfLexer.LEFT_BRACE -> 1;
+      case ConfLexer.RIGHT_BRACE -> -1;
       default -> 0;
     };
   }
 
-  /** Adds a fault; the position in the line counts from 0. */
+  /** Adds a fault; {@code positionInLine} starts at 0. */
   private void addFault(int line, int positionInLine, String text) {
     faults.add(new SettingsFault(file, line, positionInLine + 1, "", text));
   }
@@ -111,10 +112,10 @@
   }
 
   private static String describe(Token token) {
-    if (token.getType() == ConfLexer.OTHER && token.getText().equals("\"")) {
+    if (token.getType() == ConfLexer.UNEXPECTED && token.getText().equals("\"")) {
       return "a quote that is not closed on its line";
     }
-    boolean hasVisibleText = token.getType() != ConfLexer.NL && token.getType() != Token.EOF;
+    boolean hasVisibleText = token.getType() != ConfLexer.NEWLINE && token.getType() != Token.EOF;
     return hasVisibleText ? "'" + token.getText() + "'" : TOKEN_NAMES.get(token.getType());
   }
 
--- a/src/main/java/pearusher/operatorsettings/SettingsValidator.java
+++ b/src/main/java/pearusher/operatorsettings/SettingsValidator.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Checks the lines of a settings file, each alone and then together. */
+/** Validator of the lines of a settings file, first of each line and then of related keys. */
 final class SettingsValidator {
   private static final String INTERVAL_SYNC = "interval";
 
@@ -19,9 +19,9 @@
   }
 
   /**
-   * Makes settings of the lines of a file.
+   * Validates lines and returns their settings.
    *
-   * @throws InvalidSettingsException with all faults that were found
+   * @throws InvalidSettingsException if a line or a combination of values is invalid
    */
   static OperatorSettings validate(List<SettingLine> lines) throws InvalidSettingsException {
     return new SettingsValidator(lines).validate();
@@ -98,7 +98,7 @@
   }
 
   private void checkDirectory(OperatorSettings settings) {
-    if (!settings.isGiven(SettingKey.STORE_DIRECTORY)) {
+    if (!settings.isSetInFile(SettingKey.STORE_DIRECTORY)) {
       SettingLine first = lines.get(0);
       faults.add(
           first.fault(
@@ -112,7 +112,7 @@
   }
 
   private void checkIntervalIsUsed(OperatorSettings settings) {
-    if (settings.isGiven(SettingKey.STORE_INTERVAL) && !syncsAtIntervals(settings)) {
+    if (settings.isSetInFile(SettingKey.STORE_INTERVAL) && !syncsAtIntervals(settings)) {
       addFault(
           SettingKey.STORE_INTERVAL,
           "says nothing with 'sync "
@@ -126,7 +126,7 @@
     SettingKey alive = SettingKey.STORE_ALIVE;
     if (settings.number(alive) * 2 > settings.number(trust)) {
       addFault(
-          settings.isGiven(trust) ? trust : alive,
+          settings.isSetInFile(trust) ? trust : alive,
           "trust ("
               + settings.text(trust)
               + ") must be at least twice alive ("
@@ -140,7 +140,7 @@
     SettingKey interval = SettingKey.STORE_INTERVAL;
     if (syncsAtIntervals(settings) && settings.number(interval) * 2 > settings.number(patience)) {
       addFault(
-          settings.isGiven(patience) ? patience : interval,
+          settings.isSetInFile(patience) ? patience : interval,
           "patience ("
               + settings.text(patience)
               + ") must be at least twice interval ("
@@ -149,7 +149,7 @@
     }
   }
 
-  /** Adds a fault at the line that sets the key, if there is one. */
+  /** Adds a fault at the line that sets the key, or none if no line does. */
   private void addFault(SettingKey key, String text) {
     lines.stream()
         .filter(line -> line.path().equals(key.path()))
--- a/src/main/java/pearusher/operatorsettings/SpellingHint.java
+++ b/src/main/java/pearusher/operatorsettings/SpellingHint.java
@@ -4,11 +4,15 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Finds the known word that was probably meant by an unknown one. */
+/** Suggestion of the known word that is most similar to an unknown word. */
 final class SpellingHint {
   private SpellingHint() {}
 
-  /** Text for the end of a fault, which names the closest known word; empty if none is close. */
+  /**
+   * Returns a suffix for an error message that names the most similar known word.
+   *
+   * @return an empty string if no known word is similar enough
+   */
   static String hint(String word, List<String> knownWords) {
     return closest(word, knownWords).map(known -> "; did you mean '" + known + "'?").orElse("");
   }
@@ -27,7 +31,7 @@
     return Optional.ofNullable(closest);
   }
 
-  /** Levenshtein distance; the limit where the lengths alone differ by as much. */
+  /** Returns the Levenshtein distance, or the limit if the lengths differ by at least the limit. */
   private static int distance(String first, String second, int limit) {
     if (Math.abs(first.length() - second.length()) >= limit) {
       return limit;
--- a/src/main/java/pearusher/operatorsettings/Units.java
+++ b/src/main/java/pearusher/operatorsettings/Units.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 
-/** Numbers with a unit directly after them: times in microseconds, sizes in bytes. */
+/** Units of numbers. A number and its unit are written without a space between them. */
 enum Units {
   TIME(
       List.of(
@@ -27,26 +27,26 @@
   private static final int MAX_DIGITS = 18;
 
   private record Unit(String suffix, double factor) {
-    /** The value in this unit; a whole number has no decimals. */
+    /** Returns the value in this unit, without decimals if it is an integer. */
     String format(double value) {
       double amount = value / factor;
-      String digits = isWhole(amount) ? Long.toString((long) amount) : Double.toString(amount);
-      return digits + suffix;
+      String number = isInteger(amount) ? Long.toString((long) amount) : Double.toString(amount);
+      return number + suffix;
     }
 
-    /** Whether the value is at least one of this unit and a multiple of it. */
-    boolean fits(double value) {
+    /** Returns whether the value is a positive integer multiple of this unit. */
+    boolean isMultiple(double value) {
       double amount = value / factor;
-      return amount >= 1 && isWhole(amount);
+      return amount >= 1 && isInteger(amount);
     }
 
-    private static boolean isWhole(double amount) {
+    private static boolean isInteger(double amount) {
       return amount == Math.rint(amount);
     }
   }
 
-  /** Smallest first. */
-  // The list is made with List.of, which the check can't see.
+  /** Units in ascending order; the first is the base unit. */
+  // The list is created by List.of and immutable, which Error Prone can't infer.
   @SuppressWarnings("ImmutableEnumChecker")
   private final List<Unit> units;
 
@@ -54,18 +54,23 @@
     this.units = units;
   }
 
-  /** Reads a number and its unit; empty where the text is anything else. */
+  /**
+   * Parses a number with its unit.
+   *
+   * @return microseconds, bytes or a number without a unit; empty if the text has another form
+   */
   OptionalDouble parse(String text) {
-    int digits = 0;
-    while (digits < text.length() && DIGITS.indexOf(text.charAt(digits)) >= 0) {
-      digits++;
+    int digitCount = 0;
+    while (digitCount < text.length() && DIGITS.indexOf(text.charAt(digitCount)) >= 0) {
+      digitCount++;
     }
-    Optional<Unit> unit = unit(text.substring(digits));
-    if (unit.isEmpty() || digits == 0 || digits > MAX_DIGITS) {
+    Optional<Unit> unit = unit(text.substring(digitCount));
+    if (unit.isEmpty() || digitCount == 0 || digitCount > MAX_DIGITS) {
       return OptionalDouble.empty();
     }
     try {
-      return OptionalDouble.of(Double.parseDouble(text.substring(0, digits)) * unit.get().factor());
+      return OptionalDouble.of(
+          Double.parseDouble(text.substring(0, digitCount)) * unit.get().factor());
     } catch (NumberFormatException e) {
       return OptionalDouble.empty();
     }
@@ -75,14 +80,17 @@
     return units.stream().filter(unit -> unit.suffix().equals(suffix)).findFirst();
   }
 
-  /** Writes a value in the largest unit of which it is a multiple, else in the smallest. */
+  /**
+   * Formats a value in the largest unit of which it is an integer multiple, or in the smallest unit
+   * if there is none.
+   */
   String format(double value) {
-    Unit best = units.get(0);
+    Unit largestUnit = units.get(0);
     for (Unit unit : units) {
-      if (unit.fits(value)) {
-        best = unit;
+      if (unit.isMultiple(value)) {
+        largestUnit = unit;
       }
     }
-    return best.format(value);
+    return largestUnit.format(value);
   }
 }
--- a/src/main/java/pearusher/operatorsettings/ValueForm.java
+++ b/src/main/java/pearusher/operatorsettings/ValueForm.java
@@ -3,47 +3,48 @@
 import java.util.List;
 import java.util.OptionalDouble;
 
-/** How the value of a setting is written, and what it may be. */
+/** Syntax and bounds of the value of a setting. */
 sealed interface ValueForm {
   /**
-   * Reads a value.
+   * Parses a value.
    *
-   * @return microseconds, bytes or a plain number; 0 for choices and paths, which are only checked
-   * @throws IllegalArgumentException saying what would be right
+   * @return microseconds, bytes or a number without a unit; 0 for choices and paths, which are only
+   *     validated
+   * @throws IllegalArgumentException if the value is invalid; the message says what is accepted
    */
   double parse(String text);
 
-  /** One of some words. */
+  /** Returns the form of a value that is one of several words. */
   static ValueForm choice(String... words) {
     return new Choice(List.of(words));
   }
 
-  /** A path of the file system. */
+  /** Returns the form of a file system path. */
   static ValueForm path() {
     return new PathForm();
   }
 
-  /** A time with its unit; the bounds are microseconds. */
+  /** Returns the form of a time with its unit; the bounds are microseconds. */
   static ValueForm duration(double minUs, double maxUs) {
     return new Quantity("a duration", "20ms, 5s or 10min", Units.TIME, false, minUs, maxUs);
   }
 
-  /** A size with its unit; the bounds are bytes. */
+  /** Returns the form of a size with its unit; the bounds are bytes. */
   static ValueForm size(double minBytes, double maxBytes) {
     return new Quantity("a size", "64KiB or 8MiB", Units.SIZE, false, minBytes, maxBytes);
   }
 
-  /** A whole number. */
+  /** Returns the form of an integer. */
   static ValueForm count(double min, double max) {
     return new Quantity("a whole number", "5000", Units.NONE, true, min, max);
   }
 
-  /** A number that may have decimals. */
+  /** Returns the form of a number that may have decimals. */
   static ValueForm ratio(double min, double max) {
     return new Quantity("a number", "1.5", Units.NONE, false, min, max);
   }
 
-  /** One of some words. */
+  /** Value that is one of several words. */
   record Choice(List<String> words) implements ValueForm {
     @Override
     public double parse(String text) {
@@ -59,7 +60,7 @@
     }
   }
 
-  /** A path of the file system. */
+  /** File system path, which is neither blank nor contains a NUL character. */
   record PathForm() implements ValueForm {
     private static final String EXAMPLE = "/var/lib/pearusher";
 
@@ -72,14 +73,23 @@
     }
   }
 
-  /** A number within bounds, with a unit. */
-  record Quantity(String name, String example, Units units, boolean isWhole, double min, double max)
+  /**
+   * Number within bounds, with a unit.
+   *
+   * @param name the name of the form in error messages
+   * @param example a valid value for error messages
+   * @param isInteger whether decimals are rejected
+   * @param min the smallest accepted value in the base unit
+   * @param max the largest accepted value in the base unit
+   */
+  record Quantity(
+      String name, String example, Units units, boolean isInteger, double min, double max)
       implements ValueForm {
     @Override
     public double parse(String text) {
       OptionalDouble parsed = units.parse(text);
       if (parsed.isEmpty()
-          || (isWhole && parsed.getAsDouble() != Math.rint(parsed.getAsDouble()))) {
+          || (isInteger && parsed.getAsDouble() != Math.rint(parsed.getAsDouble()))) {
         throw new IllegalArgumentException(
             "'" + text + "' is not " + name + "; write one like " + example);
       }
--- a/src/main/java/pearusher/operatorsettings/package-info.java
+++ b/src/main/java/pearusher/operatorsettings/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The operators' own settings: the grammar of the file, the keys, their checks and the values in
- * force. Configuration that the platform gives as JSON is read elsewhere. This package never acts
- * on a value, and gives each fault its position.
+ * Operators' settings: the grammar of the file, the keys, their validation and the effective
+ * values. Every error has a position. The package does not act on the values; the JSON
+ * configuration that the platform provides is not part of it.
  */
 package pearusher.operatorsettings;
--- a/src/test/java/pearusher/cli/CliTest.java
+++ b/src/test/java/pearusher/cli/CliTest.java
@@ -17,7 +17,7 @@
 import pearusher.store.WriteBatch;
 import picocli.CommandLine;
 
-/** Commands, their output and their exit status. */
+/** Tests of the output and the exit statuses of commands. */
 class CliTest {
   @TempDir Path dir;
   private final StringWriter out = new StringWriter();
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void invalidUsageExitsWithTwoAndAHint() {
+  void invalidUsageExitsWithTwoAndAMessage() {
     assertEquals(2, run());
     assertTrue(err.toString().startsWith("pearusher: a command is missing"), err.toString());
     assertEquals(2, run("sotre"));
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void settingsAreCheckedAndShown() throws IOException {
+  void settingsCommandsReportFaultsAndEffectiveValues() throws IOException {
     Path file = Files.writeString(dir.resolve("p.conf"), "store {\n directory /d\n sync evry\n}\n");
     assertEquals(2, run("settings", "check", file.toString()));
     assertTrue(
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void aStoreIsInspectedCopiedAndRestored() throws IOException {
+  void storeCommandsInspectDumpCompactAndCopyAStore() throws IOException {
     Path directory = createStore();
     assertEquals(0, run("store", "inspect", "--json", directory.toString()));
     assertTrue(
@@ -118,14 +118,14 @@
   }
 
   @Test
-  void aFailureExitsWithOneAndPrintsOneLine() throws IOException {
+  void failureExitsWithOneAndPrintsOneLine() throws IOException {
     Path directory = createStore();
     assertEquals(1, run("store", "inspect", dir.resolve("none").toString()));
     assertEquals(1, err.toString().lines().count(), err.toString());
     try (Store openStore = Store.open(new FileDisk(directory), StoreOptions.DEFAULT)) {
       assertEquals(1, run("store", "compact", directory.toString()));
       assertTrue(err.toString().contains("is in use by another process"), err.toString());
-      // Inspection needs no lock.
+      // The inspect command takes no lock, so that it succeeds while the store is open.
       assertEquals(0, run("store", "inspect", directory.toString()));
       assertEquals(2, openStore.takeRecovered().sequence());
     }
--- a/src/test/java/pearusher/cli/CommandOutputTest.java
+++ b/src/test/java/pearusher/cli/CommandOutputTest.java
@@ -17,7 +17,7 @@
 import pearusher.Recorded;
 import picocli.CommandLine;
 
-/** What the commands write and how they end, as it was recorded. */
+/** Characterization test: output and exit statuses of the commands must equal the recorded ones. */
 class CommandOutputTest {
   private static final String EVERY_KEY = Recorded.file("every-key.conf").toString();
   private static final String FAULTY = Recorded.file("faulty.conf").toString();
@@ -52,14 +52,14 @@
     "store backup, help-store-backup.txt",
     "store restore, help-store-restore.txt"
   })
-  void helpOfACommandIsTheRecordedText(String command, String file) throws IOException {
+  void helpOfACommandEqualsTheRecordedText(String command, String file) throws IOException {
     assertEquals(0, run((command + " --help").strip().split(" ")));
     assertEquals("", err.toString());
     Recorded.check(file, out.toString());
   }
 
   @Test
-  void settingsInForceWithoutAFileAreTheRecordedOnes() throws IOException {
+  void effectiveSettingsWithoutAFileEqualTheRecordedOnes() throws IOException {
     assertEquals(0, run("settings", "show", "--json"));
     Recorded.check("settings-show-no-file.json", out.toString());
     assertEquals(0, run("settings", "show"));
@@ -67,22 +67,22 @@
   }
 
   @Test
-  void settingsInForceWithTheDeployedFileAreTheRecordedOnes() throws IOException {
+  void effectiveSettingsOfTheDeployedFileEqualTheRecordedOnes() throws IOException {
     assertEquals(0, run("settings", "show", "--json", "deploy/pearusher.conf"));
     Recorded.check("settings-show-deployed.json", out.toString());
   }
 
   @Test
-  void settingsInForceWithEveryKeySetAreTheRecordedOnes() throws IOException {
+  void effectiveSettingsWithEveryKeySetEqualTheRecordedOnes() throws IOException {
     assertEquals(0, run("settings", "show", "--json", EVERY_KEY));
     Recorded.check("settings-show-every-key.json", out.toString().replace(EVERY_KEY, "FILE"));
     assertEquals(0, run("settings", "show", EVERY_KEY));
     Recorded.check("settings-show-every-key.txt", out.toString().replace(EVERY_KEY, "FILE"));
   }
 
-  /** With a block switched on, what it does not set has its default. */
+  /** Unset keys of a block that is on have their defaults. */
   @Test
-  void defaultsOfBlocksThatAreOnAreTheRecordedOnes() throws IOException {
+  void defaultsOfEnabledBlocksEqualTheRecordedOnes() throws IOException {
     Path file =
         Files.writeString(
             dir.resolve("some.conf"), "store {\n directory /d\n}\nintake {\n over 3s\n}\n");
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void checksOfSettingsSayWhatIsRecorded() throws IOException {
+  void outputOfSettingsCheckEqualsTheRecordedOne() throws IOException {
     StringBuilder all = new StringBuilder();
     for (List<String> args :
         List.of(
@@ -113,25 +113,25 @@
         all.toString().replace(EVERY_KEY, "EVERY_KEY").replace(FAULTY, "FAULTY"));
   }
 
-  /** What a command writes to the process's own streams is left out. */
-  private int runSilently(String... args) {
-    PrintStream standard = System.err;
+  /** Runs a command and discards what it writes to the standard error of the process. */
+  private int runWithStandardErrorDiscarded(String... args) {
+    PrintStream originalErr = System.err;
     System.setErr(new PrintStream(OutputStream.nullOutputStream()));
     try {
       return run(args);
     } finally {
-      System.setErr(standard);
+      System.setErr(originalErr);
     }
   }
 
   /**
-   * Each use with its exit status; DIR stands for an empty directory, NONE for one that is not
-   * there, and FAULTY and EVERY_KEY for settings files.
+   * Records the exit status of each command line. DIR is replaced by an empty directory, NONE by a
+   * path that does not exist, and FAULTY and EVERY_KEY by settings files.
    */
   @Test
-  void exitStatusesAreTheRecordedOnes() throws IOException {
+  void exitStatusesEqualTheRecordedOnes() throws IOException {
     StringBuilder all = new StringBuilder();
-    for (String use :
+    for (String commandLine :
         List.of(
             "",
             "unknown",
@@ -171,15 +171,16 @@
             "store dump --prefix",
             "store inspect --unknown DIR")) {
       String[] args =
-          use.isEmpty()
+          commandLine.isEmpty()
               ? new String[0]
-              : use.replace("DIR", dir.toString())
+              : commandLine
+                  .replace("DIR", dir.toString())
                   .replace("NONE", dir.resolve("none").toString())
                   .replace("FAULTY", FAULTY)
                   .replace("EVERY_KEY", EVERY_KEY)
                   .split(" ");
-      int status = runSilently(args);
-      all.append(status).append(": ").append(use).append('\n');
+      int status = runWithStandardErrorDiscarded(args);
+      all.append(status).append(": ").append(commandLine).append('\n');
     }
     Recorded.check("exit-statuses.txt", all.toString());
   }
--- a/src/test/java/pearusher/cli/CommandRun.java
+++ b/src/test/java/pearusher/cli/CommandRun.java
@@ -4,14 +4,15 @@
 import java.io.StringWriter;
 import picocli.CommandLine;
 
-/** Runs the command line within the test's process. */
+/** Helper that runs commands within the test's process. */
 public final class CommandRun {
   private CommandRun() {}
 
   /**
-   * Runs a command and gives what it writes to its standard output.
+   * Runs a command and returns its standard output.
    *
-   * @throws AssertionError if it ends with a status other than the expected one, or writes an error
+   * @throws AssertionError if the exit status differs from the expected one, or the command writes
+   *     to its standard error
    */
   public static String output(int expectedStatus, String... arguments) {
     StringWriter output = new StringWriter();
--- a/src/test/java/pearusher/operatorsettings/OperatorSettingsTest.java
+++ b/src/test/java/pearusher/operatorsettings/OperatorSettingsTest.java
@@ -23,14 +23,14 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Valid and invalid files; positions and texts of all faults. */
+/** Tests of valid and invalid settings files, and of the positions and texts of faults. */
 class OperatorSettingsTest {
-  private static String fault(String text) {
+  private static String errorMessage(String text) {
     return assertThrows(InvalidSettingsException.class, () -> OperatorSettings.parse("f", text))
         .getMessage();
   }
 
-  /** Each case: a file, and after an arrow its first fault. */
+  /** Returns the cases of broken.txt: the text of a file and, after {@code =>}, its first fault. */
   static Stream<Arguments> invalidFiles() throws IOException {
     String all;
     try (InputStream in = OperatorSettingsTest.class.getResourceAsStream("broken.txt")) {
@@ -42,16 +42,16 @@
 
   @ParameterizedTest
   @MethodSource("invalidFiles")
-  void anInvalidFileGivesItsFault(String text, String expected) {
-    assertEquals(expected, fault(text).lines().findFirst().orElseThrow());
+  void invalidFileGivesTheExpectedFault(String text, String expected) {
+    assertEquals(expected, errorMessage(text).lines().findFirst().orElseThrow());
   }
 
   @Test
   void allFaultsOfAFileAreReported() {
-    assertEquals(3, fault("store {\n sync x\n segment y\n nothing z\n}\n").lines().count());
+    assertEquals(3, errorMessage("store {\n sync x\n segment y\n nothing z\n}\n").lines().count());
   }
 
-  // The values in force are listed in the order of the keys.
+  // The effective values are listed in the order of the keys.
   @SuppressWarnings("EnumOrdinal")
   @Test
   void validFilesGiveTheirValuesAndDefaults() throws InvalidSettingsException {
@@ -76,11 +76,11 @@
     assertEquals(65_536, all.number(SettingKey.STORE_SEGMENT));
     assertEquals(1.5, all.number(SettingKey.STORE_COMPACT_TIMES));
     assertEquals(600_000_000, all.number(SettingKey.STORE_TRUST));
-    List<OperatorSettings.Value> inForce = all.inForce();
-    assertEquals(SettingKey.values().length, inForce.size());
-    assertEquals("f:3:3", inForce.get(SettingKey.STORE_SYNC.ordinal()).from());
-    assertEquals("default", inForce.get(SettingKey.STORE_TRUST.ordinal()).from());
-    assertEquals("10min", inForce.get(SettingKey.STORE_TRUST.ordinal()).text());
+    List<OperatorSettings.Value> effectiveValues = all.effectiveValues();
+    assertEquals(SettingKey.values().length, effectiveValues.size());
+    assertEquals("f:3:3", effectiveValues.get(SettingKey.STORE_SYNC.ordinal()).from());
+    assertEquals("default", effectiveValues.get(SettingKey.STORE_TRUST.ordinal()).from());
+    assertEquals("10min", effectiveValues.get(SettingKey.STORE_TRUST.ordinal()).text());
   }
 
   @Test
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void thePageForOperatorsListsEveryKeyWithItsDefaultAndHelp() throws IOException {
+  void configurationPageListsEveryKeyWithItsDefaultAndHelp() throws IOException {
     String page = Files.readString(Path.of("docs", "configuration.md"));
     for (SettingKey key : SettingKey.values()) {
       assertTrue(
@@ -110,13 +110,13 @@
   }
 
   @Test
-  void includesAreFollowedAndTheirFaultsHaveTheirPosition(@TempDir Path dir) throws Exception {
+  void includedFilesAreReadAndTheirFaultsHavePositions(@TempDir Path dir) throws Exception {
     Path main = Files.writeString(dir.resolve("main.conf"), "include \"sub/store.conf\"\n");
     Path sub = Files.createDirectory(dir.resolve("sub"));
     Files.writeString(sub.resolve("store.conf"), "include more.conf\n");
     Path more = Files.writeString(sub.resolve("more.conf"), "store {\n  directory /d\n}\n");
     OperatorSettings read = OperatorSettings.read(main);
-    assertEquals(more + ":2:3", read.inForce().get(0).from());
+    assertEquals(more + ":2:3", read.effectiveValues().get(0).from());
     Files.writeString(more, "store {\n  directory /d\n  sync x\n}\n");
     assertTrue(
         assertThrows(InvalidSettingsException.class, () -> OperatorSettings.read(main))
@@ -180,7 +180,7 @@
         Arbitraries.of("{", "\"", "a {\n").map(text -> text.repeat(9000)));
   }
 
-  /** Any text gives settings or faults that each have a position, and never another exception. */
+  /** Guards against parser exceptions, stack overflows and faults without a position. */
   @Property(seed = "41", tries = 3000)
   void anyTextGivesSettingsOrFaultsWithPositions(@ForAll("texts") String text) {
     try {
