--- a/src/main/java/pearusher/discovery/DiscoveryClient.java
+++ b/src/main/java/pearusher/discovery/DiscoveryClient.java
@@ -16,9 +16,9 @@
 import pearusher.transport.TerminationReason;
 
 /**
- * Watches and polls discovery's list of servers, each with an {@link HttpCall}, and reports lists
- * and failures to the controller. It never calls again by itself. The event loop of the controller
- * starts calls, the threads of their connections report; it grows with the calls in flight.
+ * Client for the endpoint list of discovery. Each watch and each fetch is an {@link HttpCall},
+ * which reports lists and failures to the controller. Never retries by itself. The event loop of
+ * the controller starts calls; the threads of their connections report results.
  */
 final class DiscoveryClient {
   private static final String ACCEPTED_TYPE = "application/json";
@@ -28,16 +28,16 @@
   private final DiscoveryEvents controller;
   private volatile AssignerConfig config;
 
-  /** The current watch, or null; events of an earlier one are ignored. */
+  /** Current watch, or null; events of an earlier watch are ignored. */
   private volatile WatchCall currentWatch;
 
   /** Whether a call has failed and no watch has succeeded since. */
-  private volatile boolean lost;
+  private volatile boolean unavailable;
 
   private final RepeatedEvent malformedLists = new RepeatedEvent();
   private final RepeatedEvent tooLongLists = new RepeatedEvent();
 
-  /** What a call is for, as log lines name it. */
+  /** Kind of a call, which log lines include. */
   private enum CallKind {
     WATCH,
     FETCH
@@ -46,7 +46,7 @@
   /**
    * Creates a client.
    *
-   * @param config the address of discovery, the timeouts and the limits on lists
+   * @param config the address of discovery, the timeouts and the limits on endpoint lists
    * @param controller receives lists and failures
    * @param connector opens the connections
    */
@@ -56,36 +56,36 @@
     this.connector = connector;
   }
 
-  /** Applies the address and the timeouts of a reloaded configuration to the next calls. */
+  /** Applies a reloaded configuration to later calls, and its timeouts to the current watch. */
   void reload(AssignerConfig reloaded) {
     config = reloaded;
   }
 
   /**
-   * Starts a watch in place of the current one.
+   * Starts a watch and cancels the current one.
    *
-   * @param generation the version of the list after which changes are wanted
+   * @param generation the version of the list that the caller has; the watch returns later changes
    */
   void startWatch(long generation) {
-    WatchCall next = new WatchCall(generation);
-    replaceWatch(next);
-    start(next);
+    WatchCall watch = new WatchCall(generation);
+    setCurrentWatch(watch);
+    start(watch);
   }
 
-  /** Stops the current watch, if there is one. */
+  /** Cancels the current watch, if there is one. */
   void stopWatch() {
-    replaceWatch(null);
+    setCurrentWatch(null);
   }
 
-  private void replaceWatch(WatchCall next) {
+  private void setCurrentWatch(WatchCall watch) {
     WatchCall previous = currentWatch;
-    currentWatch = next;
+    currentWatch = watch;
     if (previous != null) {
       previous.end(TerminationReason.CANCELLED);
     }
   }
 
-  /** Fetches the complete list once. */
+  /** Starts one fetch of the complete list. */
   void fetch() {
     start(new FetchCall());
   }
@@ -97,10 +97,10 @@
   }
 
   private void onFailure(CallKind kind, TerminationReason reason, BooleanSupplier isCurrent) {
-    if (!lost) {
+    if (!unavailable) {
       Logger.warn("discovery lost: {} ended: {}", kind, reason);
     }
-    lost = true;
+    unavailable = true;
     controller.onEndpointListFailed(isCurrent);
   }
 
@@ -109,7 +109,7 @@
         count -> Logger.warn("discovery: a {} can't be read: {}", unit, fault.getMessage()));
   }
 
-  /** A call whose response contains lists of servers. */
+  /** Call whose response contains endpoint lists. */
   private abstract class ListCall extends HttpCall {
     final EndpointListReader reader;
 
@@ -134,7 +134,7 @@
     abstract void read(ByteBuffer content) throws EndpointListTooLongException;
   }
 
-  /** A poll: the body of its response is the complete list. */
+  /** Fetch; the response body is the complete list. */
   private final class FetchCall extends ListCall {
     private Optional<EndpointList> list = Optional.empty();
 
@@ -170,7 +170,7 @@
     }
   }
 
-  /** A watch: each line of its response is a list of changes, a complete list or a heartbeat. */
+  /** Watch; each line of the response is a delta, a complete list or an empty heartbeat. */
   private final class WatchCall extends ListCall {
     private boolean hasReceivedList;
 
@@ -182,7 +182,7 @@
       return currentWatch == this;
     }
 
-    /** From here on the response may last; each line of it has a time limit of its own. */
+    /** Replaces the deadline of the response with a deadline for each line of it. */
     @Override
     void onHeaders(int status) {
       if (status == STATUS_OK) {
@@ -190,7 +190,10 @@
       }
     }
 
-    /** Sets the time limit of the next line: a watch that sends single bytes is never idle. */
+    /**
+     * Sets the deadline of the next line. The idle timeout of the connection would not detect a
+     * peer that sends single bytes but never completes a line.
+     */
     private void extendDeadline() {
       setDeadline(config.timeouts().idleMs());
     }
@@ -209,7 +212,7 @@
       }
     }
 
-    /** Returns the position of the next end of a line, or the limit if there is none. */
+    /** Returns the position of the next line end, or the limit of the buffer if there is none. */
     private static int findLineEnd(ByteBuffer content) {
       int position = content.position();
       while (position < content.limit() && content.get(position) != '\n') {
@@ -218,6 +221,10 @@
       return position;
     }
 
+    /**
+     * Processes a complete line. Every line except a heartbeat after the first list shows that
+     * discovery is available again.
+     */
     private void onLine() {
       extendDeadline();
       try {
@@ -240,8 +247,8 @@
     }
 
     private void onDiscoveryAvailable() {
-      if (lost && isCurrent()) {
-        lost = false;
+      if (unavailable && isCurrent()) {
+        unavailable = false;
         Logger.info("discovery recovered");
       }
     }
--- a/src/main/java/pearusher/discovery/HealthChecker.java
+++ b/src/main/java/pearusher/discovery/HealthChecker.java
@@ -13,8 +13,8 @@
 import pearusher.transport.TerminationReason;
 
 /**
- * Checks the health of servers, each time with one {@link HttpCall} whose result goes to the
- * controller. Any thread may start a check; it grows with the checks in flight.
+ * Client for the health checks of servers. Each check is one {@link HttpCall}, whose result goes to
+ * the controller. Any thread may start a check.
  */
 final class HealthChecker {
   private static final int MAX_LOAD_REPORT_BYTES = 4 << 10;
@@ -30,7 +30,7 @@
   /**
    * Creates a checker.
    *
-   * @param config the timeouts, and whether servers have load reports
+   * @param config the timeouts, and the settings that state whether servers have load reports
    * @param controller receives the results
    * @param connector opens the connections
    */
@@ -43,16 +43,17 @@
     timeouts = config.timeouts();
   }
 
-  /** Applies the timeouts of a reloaded configuration to the next checks. */
+  /** Applies the timeouts of a reloaded configuration to later checks. */
   void reload(AssignerConfig reloaded) {
     timeouts = reloaded.timeouts();
   }
 
   /**
-   * Checks a server once.
+   * Starts one check of a server. If the server has no usable address, the result is that of an
+   * unreachable server.
    *
    * @param server the number of the server
-   * @param hostPort its address, or null if it has none
+   * @param hostPort the address of the server, or null if it has none
    */
   void check(long server, String hostPort) {
     HealthCheckCall call = new HealthCheckCall(server);
--- a/src/main/java/pearusher/discovery/HttpCall.java
+++ b/src/main/java/pearusher/discovery/HttpCall.java
@@ -21,9 +21,9 @@
 import pearusher.transport.TerminationReason;
 
 /**
- * One GET request and its response, on a connection of its own. A call ends exactly once, with a
- * {@link TerminationReason}; it never repeats itself. The connection's thread parses the response,
- * any thread may end the call. Its size is that of the subclass.
+ * One GET request and its response, on a separate connection. A call ends exactly once, with a
+ * {@link TerminationReason}, and is never retried. The thread of the connection parses the
+ * response; any thread may end the call.
  */
 abstract class HttpCall implements HttpParser.ResponseHandler {
   private static final int MAX_REQUEST_BYTES = 2048;
@@ -39,9 +39,9 @@
   private boolean ended;
 
   /**
-   * Creates a call, which is not started yet.
+   * Creates a call without starting it.
    *
-   * @param connector opens its connection
+   * @param connector opens the connection
    * @param path the path to request
    * @param acceptedType the media type to accept
    */
@@ -51,23 +51,24 @@
     this.acceptedType = acceptedType;
   }
 
-  /** Processes the head of the response. */
+  /** Processes the status and the headers of the response; does nothing by default. */
   void onHeaders(int responseStatus) {}
 
-  /** Processes a part of the body, which need not be consumed. */
+  /** Processes a part of the body; the buffer need not be consumed. */
   abstract void onContent(int responseStatus, ByteBuffer content);
 
-  /** Processes the end of a response of status 200; returns the reason that the call ends with. */
+  /** Processes the end of a response with status 200; returns the reason for ending the call. */
   abstract TerminationReason onSuccess();
 
-  /** Reports the end of the call; called exactly once. */
+  /** Reports the end of the call. Called exactly once. */
   abstract void onEnd(TerminationReason reason);
 
   /**
    * Starts the call.
    *
    * @param address the address to connect to
-   * @param timeoutMs the time for connection and response, unless {@link #setDeadline} changes it
+   * @param timeoutMs the timeout for connecting and the response in milliseconds, which {@link
+   *     #setDeadline} may replace
    */
   final void start(InetSocketAddress address, long timeoutMs) {
     host = SocketAddresses.format(address);
@@ -75,7 +76,7 @@
     connector.open(this, address);
   }
 
-  /** Sets the time from now after which the call ends, in place of an earlier deadline. */
+  /** Sets the deadline of the call, in milliseconds from now, in place of an earlier one. */
   final synchronized void setDeadline(long timeoutMs) {
     if (deadline != null) {
       deadline.cancel();
@@ -88,7 +89,7 @@
     }
   }
 
-  /** Ends the call, unless it has ended; closes the connection and reports the reason. */
+  /** Ends the call, closes the connection and reports the reason, unless the call has ended. */
   final void end(TerminationReason reason) {
     synchronized (this) {
       if (ended) {
@@ -123,7 +124,7 @@
     }
   }
 
-  /** Takes over the channel of the call's connection; returns false if the call has ended. */
+  /** Sets the channel, which the call closes at its end; returns false if the call has ended. */
   final synchronized boolean attach(SocketChannel opened) {
     if (ended) {
       return false;
@@ -136,7 +137,7 @@
     endPoint = connected;
   }
 
-  /** Returns the bytes of the request. */
+  /** Returns the encoded request. */
   final ByteBuffer request() throws IOException {
     HttpFields fields =
         HttpFields.build().put(HttpHeader.HOST, host).put(HttpHeader.ACCEPT, acceptedType);
--- a/src/main/java/pearusher/discovery/HttpCallConnection.java
+++ b/src/main/java/pearusher/discovery/HttpCallConnection.java
@@ -11,8 +11,8 @@
 import pearusher.transport.TerminationReason;
 
 /**
- * The established connection of an {@link HttpCall}: writes its request and parses the response.
- * One thread at a time reads; its size is constant.
+ * Established connection of an {@link HttpCall}, which writes the request and parses the response.
+ * One thread at a time reads.
  */
 final class HttpCallConnection extends AbstractConnection {
   private static final int READ_BUFFER_BYTES = 16 << 10;
--- a/src/main/java/pearusher/discovery/HttpConnector.java
+++ b/src/main/java/pearusher/discovery/HttpConnector.java
@@ -16,8 +16,8 @@
 import pearusher.transport.TerminationReason;
 
 /**
- * Opens a connection for each {@link HttpCall}. Its threads are those of one selector and of the
- * executor; it grows with the calls in flight.
+ * Connector that opens a connection for each {@link HttpCall}. Runs on the threads of one selector
+ * and of the executor.
  */
 final class HttpConnector extends SelectorManager {
   private static final int SELECTORS = 1;
@@ -29,7 +29,7 @@
     this.scheduler = scheduler;
   }
 
-  /** Opens the connection of a call on a thread of the executor. */
+  /** Opens the connection of a call asynchronously, on a thread of the executor. */
   void open(HttpCall call, InetSocketAddress address) {
     getExecutor().execute(() -> openNow(call, address));
   }
--- a/src/main/java/pearusher/discovery/OutboundClient.java
+++ b/src/main/java/pearusher/discovery/OutboundClient.java
@@ -7,8 +7,8 @@
 import pearusher.control.OutboundCalls;
 
 /**
- * Makes the assigner's calls by HTTP: watches and polls of discovery's list, and health checks of
- * servers. Any thread may use it; it grows with the calls in flight.
+ * Client for the assigner's HTTP calls: watches and fetches of the endpoint list at discovery, and
+ * health checks of servers. Thread-safe. Its memory use is proportional to the calls in flight.
  */
 public final class OutboundClient implements OutboundCalls {
   private final HttpConnector connector;
@@ -16,9 +16,9 @@
   private final HealthChecker healthChecker;
 
   /**
-   * Creates a client, which is not started yet.
+   * Creates a client without starting it.
    *
-   * @param config the address of discovery, the timeouts and the limits on lists
+   * @param config the address of discovery, the timeouts and the limits on endpoint lists
    * @param controller receives the results
    * @param executor runs the connections
    * @param scheduler runs timeouts
@@ -32,9 +32,9 @@
   }
 
   /**
-   * Starts the selector; calls may be made from here on.
+   * Starts the selector, which calls require.
    *
-   * @throws Exception if it cannot be started
+   * @throws Exception if the selector cannot be started
    */
   public void start() throws Exception {
     connector.start();
@@ -43,13 +43,13 @@
   /**
    * Stops the selector and closes all connections.
    *
-   * @throws Exception if it cannot be stopped
+   * @throws Exception if the selector cannot be stopped
    */
   public void stop() throws Exception {
     connector.stop();
   }
 
-  /** Applies a reloaded configuration to the next calls; calls in flight end as they are. */
+  /** Applies a reloaded configuration to later calls; calls in flight continue. */
   public void reload(AssignerConfig reloaded) {
     connector.setConnectTimeout(reloaded.timeouts().connectMs());
     discovery.reload(reloaded);
--- a/src/test/java/pearusher/discovery/EndpointListLimitsTest.java
+++ b/src/test/java/pearusher/discovery/EndpointListLimitsTest.java
@@ -16,19 +16,20 @@
 import pearusher.server.TestPeers;
 
 /**
- * Lists that exceed a limit, on sockets: the call fails with one log line, and the last valid list
- * stays.
+ * Endpoint lists over a limit, received on sockets. The call must fail with one log line and the
+ * last valid list must stay in force. Guards against a list that exhausts the heap, and against the
+ * loss of the servers already known.
  */
 class EndpointListLimitsTest extends LoopbackFixture {
-  private static final String REJECTED =
+  private static final String TOO_LONG_WARNING =
       "WARN discovery: a list of over 4 servers: the heap of 40 MB holds no more";
 
   @BeforeEach
-  void limits() {
+  void setLimits() {
     example.lists(new EndpointListLimits(4, 1000, 40 << 20));
   }
 
-  private static String list(int generation, boolean complete, int first, int end) {
+  private static String listWithServers(int generation, boolean complete, int first, int end) {
     return TestPeers.endpointListJson(
         generation,
         complete,
@@ -46,71 +47,74 @@
   }
 
   @Test
-  void aWatchWithAListOverTheLimitFails() throws Exception {
+  void watchFailsOnListOverLimit() throws Exception {
     StubRequest watch = startWithWatch();
     policy.awaitEvent("onEndpointList CACHED");
     watch.startWatch();
-    watch.writeLine(list(43, true, 0, 4));
+    watch.writeLine(listWithServers(43, true, 0, 4));
     policy.awaitEvent("onEndpointList COMPLETE [ServerEntry[server=2,");
     for (int attempt = 1; attempt <= 3; attempt++) {
-      // Rejected at its fifth server: the line never ends.
-      String text = list(50, true, 0, 5);
+      // The list is rejected at its fifth server, although the line never ends.
+      String text = listWithServers(50, true, 0, 5);
       watch.write("100000\r\n" + text.substring(0, text.length() - 2));
       policy.awaitEvent("onEndpointList FAILED []");
       policy.command(o -> o.watchEndpoints(true));
       watch = discovery.awaitRequest();
-      assertEquals("/catalog/members?follow=1&since=43", watch.path(), "the last valid list stays");
+      assertEquals(
+          "/catalog/members?follow=1&since=43", watch.path(), "the last valid list stays in force");
       watch.startWatch();
     }
-    assertEquals(2, countLogged(REJECTED), "logged at 1, 2, 4, 8 ...");
+    assertEquals(2, countLogged(TOO_LONG_WARNING), "logged at occurrences 1, 2, 4, 8 ...");
     awaitLog("WARN discovery lost: WATCH ended: TOO_LONG");
-    watch.writeLine(list(51, true, 1, 4));
+    watch.writeLine(listWithServers(51, true, 1, 4));
     policy.awaitEvent("onEndpointList COMPLETE [ServerEntry[server=3,");
     assertEquals(List.of(), policy.events);
   }
 
   @Test
-  void aFetchedListOverTheLimitFails() throws Exception {
+  void fetchFailsOnListOverLimit() throws Exception {
     start();
     policy.awaitEvent("onEndpointList CACHED");
     policy.command(PolicyCommands::fetchEndpoints);
-    discovery.awaitRequest().respond(200, list(45, true, 0, 5));
+    discovery.awaitRequest().respond(200, listWithServers(45, true, 0, 5));
     policy.awaitEvent("onEndpointList FAILED []");
-    assertEquals(1, countLogged(REJECTED));
+    assertEquals(1, countLogged(TOO_LONG_WARNING));
     awaitLog("WARN discovery lost: FETCH ended: TOO_LONG");
     assertFalse(
         log.toString(StandardCharsets.UTF_8).contains("can't be read"), "one line is logged");
     policy.command(PolicyCommands::fetchEndpoints);
-    discovery.awaitRequest().respond(200, list(45, true, 0, 4));
+    discovery.awaitRequest().respond(200, listWithServers(45, true, 0, 4));
     policy.awaitEvent("onEndpointList COMPLETE");
     assertEquals(List.of(), policy.events);
   }
 
   @Test
-  void anIdThatIsTooLongIsReported() throws Exception {
+  void fetchFailsOnOverlongIdWithLogLine() throws Exception {
     start();
     policy.awaitEvent("onEndpointList CACHED");
     policy.command(PolicyCommands::fetchEndpoints);
-    discovery.awaitRequest().respond(200, list(45, true, 0, 1).replace("s-0", "x".repeat(256)));
+    discovery
+        .awaitRequest()
+        .respond(200, listWithServers(45, true, 0, 1).replace("s-0", "x".repeat(256)));
     policy.awaitEvent("onEndpointList FAILED []");
     awaitLog(
         "WARN discovery: a list can't be read: list: the key instances.0.instanceId is longer than "
             + "255 characters: 'xxx");
   }
 
-  /** Short changes must not make more servers known than the heap holds. */
+  /** Each delta is short, but together they would make more servers known than the heap holds. */
   @Test
-  void changesThatKeepAddingServersAreRejected() throws Exception {
+  void deltasThatAddServersBeyondLimitAreRejected() throws Exception {
     StubRequest watch = startWithWatch();
     policy.awaitEvent("onEndpointList CACHED");
     watch.startWatch();
     for (int k = 0; k < 4; k++) {
-      watch.writeLine(list(43 + k, false, k, k + 1));
+      watch.writeLine(listWithServers(43 + k, false, k, k + 1));
       policy.awaitEvent("onEndpointList DELTA [ServerEntry[server=" + (2 + k) + ",");
     }
-    watch.writeLine(list(47, false, 3, 4));
+    watch.writeLine(listWithServers(47, false, 3, 4));
     policy.awaitEvent("onEndpointList DELTA [ServerEntry[server=5,");
-    watch.writeLine(list(48, false, 3, 5));
+    watch.writeLine(listWithServers(48, false, 3, 5));
     policy.awaitEvent("onEndpointList FAILED []");
     assertEquals(
         1,
@@ -122,9 +126,12 @@
     assertEquals(List.of(), policy.events);
   }
 
-  /** Both entries of a repeated id reach the policy, which uses the last; so does the address. */
+  /**
+   * Both entries of a repeated id reach the policy, which uses the last one. The health check also
+   * uses the address of the last one.
+   */
   @Test
-  void ofARepeatedServerTheLastEntryCounts() throws Exception {
+  void lastEntryOfRepeatedServerIsUsed() throws Exception {
     try (HttpStub server = new HttpStub()) {
       StubRequest watch = startWithWatch();
       policy.awaitEvent("onEndpointList CACHED");
