--- a/src/test/java/pearusher/config/AssignerConfigTest.java
+++ b/src/test/java/pearusher/config/AssignerConfigTest.java
@@ -250,8 +250,8 @@
   }
 
   /**
-   * Guards against buffering the complete file as text, which takes a multiple of the memory of the
-   * parsed servers.
+   * Guards against keeping the file as text: the allocated memory must be proportional to the
+   * number of servers.
    */
   @Test
   void readingAKnownListAllocatesLessThan2000BytesPerServer() throws Exception {
