--- a/src/test/java/pearusher/server/RaceTest.java
+++ b/src/test/java/pearusher/server/RaceTest.java
@@ -366,7 +366,11 @@
         .with("\"stranger_ms\": 2000", "\"stranger_ms\": 600000");
     StreamServer streams = start().streams();
     List<RespClient> unidentified = new ArrayList<>();
-    for (int k = 0; k < streams.maxConnections(); k++) {
+    unidentified.add(new RespClient(address).startReading());
+    // The oldest is the one opened first, and several threads open connections in any order: the
+    // first is open before the second is made. Not evicted, it is put back.
+    awaitEvictionCandidate(streams).onReplaced();
+    for (int k = 1; k < streams.maxConnections(); k++) {
       unidentified.add(new RespClient(address).startReading());
     }
     TestPeers.awaitUntil(
@@ -388,6 +392,14 @@
     newcomer.close();
   }
 
+  private static StreamConnection awaitEvictionCandidate(StreamServer streams)
+      throws InterruptedException {
+    List<StreamConnection> chosen = new ArrayList<>();
+    TestPeers.awaitUntil(
+        "it is chosen", () -> streams.takeEvictionCandidate().map(chosen::add).orElse(false));
+    return chosen.get(0);
+  }
+
   /** A connection is chosen for eviction and joins at the same time: the first of both counts. */
   @ParameterizedTest
   @CsvSource({"true", "false"})
@@ -395,18 +407,16 @@
     StreamServer streams = start().streams();
     policy.awaitEvent("onEndpointList CACHED");
     ProxyClient proxy = new ProxyClient(address, new AppliedUpdates(CLASSES));
-    List<StreamConnection> chosen = new ArrayList<>();
-    TestPeers.awaitUntil(
-        "it is chosen", () -> streams.takeEvictionCandidate().map(chosen::add).orElse(false));
+    StreamConnection chosen = awaitEvictionCandidate(streams);
     if (!joinsFirst) {
-      chosen.get(0).evict();
+      chosen.evict();
       TestPeers.awaitUntil("its end", () -> proxy.isEnded);
       assertEquals(List.of(), policy.events);
       return;
     }
     proxy.send("joined proxy 3 zone north weight 1 fresh 1");
     policy.awaitEvent("onProxyJoined 3");
-    chosen.get(0).evict();
+    chosen.evict();
     policy.command(commands -> commands.requestAck(7, true));
     TestPeers.awaitUntil("the acknowledgement request", () -> proxy.held.ackNumbers.contains(7));
     assertFalse(proxy.isEnded);
