--- a/src/test/java/pearusher/server/AssignerProcessTest.java
+++ b/src/test/java/pearusher/server/AssignerProcessTest.java
@@ -68,11 +68,11 @@
   @BeforeEach
   void choosePort() throws IOException {
     processes = new AssignerProcesses(directory);
-    port = AssignerProcesses.freePort();
+    port = processes.holdPort();
   }
 
   @AfterEach
-  void killProcesses() {
+  void killProcesses() throws IOException {
     processes.close();
   }
 
--- a/src/test/java/pearusher/server/AssignerProcesses.java
+++ b/src/test/java/pearusher/server/AssignerProcesses.java
@@ -5,11 +5,14 @@
 
 import java.io.IOException;
 import java.net.DatagramSocket;
-import java.net.ServerSocket;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
@@ -22,6 +25,12 @@
   private final Path directory;
   private final List<Process> processes = new ArrayList<>();
 
+  /** The latest process of each log. */
+  private final Map<String, Process> byLogName = new HashMap<>();
+
+  /** Bound sockets that neither listen nor connect. */
+  private final List<Socket> holders = new ArrayList<>();
+
   AssignerProcesses(Path directory) {
     this.directory = directory;
   }
@@ -45,6 +54,7 @@
     builder.environment().putAll(environment);
     Process process = builder.start();
     processes.add(process);
+    byLogName.put(logName, process);
     return process;
   }
 
@@ -84,9 +94,23 @@
     }
   }
 
-  /** Waits until a log file contains a text; fails the test after 20 s. */
+  /** Waits until the log of a process contains a text; fails at once if the process has ended. */
   void awaitLog(String name, String text) throws InterruptedException {
-    TestPeers.awaitUntil(text + " in " + name, () -> log(name).contains(text));
+    Process process = byLogName.get(name);
+    try {
+      TestPeers.awaitUntil(
+          text + " in " + name,
+          () -> {
+            // Checked before the log is read, since a process that has ended logs nothing more.
+            boolean hasEnded = !process.isAlive();
+            return log(name).contains(text) || hasEnded;
+          });
+    } catch (AssertionError e) {
+      throw new AssertionError(e.getMessage() + ", whose process runs:\n" + log(name), e);
+    }
+    assertTrue(
+        log(name).contains(text),
+        () -> text + " in " + name + ", status " + process.exitValue() + ":\n" + log(name));
   }
 
   void awaitReady(String name) throws InterruptedException {
@@ -114,10 +138,17 @@
     return new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor();
   }
 
-  static int freePort() throws IOException {
-    try (ServerSocket socket = new ServerSocket(0)) {
-      return socket.getLocalPort();
-    }
+  /**
+   * Finds a free port for an assigner to listen on, and holds it until closed. Linux lets sockets
+   * that allow reuse share a port as long as at most one listens; it gives a held port neither to
+   * another search nor to an outgoing connection.
+   */
+  int holdPort() throws IOException {
+    Socket holder = new Socket();
+    holders.add(holder);
+    holder.setReuseAddress(true);
+    holder.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    return holder.getLocalPort();
   }
 
   static int freeDatagramPort() throws IOException {
@@ -127,7 +158,10 @@
   }
 
   @Override
-  public void close() {
+  public void close() throws IOException {
     processes.forEach(Process::destroyForcibly);
+    for (Socket holder : holders) {
+      holder.close();
+    }
   }
 }
--- a/src/test/java/pearusher/server/DurableProcessTest.java
+++ b/src/test/java/pearusher/server/DurableProcessTest.java
@@ -86,7 +86,7 @@
     listThread = new Thread(this::serveWatches);
     listThread.setDaemon(true);
     listThread.start();
-    port = AssignerProcesses.freePort();
+    port = processes.holdPort();
   }
 
   private void serveWatches() {
