--- a/src/main/java/pearusher/control/CommandDispatcher.java
+++ b/src/main/java/pearusher/control/CommandDispatcher.java
@@ -108,7 +108,7 @@
 
   /** Discards all state of a server, so that it does not accumulate as servers are replaced. */
   @Override
-  public void forgetServer(long server) {
+  public void discardServer(long server) {
     servers.findName(server).ifPresent(persistence::discardServer);
     servers.discard(server);
     tables.discardServer(server);
--- a/src/main/java/pearusher/policy/PolicyCommands.java
+++ b/src/main/java/pearusher/policy/PolicyCommands.java
@@ -129,5 +129,5 @@
    *
    * @param server the server
    */
-  default void forgetServer(long server) {}
+  default void discardServer(long server) {}
 }
--- a/src/main/java/pearusher/policy/ServerRegistry.java
+++ b/src/main/java/pearusher/policy/ServerRegistry.java
@@ -139,7 +139,7 @@
             && !tables.isPublished(server.id);
     if (expired) {
       tables.clearDueUpdates(server.id);
-      commands.forgetServer(server.id);
+      commands.discardServer(server.id);
       anyServerDeleted = true;
     }
     return expired;
--- a/src/test/java/pearusher/policy/CommandDigest.java
+++ b/src/test/java/pearusher/policy/CommandDigest.java
@@ -200,7 +200,7 @@
   }
 
   @Override
-  public void forgetServer(long server) {
+  public void discardServer(long server) {
     write("release-server", server);
   }
 }
--- a/src/test/java/pearusher/policy/RecordingCommands.java
+++ b/src/test/java/pearusher/policy/RecordingCommands.java
@@ -170,7 +170,7 @@
   }
 
   @Override
-  public void forgetServer(long server) {
+  public void discardServer(long server) {
     forgottenServers.add(server);
   }
 }
