--- a/src/main/java/pearusher/control/DurablePublisher.java
+++ b/src/main/java/pearusher/control/DurablePublisher.java
@@ -190,7 +190,7 @@
 
   @Override
   public void discardServer(String server) {
-    ledger.forgetServer(server);
+    ledger.discardServer(server);
   }
 
   @Override
--- a/src/main/java/pearusher/recovery/Ledger.java
+++ b/src/main/java/pearusher/recovery/Ledger.java
@@ -194,7 +194,7 @@
     Set<String> unlisted = new HashSet<>(state.ejections.keySet());
     unlisted.addAll(state.servers.keySet());
     unlisted.removeAll(listed);
-    unlisted.forEach(this::forgetServer);
+    unlisted.forEach(this::discardServer);
     currentIteration.addCommand();
   }
 
@@ -226,7 +226,7 @@
   }
 
   /** Deletes the endpoint and the ejection state of a server that left the endpoint list. */
-  public void forgetServer(String server) {
+  public void discardServer(String server) {
     if (state.servers.remove(server) != null) {
       currentIteration.addChange(LedgerKey.ofServer(server));
     }
--- a/src/test/java/pearusher/recovery/LedgerTest.java
+++ b/src/test/java/pearusher/recovery/LedgerTest.java
@@ -237,7 +237,7 @@
       ledger.setEjected("s" + k, true, nowUs);
       ledger.setWeight(0, "s" + k, 0);
       endIteration(ledger);
-      ledger.forgetServer("s" + k);
+      ledger.discardServer("s" + k);
     }
     endIteration(ledger);
     assertTrue(store.size() < 150, store.size() + " keys");
