--- a/src/test/java/pearusher/policy/EjectionTest.java
+++ b/src/test/java/pearusher/policy/EjectionTest.java
@@ -68,7 +68,7 @@
         ListUpdateKind.DELTA, List.of(TestServers.serverIn(100, 0, Lifecycle.REMOVED)));
     assertTrue(fixture.commands.suspectedEjections.get(100L));
     fixture.runPeriods(70);
-    assertTrue(fixture.commands.forgottenServers.contains(100L));
+    assertTrue(fixture.commands.discardedServers.contains(100L));
     fixture.updateEndpoints(
         ListUpdateKind.DELTA, List.of(TestServers.readyServer(102, 0, fixture.nowUs)));
     assertTrue(
@@ -84,11 +84,11 @@
             TestServers.serverIn(3, 1, Lifecycle.REMOVED),
             TestServers.serverIn(4, 0, Lifecycle.DRAINING)));
     fixture.runPeriods(50);
-    assertEquals(List.of(), fixture.commands.forgottenServers);
+    assertEquals(List.of(), fixture.commands.discardedServers);
     fixture.runPeriods(15);
     assertEquals(
         List.of(3L),
-        fixture.commands.forgottenServers,
+        fixture.commands.discardedServers,
         "a draining server is not deleted, since it may return");
     fixture.updateEndpoints(ListUpdateKind.DELTA, List.of(TestServers.readyServer(3, 1, 0)));
     fixture.runPeriods(2);
--- a/src/test/java/pearusher/policy/RecordingCommands.java
+++ b/src/test/java/pearusher/policy/RecordingCommands.java
@@ -36,7 +36,7 @@
   /** Proxies that have joined and not left; the fixture maintains them. */
   final Set<Integer> joinedProxies = new HashSet<>();
 
-  final List<Long> forgottenServers = new ArrayList<>();
+  final List<Long> discardedServers = new ArrayList<>();
 
   /**
    * Servers that other instances may have ejected, and whether the reinstatement is sent to all
@@ -171,6 +171,6 @@
 
   @Override
   public void discardServer(long server) {
-    forgottenServers.add(server);
+    discardedServers.add(server);
   }
 }
--- a/src/test/java/pearusher/policy/TakeoverTest.java
+++ b/src/test/java/pearusher/policy/TakeoverTest.java
@@ -131,7 +131,7 @@
       harness.runTick();
     }
     assertTrue(
-        harness.commands.forgottenServers.contains(5L),
+        harness.commands.discardedServers.contains(5L),
         "the removed server is deleted in the meantime");
     assertTrue(
         harness.commands.weightsByTable.keySet().stream().noneMatch(t -> t % 3 == 2),
