--- a/src/main/java/pearusher/policy/AssignmentPolicy.java
+++ b/src/main/java/pearusher/policy/AssignmentPolicy.java
@@ -106,7 +106,7 @@
    * @param missingLines number of lines of the table's current content that the proxy has not
    *     received
    */
-  default void onTableHeld(long nowUs, int proxy, int table, int missingLines) {}
+  default void onProxyTableReported(long nowUs, int proxy, int table, int missingLines) {}
 
   /**
    * Handles the acknowledgement of an update by a proxy.
--- a/src/main/java/pearusher/policy/FaastPolicy.java
+++ b/src/main/java/pearusher/policy/FaastPolicy.java
@@ -158,7 +158,7 @@
   }
 
   @Override
-  public void onTableHeld(long nowUs, int proxyId, int tableNumber, int missingLines) {
+  public void onProxyTableReported(long nowUs, int proxyId, int tableNumber, int missingLines) {
     ProxyState proxy = proxies.get(proxyId);
     boolean isRestored =
         tableNumber == proxy.zone && !tables.get(tableNumber).publishedWeights.isEmpty();
--- a/src/test/java/pearusher/control/StoredDataFixture.java
+++ b/src/test/java/pearusher/control/StoredDataFixture.java
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public void onTableHeld(long nowUs, int proxy, int table, int missingLines) {
+    public void onProxyTableReported(long nowUs, int proxy, int table, int missingLines) {
       tableByJoiningProxy.put(proxy, table);
     }
 
--- a/src/test/java/pearusher/policy/MembershipScenarios.java
+++ b/src/test/java/pearusher/policy/MembershipScenarios.java
@@ -147,7 +147,7 @@
     history.joinAll(0, 10, 2, false);
     history.joinAll(10, 4, 2, true);
     for (int proxy = 0; proxy < 8; proxy++) {
-      history.policy.onTableHeld(history.nowUs(), proxy, proxy < 6 ? proxy % 2 : 9, proxy);
+      history.policy.onProxyTableReported(history.nowUs(), proxy, proxy < 6 ? proxy % 2 : 9, proxy);
     }
     history.failureShare = 0.3;
     history.slowdownFactor = 3;
--- a/src/test/java/pearusher/policy/RestoredStateTest.java
+++ b/src/test/java/pearusher/policy/RestoredStateTest.java
@@ -33,7 +33,7 @@
 
   private void joinWithTable(int proxy, int missingEntries) {
     fixture.join(proxy, false);
-    fixture.policy.onTableHeld(fixture.nowUs, proxy, proxy % 2, missingEntries);
+    fixture.policy.onProxyTableReported(fixture.nowUs, proxy, proxy % 2, missingEntries);
   }
 
   private int countWeightCommands() {
