--- a/src/main/java/pearusher/control/CommandDispatcher.java
+++ b/src/main/java/pearusher/control/CommandDispatcher.java
@@ -86,7 +86,7 @@
   }
 
   @Override
-  public void suspectEjection(long server, boolean allProxies) {
+  public void reportStaleEjectionRisk(long server, boolean allProxies) {
     tables.suspectEjection(server, allProxies);
   }
 
--- a/src/main/java/pearusher/policy/EjectionQueue.java
+++ b/src/main/java/pearusher/policy/EjectionQueue.java
@@ -42,7 +42,7 @@
   void raiseStaleEjectionRisk(Server server, StaleEjectionRisk risk) {
     if (risk.exceeds(server.staleEjectionRisk)) {
       server.staleEjectionRisk = risk;
-      commands.suspectEjection(server.id, risk == StaleEjectionRisk.ALL_PROXIES);
+      commands.reportStaleEjectionRisk(server.id, risk == StaleEjectionRisk.ALL_PROXIES);
     }
   }
 
--- a/src/main/java/pearusher/policy/PolicyCommands.java
+++ b/src/main/java/pearusher/policy/PolicyCommands.java
@@ -122,7 +122,7 @@
    * @param allProxies true if the reinstatement must go to all proxies, false if only to proxies
    *     that are not confirmed
    */
-  default void suspectEjection(long server, boolean allProxies) {}
+  default void reportStaleEjectionRisk(long server, boolean allProxies) {}
 
   /**
    * Reports that no command in force refers to this server's number, and that no later one will.
--- a/src/test/java/pearusher/policy/CommandDigest.java
+++ b/src/test/java/pearusher/policy/CommandDigest.java
@@ -195,7 +195,7 @@
   }
 
   @Override
-  public void suspectEjection(long server, boolean all) {
+  public void reportStaleEjectionRisk(long server, boolean all) {
     write("server-state-unknown", server, yesOrNo(all));
   }
 
--- a/src/test/java/pearusher/policy/EjectionQueueTest.java
+++ b/src/test/java/pearusher/policy/EjectionQueueTest.java
@@ -70,7 +70,9 @@
     queue.raiseStaleEjectionRisk(server, StaleEjectionRisk.ALL_PROXIES);
     queue.raiseStaleEjectionRisk(server, StaleEjectionRisk.ALL_PROXIES);
     queue.raiseStaleEjectionRisk(server, StaleEjectionRisk.UNCONFIRMED_PROXIES);
-    assertEquals(List.of("suspectEjection[7, false]", "suspectEjection[7, true]"), log.lines);
+    assertEquals(
+        List.of("reportStaleEjectionRisk[7, false]", "reportStaleEjectionRisk[7, true]"),
+        log.lines);
     assertEquals(StaleEjectionRisk.ALL_PROXIES, server.staleEjectionRisk);
   }
 
--- a/src/test/java/pearusher/policy/RecordingCommands.java
+++ b/src/test/java/pearusher/policy/RecordingCommands.java
@@ -165,7 +165,7 @@
   }
 
   @Override
-  public void suspectEjection(long server, boolean all) {
+  public void reportStaleEjectionRisk(long server, boolean all) {
     suspectedEjections.put(server, all);
   }
 
--- a/src/test/java/pearusher/server/CommandTranscriptTest.java
+++ b/src/test/java/pearusher/server/CommandTranscriptTest.java
@@ -168,7 +168,7 @@
     record(
         "a server that is in doubt, and a table that brings it",
         commands -> {
-          commands.suspectEjection(0, true);
+          commands.reportStaleEjectionRisk(0, true);
           commands.setWeight(2, 0, 1);
           commands.setWeight(2, 1, 1);
           commands.bindProxy(4, 2, ALL_CLASSES);
@@ -196,14 +196,14 @@
     record(
         "a table with a server in doubt for all",
         commands -> {
-          commands.suspectEjection(0, true);
+          commands.reportStaleEjectionRisk(0, true);
           commands.bindProxy(3, 2, ALL_CLASSES);
         });
     join(3, true, 2);
     record(
         "a table with a server in doubt for those who are not sure",
         commands -> {
-          commands.suspectEjection(0, false);
+          commands.reportStaleEjectionRisk(0, false);
           commands.bindProxy(3, 2, ALL_CLASSES);
         });
     record(
