--- a/src/test/java/pearusher/policy/EjectionTest.java
+++ b/src/test/java/pearusher/policy/EjectionTest.java
@@ -46,7 +46,7 @@
   void onlyServersThatMayHaveBeenEjectedAreReported() {
     PolicyFixture fixture = PolicyFixture.started(8, 4);
     assertFalse(
-        fixture.commands.suspectedEjections.values().contains(true),
+        fixture.commands.staleEjectionRisks.values().contains(true),
         "servers that started long ago are at risk only for unconfirmed proxies");
     fixture.advance(PolicyFixture.SECOND_US);
     fixture.updateEndpoints(
@@ -57,22 +57,22 @@
             TestServers.readyServer(1, 1, fixture.nowUs),
             TestServers.serverIn(2, 0, Lifecycle.DRAINING)));
     assertFalse(
-        fixture.commands.suspectedEjections.containsKey(100L),
+        fixture.commands.staleEjectionRisks.containsKey(100L),
         "the server started after this instance");
     for (long id : List.of(101L, 1L, 2L)) {
       assertTrue(
-          fixture.commands.suspectedEjections.get(id),
+          fixture.commands.staleEjectionRisks.get(id),
           id + ": started earlier, restarted or draining");
     }
     fixture.updateEndpoints(
         ListUpdateKind.DELTA, List.of(TestServers.serverIn(100, 0, Lifecycle.REMOVED)));
-    assertTrue(fixture.commands.suspectedEjections.get(100L));
+    assertTrue(fixture.commands.staleEjectionRisks.get(100L));
     fixture.runPeriods(70);
     assertTrue(fixture.commands.discardedServers.contains(100L));
     fixture.updateEndpoints(
         ListUpdateKind.DELTA, List.of(TestServers.readyServer(102, 0, fixture.nowUs)));
     assertTrue(
-        fixture.commands.suspectedEjections.get(102L), "the number may belong to a deleted server");
+        fixture.commands.staleEjectionRisks.get(102L), "the number may belong to a deleted server");
   }
 
   @Test
--- a/src/test/java/pearusher/policy/RecordingCommands.java
+++ b/src/test/java/pearusher/policy/RecordingCommands.java
@@ -42,7 +42,7 @@
    * Servers that other instances may have ejected, and whether the reinstatement is sent to all
    * proxies.
    */
-  final Map<Long, Boolean> suspectedEjections = new TreeMap<>();
+  final Map<Long, Boolean> staleEjectionRisks = new TreeMap<>();
 
   /** Lines sent since the simulated time last advanced, without the overhead of messages. */
   int linesThisBatch;
@@ -166,7 +166,7 @@
 
   @Override
   public void reportStaleEjectionRisk(long server, boolean all) {
-    suspectedEjections.put(server, all);
+    staleEjectionRisks.put(server, all);
   }
 
   @Override
