--- a/src/main/java/pearusher/policy/AdmissionPublisher.java
+++ b/src/main/java/pearusher/policy/AdmissionPublisher.java
@@ -35,7 +35,7 @@
 
   private void publish(int tableNumber, ZoneTable table) {
     for (int requestClass = 0; requestClass < admission.classCount(); requestClass++) {
-      if (fleet.proxies().isAnyNearMessageLimit(table.followers)) {
+      if (fleet.proxies().isAnyNearMessageLimit(table.subscribers)) {
         return;
       }
       publishClass(tableNumber, table, requestClass);
@@ -48,7 +48,7 @@
     boolean changed =
         isChanged(level, table.admissionLevels[requestClass])
             || retryMode != table.retryModes[requestClass];
-    if (changed && channel.reserve(table.followers, 1, ChannelPriority.TIMELY)) {
+    if (changed && channel.reserve(table.subscribers, 1, ChannelPriority.TIMELY)) {
       commands.setAdmission(tableNumber, 1 << requestClass, level, retryMode);
       table.recordAdmission(requestClass, level, retryMode);
     }
--- a/src/main/java/pearusher/policy/EjectionPublisher.java
+++ b/src/main/java/pearusher/policy/EjectionPublisher.java
@@ -69,7 +69,7 @@
 
   private double linesForSubscribers(ZoneTable table) {
     long listed = ejections.countEjections(table::lists);
-    return table.followers.size() * channel.limits().messageLines(listed);
+    return table.subscribers.size() * channel.limits().messageLines(listed);
   }
 
   private boolean isLate(long nowUs, double costLines) {
@@ -108,7 +108,7 @@
         .all()
         .forEach(
             (number, table) -> {
-              if (table.lists(server) && channel.reserve(table.followers, 1, PRIORITY)) {
+              if (table.lists(server) && channel.reserve(table.subscribers, 1, PRIORITY)) {
                 weights.setWeight(number, table, server, 0);
               }
             });
--- a/src/main/java/pearusher/policy/ProxyBinder.java
+++ b/src/main/java/pearusher/policy/ProxyBinder.java
@@ -55,7 +55,7 @@
 
   /** Updates the list of subscribers of each table. */
   void refreshSubscribers() {
-    fleet.tables().all().values().forEach(table -> table.followers.clear());
+    fleet.tables().all().values().forEach(table -> table.subscribers.clear());
     fleet
         .proxies()
         .byId()
@@ -63,7 +63,7 @@
             (id, proxy) -> {
               ZoneTable table = fleet.tables().get(proxy.table);
               if (proxy.subscribed) {
-                table.followers.add(id);
+                table.subscribers.add(id);
               }
             });
   }
@@ -107,14 +107,14 @@
       return true;
     }
     boolean isSubsetTable = fleet.tables().isSubsetTable(tableNumber);
-    if (table.publishedWeights.isEmpty() || (isSubsetTable && table.followers.isEmpty())) {
+    if (table.publishedWeights.isEmpty() || (isSubsetTable && table.subscribers.isEmpty())) {
       weights.publish(tableNumber);
     }
     if (!channel.reserve(List.of(id), bindLines(table, proxy), bindPriority(proxy))) {
       return false;
     }
     if (isSubsetTable) {
-      table.followers.add(id);
+      table.subscribers.add(id);
     }
     issueBind(id, proxy, tableNumber);
     return true;
--- a/src/main/java/pearusher/policy/SubsetAssignment.java
+++ b/src/main/java/pearusher/policy/SubsetAssignment.java
@@ -120,6 +120,6 @@
 
   private double proxiesPerServer(int number) {
     ZoneTable table = fleet.tables().get(number);
-    return (table.followers.size() + 1.0) / table.plannedShares.size();
+    return (table.subscribers.size() + 1.0) / table.plannedShares.size();
   }
 }
--- a/src/main/java/pearusher/policy/WeightPublisher.java
+++ b/src/main/java/pearusher/policy/WeightPublisher.java
@@ -81,7 +81,7 @@
   }
 
   private void collectUpdates(int number, ZoneTable table, List<WeightUpdate> updates) {
-    if (fleet.proxies().isAnyNearMessageLimit(table.followers)) {
+    if (fleet.proxies().isAnyNearMessageLimit(table.subscribers)) {
       return;
     }
     Set<Long> ids = new LinkedHashSet<>(table.publishedWeights.keySet());
@@ -116,7 +116,7 @@
         update.urgent() ? ChannelPriority.TIMELY : ChannelPriority.DEFERRABLE;
     boolean fits =
         !fleet.scope().isFullFor(table, id)
-            && channel.reserve(table.followers, needsReinstatement ? 2 : 1, priority);
+            && channel.reserve(table.subscribers, needsReinstatement ? 2 : 1, priority);
     if (fits) {
       setWeight(update.tableNumber(), table, id, update.weight());
     }
--- a/src/main/java/pearusher/policy/ZoneTable.java
+++ b/src/main/java/pearusher/policy/ZoneTable.java
@@ -24,10 +24,8 @@
   /** Number of times that an update of a weight was due since its last publication, by server. */
   private final Map<Long, Integer> dueUpdates = new TreeMap<>();
 
-  /**
-   * Subscribers: proxies that receive the changes of this table. Written by {@link ProxyBinder}.
-   */
-  final List<Integer> followers = new ArrayList<>();
+  /** Proxies that receive the changes of this table. Written by {@link ProxyBinder}. */
+  final List<Integer> subscribers = new ArrayList<>();
 
   /** Published admission level, by request class. */
   final double[] admissionLevels;
--- a/src/test/java/pearusher/policy/ScopeSizeTest.java
+++ b/src/test/java/pearusher/policy/ScopeSizeTest.java
@@ -142,7 +142,7 @@
     ZoneTable table = new ZoneTable(2, 1, 1);
     long empty = ObjectCount.of(table);
     table.plannedShares.put(7L, 0.5);
-    table.followers.add(1);
+    table.subscribers.add(1);
     assertEquals(empty + 2, ObjectCount.of(table));
   }
 
