--- a/src/main/java/pearusher/policy/Server.java
+++ b/src/main/java/pearusher/policy/Server.java
@@ -124,7 +124,7 @@
   }
 
   /** Merges the attempts of a zone that left the scope into those of other zones. */
-  void releaseZone(int zone) {
+  void mergeZoneStatsIntoOthers(int zone) {
     attempts.mergeIntoOtherZones(zone);
   }
 
--- a/src/main/java/pearusher/policy/ZoneScope.java
+++ b/src/main/java/pearusher/policy/ZoneScope.java
@@ -125,7 +125,7 @@
   private void release(int number) {
     tables.remove(number);
     commands.clearTable(number);
-    servers.all().forEach(server -> server.releaseZone(number));
+    servers.all().forEach(server -> server.mergeZoneStatsIntoOthers(number));
     outdated = true;
   }
 }
