--- a/src/main/java/pearusher/control/StateRestorer.java
+++ b/src/main/java/pearusher/control/StateRestorer.java
@@ -68,7 +68,7 @@
     int[] retryByClass = new int[classCount];
     for (int requestClass = 0; requestClass < classCount; requestClass++) {
       AdmissionLevel level = levels.getOrDefault(requestClass, NOT_SET);
-      levelByClass[requestClass] = level.probabilityOrRate();
+      levelByClass[requestClass] = level.shareOrRate();
       retryByClass[requestClass] = level.retryMode();
     }
     policy.onTableRestored(
--- a/src/main/java/pearusher/protocol/MessageEncoder.java
+++ b/src/main/java/pearusher/protocol/MessageEncoder.java
@@ -75,7 +75,7 @@
   }
 
   private static void addAdmission(List<String> fields, AdmissionLevel admission) {
-    add(fields, ADMISSION_LEVEL, formatDecimal(admission.probabilityOrRate()));
+    add(fields, ADMISSION_LEVEL, formatDecimal(admission.shareOrRate()));
     add(fields, RETRY_POLICY, Integer.toString(admission.retryMode()));
   }
 
--- a/src/main/java/pearusher/publish/GlobalAdmissionLevels.java
+++ b/src/main/java/pearusher/publish/GlobalAdmissionLevels.java
@@ -42,7 +42,7 @@
     if (tableLevel == null || globalLevel == null) {
       return Optional.ofNullable(tableLevel == null ? globalLevel : tableLevel);
     }
-    double lower = Math.min(tableLevel.probabilityOrRate(), globalLevel.probabilityOrRate());
+    double lower = Math.min(tableLevel.shareOrRate(), globalLevel.shareOrRate());
     return Optional.of(new AdmissionLevel(lower, tableLevel.retryMode()));
   }
 
--- a/src/main/java/pearusher/recovery/LedgerCodec.java
+++ b/src/main/java/pearusher/recovery/LedgerCodec.java
@@ -86,7 +86,7 @@
   static byte[] encode(AdmissionEntry entry) {
     return encode(
         output -> {
-          output.writeDouble(entry.level().probabilityOrRate());
+          output.writeDouble(entry.level().shareOrRate());
           output.writeByte(entry.level().retryMode());
           output.writeLong(entry.iteration());
         });
--- a/src/main/java/pearusher/recovery/LedgerTable.java
+++ b/src/main/java/pearusher/recovery/LedgerTable.java
@@ -60,7 +60,7 @@
       return level;
     }
     int retry = Math.min(MAX_SAFE_RETRY, level.retryMode());
-    return new AdmissionLevel(level.probabilityOrRate(), retry);
+    return new AdmissionLevel(level.shareOrRate(), retry);
   }
 
   private Stream<WeightEntry> removedEntries() {
--- a/src/test/java/pearusher/control/StoredDataWriter.java
+++ b/src/test/java/pearusher/control/StoredDataWriter.java
@@ -278,7 +278,7 @@
   private static String describe(AdmissionLevel level) {
     return level == null
         ? "no level"
-        : "level " + level.probabilityOrRate() + " retry " + level.retryMode();
+        : "level " + level.shareOrRate() + " retry " + level.retryMode();
   }
 
   private static String describe(CatchUp catchUp) {
