--- a/src/main/java/pearusher/recovery/CatchUp.java
+++ b/src/main/java/pearusher/recovery/CatchUp.java
@@ -11,15 +11,15 @@
  * @param weights missing weights by server; 0 removes the server
  * @param admissionLevels missing admission levels by request class
  * @param ejections missing ejection states by server: ejected (true) or reinstated (false)
- * @param announced ejection states by server of which the proxy was, or may have been, notified
- *     before: ejected (true) or not (false)
+ * @param notifiedEjections ejection states by server of which the proxy was, or may have been,
+ *     notified before: ejected (true) or not (false)
  */
 public record CatchUp(
     int table,
     Map<String, Double> weights,
     Map<Integer, AdmissionLevel> admissionLevels,
     Map<String, Boolean> ejections,
-    Map<String, Boolean> announced) {
+    Map<String, Boolean> notifiedEjections) {
 
   /** Returns the number of entries in the update that transmits the missing entries. */
   public int cost() {
--- a/src/main/java/pearusher/recovery/CatchUpBuilder.java
+++ b/src/main/java/pearusher/recovery/CatchUpBuilder.java
@@ -16,7 +16,7 @@
   private final ProxyEntry proxy;
   private final Map<String, Double> weights = new TreeMap<>();
   private final Map<String, Boolean> ejections = new TreeMap<>();
-  private final Map<String, Boolean> announced = new HashMap<>();
+  private final Map<String, Boolean> notifiedEjections = new HashMap<>();
 
   private CatchUpBuilder(LedgerState state, ProxyEntry proxy) {
     this.state = state;
@@ -45,8 +45,9 @@
   private CatchUp build() {
     table.weights.forEach(this::addWeight);
     state.ejections.forEach(this::addEjection);
-    announced.keySet().removeAll(ejections.keySet());
-    return new CatchUp(proxy.table(), weights, missingAdmissionLevels(), ejections, announced);
+    notifiedEjections.keySet().removeAll(ejections.keySet());
+    return new CatchUp(
+        proxy.table(), weights, missingAdmissionLevels(), ejections, notifiedEjections);
   }
 
   /** Adds a missing weight, and the ejection state of its server: an update contains both. */
@@ -58,7 +59,7 @@
         ejections.put(server, ejection.isEjected());
       }
     } else if (entry.isInTable()) {
-      announced.put(server, ejection != null && ejection.isEjected());
+      notifiedEjections.put(server, ejection != null && ejection.isEjected());
     }
   }
 
@@ -69,7 +70,7 @@
     if (isUnacknowledged(ejection.iteration())) {
       ejections.put(server, ejection.isEjected());
     } else if (ejection.isEjected()) {
-      announced.put(server, true);
+      notifiedEjections.put(server, true);
     }
   }
 
--- a/src/test/java/pearusher/control/StoredDataWriter.java
+++ b/src/test/java/pearusher/control/StoredDataWriter.java
@@ -297,7 +297,7 @@
         + " ejections "
         + new TreeMap<>(catchUp.ejections())
         + " announced "
-        + new TreeMap<>(catchUp.announced())
+        + new TreeMap<>(catchUp.notifiedEjections())
         + " cost "
         + catchUp.cost();
   }
--- a/src/test/java/pearusher/recovery/LedgerTest.java
+++ b/src/test/java/pearusher/recovery/LedgerTest.java
@@ -120,7 +120,7 @@
     endIteration(ledger);
     catchUp = catchUp(recover());
     assertEquals(0, catchUp.cost());
-    assertEquals(Map.of("a", true, "b", false), catchUp.announced());
+    assertEquals(Map.of("a", true, "b", false), catchUp.notifiedEjections());
   }
 
   /**
