--- a/src/main/java/pearusher/control/StreamMembership.java
+++ b/src/main/java/pearusher/control/StreamMembership.java
@@ -77,7 +77,7 @@
   /** Resumes the table that a joining proxy retains, except for the entries in the catch-up. */
   private void resumeTable(int proxy, CatchUp catchUp) {
     tables.setAnnounced(proxy, servers.byNumber(catchUp.notifiedEjections()));
-    policy.get().onProxyTableReported(loop.nowUs(), proxy, catchUp.table(), catchUp.cost());
+    policy.get().onProxyTableReported(loop.nowUs(), proxy, catchUp.table(), catchUp.entryCount());
   }
 
   /** Removes a closed stream; ignored if a newer stream of the proxy has replaced it. */
--- a/src/main/java/pearusher/recovery/CatchUp.java
+++ b/src/main/java/pearusher/recovery/CatchUp.java
@@ -22,7 +22,7 @@
     Map<String, Boolean> notifiedEjections) {
 
   /** Returns the number of entries in the update that transmits the missing entries. */
-  public int cost() {
+  public int entryCount() {
     return weights.size() + admissionLevels.size() + ejections.size();
   }
 }
--- a/src/test/java/pearusher/control/StoredDataWriter.java
+++ b/src/test/java/pearusher/control/StoredDataWriter.java
@@ -299,7 +299,7 @@
         + " announced "
         + new TreeMap<>(catchUp.notifiedEjections())
         + " cost "
-        + catchUp.cost();
+        + catchUp.entryCount();
   }
 
   /**
--- a/src/test/java/pearusher/recovery/LedgerTest.java
+++ b/src/test/java/pearusher/recovery/LedgerTest.java
@@ -80,7 +80,7 @@
   void proxyThatAcknowledgedItsTableHasNoMissingEntries() {
     ledgerWithAcknowledgedProxy();
     CatchUp catchUp = catchUp(recover());
-    assertEquals(0, catchUp.cost());
+    assertEquals(0, catchUp.entryCount());
     assertEquals(0, catchUp.table());
   }
 
@@ -119,7 +119,7 @@
     ledger.onAcknowledgement(PROXY, 12);
     endIteration(ledger);
     catchUp = catchUp(recover());
-    assertEquals(0, catchUp.cost());
+    assertEquals(0, catchUp.entryCount());
     assertEquals(Map.of("a", true, "b", false), catchUp.notifiedEjections());
   }
 
