--- a/src/main/java/pearusher/recovery/LedgerRecovery.java
+++ b/src/main/java/pearusher/recovery/LedgerRecovery.java
@@ -33,7 +33,7 @@
     } catch (IOException | RuntimeException e) {
       trust = RecoveryTrust.UNREADABLE;
     }
-    if (trust.trustsTables()) {
+    if (trust.allowsStoredTables()) {
       return new Ledger(header, trust, state, conditions);
     }
     Ledger ledger = new Ledger(header, trust, new LedgerState(), conditions);
--- a/src/main/java/pearusher/recovery/RecoveredServerList.java
+++ b/src/main/java/pearusher/recovery/RecoveredServerList.java
@@ -22,7 +22,7 @@
    * time. If there are such servers, discovery is asked for the complete list.
    */
   public static RecoveredServerList merge(RecoveredServerList configured, Ledger ledger) {
-    if (!ledger.trust().trustsTables() || ledger.servers().isEmpty()) {
+    if (!ledger.trust().allowsStoredTables() || ledger.servers().isEmpty()) {
       return configured;
     }
     RecoveredServerList stored =
--- a/src/main/java/pearusher/recovery/RecoveryTrust.java
+++ b/src/main/java/pearusher/recovery/RecoveryTrust.java
@@ -37,7 +37,7 @@
   }
 
   /** Returns whether stored tables, admission levels and the endpoint list may be used. */
-  public boolean trustsTables() {
+  public boolean allowsStoredTables() {
     return this == FULL || this == SHARED_FLEET;
   }
 }
--- a/src/test/java/pearusher/control/StoredDataWriter.java
+++ b/src/test/java/pearusher/control/StoredDataWriter.java
@@ -222,7 +222,7 @@
     List<String> values = new ArrayList<>();
     values.add(
         "tables hold "
-            + ledger.trust().trustsTables()
+            + ledger.trust().allowsStoredTables()
             + ", epoch "
             + ledger.epoch()
             + ", turn "
