--- a/src/bench/java/pearusher/store/RecoveryBench.java
+++ b/src/bench/java/pearusher/store/RecoveryBench.java
@@ -54,7 +54,7 @@
       long usedBefore = usedHeapBytes();
       long startNs = System.nanoTime();
       try (Store store = Store.open(new FileDisk(directory), StoreOptions.DEFAULT)) {
-        Store.Recovered recovered = store.takeRecovered();
+        Store.Recovered recovered = store.releaseRecovered();
         bestNs = Math.min(bestNs, System.nanoTime() - startNs);
         System.gc();
         retainedBytes = usedHeapBytes() - usedBefore;
--- a/src/main/java/pearusher/control/DurablePublisher.java
+++ b/src/main/java/pearusher/control/DurablePublisher.java
@@ -54,7 +54,7 @@
    */
   public DurablePublisher(
       AssignerConfig config, PersistenceOptions options, Store store, LongSupplier clock) {
-    Store.Recovered recovered = store.takeRecovered();
+    Store.Recovered recovered = store.releaseRecovered();
     lastCommitUs = clock.getAsLong();
     heartbeatUs = options.heartbeatUs();
     ledger =
--- a/src/main/java/pearusher/store/Store.java
+++ b/src/main/java/pearusher/store/Store.java
@@ -10,7 +10,7 @@
  * An open store. Batches of changes to keyed values are appended to a log, which is compacted into
  * checkpoints. One thread appends and syncs. {@link #compact} may run on another thread, because it
  * only reads files that are no longer written. Memory grows with the records that are not yet
- * written; until {@link #takeRecovered} is called, it also includes all recovered values.
+ * written; until {@link #releaseRecovered} is called, it also includes all recovered values.
  */
 public final class Store implements Closeable {
 
@@ -181,7 +181,7 @@
    *
    * @return null from the second call on
    */
-  public Recovered takeRecovered() {
+  public Recovered releaseRecovered() {
     Recovered result = recovered;
     recovered = null;
     return result;
--- a/src/test/java/pearusher/cli/CliTest.java
+++ b/src/test/java/pearusher/cli/CliTest.java
@@ -127,7 +127,7 @@
       assertTrue(err.toString().contains("is in use by another process"), err.toString());
       // The inspect command takes no lock, so that it succeeds while the store is open.
       assertEquals(0, run("store", "inspect", directory.toString()));
-      assertEquals(2, openStore.takeRecovered().sequence());
+      assertEquals(2, openStore.releaseRecovered().sequence());
     }
     Path log;
     try (var files = Files.list(directory)) {
--- a/src/test/java/pearusher/store/PowerCutTest.java
+++ b/src/test/java/pearusher/store/PowerCutTest.java
@@ -35,7 +35,7 @@
       disk.powerCutAtCall = round < rounds ? cutAtCall : -1;
       try {
         Store store = Store.open(disk, SMALL_SEGMENTS);
-        Optional<String> fault = workload.checkAndContinueFrom(store.takeRecovered());
+        Optional<String> fault = workload.checkAndContinueFrom(store.releaseRecovered());
         if (fault.isPresent()) {
           return Optional.of("round " + round + ": " + fault.get());
         }
--- a/src/test/java/pearusher/store/StoreDamageTest.java
+++ b/src/test/java/pearusher/store/StoreDamageTest.java
@@ -35,7 +35,7 @@
           try (Store store =
               Store.open(disk.withFile(name, Arrays.copyOf(original, length)), SMALL_SEGMENTS)) {
             assertEquals(
-                NO_FAULT, workload.findFault(store.takeRecovered()), name + " cut at " + length);
+                NO_FAULT, workload.findFault(store.releaseRecovered()), name + " cut at " + length);
             recoveredCount++;
           } catch (StoreException e) {
             assertEquals(StoreException.Reason.DAMAGED, e.reason());
@@ -66,7 +66,7 @@
         byte[] flipped = original.clone();
         flipped[position] ^= 0x10;
         try (Store store = Store.open(disk.withFile(name, flipped), SMALL_SEGMENTS)) {
-          Store.Recovered recovered = store.takeRecovered();
+          Store.Recovered recovered = store.releaseRecovered();
           assertTrue(
               recovered.sequence() == workload.lastSequence(),
               name
@@ -109,7 +109,7 @@
     System.arraycopy(forged.array(), 0, bytes, offset, record.length());
     String fault;
     try (Store store = Store.open(disk.withFile(log, bytes), SMALL_SEGMENTS)) {
-      fault = workload.checkAndContinueFrom(store.takeRecovered()).orElse("none");
+      fault = workload.checkAndContinueFrom(store.releaseRecovered()).orElse("none");
     } catch (IOException e) {
       fault = e.getMessage();
     }
@@ -133,7 +133,7 @@
     workload.confirmed = 0;
     int last;
     try (Store store = Store.open(damaged, STOP_AT_DAMAGE)) {
-      Store.Recovered recovered = store.takeRecovered();
+      Store.Recovered recovered = store.releaseRecovered();
       assertTrue(recovered.damage().contains("can't be read"), recovered.damage());
       assertTrue(recovered.sequence() < workload.lastSequence());
       assertEquals(NO_FAULT, workload.checkAndContinueFrom(recovered));
@@ -142,7 +142,7 @@
     }
     // At the next start the store is undamaged and lacks the records after the damage.
     try (Store store = Store.open(damaged, SMALL_SEGMENTS)) {
-      Store.Recovered recovered = store.takeRecovered();
+      Store.Recovered recovered = store.releaseRecovered();
       assertEquals(last, recovered.sequence());
       assertEquals(NO_FAULT, workload.checkAndContinueFrom(recovered));
     }
--- a/src/test/java/pearusher/store/StoreTest.java
+++ b/src/test/java/pearusher/store/StoreTest.java
@@ -32,14 +32,14 @@
     Workload workload = new Workload(1);
     SimDisk disk = sampleStore(workload, true);
     try (Store store = Store.open(disk, SMALL_SEGMENTS)) {
-      Store.Recovered recovered = store.takeRecovered();
+      Store.Recovered recovered = store.releaseRecovered();
       assertTrue(recovered.wasClosed());
       assertEquals(workload.lastSequence(), recovered.sequence());
       assertEquals(NO_FAULT, workload.checkAndContinueFrom(recovered));
       workload.run(store, 3, false);
     }
     try (Store store = Store.open(disk, SMALL_SEGMENTS)) {
-      assertEquals(NO_FAULT, workload.checkAndContinueFrom(store.takeRecovered()));
+      assertEquals(NO_FAULT, workload.checkAndContinueFrom(store.releaseRecovered()));
     }
   }
 
@@ -63,7 +63,7 @@
     assertEquals(before, disk.callCount, "a store that failed writes no more");
     disk.kill();
     try (Store reopened = Store.open(disk.afterPowerCut(new Random(1)), SMALL_SEGMENTS)) {
-      assertEquals(NO_FAULT, workload.checkAndContinueFrom(reopened.takeRecovered()));
+      assertEquals(NO_FAULT, workload.checkAndContinueFrom(reopened.releaseRecovered()));
     }
   }
 
@@ -89,14 +89,14 @@
     // Exactly the space for the preambles of two new logs.
     disk.capacityBytes = fullBytes + 2 * FilePreamble.LENGTH;
     Store reopened = Store.open(disk, SMALL_SEGMENTS);
-    assertEquals(NO_FAULT, workload.checkAndContinueFrom(reopened.takeRecovered()));
+    assertEquals(NO_FAULT, workload.checkAndContinueFrom(reopened.releaseRecovered()));
     reopened.compact(reopened.seal());
     assertTrue(disk.size() < fullBytes, disk.size() + " of " + fullBytes);
     disk.capacityBytes = Long.MAX_VALUE;
     workload.run(reopened, 3, false);
     reopened.close();
     try (Store third = Store.open(disk, SMALL_SEGMENTS)) {
-      assertEquals(NO_FAULT, workload.checkAndContinueFrom(third.takeRecovered()));
+      assertEquals(NO_FAULT, workload.checkAndContinueFrom(third.releaseRecovered()));
     }
   }
 
@@ -121,7 +121,7 @@
       disk.kill();
       try (Store reopened = Store.open(disk, SMALL_SEGMENTS)) {
         assertEquals(
-            NO_FAULT, workload.checkAndContinueFrom(reopened.takeRecovered()), "call " + call);
+            NO_FAULT, workload.checkAndContinueFrom(reopened.releaseRecovered()), "call " + call);
       }
     }
   }
@@ -138,7 +138,7 @@
           second.getMessage().contains(dir + " is in use by another process"), second.getMessage());
     }
     try (Store store = Store.open(disk, SMALL_SEGMENTS)) {
-      assertEquals(Map.of("a", "1"), Workload.asText(store.takeRecovered().state()));
+      assertEquals(Map.of("a", "1"), Workload.asText(store.releaseRecovered().state()));
     }
   }
 
@@ -161,7 +161,7 @@
     FileDisk created = new FileDisk(dir.resolve("new").resolve("deep"));
     created.createDirectory();
     try (Store store = Store.open(created, SMALL_SEGMENTS)) {
-      assertEquals(0, store.takeRecovered().sequence());
+      assertEquals(0, store.releaseRecovered().sequence());
     }
     Path file = Files.createFile(dir.resolve("file"));
     assertEquals(StoreException.Reason.ABSENT, openExpectingRefusal(new FileDisk(file)).reason());
@@ -195,7 +195,7 @@
       assertThrows(StoreException.class, () -> StoreCopy.write(live, copy), "not empty");
     }
     try (Store store = Store.open(copy, SMALL_SEGMENTS)) {
-      Store.Recovered recovered = store.takeRecovered();
+      Store.Recovered recovered = store.releaseRecovered();
       assertTrue(recovered.state().remove(StoreCopy.MARKER_KEY) != null);
       assertEquals(NO_FAULT, workload.checkAndContinueFrom(recovered));
     }
@@ -246,11 +246,11 @@
       store.write();
       disk.kill();
       Store second = Store.open(disk, SMALL_SEGMENTS);
-      assertEquals(NO_FAULT, workload.checkAndContinueFrom(second.takeRecovered()));
+      assertEquals(NO_FAULT, workload.checkAndContinueFrom(second.releaseRecovered()));
       boolean isGapFound = false;
       for (long seed = 0; seed < 20; seed++) {
         try (Store third = Store.open(disk.afterPowerCut(new Random(seed)), SMALL_SEGMENTS)) {
-          third.takeRecovered();
+          third.releaseRecovered();
         } catch (StoreException e) {
           isGapFound = true;
         }
