--- a/src/bench/java/pearusher/store/CompactionBench.java
+++ b/src/bench/java/pearusher/store/CompactionBench.java
@@ -52,7 +52,7 @@
   }
 
   private void appendDuringCompaction(Store store) throws IOException, InterruptedException {
-    Store.Sealed sealed = store.seal();
+    Store.SealedLogs sealed = store.seal();
     Thread compactor = new Thread(() -> compact(store, sealed));
     compactor.start();
     while (compactor.isAlive() && compactingNs.getTotalCount() < appends) {
@@ -61,7 +61,7 @@
     compactor.join();
   }
 
-  private static void compact(Store store, Store.Sealed sealed) {
+  private static void compact(Store store, Store.SealedLogs sealed) {
     try {
       store.compact(sealed);
     } catch (IOException e) {
--- a/src/main/java/pearusher/store/Compactor.java
+++ b/src/main/java/pearusher/store/Compactor.java
@@ -42,7 +42,7 @@
    *
    * @throws StoreException if not all sealed records can be read; no file was deleted in that case
    */
-  void compact(Store.Sealed sealed) throws IOException {
+  void compact(Store.SealedLogs sealed) throws IOException {
     StoreContents contents = StoreReader.readBelow(disk, sealed.serial());
     if (contents.isDamaged() || contents.sequence() != sealed.sequence()) {
       throw new StoreException(
@@ -73,7 +73,8 @@
     }
   }
 
-  private void deleteReplacedFiles(StoreContents contents, Store.Sealed sealed) throws IOException {
+  private void deleteReplacedFiles(StoreContents contents, Store.SealedLogs sealed)
+      throws IOException {
     String newest = StoreFiles.checkpointName(contents.sequence());
     for (StoreFile checkpoint : contents.checkpoints()) {
       if (!checkpoint.name().equals(newest)) {
--- a/src/main/java/pearusher/store/GroupCommitter.java
+++ b/src/main/java/pearusher/store/GroupCommitter.java
@@ -150,12 +150,12 @@
 
   private void startCompactionIfNeeded() throws IOException {
     if (store.needsCompaction() && isCompacting.compareAndSet(false, true)) {
-      Store.Sealed sealed = store.seal();
+      Store.SealedLogs sealed = store.seal();
       startDaemon("store-compaction", () -> compact(sealed));
     }
   }
 
-  private void compact(Store.Sealed sealed) {
+  private void compact(Store.SealedLogs sealed) {
     long startNs = System.nanoTime();
     try {
       store.compact(sealed);
--- a/src/main/java/pearusher/store/LogWriter.java
+++ b/src/main/java/pearusher/store/LogWriter.java
@@ -125,7 +125,7 @@
   }
 
   /** Syncs all appended records and starts a new log; the earlier logs are no longer written. */
-  Store.Sealed seal() throws IOException {
+  Store.SealedLogs seal() throws IOException {
     sync();
     try {
       rotateLog();
@@ -133,7 +133,7 @@
       throw fail(e);
     }
     logBytes = 0;
-    return new Store.Sealed(nextSerial - 1, nextSequence - 1);
+    return new Store.SealedLogs(nextSerial - 1, nextSequence - 1);
   }
 
   private void rotateLog() throws IOException {
--- a/src/main/java/pearusher/store/Store.java
+++ b/src/main/java/pearusher/store/Store.java
@@ -40,7 +40,7 @@
    * @param serial all logs with a lower serial number are sealed
    * @param sequence sequence of the last batch in the sealed logs
    */
-  public record Sealed(long serial, long sequence) {}
+  public record SealedLogs(long serial, long sequence) {}
 
   private final Disk disk;
   private final StoreOptions options;
@@ -227,7 +227,7 @@
    *
    * @return the logs that {@link #compact} may read
    */
-  public Sealed seal() throws IOException {
+  public SealedLogs seal() throws IOException {
     return writer.seal();
   }
 
@@ -236,7 +236,7 @@
    * logs into a new checkpoint, and deletes them once the new one is durable. After a failure the
    * store still has its old files, and appends are not affected.
    */
-  public void compact(Sealed sealed) throws IOException {
+  public void compact(SealedLogs sealed) throws IOException {
     compactor.compact(sealed);
   }
 
--- a/src/test/java/pearusher/store/StoreTest.java
+++ b/src/test/java/pearusher/store/StoreTest.java
@@ -108,7 +108,7 @@
       Store store = Store.open(disk, SMALL_SEGMENTS);
       Workload workload = new Workload(7);
       workload.run(store, 20, true);
-      Store.Sealed sealed = store.seal();
+      Store.SealedLogs sealed = store.seal();
       disk.failAtCall = disk.callCount + call;
       try {
         store.compact(sealed);
--- a/src/test/java/pearusher/store/Workload.java
+++ b/src/test/java/pearusher/store/Workload.java
@@ -83,7 +83,7 @@
         sync(store);
       }
       if (isCompacting && k % 9 == 8) {
-        Store.Sealed sealed = store.seal();
+        Store.SealedLogs sealed = store.seal();
         confirmed = states.size() - 1L;
         // Appends continue between the two steps of the compaction.
         append(store);
