--- a/src/main/java/pearusher/control/Controller.java
+++ b/src/main/java/pearusher/control/Controller.java
@@ -239,8 +239,8 @@
   }
 
   @Override
-  public void onDiscoveryMoved() {
-    execute(endpointLists::onDiscoveryMoved);
+  public void onDiscoveryAddressChanged() {
+    execute(endpointLists::onDiscoveryAddressChanged);
   }
 
   @Override
--- a/src/main/java/pearusher/control/DiscoveryEvents.java
+++ b/src/main/java/pearusher/control/DiscoveryEvents.java
@@ -35,7 +35,7 @@
   void onEndpointListFailed(BooleanSupplier isCurrent);
 
   /** Handles a possible change of the address of discovery. */
-  void onDiscoveryMoved();
+  void onDiscoveryAddressChanged();
 
   /**
    * Handles the result of a health check.
--- a/src/main/java/pearusher/control/EndpointListHandler.java
+++ b/src/main/java/pearusher/control/EndpointListHandler.java
@@ -81,7 +81,7 @@
    * Handles a possible change of the address of discovery: restarts a running watch at the new
    * address, before the old address closes it. The policy restarts a watch that has failed.
    */
-  void onDiscoveryMoved() {
+  void onDiscoveryAddressChanged() {
     if (state.isWatching()) {
       outbound.get().calls().watchEndpoints(true, state.generation());
     }
--- a/src/main/java/pearusher/server/AssignerServer.java
+++ b/src/main/java/pearusher/server/AssignerServer.java
@@ -112,7 +112,7 @@
     streams.reload(config);
     peers.reload(config);
     outbound.reload(config);
-    controller.onDiscoveryMoved();
+    controller.onDiscoveryAddressChanged();
   }
 
   /** Stops all components and closes the store. */
