--- a/src/main/java/pearusher/config/AssignerConfig.java
+++ b/src/main/java/pearusher/config/AssignerConfig.java
@@ -17,7 +17,7 @@
  * @param discovery the address of the discovery service
  * @param maxDescriptors the maximum number of open file descriptors of the process
  * @param peers the addresses of the assigners of this tier
- * @param knownServers the initial list of servers
+ * @param initialServers the initial list of servers
  * @param settings the settings of the policy
  * @param names the names of zones, request classes and other settings items in messages
  * @param timeouts the timeouts of connections
@@ -29,7 +29,7 @@
     InetSocketAddress discovery,
     int maxDescriptors,
     PeerAddresses peers,
-    EndpointList knownServers,
+    EndpointList initialServers,
     PolicySettings settings,
     WireNames names,
     Timeouts timeouts,
@@ -50,7 +50,7 @@
         reloaded.discovery,
         reloaded.maxDescriptors,
         new PeerAddresses(peers.listen(), reloaded.peers.assigners(), reloaded.peers.broadcast()),
-        knownServers,
+        initialServers,
         settings,
         names,
         reloaded.timeouts,
@@ -63,13 +63,15 @@
    * @param maxServers the maximum number of known servers
    */
   public AssignerConfig withKnownServersUpTo(int maxServers) {
-    List<Endpoint> endpoints = knownServers.endpoints();
+    List<Endpoint> endpoints = initialServers.endpoints();
     if (endpoints.size() <= maxServers) {
       return this;
     }
     EndpointList firstServers =
         new EndpointList(
-            knownServers.generation(), knownServers.complete(), endpoints.subList(0, maxServers));
+            initialServers.generation(),
+            initialServers.complete(),
+            endpoints.subList(0, maxServers));
     return new AssignerConfig(
         name,
         listen,
--- a/src/main/java/pearusher/config/AssignerConfigReader.java
+++ b/src/main/java/pearusher/config/AssignerConfigReader.java
@@ -173,7 +173,7 @@
     checkSettings(siteSettings, settings);
     PeerAddresses peers = peers(settings);
     Timeouts timeouts = timeouts();
-    EndpointList knownServers =
+    EndpointList initialServers =
         EndpointListReader.readUnderKey(
             DOCUMENT_NAME, KNOWN_SERVERS_KEY, streamFromStart(), names, listLimits);
     int maxDescriptors =
@@ -185,7 +185,7 @@
         discovery,
         maxDescriptors,
         peers,
-        knownServers,
+        initialServers,
         settings,
         names,
         timeouts,
--- a/src/main/java/pearusher/control/Controller.java
+++ b/src/main/java/pearusher/control/Controller.java
@@ -143,7 +143,7 @@
   public void start() {
     loop.start();
     policy = policyFactory.apply(config.settings(), commands);
-    EndpointList initialList = persistence.initialEndpointList(config.knownServers());
+    EndpointList initialList = persistence.initialEndpointList(config.initialServers());
     endpointLists.onInitialList(initialList);
     StateRestorer restorer = new StateRestorer(servers, tables, policy, idempotencyByClass());
     persistence.recover(
--- a/src/main/java/pearusher/server/AssignerProcess.java
+++ b/src/main/java/pearusher/server/AssignerProcess.java
@@ -87,7 +87,7 @@
         config.name(),
         formatAddress(config.listen()),
         formatAddress(config.discovery()),
-        config.knownServers().endpoints().size());
+        config.initialServers().endpoints().size());
     Optional<DurablePublisher> durablePublisher;
     try {
       durablePublisher = openStore(features);
--- a/src/main/java/pearusher/server/WarmUp.java
+++ b/src/main/java/pearusher/server/WarmUp.java
@@ -129,7 +129,7 @@
   private int runPeriods() throws RespException, MalformedMessageException, InterruptedException {
     long endNs = System.nanoTime() + MAX_DURATION_NS;
     controller.start();
-    long generation = config.knownServers().generation();
+    long generation = config.initialServers().generation();
     controller.onEndpointList(new EndpointList(generation, false, List.of()), true);
     joinProxies();
     int period = 0;
@@ -174,7 +174,7 @@
   }
 
   private void reportLoad(int period) throws RespException, MalformedMessageException {
-    for (Endpoint endpoint : config.knownServers().endpoints()) {
+    for (Endpoint endpoint : config.initialServers().endpoints()) {
       int meanMs = 20 + (endpoint.server().hashCode() + period * 7 & 63);
       for (String zone : zones) {
         Message report =
--- a/src/test/java/pearusher/config/AssignerConfigTest.java
+++ b/src/test/java/pearusher/config/AssignerConfigTest.java
@@ -48,10 +48,10 @@
         Idempotency.NOT_IDEMPOTENT, config.settings().requestClasses().get(1).idempotency());
     assertTrue(config.settings().requestClasses().get(1).writes());
     assertEquals(5900, config.settings().channel().maxBacklogLines());
-    assertEquals(41, config.knownServers().generation());
+    assertEquals(41, config.initialServers().generation());
     assertEquals(
         new Endpoint("s-0badcafe", "127.0.0.1:9002", 1, 0, 1, Lifecycle.READY, 1, 0),
-        config.knownServers().endpoints().get(1));
+        config.initialServers().endpoints().get(1));
   }
 
   /** Nested JSON is flattened to the same paths that the simulator's lines have. */
@@ -94,7 +94,7 @@
             .read(dir);
     assertEquals(new Timeouts(1000, 3000, 5000, 2000), config.timeouts());
     assertEquals(1024, config.maxDescriptors());
-    assertEquals(List.of(), config.knownServers().endpoints());
+    assertEquals(List.of(), config.initialServers().endpoints());
     assertEquals(
         PeerAddresses.NONE,
         new ExampleConfig().with("\"peers\": true", "\"peers\": false").read(dir).peers());
@@ -213,15 +213,15 @@
         settingsEnd.substring(settingsEnd.indexOf("\"overloadFactor"))
             + ","
             + known.strip().replaceFirst(",$", ""));
-    assertEquals(first.knownServers(), moved.read(dir).knownServers());
+    assertEquals(first.initialServers(), moved.read(dir).initialServers());
     ExampleConfig repeated =
         new ExampleConfig().with(known, "\"known\": {\"generation\": 1}," + known);
-    assertEquals(first.knownServers(), repeated.read(dir).knownServers());
+    assertEquals(first.initialServers(), repeated.read(dir).initialServers());
     for (String absent :
         List.of("null", "[]", "[{\"generation\": 1}]", "7", "{}", "{\"reset\": 7}")) {
       assertEquals(
           EndpointList.EMPTY,
-          new ExampleConfig().with(known, "\"known\": " + absent + ",").read(dir).knownServers(),
+          new ExampleConfig().with(known, "\"known\": " + absent + ",").read(dir).initialServers(),
           absent);
     }
   }
@@ -238,7 +238,7 @@
         new ExampleConfig()
             .lists(new EndpointListLimits(2, 1000, 40 << 20))
             .read(dir)
-            .knownServers()
+            .initialServers()
             .endpoints()
             .size());
     String message = fault(new ExampleConfig().with("s-5be2a07c", "x".repeat(256)));
@@ -272,7 +272,7 @@
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
     AssignerConfigReader.read(environment);
     long before = threads.getThreadAllocatedBytes(Thread.currentThread().getId());
-    assertEquals(9102, AssignerConfigReader.read(environment).knownServers().endpoints().size());
+    assertEquals(9102, AssignerConfigReader.read(environment).initialServers().endpoints().size());
     long bytes = threads.getThreadAllocatedBytes(Thread.currentThread().getId()) - before;
     assertTrue(bytes < 2000L * 9102, bytes / 9102 + " bytes were allocated per server");
   }
@@ -293,7 +293,7 @@
     assertEquals(256, reloaded.maxDescriptors());
     assertEquals(1500, reloaded.timeouts().identificationMs());
     assertEquals(first.settings(), reloaded.settings());
-    assertEquals(first.knownServers(), reloaded.knownServers());
+    assertEquals(first.initialServers(), reloaded.initialServers());
   }
 
   @ParameterizedTest
--- a/src/test/java/pearusher/server/ConfigurationValuesTest.java
+++ b/src/test/java/pearusher/server/ConfigurationValuesTest.java
@@ -115,9 +115,9 @@
     add("positions of classes", new TreeMap<>(config.names().classIndex()));
     add("names of machine types", new TreeMap<>(config.names().machineTypes()));
     add("names of load values", config.names().loadMetrics());
-    add("known generation", config.knownServers().generation());
-    add("known is whole", config.knownServers().complete());
-    for (Endpoint endpoint : config.knownServers().endpoints()) {
+    add("known generation", config.initialServers().generation());
+    add("known is whole", config.initialServers().complete());
+    for (Endpoint endpoint : config.initialServers().endpoints()) {
       String key = "known " + endpoint.server() + " ";
       add(key + "address", endpoint.hostPort());
       add(key + "zone", endpoint.zone());
