--- a/src/main/java/pearusher/policy/RequestClass.java
+++ b/src/main/java/pearusher/policy/RequestClass.java
@@ -8,7 +8,7 @@
  * @param priorityWeight value of a response within the latency objective
  * @param latePriorityWeight value of a response after the latency objective
  * @param idempotency whether requests may be repeated
- * @param deduplicatedEverywhere whether all servers together discard repeated requests by key
+ * @param deduplicatedAcrossServers whether all servers together discard repeated requests by key
  * @param deduplicationWindowUs time for which a key is retained, in microseconds
  * @param writes whether the requests write
  * @param ownZoneOnly whether the requests must stay in their zone
@@ -20,7 +20,7 @@
     double priorityWeight,
     double latePriorityWeight,
     Idempotency idempotency,
-    boolean deduplicatedEverywhere,
+    boolean deduplicatedAcrossServers,
     long deduplicationWindowUs,
     boolean writes,
     boolean ownZoneOnly,
--- a/src/test/java/pearusher/server/ConfigurationValuesTest.java
+++ b/src/test/java/pearusher/server/ConfigurationValuesTest.java
@@ -168,7 +168,7 @@
     add(key + "worth", requestClass.priorityWeight());
     add(key + "late worth", requestClass.latePriorityWeight());
     add(key + "effect", text(requestClass.idempotency()));
-    add(key + "all discard repeats", requestClass.deduplicatedEverywhere());
+    add(key + "all discard repeats", requestClass.deduplicatedAcrossServers());
     add(key + "window us", requestClass.deduplicationWindowUs());
     add(key + "writes", requestClass.writes());
     add(key + "own zone", requestClass.ownZoneOnly());
@@ -304,7 +304,7 @@
           "list on request " + settings.endpointListOnRequest(),
           "weights listed " + settings.weightsListed(),
           "by work " + settings.scoreWeights().byWork(),
-          "all discard repeats " + settings.requestClasses().get(0).deduplicatedEverywhere(),
+          "all discard repeats " + settings.requestClasses().get(0).deduplicatedAcrossServers(),
           "only draining binds " + settings.limits().softRemoval());
     } catch (SettingsException e) {
       return "refused";
