--- a/src/main/java/pearusher/policy/Costs.java
+++ b/src/main/java/pearusher/policy/Costs.java
@@ -7,7 +7,7 @@
  * @param healthCheck a health check
  * @param commandLine a line on the update channel
  * @param lateFailure a request that fails late
- * @param waste wasted work
+ * @param wastedWork wasted work
  * @param connection a connection
  * @param handshake a handshake
  * @param peerMessage a message to another instance
@@ -20,7 +20,7 @@
     double healthCheck,
     double commandLine,
     double lateFailure,
-    double waste,
+    double wastedWork,
     double connection,
     double handshake,
     double peerMessage,
--- a/src/test/java/pearusher/server/ConfigurationValuesTest.java
+++ b/src/test/java/pearusher/server/ConfigurationValuesTest.java
@@ -201,7 +201,7 @@
     add("price probe", costs.healthCheck());
     add("price orders", costs.commandLine());
     add("price late failure", costs.lateFailure());
-    add("price waste", costs.waste());
+    add("price waste", costs.wastedWork());
     add("price connection", costs.connection());
     add("price handshake", costs.handshake());
     add("price peer", costs.peerMessage());
