--- a/src/main/java/pearusher/policy/ProxyRegistry.java
+++ b/src/main/java/pearusher/policy/ProxyRegistry.java
@@ -87,7 +87,7 @@
       return false;
     }
     long periodUs = settings.controlPeriodUs();
-    double decay = EvidenceDecay.factor((double) spanUs, periodUs);
+    double decay = ReportDecay.factor((double) spanUs, periodUs);
     double gapUs = proxy.reportGapUs(nowUs, requestClass, spanUs);
     // Proxies send no reports without requests: a gap is idle time or a lost report, not a late
     // report.
--- a/src/main/java/pearusher/policy/ResponseTimeEstimator.java
+++ b/src/main/java/pearusher/policy/ResponseTimeEstimator.java
@@ -69,7 +69,7 @@
   private double ageFactor(AttemptReport report) {
     double middleAgeUs =
         Math.max(0, report.spanUs() - settings.controlPeriodUs()) / 2.0 + report.ageUs();
-    return EvidenceDecay.factor(middleAgeUs, settings.controlPeriodUs());
+    return ReportDecay.factor(middleAgeUs, settings.controlPeriodUs());
   }
 
   /**
@@ -78,7 +78,7 @@
    * @param elapsedUs length of the period, in microseconds
    */
   void endPeriod(long elapsedUs) {
-    double decay = EvidenceDecay.factor((double) elapsedUs, settings.controlPeriodUs());
+    double decay = ReportDecay.factor((double) elapsedUs, settings.controlPeriodUs());
     decayRecent();
     for (Server server : fleet.servers().all()) {
       if (!server.attempts.isEmpty()) {
