--- a/src/main/java/pearusher/policy/PolicySettings.java
+++ b/src/main/java/pearusher/policy/PolicySettings.java
@@ -60,7 +60,7 @@
     boolean weightsListed,
     long tickUs,
     ScoreWeights scoreWeights,
-    SiteTraits siteTraits) {
+    SiteProperties siteTraits) {
 
   /** Returns the number of zones, at least 1. */
   int zoneCount() {
--- a/src/main/java/pearusher/policy/SiteTraits.java
+++ b/src/main/java/pearusher/policy/SiteProperties.java
@@ -17,7 +17,7 @@
  * @param tenureUs tenure of an owner of a slice, in microseconds
  * @param settleUs settling time after a change of owner, in microseconds
  */
-public record SiteTraits(
+public record SiteProperties(
     PickMethod pickMethod,
     int bootstrapServers,
     double minConnections,
--- a/src/main/java/pearusher/sitesettings/PolicySettingsReader.java
+++ b/src/main/java/pearusher/sitesettings/PolicySettingsReader.java
@@ -14,7 +14,7 @@
 import pearusher.policy.RequestClass;
 import pearusher.policy.ScoreWeights;
 import pearusher.policy.ServiceLimits;
-import pearusher.policy.SiteTraits;
+import pearusher.policy.SiteProperties;
 
 /**
  * Reader of the policy settings, which the simulator and the server share. Independent of the rest
@@ -76,7 +76,7 @@
     ServiceLimits limits = limits();
     Costs costs = costs();
     ScoreWeights scoreWeights = scoreWeights();
-    SiteTraits siteTraits = siteTraits();
+    SiteProperties siteTraits = siteTraits();
     return new PolicySettings(
         seed,
         values.requireList("azs").size(),
@@ -155,8 +155,8 @@
         values.isSetTo("countedBy", "work"));
   }
 
-  private SiteTraits siteTraits() throws SettingsException {
-    return new SiteTraits(
+  private SiteProperties siteTraits() throws SettingsException {
+    return new SiteProperties(
         PICK_METHODS.getOrDefault(values.text("familyInfo.pick").orElse(""), PickMethod.RANDOM),
         (int) values.doubleOrZero("familyInfo.bootstrap"),
         values.doubleOrZero("familyInfo.connsLeast"),
--- a/src/test/java/pearusher/policy/HistorySettings.java
+++ b/src/test/java/pearusher/policy/HistorySettings.java
@@ -49,8 +49,8 @@
         0);
   }
 
-  static SiteTraits siteTraits(boolean proxiesJoinInOwnZone) {
-    return new SiteTraits(
+  static SiteProperties siteTraits(boolean proxiesJoinInOwnZone) {
+    return new SiteProperties(
         PickMethod.RANDOM,
         0,
         0,
--- a/src/test/java/pearusher/policy/PolicySettingsBuilder.java
+++ b/src/test/java/pearusher/policy/PolicySettingsBuilder.java
@@ -26,7 +26,7 @@
   private boolean peersEnabled = true;
   private LoadReportSource loadReportSource = LoadReportSource.HEALTH_CHECKS;
   private List<LoadMetric> loadMetrics = List.of(LoadMetric.UTILIZATION);
-  private SiteTraits siteTraits;
+  private SiteProperties siteTraits;
 
   /**
    * Returns a request class with a latency objective of one second and a deadline of three seconds.
@@ -150,7 +150,7 @@
     return this;
   }
 
-  PolicySettingsBuilder siteTraits(SiteTraits value) {
+  PolicySettingsBuilder siteTraits(SiteProperties value) {
     siteTraits = value;
     return this;
   }
--- a/src/test/java/pearusher/server/ConfigurationValuesTest.java
+++ b/src/test/java/pearusher/server/ConfigurationValuesTest.java
@@ -24,7 +24,7 @@
 import pearusher.policy.RequestClass;
 import pearusher.policy.ScoreWeights;
 import pearusher.policy.ServiceLimits;
-import pearusher.policy.SiteTraits;
+import pearusher.policy.SiteProperties;
 import pearusher.protocol.Endpoint;
 import pearusher.sitesettings.SettingsException;
 
@@ -159,7 +159,7 @@
     addLimits(settings.limits());
     addCosts(settings.costs());
     addScoreWeights(settings.scoreWeights());
-    addSiteTraits(settings.siteTraits());
+    addSiteProperties(settings.siteTraits());
   }
 
   private void addClass(String key, RequestClass requestClass) {
@@ -220,20 +220,20 @@
     add("goal by work", weights.byWork());
   }
 
-  private void addSiteTraits(SiteTraits traits) {
-    add("site pick", text(traits.pickMethod()));
-    add("site standing", traits.bootstrapServers());
-    add("site least connections", traits.minConnections());
-    add("site streams a connection", traits.streamsPerConnection());
-    add("site idle close us", traits.idleCloseUs());
-    add("site connect timeout us", traits.connectTimeoutUs());
-    add("site cpu us a second", traits.cpuUsPerSecond());
-    add("site own zone joins", traits.proxiesJoinInOwnZone());
-    add("site warm keys", traits.keyAffinity());
-    add("site exclusive", traits.exclusiveOwners());
-    add("site park us", traits.parkUs());
-    add("site tenure us", traits.tenureUs());
-    add("site settle us", traits.settleUs());
+  private void addSiteProperties(SiteProperties properties) {
+    add("site pick", text(properties.pickMethod()));
+    add("site standing", properties.bootstrapServers());
+    add("site least connections", properties.minConnections());
+    add("site streams a connection", properties.streamsPerConnection());
+    add("site idle close us", properties.idleCloseUs());
+    add("site connect timeout us", properties.connectTimeoutUs());
+    add("site cpu us a second", properties.cpuUsPerSecond());
+    add("site own zone joins", properties.proxiesJoinInOwnZone());
+    add("site warm keys", properties.keyAffinity());
+    add("site exclusive", properties.exclusiveOwners());
+    add("site park us", properties.parkUs());
+    add("site tenure us", properties.tenureUs());
+    add("site settle us", properties.settleUs());
   }
 
   private AssignerConfig read(String json, String name, String listen, String discovery)
