--- a/src/main/java/pearusher/policy/PolicySettings.java
+++ b/src/main/java/pearusher/policy/PolicySettings.java
@@ -32,7 +32,7 @@
  * @param weightsListed whether the endpoint list contains weights
  * @param tickUs resolution of the caller's clock, in microseconds
  * @param scoreWeights weights by which a result is scored
- * @param siteTraits behaviour of the proxies and servers of the site; null: unknown
+ * @param siteProperties behaviour of the proxies and servers of the site; null: unknown
  */
 public record PolicySettings(
     long seed,
@@ -60,7 +60,7 @@
     boolean weightsListed,
     long tickUs,
     ScoreWeights scoreWeights,
-    SiteProperties siteTraits) {
+    SiteProperties siteProperties) {
 
   /** Returns the number of zones, at least 1. */
   int zoneCount() {
@@ -80,6 +80,6 @@
 
   /** Returns whether proxies are known to join the instance of their own zone. */
   boolean proxiesJoinInOwnZone() {
-    return siteTraits != null && siteTraits.proxiesJoinInOwnZone();
+    return siteProperties != null && siteProperties.proxiesJoinInOwnZone();
   }
 }
--- a/src/main/java/pearusher/sitesettings/PolicySettingsReader.java
+++ b/src/main/java/pearusher/sitesettings/PolicySettingsReader.java
@@ -76,7 +76,7 @@
     ServiceLimits limits = limits();
     Costs costs = costs();
     ScoreWeights scoreWeights = scoreWeights();
-    SiteProperties siteTraits = siteTraits();
+    SiteProperties siteProperties = siteProperties();
     return new PolicySettings(
         seed,
         values.requireList("azs").size(),
@@ -103,7 +103,7 @@
         !"off".equals(values.require("weightKind")),
         values.requireLong("tickUs"),
         scoreWeights,
-        siteTraits);
+        siteProperties);
   }
 
   private ChannelSettings channel() throws SettingsException {
@@ -155,7 +155,7 @@
         values.isSetTo("countedBy", "work"));
   }
 
-  private SiteProperties siteTraits() throws SettingsException {
+  private SiteProperties siteProperties() throws SettingsException {
     return new SiteProperties(
         PICK_METHODS.getOrDefault(values.text("familyInfo.pick").orElse(""), PickMethod.RANDOM),
         (int) values.doubleOrZero("familyInfo.bootstrap"),
--- a/src/test/java/pearusher/policy/HistorySettings.java
+++ b/src/test/java/pearusher/policy/HistorySettings.java
@@ -16,7 +16,7 @@
         .healthChecksEnabled(false)
         .peersEnabled(false)
         .loadMetrics(List.of(LoadMetric.QUEUE_LENGTH, LoadMetric.UTILIZATION))
-        .siteTraits(siteTraits(false));
+        .siteProperties(siteProperties(false));
   }
 
   /** Returns classes that are, in turn, idempotent, not idempotent, and idempotent with a key. */
@@ -49,7 +49,7 @@
         0);
   }
 
-  static SiteProperties siteTraits(boolean proxiesJoinInOwnZone) {
+  static SiteProperties siteProperties(boolean proxiesJoinInOwnZone) {
     return new SiteProperties(
         PickMethod.RANDOM,
         0,
--- a/src/test/java/pearusher/policy/LoadScenarios.java
+++ b/src/test/java/pearusher/policy/LoadScenarios.java
@@ -32,7 +32,7 @@
                 .zones(4)
                 .proxies(32)
                 .crossZoneCost(0.06)
-                .siteTraits(HistorySettings.siteTraits(true))
+                .siteProperties(HistorySettings.siteProperties(true))
                 .build(),
             4,
             LoadScenarios::ownZoneJoins),
--- a/src/test/java/pearusher/policy/PolicySettingsBuilder.java
+++ b/src/test/java/pearusher/policy/PolicySettingsBuilder.java
@@ -26,7 +26,7 @@
   private boolean peersEnabled = true;
   private LoadReportSource loadReportSource = LoadReportSource.HEALTH_CHECKS;
   private List<LoadMetric> loadMetrics = List.of(LoadMetric.UTILIZATION);
-  private SiteProperties siteTraits;
+  private SiteProperties siteProperties;
 
   /**
    * Returns a request class with a latency objective of one second and a deadline of three seconds.
@@ -150,8 +150,8 @@
     return this;
   }
 
-  PolicySettingsBuilder siteTraits(SiteProperties value) {
-    siteTraits = value;
+  PolicySettingsBuilder siteProperties(SiteProperties value) {
+    siteProperties = value;
     return this;
   }
 
@@ -196,6 +196,6 @@
         false,
         5000,
         null,
-        siteTraits);
+        siteProperties);
   }
 }
--- a/src/test/java/pearusher/server/ConfigurationValuesTest.java
+++ b/src/test/java/pearusher/server/ConfigurationValuesTest.java
@@ -159,7 +159,7 @@
     addLimits(settings.limits());
     addCosts(settings.costs());
     addScoreWeights(settings.scoreWeights());
-    addSiteProperties(settings.siteTraits());
+    addSiteProperties(settings.siteProperties());
   }
 
   private void addClass(String key, RequestClass requestClass) {
@@ -298,7 +298,7 @@
       return String.join(
           ", ",
           text(settings.admissionMode()),
-          text(settings.siteTraits().pickMethod()),
+          text(settings.siteProperties().pickMethod()),
           text(settings.loadReportSource()),
           text(settings.requestClasses().get(0).idempotency()),
           "list on request " + settings.endpointListOnRequest(),
--- a/src/test/java/pearusher/simulator/SimulatorLoopTest.java
+++ b/src/test/java/pearusher/simulator/SimulatorLoopTest.java
@@ -217,12 +217,12 @@
                 + "\nfamilyInfo.connsLeast=172.0\nfamilyInfo.zonal=true"
                 + "\nfees.handshake=0.04\ncountedBy=work");
     assertEquals(
-        PickMethod.POWER_OF_TWO_CHOICES, settingsWithOptionalKeys.siteTraits().pickMethod());
+        PickMethod.POWER_OF_TWO_CHOICES, settingsWithOptionalKeys.siteProperties().pickMethod());
     assertEquals(0.55, settingsWithOptionalKeys.scoreWeights().overall());
     assertTrue(
-        settingsWithOptionalKeys.siteTraits().proxiesJoinInOwnZone()
+        settingsWithOptionalKeys.siteProperties().proxiesJoinInOwnZone()
             && settingsWithOptionalKeys.scoreWeights().byWork());
-    assertEquals(172, settingsWithOptionalKeys.siteTraits().minConnections());
+    assertEquals(172, settingsWithOptionalKeys.siteProperties().minConnections());
     assertEquals(0.04, settingsWithOptionalKeys.costs().handshake());
   }
 
