--- a/src/main/java/pearusher/policy/FaastPolicy.java
+++ b/src/main/java/pearusher/policy/FaastPolicy.java
@@ -246,7 +246,7 @@
 
   private void collect(long elapsedUs) {
     estimator.endPeriod(elapsedUs);
-    forecast.update(estimator.recent());
+    forecast.update(estimator.lastCycleStats());
   }
 
   /**
--- a/src/main/java/pearusher/policy/OverloadDetector.java
+++ b/src/main/java/pearusher/policy/OverloadDetector.java
@@ -159,7 +159,7 @@
   }
 
   private Assessment assessReports() {
-    AttemptStats recent = estimator.recent();
+    AttemptStats recent = estimator.lastCycleStats();
     double failureShare = recent.failed / Math.max(1, recent.succeeded + recent.failed);
     double objectives =
         recent.totalTimeUs / Math.max(1, recent.succeeded) / settings.shortestLatencyObjectiveUs();
--- a/src/main/java/pearusher/policy/ResponseTimeEstimator.java
+++ b/src/main/java/pearusher/policy/ResponseTimeEstimator.java
@@ -34,7 +34,7 @@
   private final ReportCycle cycle;
 
   /** Attempts of the last report cycle at ready servers that are not outliers. */
-  private final AttemptStats recent = new AttemptStats();
+  private final AttemptStats lastCycleStats = new AttemptStats();
 
   ResponseTimeEstimator(
       PolicySettings settings, FleetState fleet, ControlClock clock, ReportCycle cycle) {
@@ -96,12 +96,13 @@
         total(
             fleet.scope().servers(), server -> server.attempts.sumCurrent(AttemptStats::attempts));
     double retainedShare = 1 - settings.controlPeriodUs() / cycle.durationUs();
-    recent.scale(Math.min(retainedShare, SUFFICIENT_CYCLE_ATTEMPTS / Math.max(1, periodAttempts)));
+    lastCycleStats.scale(
+        Math.min(retainedShare, SUFFICIENT_CYCLE_ATTEMPTS / Math.max(1, periodAttempts)));
   }
 
   private void endPeriod(Server server, double decay) {
     if (server.isServing() && !server.outlier) {
-      server.attempts.addCurrentTo(recent);
+      server.attempts.addCurrentTo(lastCycleStats);
     }
     server.attempts.endPeriod(decay);
     double failed = Math.max(1, server.failedAttempts());
@@ -109,8 +110,8 @@
     server.attempts.removeDecayed(!server.inScope, MIN_RETAINED_ATTEMPTS);
   }
 
-  AttemptStats recent() {
-    return recent;
+  AttemptStats lastCycleStats() {
+    return lastCycleStats;
   }
 
   /** Estimates the mean response time and the share of failures of each server in scope. */
