--- a/src/main/java/pearusher/policy/Server.java
+++ b/src/main/java/pearusher/policy/Server.java
@@ -71,7 +71,7 @@
   // Written by SlowStart.
 
   /** Share of the server's capacity that is available during slow start, up to 1. */
-  double readiness;
+  double availableCapacityShare;
 
   /** Factor of the weight during slow start; 1: slow start has ended. */
   double slowStartFactor;
--- a/src/main/java/pearusher/policy/SlowStart.java
+++ b/src/main/java/pearusher/policy/SlowStart.java
@@ -21,7 +21,7 @@
       double progress = rampProgress(nowUs, server);
       double progressSinceListed =
           server.startedUs == 0 ? 1 : rampLengths(nowUs - server.firstListedUs);
-      server.readiness = ramp(limits.slowStartCapacity(), progress, progress);
+      server.availableCapacityShare = ramp(limits.slowStartCapacity(), progress, progress);
       server.slowStartFactor = ramp(INITIAL_WEIGHT_SHARE, progress, progressSinceListed);
     }
   }
--- a/src/main/java/pearusher/policy/SlowStartBudget.java
+++ b/src/main/java/pearusher/policy/SlowStartBudget.java
@@ -57,7 +57,7 @@
   void capShares() {
     List<Server> servers = fleet.scope().servers();
     List<Server> fullCapacityServers =
-        servers.stream().filter(server -> server.readiness >= 1).toList();
+        servers.stream().filter(server -> server.availableCapacityShare >= 1).toList();
     double fullCapacitySucceeded = total(fullCapacityServers, Server::succeededAttempts);
     double success = expectedSuccess();
     if (success < EXCLUDE_BELOW_SUCCESS_SHARE) {
@@ -87,13 +87,13 @@
   }
 
   private double maxShare(Server server, double fullCapacityShare) {
-    if (server.readiness >= 1) {
+    if (server.availableCapacityShare >= 1) {
       return server.share;
     }
     return USED_LIMIT_SHARE
         * limits.recoveryOverloadFactor()
         * fullCapacityShare
-        * server.readiness;
+        * server.availableCapacityShare;
   }
 
   /**
@@ -103,15 +103,17 @@
    */
   private static void excludeLeastReady(List<Server> servers) {
     List<Server> mostReadyFirst =
-        servers.stream().sorted(Comparator.comparingDouble(server -> -server.readiness)).toList();
-    double totalReadiness = total(servers, server -> server.readiness);
+        servers.stream()
+            .sorted(Comparator.comparingDouble(server -> -server.availableCapacityShare))
+            .toList();
+    double totalReadiness = total(servers, server -> server.availableCapacityShare);
     double includedReadiness = 0;
     for (Server server : mostReadyFirst) {
-      if (server.readiness < 1
+      if (server.availableCapacityShare < 1
           && includedReadiness >= MIN_INCLUDED_READINESS_SHARE * totalReadiness) {
         server.clearShare();
       }
-      includedReadiness += server.readiness;
+      includedReadiness += server.availableCapacityShare;
     }
   }
 }
--- a/src/main/java/pearusher/policy/SubsetAssignment.java
+++ b/src/main/java/pearusher/policy/SubsetAssignment.java
@@ -51,7 +51,7 @@
     }
     List<Server> rampedUp =
         fleet.scope().servers().stream()
-            .filter(server -> server.readiness >= 1 && server.isServing())
+            .filter(server -> server.availableCapacityShare >= 1 && server.isServing())
             .toList();
     assign(rampedUp);
     for (int zone : fleet.tables().zonesInScope()) {
@@ -105,7 +105,9 @@
    */
   OptionalInt leastUsedTable(int zone) {
     long rampedUpCount =
-        fleet.scope().servers().stream().filter(server -> server.readiness >= 1).count();
+        fleet.scope().servers().stream()
+            .filter(server -> server.availableCapacityShare >= 1)
+            .count();
     int[] usable =
         IntStream.rangeClosed(1, count)
             .map(subset -> fleet.tables().subsetTableNumber(zone, subset))
--- a/src/test/java/pearusher/policy/ServerHealthTest.java
+++ b/src/test/java/pearusher/policy/ServerHealthTest.java
@@ -65,7 +65,7 @@
     server.startedUs = 100 * SECOND_US;
     server.firstListedUs = 102 * SECOND_US;
     slowStart.update(105 * SECOND_US, List.of(server));
-    assertEquals(0.25 + 0.75 * 0.5, server.readiness, 1e-12);
+    assertEquals(0.25 + 0.75 * 0.5, server.availableCapacityShare, 1e-12);
     assertEquals(
         0.1 + 0.9 * 0.3,
         server.slowStartFactor,
@@ -81,7 +81,7 @@
   void serverStartedLongAgoIsPastSlowStart() {
     Server server = new Server(1, 0);
     slowStart.update(5, List.of(server));
-    assertEquals(1, server.readiness);
+    assertEquals(1, server.availableCapacityShare);
     assertEquals(1, server.slowStartFactor);
   }
 
--- a/src/test/java/pearusher/policy/SlowStartBudgetTest.java
+++ b/src/test/java/pearusher/policy/SlowStartBudgetTest.java
@@ -23,11 +23,11 @@
   void listServers() {
     servers = modules.listServers(4);
     for (Server server : servers) {
-      server.readiness = 1;
+      server.availableCapacityShare = 1;
       server.share = 0.25;
     }
     starting = servers.get(3);
-    starting.readiness = 0.2;
+    starting.availableCapacityShare = 0.2;
   }
 
   private void reportSuccess() {
@@ -71,8 +71,8 @@
 
   @Test
   void mostReadyServersAreIncludedIfAllAreInSlowStart() {
-    servers.forEach(server -> server.readiness = 0.2);
-    starting.readiness = 0.1;
+    servers.forEach(server -> server.availableCapacityShare = 0.2);
+    starting.availableCapacityShare = 0.1;
     budget.capShares();
     assertEquals(0, starting.share);
     assertTrue(totalShare() > 0);
