--- a/src/main/java/pearusher/store/Store.java
+++ b/src/main/java/pearusher/store/Store.java
@@ -10,7 +10,7 @@
  * An open store. Batches of changes to keyed values are appended to a log, which is compacted into
  * checkpoints. One thread appends and syncs. {@link #compact} may run on another thread, because it
  * only reads files that are no longer written. Memory grows with the records that are not yet
- * written; until {@link #takeRecovered} is called, it also includes all recovered values.
+ * written; until {@link #releaseRecovered} is called, it also includes all recovered values.
  */
 public final class Store implements Closeable {
 
@@ -40,7 +40,7 @@
    * @param serial all logs with a lower serial number are sealed
    * @param sequence sequence of the last batch in the sealed logs
    */
-  public record Sealed(long serial, long sequence) {}
+  public record SealedLogs(long serial, long sequence) {}
 
   private final Disk disk;
   private final StoreOptions options;
@@ -181,7 +181,7 @@
    *
    * @return null from the second call on
    */
-  public Recovered takeRecovered() {
+  public Recovered releaseRecovered() {
     Recovered result = recovered;
     recovered = null;
     return result;
@@ -227,7 +227,7 @@
    *
    * @return the logs that {@link #compact} may read
    */
-  public Sealed seal() throws IOException {
+  public SealedLogs seal() throws IOException {
     return writer.seal();
   }
 
@@ -236,7 +236,7 @@
    * logs into a new checkpoint, and deletes them once the new one is durable. After a failure the
    * store still has its old files, and appends are not affected.
    */
-  public void compact(Sealed sealed) throws IOException {
+  public void compact(SealedLogs sealed) throws IOException {
     compactor.compact(sealed);
   }
 
--- a/src/test/java/pearusher/control/StoredDataWriter.java
+++ b/src/test/java/pearusher/control/StoredDataWriter.java
@@ -222,7 +222,7 @@
     List<String> values = new ArrayList<>();
     values.add(
         "tables hold "
-            + ledger.trust().trustsTables()
+            + ledger.trust().allowsStoredTables()
             + ", epoch "
             + ledger.epoch()
             + ", turn "
@@ -278,7 +278,7 @@
   private static String describe(AdmissionLevel level) {
     return level == null
         ? "no level"
-        : "level " + level.probabilityOrRate() + " retry " + level.retryMode();
+        : "level " + level.shareOrRate() + " retry " + level.retryMode();
   }
 
   private static String describe(CatchUp catchUp) {
@@ -297,9 +297,9 @@
         + " ejections "
         + new TreeMap<>(catchUp.ejections())
         + " announced "
-        + new TreeMap<>(catchUp.announced())
+        + new TreeMap<>(catchUp.notifiedEjections())
         + " cost "
-        + catchUp.cost();
+        + catchUp.entryCount();
   }
 
   /**
--- a/src/test/java/pearusher/policy/CommandDigest.java
+++ b/src/test/java/pearusher/policy/CommandDigest.java
@@ -195,12 +195,12 @@
   }
 
   @Override
-  public void suspectEjection(long server, boolean all) {
+  public void reportStaleEjectionRisk(long server, boolean all) {
     write("server-state-unknown", server, yesOrNo(all));
   }
 
   @Override
-  public void forgetServer(long server) {
+  public void discardServer(long server) {
     write("release-server", server);
   }
 }
--- a/src/test/java/pearusher/server/ConfigurationValuesTest.java
+++ b/src/test/java/pearusher/server/ConfigurationValuesTest.java
@@ -24,7 +24,7 @@
 import pearusher.policy.RequestClass;
 import pearusher.policy.ScoreWeights;
 import pearusher.policy.ServiceLimits;
-import pearusher.policy.SiteTraits;
+import pearusher.policy.SiteProperties;
 import pearusher.protocol.Endpoint;
 import pearusher.sitesettings.SettingsException;
 
@@ -115,9 +115,9 @@
     add("positions of classes", new TreeMap<>(config.names().classIndex()));
     add("names of machine types", new TreeMap<>(config.names().machineTypes()));
     add("names of load values", config.names().loadMetrics());
-    add("known generation", config.knownServers().generation());
-    add("known is whole", config.knownServers().complete());
-    for (Endpoint endpoint : config.knownServers().endpoints()) {
+    add("known generation", config.initialServers().generation());
+    add("known is whole", config.initialServers().complete());
+    for (Endpoint endpoint : config.initialServers().endpoints()) {
       String key = "known " + endpoint.server() + " ";
       add(key + "address", endpoint.hostPort());
       add(key + "zone", endpoint.zone());
@@ -159,7 +159,7 @@
     addLimits(settings.limits());
     addCosts(settings.costs());
     addScoreWeights(settings.scoreWeights());
-    addSiteTraits(settings.siteTraits());
+    addSiteProperties(settings.siteProperties());
   }
 
   private void addClass(String key, RequestClass requestClass) {
@@ -168,7 +168,7 @@
     add(key + "worth", requestClass.priorityWeight());
     add(key + "late worth", requestClass.latePriorityWeight());
     add(key + "effect", text(requestClass.idempotency()));
-    add(key + "all discard repeats", requestClass.deduplicatedEverywhere());
+    add(key + "all discard repeats", requestClass.deduplicatedAcrossServers());
     add(key + "window us", requestClass.deduplicationWindowUs());
     add(key + "writes", requestClass.writes());
     add(key + "own zone", requestClass.ownZoneOnly());
@@ -201,7 +201,7 @@
     add("price probe", costs.healthCheck());
     add("price orders", costs.commandLine());
     add("price late failure", costs.lateFailure());
-    add("price waste", costs.waste());
+    add("price waste", costs.wastedWork());
     add("price connection", costs.connection());
     add("price handshake", costs.handshake());
     add("price peer", costs.peerMessage());
@@ -220,20 +220,20 @@
     add("goal by work", weights.byWork());
   }
 
-  private void addSiteTraits(SiteTraits traits) {
-    add("site pick", text(traits.pickMethod()));
-    add("site standing", traits.bootstrapServers());
-    add("site least connections", traits.minConnections());
-    add("site streams a connection", traits.streamsPerConnection());
-    add("site idle close us", traits.idleCloseUs());
-    add("site connect timeout us", traits.connectTimeoutUs());
-    add("site cpu us a second", traits.cpuUsPerSecond());
-    add("site own zone joins", traits.proxiesJoinInOwnZone());
-    add("site warm keys", traits.keyAffinity());
-    add("site exclusive", traits.exclusiveOwners());
-    add("site park us", traits.parkUs());
-    add("site tenure us", traits.tenureUs());
-    add("site settle us", traits.settleUs());
+  private void addSiteProperties(SiteProperties properties) {
+    add("site pick", text(properties.pickMethod()));
+    add("site standing", properties.bootstrapServers());
+    add("site least connections", properties.minConnections());
+    add("site streams a connection", properties.streamsPerConnection());
+    add("site idle close us", properties.idleCloseUs());
+    add("site connect timeout us", properties.connectTimeoutUs());
+    add("site cpu us a second", properties.cpuUsPerSecond());
+    add("site own zone joins", properties.proxiesJoinInOwnZone());
+    add("site warm keys", properties.keyAffinity());
+    add("site exclusive", properties.exclusiveOwners());
+    add("site park us", properties.parkUs());
+    add("site tenure us", properties.tenureUs());
+    add("site settle us", properties.settleUs());
   }
 
   private AssignerConfig read(String json, String name, String listen, String discovery)
@@ -298,13 +298,13 @@
       return String.join(
           ", ",
           text(settings.admissionMode()),
-          text(settings.siteTraits().pickMethod()),
+          text(settings.siteProperties().pickMethod()),
           text(settings.loadReportSource()),
           text(settings.requestClasses().get(0).idempotency()),
           "list on request " + settings.endpointListOnRequest(),
           "weights listed " + settings.weightsListed(),
           "by work " + settings.scoreWeights().byWork(),
-          "all discard repeats " + settings.requestClasses().get(0).deduplicatedEverywhere(),
+          "all discard repeats " + settings.requestClasses().get(0).deduplicatedAcrossServers(),
           "only draining binds " + settings.limits().softRemoval());
     } catch (SettingsException e) {
       return "refused";
