--- a/src/bench/java/pearusher/scale/AssignerProcess.java
+++ b/src/bench/java/pearusher/scale/AssignerProcess.java
@@ -28,8 +28,10 @@
   private static final long POLL_MS = 2;
   private static final long TERMINATION_TIMEOUT_MS = 2_000;
   private static final Pattern DROP_TOTAL =
-      Pattern.compile("reports dropped no more: (\\d+) in all");
-  private static final Pattern DROP_LINE = Pattern.compile("dropped|rejected");
+      Pattern.compile(
+          "(?:reports dropped no more: (?=\\d+ in all)"
+              + "|report queue recovered: (?=\\d+ reports dropped since the start))(\\d+)");
+  private static final Pattern DROP_LINE = Pattern.compile("dropped|(?<!endpoint list )rejected");
   private static final String DROPPING_TEXT = "reports dropped";
 
   private final Path directory;
--- a/src/main/java/pearusher/control/BoundedReportQueue.java
+++ b/src/main/java/pearusher/control/BoundedReportQueue.java
@@ -47,14 +47,15 @@
   private void onDropped() {
     droppedCount.incrementAndGet();
     if (isDropping.compareAndSet(false, true)) {
-      Logger.warn("reports dropped: {} wait, more are dropped from here on", CAPACITY);
+      Logger.warn(
+          "reports dropped: queue is full at {} reports, further reports are dropped", CAPACITY);
     }
   }
 
   private void onDequeued() {
     if (queuedCount.decrementAndGet() <= DROPPING_END_SIZE
         && isDropping.compareAndSet(true, false)) {
-      Logger.warn("reports dropped no more: {} in all", droppedCount.get());
+      Logger.warn("report queue recovered: {} reports dropped since the start", droppedCount.get());
     }
   }
 
--- a/src/main/java/pearusher/control/CommitPipeline.java
+++ b/src/main/java/pearusher/control/CommitPipeline.java
@@ -101,7 +101,7 @@
         return;
       }
       hasAbandonedStore = true;
-      Logger.error("store given up: waiting={} cause=\"{}\"", outbox.size(), cause);
+      Logger.error("store abandoned: waiting={} cause=\"{}\"", outbox.size(), cause);
       // Starts marking the store before sending the messages, but does not wait for the mark: the
       // messages may be sent before the mark is durable (docs/ROADMAP.md).
       committer.markAbandoned();
--- a/src/main/java/pearusher/control/EndpointListHandler.java
+++ b/src/main/java/pearusher/control/EndpointListHandler.java
@@ -103,7 +103,7 @@
       oversizedLists.record(
           count ->
               Logger.warn(
-                  "discovery: with the servers known before, a list of {}",
+                  "endpoint list rejected, counted with the known servers: {}",
                   limits.describeMaxKnown()));
       stopWatch();
       return;
--- a/src/main/java/pearusher/control/EndpointListState.java
+++ b/src/main/java/pearusher/control/EndpointListState.java
@@ -79,13 +79,18 @@
   private Freshness compareOlderFirstList(EndpointList list, long nowUs) {
     long sinceUs = laggingSinceUs.orElse(nowUs);
     if (nowUs - sinceUs >= maxPollIntervalUs) {
-      Logger.warn("discovery restarted: generation {} after {}", list.generation(), generation);
+      Logger.warn(
+          "endpoint list accepted after a discovery restart: generation {} follows {}",
+          list.generation(),
+          generation);
       laggingSinceUs = OptionalLong.empty();
       return Freshness.RESTARTED;
     }
     if (sinceUs == nowUs) {
       Logger.warn(
-          "discovery lagging: generation {} after {}, ignored", list.generation(), generation);
+          "endpoint list ignored: generation {} is older than {}, discovery lags",
+          list.generation(),
+          generation);
     }
     laggingSinceUs = OptionalLong.of(sinceUs);
     return Freshness.LAGGING;
--- a/src/main/java/pearusher/control/StreamMembership.java
+++ b/src/main/java/pearusher/control/StreamMembership.java
@@ -109,7 +109,8 @@
 
   private static void logDroppedAcknowledgement(long count, Message.Acknowledgement last) {
     Logger.warn(
-        "acknowledgements dropped: {} so far, the last of proxy {}: no request {} is {} us old",
+        "acknowledgements dropped: {} so far, the last of proxy {}:"
+            + " no acknowledgement {} is pending that was requested {} us ago or earlier",
         count,
         last.proxy(),
         last.number(),
--- a/src/main/java/pearusher/discovery/DiscoveryClient.java
+++ b/src/main/java/pearusher/discovery/DiscoveryClient.java
@@ -106,7 +106,8 @@
 
   private void logMalformed(String unit, SettingsException fault) {
     malformedLists.record(
-        count -> Logger.warn("discovery: a {} can't be read: {}", unit, fault.getMessage()));
+        count ->
+            Logger.warn("endpoint list rejected: {} unreadable: {}", unit, fault.getMessage()));
   }
 
   /** Call whose response contains endpoint lists. */
@@ -126,7 +127,7 @@
       try {
         read(content);
       } catch (EndpointListTooLongException e) {
-        tooLongLists.record(count -> Logger.warn("discovery: a list of {}", e.getMessage()));
+        tooLongLists.record(count -> Logger.warn("endpoint list rejected: {}", e.getMessage()));
         end(TerminationReason.TOO_LONG);
       }
     }
