--- a/src/main/java/pearusher/transport/StreamConnection.java
+++ b/src/main/java/pearusher/transport/StreamConnection.java
@@ -103,7 +103,7 @@
     } catch (IOException e) {
       close(TerminationReason.RESET);
     } catch (RuntimeException e) {
-      Logger.error(e, "connection of {} ended: internal error while reading", identity.describe());
+      Logger.error(e, "internal error while reading from {}", identity.describe());
       close(TerminationReason.MALFORMED, "internal error");
     }
   }
