--- a/src/test/java/pearusher/server/RaceTest.java
+++ b/src/test/java/pearusher/server/RaceTest.java
@@ -215,12 +215,13 @@
     assertEquals(List.of(), policy.events);
   }
 
-  /** The assigner reports one outcome and closes the connection at the timeout. */
+  /**
+   * The assigner reports one outcome and closes the connection at the timeout. The example's
+   * timeouts of 4 s in all let the request arrive before, also if the first call of a process takes
+   * half a second under load.
+   */
   @Test
   void healthCheckResponseAfterItsTimeoutIsIgnored() throws Exception {
-    example
-        .with("\"answer_ms\": 3000", "\"answer_ms\": 200")
-        .with("\"connect_ms\": 1000", "\"connect_ms\": 100");
     try (HttpStub serverStub = new HttpStub()) {
       example.with("127.0.0.1:9001", serverStub.address());
       start();
