--- a/src/bench/java/pearusher/store/CompactionBench.java
+++ b/src/bench/java/pearusher/store/CompactionBench.java
@@ -6,8 +6,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures the latency of an append with its sync, one every millisecond, without compactions and
- * while compactions run one after the other.
+ * Measures the latency of an append and its sync, one every millisecond, without compactions and
+ * during continuous compactions.
  */
 final class CompactionBench {
   private static final int KEYS = 100_000;
@@ -52,7 +52,7 @@
   }
 
   private void appendDuringCompaction(Store store) throws IOException, InterruptedException {
-    Store.Sealed sealed = store.seal();
+    Store.SealedLogs sealed = store.seal();
     Thread compactor = new Thread(() -> compact(store, sealed));
     compactor.start();
     while (compactor.isAlive() && compactingNs.getTotalCount() < appends) {
@@ -61,7 +61,7 @@
     compactor.join();
   }
 
-  private static void compact(Store store, Store.Sealed sealed) {
+  private static void compact(Store store, Store.SealedLogs sealed) {
     try {
       store.compact(sealed);
     } catch (IOException e) {
--- a/src/main/java/pearusher/control/StreamMembership.java
+++ b/src/main/java/pearusher/control/StreamMembership.java
@@ -76,8 +76,8 @@
 
   /** Resumes the table that a joining proxy retains, except for the entries in the catch-up. */
   private void resumeTable(int proxy, CatchUp catchUp) {
-    tables.setAnnounced(proxy, servers.byNumber(catchUp.announced()));
-    policy.get().onTableHeld(loop.nowUs(), proxy, catchUp.table(), catchUp.cost());
+    tables.setAnnounced(proxy, servers.byNumber(catchUp.notifiedEjections()));
+    policy.get().onProxyTableReported(loop.nowUs(), proxy, catchUp.table(), catchUp.entryCount());
   }
 
   /** Removes a closed stream; ignored if a newer stream of the proxy has replaced it. */
@@ -109,7 +109,8 @@
 
   private static void logDroppedAcknowledgement(long count, Message.Acknowledgement last) {
     Logger.warn(
-        "acknowledgements dropped: {} so far, the last of proxy {}: no request {} is {} us old",
+        "acknowledgements dropped: {} so far, the last of proxy {}:"
+            + " no acknowledgement {} is pending that was requested {} us ago or earlier",
         count,
         last.proxy(),
         last.number(),
--- a/src/main/java/pearusher/policy/Server.java
+++ b/src/main/java/pearusher/policy/Server.java
@@ -71,7 +71,7 @@
   // Written by SlowStart.
 
   /** Share of the server's capacity that is available during slow start, up to 1. */
-  double readiness;
+  double availableCapacityShare;
 
   /** Factor of the weight during slow start; 1: slow start has ended. */
   double slowStartFactor;
@@ -124,7 +124,7 @@
   }
 
   /** Merges the attempts of a zone that left the scope into those of other zones. */
-  void releaseZone(int zone) {
+  void mergeZoneStatsIntoOthers(int zone) {
     attempts.mergeIntoOtherZones(zone);
   }
 
--- a/src/test/java/pearusher/policy/HistorySettings.java
+++ b/src/test/java/pearusher/policy/HistorySettings.java
@@ -16,7 +16,7 @@
         .healthChecksEnabled(false)
         .peersEnabled(false)
         .loadMetrics(List.of(LoadMetric.QUEUE_LENGTH, LoadMetric.UTILIZATION))
-        .siteTraits(siteTraits(false));
+        .siteProperties(siteProperties(false));
   }
 
   /** Returns classes that are, in turn, idempotent, not idempotent, and idempotent with a key. */
@@ -49,8 +49,8 @@
         0);
   }
 
-  static SiteTraits siteTraits(boolean proxiesJoinInOwnZone) {
-    return new SiteTraits(
+  static SiteProperties siteProperties(boolean proxiesJoinInOwnZone) {
+    return new SiteProperties(
         PickMethod.RANDOM,
         0,
         0,
--- a/src/test/java/pearusher/policy/RecordingCommands.java
+++ b/src/test/java/pearusher/policy/RecordingCommands.java
@@ -36,13 +36,13 @@
   /** Proxies that have joined and not left; the fixture maintains them. */
   final Set<Integer> joinedProxies = new HashSet<>();
 
-  final List<Long> forgottenServers = new ArrayList<>();
+  final List<Long> discardedServers = new ArrayList<>();
 
   /**
    * Servers that other instances may have ejected, and whether the reinstatement is sent to all
    * proxies.
    */
-  final Map<Long, Boolean> suspectedEjections = new TreeMap<>();
+  final Map<Long, Boolean> staleEjectionRisks = new TreeMap<>();
 
   /** Lines sent since the simulated time last advanced, without the overhead of messages. */
   int linesThisBatch;
@@ -165,12 +165,12 @@
   }
 
   @Override
-  public void suspectEjection(long server, boolean all) {
-    suspectedEjections.put(server, all);
+  public void reportStaleEjectionRisk(long server, boolean all) {
+    staleEjectionRisks.put(server, all);
   }
 
   @Override
-  public void forgetServer(long server) {
-    forgottenServers.add(server);
+  public void discardServer(long server) {
+    discardedServers.add(server);
   }
 }
--- a/src/test/java/pearusher/recovery/LedgerTest.java
+++ b/src/test/java/pearusher/recovery/LedgerTest.java
@@ -80,7 +80,7 @@
   void proxyThatAcknowledgedItsTableHasNoMissingEntries() {
     ledgerWithAcknowledgedProxy();
     CatchUp catchUp = catchUp(recover());
-    assertEquals(0, catchUp.cost());
+    assertEquals(0, catchUp.entryCount());
     assertEquals(0, catchUp.table());
   }
 
@@ -119,8 +119,8 @@
     ledger.onAcknowledgement(PROXY, 12);
     endIteration(ledger);
     catchUp = catchUp(recover());
-    assertEquals(0, catchUp.cost());
-    assertEquals(Map.of("a", true, "b", false), catchUp.announced());
+    assertEquals(0, catchUp.entryCount());
+    assertEquals(Map.of("a", true, "b", false), catchUp.notifiedEjections());
   }
 
   /**
@@ -237,7 +237,7 @@
       ledger.setEjected("s" + k, true, nowUs);
       ledger.setWeight(0, "s" + k, 0);
       endIteration(ledger);
-      ledger.forgetServer("s" + k);
+      ledger.discardServer("s" + k);
     }
     endIteration(ledger);
     assertTrue(store.size() < 150, store.size() + " keys");
--- a/src/test/java/pearusher/server/StreamMessageTest.java
+++ b/src/test/java/pearusher/server/StreamMessageTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Messages on streams, valid and invalid. */
+/** Valid and invalid messages on the streams of proxies and collectors. */
 class StreamMessageTest extends LoopbackFixture {
   @Test
   void messagesOfProxiesAndCollectorsReachThePolicy() throws Exception {
@@ -20,7 +20,8 @@
     proxy.send("usage proxy 3 class order tries 19 failed 1 span_ms 1000.0");
     policy.awaitEvent("onUsageReport 3 1 19 1 1000000");
     policy.command(commands -> commands.requestAck(905, true));
-    TestPeers.awaitUntil("the acknowledgement request", () -> proxy.held.ackNumbers.contains(905));
+    TestPeers.awaitUntil(
+        "the acknowledgement request", () -> proxy.applied.ackNumbers.contains(905));
     proxy.send("applied proxy 3 mark 905 took_ms 0.4");
     policy.awaitEvent("onAcknowledgement 3 905 400");
     try (RespClient collector = new RespClient(address).startReading()) {
@@ -32,14 +33,14 @@
       collector.send("heard zone south server s-99999999 tries 1 failed 1 span_ms 1000.0");
       collector.send("usage proxy 3 class lookup tries 1 failed 0 span_ms 1000.0");
       policy.awaitEvent("onUsageReport 3 0 1 0 1000000");
-      assertFalse(collector.isEnded, "a server that no list has named is passed over");
+      assertFalse(collector.isEnded, "a report on an unknown server ended the connection");
       assertEquals(List.of(), collector.received);
     }
     proxy.reset();
     policy.awaitEvent("onProxyLeft 3");
   }
 
-  /** The policy is notified once that the proxy left. */
+  /** The malformed frame ends its connection, and the policy receives one leave event. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -63,8 +64,8 @@
   }
 
   /**
-   * A stream that the assigner closes leaves its proxy's time limits running, so it stays open, and
-   * valid messages around the invalid one count.
+   * An invalid message does not close its stream, because the time limits of the proxy continue to
+   * run after its stream is closed. Valid messages before and after the invalid one are processed.
    */
   @ParameterizedTest
   @ValueSource(
@@ -89,7 +90,7 @@
         "update lines s-5be2a07c:1",
         "heard zone north server s-5be2a07c tries 1 failed 0 mean_ms 1 span_ms 1"
       })
-  void invalidMessageIsDroppedAlone(String message) throws Exception {
+  void onlyTheInvalidMessageIsDropped(String message) throws Exception {
     start();
     ProxyClient proxy = joinProxy(3);
     policy.command(
@@ -98,17 +99,18 @@
           commands.bindProxy(3, 0, 0);
           commands.requestAck(9, false);
         });
-    TestPeers.awaitUntil("the acknowledgement request", () -> proxy.held.ackNumbers.contains(9));
+    TestPeers.awaitUntil("the acknowledgement request", () -> proxy.applied.ackNumbers.contains(9));
     proxy.send("usage proxy 3 class lookup tries 5 failed 0 span_ms 1000");
     policy.awaitEvent("onUsageReport 3 0 5");
     proxy.send(message);
     proxy.send("usage proxy 3 class order tries 6 failed 0 span_ms 1000");
     proxy.send("applied proxy 3 mark 9 took_ms 0.1");
-    TestPeers.awaitUntil("the answer", () -> policy.events.contains("onAcknowledgement 3 9 100"));
+    TestPeers.awaitUntil(
+        "the acknowledgement", () -> policy.events.contains("onAcknowledgement 3 9 100"));
     assertEquals(
         List.of("onUsageReport 3 1 6 0 1000000", "onAcknowledgement 3 9 100"), policy.events);
     assertFalse(proxy.isEnded);
-    assertEquals(Map.of("s-0badcafe", 0.5f), proxy.held.usableWeights("lookup"));
+    assertEquals(Map.of("s-0badcafe", 0.5f), proxy.applied.usableWeights("lookup"));
     awaitLog(" dropped: 1 so far, the last ");
   }
 
@@ -128,7 +130,7 @@
   }
 
   @Test
-  void messagesArriveInPiecesAndInBulk() throws Exception {
+  void messagesAreDecodedByteByByteAndInBulk() throws Exception {
     start();
     RespClient proxy = new RespClient(address).startReading();
     byte[] joined = TestPeers.encodeLine("joined proxy 3 zone north weight 2.5 fresh 1");
